--- a/scheduler/choose_test.go
+++ b/scheduler/choose_test.go
@@ -15,126 +15,126 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-func TestDrainingExcludedAndUnknownEnginesGetNothing(t *testing.T) {
+func TestDrainingExcludedAndDeregisteredEnginesGetNoGrants(t *testing.T) {
 	drains := plainEngine("a", 4)
 	drains.Draining = true
-	des := newDesk(drains, plainEngine("b", 4), plainEngine("c", 4))
-	res := plain("r")
+	har := newHarness(drains, plainEngine("b", 4), plainEngine("c", 4))
+	res := plainReservation("r")
 	res.Exclude = []string{"b"}
-	assert.Equal(t, engineOf(des.reserve(res), "r"), "c")
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{drains}})
-	assert.Equal(t, engineOf(des.reserve(plain("s")), "s"), "")
+	assert.Equal(t, grantedEngine(har.reserve(res), "r"), "c")
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{drains}})
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("s")), "s"), "")
 }
 
-func TestPromptsGoWhereLessIsUnread(t *testing.T) {
-	des := newDesk(modelEngine("a"), modelEngine("b"))
-	first := engineOf(des.reserve(prompt("long", 8000)), "long")
-	second := engineOf(des.reserve(prompt("short", 100)), "short")
+func TestPromptGoesToEngineWithFewerPendingPrefills(t *testing.T) {
+	har := newHarness(modelEngine("a"), modelEngine("b"))
+	first := grantedEngine(har.reserve(promptReservation("long", 8000)), "long")
+	second := grantedEngine(har.reserve(promptReservation("short", 100)), "short")
 	assert.Assert(t, first != second)
 }
 
-func TestPaceIsLearned(t *testing.T) {
-	des := newDesk(modelEngine("a"), modelEngine("b"))
+func TestEngineSpeedIsLearned(t *testing.T) {
+	har := newHarness(modelEngine("a"), modelEngine("b"))
 	for idx := range 20 {
-		// Engine a takes five times as long as it should, b what it should.
+		// Engine a takes about five times as long as the prior predicts, b as long as predicted.
 		name := fmt.Sprint("r", idx)
-		eng := engineOf(des.reserve(prompt(name, 2000)), name)
+		eng := grantedEngine(har.reserve(promptReservation(name, 2000)), name)
 		took := 60 * time.Millisecond
 		if eng == "a" {
 			took = 220 * time.Millisecond
 		}
-		des.after(took)
-		des.handle(scheduler.Received{From: peer, Message: reservation.Progress{ID: id(name), FirstToken: took}})
-		des.release(reservation.Release{ID: id(name), Dispatched: true, FirstToken: took, Total: took, DecodeTokens: 1})
+		har.advance(took)
+		har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Progress{ID: requestID(name), FirstToken: took}})
+		har.release(reservation.Release{ID: requestID(name), Dispatched: true, FirstToken: took, Total: took, DecodeTokens: 1})
 	}
-	assert.Equal(t, engineOf(des.reserve(prompt("next", 2000)), "next"), "b")
+	assert.Equal(t, grantedEngine(har.reserve(promptReservation("next", 2000)), "next"), "b")
 }
 
-func TestCachedPartsDrawARequest(t *testing.T) {
-	des := newDesk(modelEngine("a"), modelEngine("b"))
-	res := prompt("first", 4000)
+func TestEngineWithCachedPromptPartsIsPreferred(t *testing.T) {
+	har := newHarness(modelEngine("a"), modelEngine("b"))
+	res := promptReservation("first", 4000)
 	res.Parts = []call.Part{{ID: 1, Tokens: 60}, {ID: 2, Tokens: 3900}}
-	eng := engineOf(des.reserve(res), "first")
-	des.after(300 * time.Millisecond)
-	des.handle(scheduler.Received{From: peer, Message: reservation.Progress{ID: id("first"), FirstToken: 100 * time.Millisecond}})
-	des.release(reservation.Release{ID: id("first"), Dispatched: true, Total: time.Second})
-	res.ID = id("again")
-	assert.Equal(t, engineOf(des.reserve(res), "again"), eng)
+	eng := grantedEngine(har.reserve(res), "first")
+	har.advance(300 * time.Millisecond)
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Progress{ID: requestID("first"), FirstToken: 100 * time.Millisecond}})
+	har.release(reservation.Release{ID: requestID("first"), Dispatched: true, Total: time.Second})
+	res.ID = requestID("again")
+	assert.Equal(t, grantedEngine(har.reserve(res), "again"), eng)
 }
 
-// answer has the engine answer a request that it was granted.
-func (des *desk) answer(name string, first, total time.Duration, events int) {
-	des.handle(scheduler.Received{From: peer, Message: reservation.Progress{ID: id(name), FirstToken: first}})
-	des.release(reservation.Release{ID: id(name), Dispatched: true, FirstToken: first, DecodeTokens: events, Total: total})
+// answer reports the first token of a granted request and releases it as answered.
+func (har *harness) answer(name string, first, total time.Duration, events int) {
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Progress{ID: requestID(name), FirstToken: first}})
+	har.release(reservation.Release{ID: requestID(name), Dispatched: true, FirstToken: first, DecodeTokens: events, Total: total})
 }
 
 func TestLongAnswersAvoidSlowEngines(t *testing.T) {
 	far := modelEngine("quick")
 	far.Domain = "d1"
-	des := newDesk(modelEngine("slow"), far)
+	har := newHarness(modelEngine("slow"), far)
 	for idx := range 60 {
-		// Both read alike; the events of one take ten times as long.
+		// Both engines prefill equally fast; decoding on one takes ten times as long.
 		name := fmt.Sprint("r", idx)
-		res := prompt(name, 10)
+		res := promptReservation(name, 10)
 		res.Domain = []string{"d0", "d1"}[idx%2]
 		total := 4 * time.Second
-		if engineOf(des.reserve(res), name) == "quick" {
+		if grantedEngine(har.reserve(res), name) == "quick" {
 			total = 400 * time.Millisecond
 		}
-		des.answer(name, 20*time.Millisecond, total, 20)
+		har.answer(name, 20*time.Millisecond, total, 20)
 	}
-	short, long := prompt("short", 10), prompt("long", 10)
+	short, long := promptReservation("short", 10), promptReservation("long", 10)
 	short.AnswerTokens, long.AnswerTokens = 1, 60
-	assert.Equal(t, engineOf(des.reserve(short), "short"), "slow")
-	assert.Equal(t, engineOf(des.reserve(long), "long"), "quick")
+	assert.Equal(t, grantedEngine(har.reserve(short), "short"), "slow")
+	assert.Equal(t, grantedEngine(har.reserve(long), "long"), "quick")
 }
 
-// What another host recorded decides before the first answer comes.
-func TestRecordedSpeedDecidesFromTheStart(t *testing.T) {
+// Measurements that another host stored rank the engines before the first answer arrives.
+func TestStoredMeasurementsApplyBeforeFirstAnswer(t *testing.T) {
 	slow, quick := modelEngine("a-slow"), modelEngine("b-quick")
 	slow.Address, quick.Address = netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
-	teacher := newDesk(slow, quick)
+	teacher := newHarness(slow, quick)
 	for idx := range 40 {
 		name := fmt.Sprint("r", idx)
 		took := 60 * time.Millisecond
-		if engineOf(teacher.reserve(prompt(name, 2000)), name) == "a-slow" {
+		if grantedEngine(teacher.reserve(promptReservation(name, 2000)), name) == "a-slow" {
 			took = 300 * time.Millisecond
 		}
-		teacher.after(took)
+		teacher.advance(took)
 		teacher.answer(name, took, took, 1)
 	}
 	recorded := teacher.core.Survey()
-	for name, learner := range map[string]*desk{"before its engines": newDesk(), "after them": newDesk(slow, quick)} {
+	for name, learner := range map[string]*harness{"before its engines": newHarness(), "after them": newHarness(slow, quick)} {
 		t.Run(name, func(t *testing.T) {
 			learner.handle(scheduler.SurveyRead{Survey: recorded})
 			learner.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{slow, quick}})
-			assert.Equal(t, engineOf(learner.reserve(prompt("next", 6000)), "next"), "b-quick")
+			assert.Equal(t, grantedEngine(learner.reserve(promptReservation("next", 6000)), "next"), "b-quick")
 		})
 	}
-	assert.Equal(t, engineOf(newDesk(slow, quick).reserve(prompt("next", 6000)), "next"), "a-slow", "without it the first is as good")
+	assert.Equal(t, grantedEngine(newHarness(slow, quick).reserve(promptReservation("next", 6000)), "next"), "a-slow", "without measurements the first engine is as good as the second")
 }
 
-// taught returns a desk whose engines' speed is recorded: slow takes four times as
-// long as quick.
-func taught() *desk {
+// newMeasuredHarness returns a harness with stored measurements of two engines: a-slow takes
+// four times as long as b-quick.
+func newMeasuredHarness() *harness {
 	slow, quick := modelEngine("a-slow"), modelEngine("b-quick")
 	slow.Address, quick.Address = netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
-	des := newDesk(slow, quick)
-	des.handle(scheduler.SurveyRead{Survey: pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: []pace.Record{
+	har := newHarness(slow, quick)
+	har.handle(scheduler.SurveyRead{Survey: pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: []pace.Record{
 		{Address: slow.Address, Profile: pace.Profile{Read: 4, Event: 4, Weight: 10}},
 		{Address: quick.Address, Profile: pace.Profile{Read: 1, Event: 1, Weight: 10}},
 	}}})})
-	return des
+	return har
 }
 
-// What its caller has waited before counts against a request's aim: the near engine
-// is preferred as long as it is in time.
-func TestAgeCountsAgainstTheAim(t *testing.T) {
+// The client's wait before this attempt counts against the latency target. The near engine is
+// preferred only as long as it meets the target.
+func TestClientWaitCountsAgainstLatencyTarget(t *testing.T) {
 	near, far := modelEngine("near"), modelEngine("far")
 	far.Domain = "d1"
 	near.Address, far.Address = netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
-	des := newDesk(near, far)
-	des.handle(scheduler.SurveyRead{Survey: pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: []pace.Record{
+	har := newHarness(near, far)
+	har.handle(scheduler.SurveyRead{Survey: pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: []pace.Record{
 		{Address: near.Address, Profile: pace.Profile{Read: 4, Event: 4, Weight: 10}},
 		{Address: far.Address, Profile: pace.Profile{Read: 3.6, Event: 3.6, Weight: 10}},
 	}}})})
@@ -142,66 +142,66 @@
 		age  time.Duration
 		want string
 	}{"first-try": {0, "near"}, "second-try": {110 * time.Millisecond, "far"}} {
-		res := prompt(name, 1000)
+		res := promptReservation(name, 1000)
 		res.Aim, res.Age = 300*time.Millisecond, tst.age
-		assert.Equal(t, engineOf(des.reserve(res), name), tst.want)
-		des.release(reservation.Release{ID: id(name)})
+		assert.Equal(t, grantedEngine(har.reserve(res), name), tst.want)
+		har.release(reservation.Release{ID: requestID(name)})
 	}
 }
 
-func TestPromptThatIsLateEverywhereGoesWhereItIsSoonest(t *testing.T) {
-	des := taught()
-	assert.Equal(t, engineOf(des.reserve(prompt("other", 10)), "other"), "b-quick")
+func TestLatePromptGoesToFastestEngine(t *testing.T) {
+	har := newMeasuredHarness()
+	assert.Equal(t, grantedEngine(har.reserve(promptReservation("other", 10)), "other"), "b-quick")
 	// 1.2 s at the quick engine, 4.6 s at the slow one, which is idle.
-	assert.Equal(t, engineOf(des.reserve(prompt("long", 54_000)), "long"), "b-quick")
-	// Behind that it would take 2.3 s, which its caller may wait for, but the quick
-	// engine has enough to read; the slow one answers when nobody waits any more.
-	assert.Equal(t, engineOf(des.reserve(prompt("next", 54_000)), "next"), "")
-	assert.Equal(t, reasonOf(des.after(300*time.Millisecond), "next"), reservation.ReasonOverload)
+	assert.Equal(t, grantedEngine(har.reserve(promptReservation("long", 54_000)), "long"), "b-quick")
+	// Behind that prompt it would take 2.3 s, which the client may wait for, but the quick
+	// engine has enough pending prefills; the slow one would answer after the client timed out.
+	assert.Equal(t, grantedEngine(har.reserve(promptReservation("next", 54_000)), "next"), "")
+	assert.Equal(t, refusalReason(har.advance(300*time.Millisecond), "next"), reservation.ReasonOverload)
 }
 
-func TestPromptThatIsLateEverywhereIsServedByASlowServiceToo(t *testing.T) {
+func TestLatePromptIsServedBySlowService(t *testing.T) {
 	slow := modelEngine("a-slow")
 	slow.Address = netip.MustParseAddrPort("127.0.0.1:1")
-	des := newDesk(slow)
-	des.handle(scheduler.SurveyRead{Survey: pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: []pace.Record{
+	har := newHarness(slow)
+	har.handle(scheduler.SurveyRead{Survey: pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: []pace.Record{
 		{Address: slow.Address, Profile: pace.Profile{Read: 8, Event: 8, Weight: 10}},
 	}}})})
-	assert.Equal(t, engineOf(des.reserve(prompt("long", 54_000)), "long"), "a-slow")
+	assert.Equal(t, grantedEngine(har.reserve(promptReservation("long", 54_000)), "long"), "a-slow")
 }
 
-func TestFailingEngineIsSetAsideAndTriedAgain(t *testing.T) {
-	des := newDesk(plainEngine("a", 8), plainEngine("b", 8), plainEngine("c", 8))
+func TestFailingEngineIsEjectedAndProbed(t *testing.T) {
+	har := newHarness(plainEngine("a", 8), plainEngine("b", 8), plainEngine("c", 8))
 	failures := 0
 	for idx := 0; failures < 2; idx++ {
 		name := fmt.Sprint("r", idx)
-		eng := engineOf(des.reserve(plain(name)), name)
+		eng := grantedEngine(har.reserve(plainReservation(name)), name)
 		if eng == "a" {
 			failures++
-			des.release(reservation.Release{ID: id(name), Failed: true})
+			har.release(reservation.Release{ID: requestID(name), Failed: true})
 		}
 	}
 	for idx := range 10 {
 		name := fmt.Sprint("s", idx)
-		assert.Assert(t, engineOf(des.reserve(plain(name)), name) != "a")
+		assert.Assert(t, grantedEngine(har.reserve(plainReservation(name)), name) != "a")
 	}
-	des.after(time.Second)
+	har.advance(time.Second)
 	trials := 0
 	for idx := range 10 {
 		name := fmt.Sprint("t", idx)
-		if engineOf(des.reserve(plain(name)), name) == "a" {
+		if grantedEngine(har.reserve(plainReservation(name)), name) == "a" {
 			trials++
 		}
 	}
-	assert.Equal(t, trials, 1, "one request finds out whether the engine is back")
+	assert.Equal(t, trials, 1, "a single request probes the ejected engine")
 }
 
-func TestHalfOfTheEnginesAreNeverSetAside(t *testing.T) {
-	des := newDesk(plainEngine("a", 8))
+func TestOnlyEngineIsNeverEjected(t *testing.T) {
+	har := newHarness(plainEngine("a", 8))
 	for idx := range 10 {
 		name := fmt.Sprint("r", idx)
-		assert.Equal(t, engineOf(des.reserve(plain(name)), name), "a")
-		des.release(reservation.Release{ID: id(name), Failed: true})
+		assert.Equal(t, grantedEngine(har.reserve(plainReservation(name)), name), "a")
+		har.release(reservation.Release{ID: requestID(name), Failed: true})
 	}
 }
 
@@ -217,13 +217,13 @@
 	for idx := range engines {
 		engines[idx] = modelEngine(fmt.Sprint("e", idx))
 	}
-	des := newDesk(engines...)
+	har := newHarness(engines...)
 	b.ReportAllocs()
 	for idx := 0; b.Loop(); idx++ {
 		name := fmt.Sprint("r", idx)
-		des.sends = nil
-		des.now = des.now.Add(10 * time.Millisecond)
-		des.reserve(prompt(name, 1000))
-		des.release(reservation.Release{ID: id(name), Dispatched: true, FirstToken: 20 * time.Millisecond, Total: 40 * time.Millisecond, DecodeTokens: 10})
+		har.sends = nil
+		har.now = har.now.Add(10 * time.Millisecond)
+		har.reserve(promptReservation(name, 1000))
+		har.release(reservation.Release{ID: requestID(name), Dispatched: true, FirstToken: 20 * time.Millisecond, Total: 40 * time.Millisecond, DecodeTokens: 10})
 	}
 }
--- a/scheduler/cold_sim_test.go
+++ b/scheduler/cold_sim_test.go
@@ -14,84 +14,84 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// Engines of a ratePlay that go cold: hosts read so in the store at different times, and those
-// who decide among them.
+// This part of rateSim marks engines cold. Hosts, the coordinators among them, read that from the
+// store at different times.
 
 const (
-	coldLength = 3 * time.Second
-	coldKnown  = time.Second
-	coldWindow = time.Second
-	coldOver   = 1.5
-	coldSlack  = 5
-	// coldHolds is for how long a host uses a grant of a cold engine.
-	coldHolds = 250 * time.Millisecond
+	simColdPeriod = 3 * time.Second
+	coldReadDelay = time.Second
+	coldWindow    = time.Second
+	coldFactor    = 1.5
+	coldSlack     = 5
+	// coldGrantTTL is how long a host may use a grant of a cold engine.
+	coldGrantTTL = 250 * time.Millisecond
 )
 
-func coldTable(perSecond float64) *route.Table {
-	tab, err := route.NewTable(route.Configuration{Version: 1, Services: []route.Service{{Name: "plain", ColdFor: coldLength, ColdRate: perSecond}}})
+func tableWithColdRate(perSecond float64) *route.Table {
+	tab, err := route.NewTable(route.Configuration{Version: 1, Services: []route.Service{{Name: "plain", ColdFor: simColdPeriod, ColdRate: perSecond}}})
 	if err != nil {
 		panic(err)
 	}
 	return tab
 }
 
-// chill has an engine go cold.
-func (pla *ratePlay) chill(eng *rateEngine) {
-	eng.coldUntil = pla.now.Add(coldLength)
+// markCold marks an engine cold; each host reads this after a random delay.
+func (sim *rateSim) markCold(eng *rateEngine) {
+	eng.coldUntil = sim.now.Add(simColdPeriod)
 	eng.ColdUntil = eng.coldUntil
-	for _, hos := range pla.hosts {
-		pla.in(time.Duration(pla.random.Float64()*float64(coldKnown)), func() { pla.know(hos, eng) })
+	for _, hos := range sim.hosts {
+		sim.schedule(time.Duration(sim.random.Float64()*float64(coldReadDelay)), func() { sim.readCold(hos, eng) })
 	}
 }
 
-// know has a host read that an engine is cold.
-func (pla *ratePlay) know(hos *rateHost, eng *rateEngine) {
+// readCold has a host read that an engine is cold.
+func (sim *rateSim) readCold(hos *rateHost, eng *rateEngine) {
 	hos.cold[eng.ID.Name] = eng.coldUntil
-	if pla.cfg.way != rateByGrant {
-		// Those who decide make nothing of it.
+	if sim.cfg.policy != rateByGrant {
+		// The coordinators ignore it.
 		return
 	}
 	var all []fleet.Engine
-	for _, other := range pla.engines {
+	for _, other := range sim.engines {
 		one := other.Engine
 		one.ColdUntil = hos.cold[one.ID.Name]
 		all = append(all, one)
 	}
-	pla.take(hos, hos.des.core.Handle(pla.now, scheduler.EnginesChanged{Engines: all}))
+	sim.apply(hos, hos.har.core.Handle(sim.now, scheduler.EnginesChanged{Engines: all}))
 }
 
-// judgeCold holds what reached an engine while it was cold against what it bears.
-func (pla *ratePlay) judgeCold(eng *rateEngine) {
-	allowed := coldOver*pla.cfg.coldRate + coldSlack
+// checkColdRate compares the requests that reached a cold engine with its cold rate.
+func (sim *rateSim) checkColdRate(eng *rateEngine) {
+	allowed := coldFactor*sim.cfg.coldRate + coldSlack
 	first := 0
 	for last, at := range eng.coldArrivals {
 		for at.Sub(eng.coldArrivals[first]) >= coldWindow {
 			first++
 		}
-		pla.result.coldWorst = max(pla.result.coldWorst, float64(last-first+1)/allowed)
+		sim.result.coldPeakUse = max(sim.result.coldPeakUse, float64(last-first+1)/allowed)
 	}
 }
 
-// mayWarm reports whether a host sends a request to an engine that it knows to be cold.
-func (pla *ratePlay) mayWarm(hos *rateHost, eng *rateEngine, gra reservation.Grant, granted time.Time) bool {
-	left := hos.cold[eng.ID.Name].Sub(pla.now)
+// maySendCold reports whether a host may send a request to an engine that it knows to be cold.
+func (sim *rateSim) maySendCold(hos *rateHost, eng *rateEngine, gra reservation.Grant, granted time.Time) bool {
+	left := hos.cold[eng.ID.Name].Sub(sim.now)
 	switch {
-	case left <= 0 || pla.cfg.way == rateIgnored:
+	case left <= 0 || sim.cfg.policy == rateIgnored:
 		return true
-	case pla.cfg.way != rateByGrant:
-		return pla.part(hos, eng).take(pla.now, pla.cfg.coldRate)
-	case gra.Cold && pla.now.Sub(granted) < coldHolds:
+	case sim.cfg.policy != rateByGrant:
+		return sim.shareOf(hos, eng).take(sim.now, sim.cfg.coldRate)
+	case gra.Cold && sim.now.Sub(granted) < coldGrantTTL:
 		return true
 	}
-	pla.tell(hos, fleet.Notice{Run: eng.ID, Word: fleet.Cold{Left: left}})
+	sim.reportNotice(hos, fleet.Notice{Run: eng.ID, Word: fleet.Cold{Left: left}})
 	return false
 }
 
-// BenchmarkWaysOfWarming prints what each way gives while all engines of a service are cold, or
-// a quarter of them: the largest part of what a cold engine bears that it got in a second, the
-// requests refused, and what those waited who were served.
-func BenchmarkWaysOfWarming(b *testing.B) {
-	ways := map[rateWay]string{rateIgnored: "ignored", rateByParts: "parts", rateByGrant: "grant"}
+// BenchmarkColdEnginePolicies reports the result of each policy while all engines of a service, or
+// a quarter of them, are cold: the peak use of a cold engine's allowance within a second (1 is all
+// of it), the share of requests refused, and the mean wait of the requests served.
+func BenchmarkColdEnginePolicies(b *testing.B) {
+	ways := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "parts", rateByGrant: "grant"}
 	for _, size := range []struct{ engines, hosts int }{{4, 4}, {20, 7}, {140, 85}} {
 		for _, part := range []int{1, 4} {
 			for way, name := range ways {
@@ -99,19 +99,19 @@
 					var sum rateResult
 					for b.Loop() {
 						for seed := range uint64(3) {
-							cfg := ratePlayConfig{seed: seed, way: way, engines: size.engines, hosts: size.hosts, load: 25 * float64(size.engines), length: 8 * time.Second, coldRate: 8.7}
+							cfg := rateSimConfig{seed: seed, policy: way, engines: size.engines, hosts: size.hosts, load: 25 * float64(size.engines), duration: 8 * time.Second, coldRate: 8.7}
 							for range size.engines / part {
 								cfg.cold = append(cfg.cold, 2*time.Second)
 							}
-							res := newRatePlay(cfg).run()
-							sum.coldWorst = max(sum.coldWorst, res.coldWorst)
+							res := newRateSim(cfg).run()
+							sum.coldPeakUse = max(sum.coldPeakUse, res.coldPeakUse)
 							sum.sent += res.sent
 							sum.served += res.served
 							sum.refused += res.refused
 							sum.waited += res.waited
 						}
 					}
-					b.ReportMetric(sum.coldWorst, "worst")
+					b.ReportMetric(sum.coldPeakUse, "worst")
 					b.ReportMetric(100*float64(sum.refused)/float64(sum.sent), "refused%")
 					b.ReportMetric(1000*sum.waited.Seconds()/float64(max(1, sum.served)), "ms-waited")
 				})
@@ -120,14 +120,14 @@
 	}
 }
 
-// Over all hosts together that know, however they are divided and whoever decides, also engines
-// that name rates beside and a herd of engines that go cold at once, a cold engine gets in no
-// second more than it bears.
-func TestColdEngineGetsNoMoreThanItBearsHoweverHostsAreDivided(t *testing.T) {
+// The hosts that know an engine to be cold together never send it more than its cold allowance
+// within a second: for any partition of the hosts and any coordinators, also when many engines go
+// cold at once and when engines send rate limits too.
+func TestColdRateHoldsForAnyPartition(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		cfg := ratePlayConfig{
-			seed: rapid.Uint64().Draw(rt, "seed"), way: rateByGrant, engines: rapid.IntRange(1, 6).Draw(rt, "engines"), hosts: rapid.IntRange(1, 12).Draw(rt, "hosts"),
-			load: rapid.Float64Range(20, 400).Draw(rt, "load"), length: 12 * time.Second, coldRate: rapid.Float64Range(0.5, 15).Draw(rt, "cold rate"),
+		cfg := rateSimConfig{
+			seed: rapid.Uint64().Draw(rt, "seed"), policy: rateByGrant, engines: rapid.IntRange(1, 6).Draw(rt, "engines"), hosts: rapid.IntRange(1, 12).Draw(rt, "hosts"),
+			load: rapid.Float64Range(20, 400).Draw(rt, "load"), duration: 12 * time.Second, coldRate: rapid.Float64Range(0.5, 15).Draw(rt, "cold rate"),
 		}
 		together := time.Duration(rapid.IntRange(1000, 5000).Draw(rt, "together")) * time.Millisecond
 		for range rapid.IntRange(1, cfg.engines).Draw(rt, "cold") {
@@ -145,23 +145,23 @@
 				at: time.Duration(rapid.IntRange(1000, 11000).Draw(rt, "at")) * time.Millisecond, groups: rapid.IntRange(1, min(4, cfg.hosts)).Draw(rt, "groups"),
 			})
 		}
-		if res := newRatePlay(cfg).run(); res.coldWorst > 1 || res.worst > 1 {
+		if res := newRateSim(cfg).run(); res.coldPeakUse > 1 || res.peakUse > 1 {
 			rt.Fatalf("%+v", res)
 		}
 	})
 }
 
-// A service all of whose engines go cold at once serves what they bear meanwhile, and in full
-// soon after.
-func TestServiceOfColdEnginesIsBackSoon(t *testing.T) {
+// A service whose engines all go cold at once keeps serving at the cold rate meanwhile, and refuses
+// no request soon after.
+func TestServiceRecoversAfterAllEnginesWereCold(t *testing.T) {
 	for seed := range uint64(3) {
 		for _, hosts := range []int{1, 7, 40} {
-			res := newRatePlay(ratePlayConfig{
-				seed: seed, way: rateByGrant, engines: 4, hosts: hosts, load: 120, length: 12 * time.Second, coldRate: 8,
-				cold: []time.Duration{2 * time.Second, 2 * time.Second, 2 * time.Second, 2 * time.Second}, endsAt: 2*time.Second + coldLength - rateEnded + 200*time.Millisecond,
+			res := newRateSim(rateSimConfig{
+				seed: seed, policy: rateByGrant, engines: 4, hosts: hosts, load: 120, duration: 12 * time.Second, coldRate: 8,
+				cold: []time.Duration{2 * time.Second, 2 * time.Second, 2 * time.Second, 2 * time.Second}, endsAt: 2*time.Second + simColdPeriod - rateRecovery + 200*time.Millisecond,
 			}).run()
-			assert.Assert(t, res.coldWorst <= 1 && res.coldWorst > 0.2, "%+v", res)
-			assert.Equal(t, res.refusedLater, 0, "%+v", res)
+			assert.Assert(t, res.coldPeakUse <= 1 && res.coldPeakUse > 0.2, "%+v", res)
+			assert.Equal(t, res.refusedLate, 0, "%+v", res)
 		}
 	}
 }
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -15,145 +15,150 @@
 )
 
 const (
-	coldRate = 8.0
-	coldFor  = 3 * time.Second
+	coldRate   = 8.0
+	coldPeriod = 3 * time.Second
 )
 
-// chilly returns a desk for a service whose cold engines bear coldRate.
-func chilly(engines ...fleet.Engine) *desk {
-	des := newDesk()
-	tab, err := route.NewTable(route.Configuration{Version: 1, Services: []route.Service{{Name: "plain", ColdFor: coldFor, ColdRate: coldRate}}})
+// newColdRateHarness returns a harness for a service whose cold engines are limited to coldRate
+// requests per second.
+func newColdRateHarness(engines ...fleet.Engine) *harness {
+	har := newHarness()
+	tab, err := route.NewTable(route.Configuration{Version: 1, Services: []route.Service{{Name: "plain", ColdFor: coldPeriod, ColdRate: coldRate}}})
 	if err != nil {
 		panic(err)
 	}
-	des.handle(scheduler.ConfigurationChanged{Table: tab})
-	des.handle(scheduler.EnginesChanged{Engines: engines})
-	return des
+	har.handle(scheduler.ConfigurationChanged{Table: tab})
+	har.handle(scheduler.EnginesChanged{Engines: engines})
+	return har
 }
 
-func coldEngine(des *desk, name string, left time.Duration) fleet.Engine {
+func coldEngine(har *harness, name string, left time.Duration) fleet.Engine {
 	eng := plainEngine(name, 100)
-	eng.ColdUntil = des.now.Add(left)
+	eng.ColdUntil = har.now.Add(left)
 	return eng
 }
 
-// grantsOf asks so many times with a pause in between, answers at once, and counts an engine's
-// grants.
-func (des *desk) grantsOf(engine string, times int, pause time.Duration) int {
+// countGrants sends the given number of requests at the given interval, answers the engine's
+// grants at once, and returns how many there were.
+func (har *harness) countGrants(engine string, times int, pause time.Duration) int {
 	count := 0
 	for num := range times {
-		sends := append(des.after(pause), des.reserve(plain(fmt.Sprint("ask-", des.now.UnixNano(), "-", num)))...)
+		sends := append(har.advance(pause), har.reserve(plainReservation(fmt.Sprint("ask-", har.now.UnixNano(), "-", num)))...)
 		for _, snd := range sends {
 			if gra, isGrant := snd.Message.(reservation.Grant); isGrant && gra.Engine == engine {
 				count++
-				des.release(reservation.Release{ID: gra.ID, Dispatched: true, Answered: true, Total: time.Millisecond})
+				har.release(reservation.Release{ID: gra.ID, Dispatched: true, Answered: true, Total: time.Millisecond})
 			}
 		}
 	}
 	return count
 }
 
-func TestColdEngineIsGrantedWhatItBears(t *testing.T) {
-	des := chilly()
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(des, "a", coldFor)}})
-	count := des.grantsOf("a", 200, 10*time.Millisecond)
+func TestColdEngineIsGrantedItsColdRate(t *testing.T) {
+	har := newColdRateHarness()
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", coldPeriod)}})
+	count := har.countGrants("a", 200, 10*time.Millisecond)
 	assert.Assert(t, count >= 14 && count <= 21, count)
-	for _, snd := range des.sends {
+	for _, snd := range har.sends {
 		if gra, isGrant := snd.Message.(reservation.Grant); isGrant {
 			assert.Assert(t, gra.Cold)
 		}
 	}
-	des.after(2 * time.Second)
-	assert.Equal(t, des.grantsOf("a", 50, 0), 50, "warm")
-	for _, svc := range des.core.Dump(des.now).Services {
+	har.advance(2 * time.Second)
+	assert.Equal(t, har.countGrants("a", 50, 0), 50, "warm")
+	for _, svc := range har.core.Dump(har.now).Services {
 		for _, eng := range svc.Engines {
 			assert.Assert(t, eng.Rate == nil && eng.ColdFor == "", "%+v", eng)
 		}
 	}
 }
 
-// Warm engines go first; a cold one gets what they can't take.
-func TestWarmEnginesGoFirst(t *testing.T) {
-	des := chilly()
+// Warm engines are preferred; a cold engine gets the requests that they have no slots for.
+func TestWarmEnginesArePreferred(t *testing.T) {
+	har := newColdRateHarness()
 	warm := plainEngine("b", 4)
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(des, "a", coldFor), warm}})
-	assert.Equal(t, engineOf(des.reserve(plain("r1")), "r1"), "b")
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", coldPeriod), warm}})
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("r1")), "r1"), "b")
 	for num := range 8 {
-		des.reserve(plain(fmt.Sprint("fills-", num)))
+		har.reserve(plainReservation(fmt.Sprint("fills-", num)))
 	}
-	des.after(200 * time.Millisecond)
-	assert.Assert(t, engineOf(des.sends, "fills-7") == "a" || engineOf(des.sends, "fills-5") == "a", "%+v", des.sends)
+	har.advance(200 * time.Millisecond)
+	assert.Assert(t, grantedEngine(har.sends, "fills-7") == "a" || grantedEngine(har.sends, "fills-5") == "a", "%+v", har.sends)
 }
 
-// An entry that is read again, and a shorter word, don't change what is known; a longer one does.
-func TestLongerWordOfColdHolds(t *testing.T) {
-	des := chilly()
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(des, "a", time.Second)}})
-	des.says(peer, "a", fleet.Cold{Left: 2 * time.Second})
-	des.says(peer, "a", fleet.Cold{Left: time.Millisecond})
-	des.after(1900 * time.Millisecond)
-	assert.Assert(t, des.grantsOf("a", 50, 0) < 10)
-	des.after(100 * time.Millisecond)
-	assert.Equal(t, des.grantsOf("a", 50, 0), 50)
+// A Cold signal extends the cold period of the engine's entry if it ends later; a signal that
+// ends earlier changes nothing.
+func TestLongestColdSignalApplies(t *testing.T) {
+	har := newColdRateHarness()
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", time.Second)}})
+	har.reportSignal(peerEpoch, "a", fleet.Cold{Left: 2 * time.Second})
+	har.reportSignal(peerEpoch, "a", fleet.Cold{Left: time.Millisecond})
+	har.advance(1900 * time.Millisecond)
+	assert.Assert(t, har.countGrants("a", 50, 0) < 10)
+	har.advance(100 * time.Millisecond)
+	assert.Equal(t, har.countGrants("a", 50, 0), 50)
 }
 
-// The lower of the two rates holds, and one doesn't end with the other.
-func TestLowerOfTheRatesHolds(t *testing.T) {
-	des := chilly()
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(des, "a", coldFor)}})
-	des.says(peer, "a", fleet.RateLimit{PerSecond: 2})
-	assert.Assert(t, des.countOf("a", 2, 100, 10*time.Millisecond) <= 4)
-	des.says(peer, "a", fleet.Unlimited{})
-	count := des.grantsOf("a", 100, 10*time.Millisecond)
+// The lower of the engine's rate limit and the cold rate applies, and the end of one doesn't
+// end the other.
+func TestLowerOfRateLimitAndColdRateApplies(t *testing.T) {
+	har := newColdRateHarness()
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", coldPeriod)}})
+	har.reportSignal(peerEpoch, "a", fleet.RateLimit{PerSecond: 2})
+	assert.Assert(t, har.countRateLimitedGrants("a", 2, 100, 10*time.Millisecond) <= 4)
+	har.reportSignal(peerEpoch, "a", fleet.Unlimited{})
+	count := har.countGrants("a", 100, 10*time.Millisecond)
 	assert.Assert(t, count >= 6 && count <= 13, count)
-	des.says(peer, "a", fleet.RateLimit{PerSecond: 2})
-	des.after(coldFor)
-	assert.Assert(t, des.countOf("a", 2, 100, 10*time.Millisecond) <= 4, "warm, with a rate")
+	har.reportSignal(peerEpoch, "a", fleet.RateLimit{PerSecond: 2})
+	har.advance(coldPeriod)
+	assert.Assert(t, har.countRateLimitedGrants("a", 2, 100, 10*time.Millisecond) <= 4, "the engine is warm but still has a rate limit")
 }
 
-// Hosts that decide for a part of all keep to their part, and one that takes over has none saved
-// up.
-func TestColdEnginesRateIsDivided(t *testing.T) {
-	des := chilly()
-	des.handle(scheduler.ShareChanged{Parts: 8, Hosts: 8, Elsewhere: true})
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(des, "a", time.Hour)}})
-	assert.Equal(t, des.grantsOf("a", 100, 10*time.Millisecond), 0, "another host decides")
-	des.handle(scheduler.ShareChanged{Parts: 8, Hosts: 8})
-	count := des.grantsOf("a", 400, 10*time.Millisecond)
+// A scheduler that is responsible for a share of the hosts gets the same share of the cold rate,
+// and one that takes over starts without saved tokens.
+func TestColdRateIsDividedByHosts(t *testing.T) {
+	har := newColdRateHarness()
+	har.handle(scheduler.ShareChanged{Parts: 8, Hosts: 8, Elsewhere: true})
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", time.Hour)}})
+	assert.Equal(t, har.countGrants("a", 100, 10*time.Millisecond), 0, "another host is the coordinator")
+	har.handle(scheduler.ShareChanged{Parts: 8, Hosts: 8})
+	count := har.countGrants("a", 400, 10*time.Millisecond)
 	assert.Assert(t, count >= 3 && count <= 5, count)
 }
 
-// What answers at the place of an engine that ended is another run, and cold, although nothing
-// in the store tells so yet.
-func TestEngineThatEndedIsColdWhenItIsBack(t *testing.T) {
-	des := chilly(plainEngine("a", 100), plainEngine("b", 0))
-	des.handle(scheduler.Received{From: peer, Message: reservation.EngineEnded{
-		ID: id("r"), Observation: quarantine.Observation{Subject: plain("r").Subject(), Engine: "a"},
+// The engine that answers at the address of a crashed engine is a new run and therefore cold,
+// although the store has no entry of it yet.
+func TestCrashedEngineIsColdWhenItReturns(t *testing.T) {
+	har := newColdRateHarness(plainEngine("a", 100), plainEngine("b", 0))
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineEnded{
+		ID: requestID("r"), Observation: quarantine.Observation{Subject: plainReservation("r").Subject(), Engine: "a"},
 	}})
-	des.after(2500 * time.Millisecond)
-	assert.Assert(t, des.grantsOf("a", 50, 0) <= 5)
-	des.after(coldFor)
-	assert.Equal(t, des.grantsOf("a", 50, 0), 50)
+	har.advance(2500 * time.Millisecond)
+	assert.Assert(t, har.countGrants("a", 50, 0) <= 5)
+	har.advance(coldPeriod)
+	assert.Equal(t, har.countGrants("a", 50, 0), 50)
 }
 
-// Who can't be granted a cold engine in its time hears so at once where all are cold.
-func TestAllCold(t *testing.T) {
-	des := chilly()
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(des, "a", coldFor), coldEngine(des, "b", coldFor)}})
+// When all engines are cold, a request that can't be granted one within its time is refused at
+// once.
+func TestRequestIsRefusedAtOnceIfAllEnginesAreCold(t *testing.T) {
+	har := newColdRateHarness()
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", coldPeriod), coldEngine(har, "b", coldPeriod)}})
 	refused := 0
 	for num := range 40 {
-		if _, ref := decisionOn(des.reserve(plain(fmt.Sprint("r", num))), fmt.Sprint("r", num)); ref.Reason == reservation.ReasonRate {
+		if _, ref := decisionFor(har.reserve(plainReservation(fmt.Sprint("r", num))), fmt.Sprint("r", num)); ref.Reason == reservation.ReasonRate {
 			refused++
 		}
 	}
 	assert.Assert(t, refused > 20, refused)
 }
 
-// A service whose operators say nothing of cold engines has none.
+// A service without a configured cold rate treats no engine as cold, whatever the entry or a
+// signal says.
 func TestServiceWithoutAColdRateHasNoColdEngines(t *testing.T) {
-	des := newDesk()
-	des.configure()
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(des, "a", coldFor)}})
-	des.says(peer, "a", fleet.Cold{Left: time.Hour})
-	assert.Equal(t, des.grantsOf("a", 50, 0), 50)
+	har := newHarness()
+	har.configure()
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", coldPeriod)}})
+	har.reportSignal(peerEpoch, "a", fleet.Cold{Left: time.Hour})
+	assert.Equal(t, har.countGrants("a", 50, 0), 50)
 }
--- a/scheduler/crash_sim_test.go
+++ b/scheduler/crash_sim_test.go
@@ -18,17 +18,18 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// crashPlay is a service whose engines end under some requests, and by chance, before one
-// core; time is the play's own.
-type crashPlay struct {
-	cfg    crashPlayConfig
-	des    *desk
+// crashSim simulates a service behind one core whose engines crash under poison requests and at
+// random. It has a simulated clock.
+type crashSim struct {
+	cfg    crashSimConfig
+	har    *harness
 	random *rand.Rand
-	queue  crashQueue
-	// number and sent count the engines and the requests.
-	number int
-	sent   int
-	// engines are those that run, byRun what each runs.
+	queue  eventQueue
+	// started and sent count the engines and the requests.
+	started int
+	sent    int
+	// engines are the running engines, entries the registered ones; a crashed engine stays
+	// registered until its entry expires.
 	engines map[string]*crashEngine
 	entries map[string]fleet.Engine
 	runs    map[request.ID]*crashRun
@@ -36,34 +37,35 @@
 	result  crashResult
 }
 
-type crashPlayConfig struct {
+type crashSimConfig struct {
 	seed    uint64
 	engines int
-	// culprits is how many callers send a request that ends engines, four times a second;
-	// varied has them change it each time.
-	culprits int
-	varied   bool
-	// chance is how often an engine ends by itself, a second.
-	chance float64
-	policy quarantine.Config
-	length time.Duration
+	// poisonClients is how many clients send a poison request four times a second; varied has them
+	// change the request each time.
+	poisonClients int
+	varied        bool
+	// randomCrashes is the rate at which an engine crashes by itself, per second.
+	randomCrashes float64
+	policy        quarantine.Config
+	duration      time.Duration
 }
 
-// crashResult is what a play cost.
+// crashResult is the result of a simulation.
 type crashResult struct {
-	// ended are the engines that culprits ended, arrivals how often they reached one.
-	ended    int
+	// crashed counts the engines that poison requests crashed, arrivals how often a poison request
+	// reached an engine.
+	crashed  int
 	arrivals int
-	// chanced are the engines that ended by chance.
-	chanced int
-	// sent, served and lost count the other requests; held are those that were refused as
-	// if they ended engines.
+	// randomCrashes counts the engines that crashed at random.
+	randomCrashes int
+	// sent, served and lost count the harmless requests; held counts those of them that were
+	// refused as poison requests.
 	sent   int
 	served int
 	lost   int
 	held   int
-	// last is when an engine was last ended by a culprit.
-	last time.Duration
+	// lastCrash is the time of the last crash by a poison request.
+	lastCrash time.Duration
 }
 
 type crashEngine struct {
@@ -72,49 +74,49 @@
 }
 
 type crashRun struct {
-	reserve reservation.Reserve
-	culprit bool
-	engine  *crashEngine
-	tries   int
-	began   time.Time
+	reserve   reservation.Reserve
+	poison    bool
+	engine    *crashEngine
+	retries   int
+	startedAt time.Time
 }
 
-type crashEvent struct {
-	at   time.Time
-	what func()
+type simEvent struct {
+	at     time.Time
+	action func()
 }
 
-type crashQueue []crashEvent
+type eventQueue []simEvent
 
-func (que crashQueue) Len() int           { return len(que) }
-func (que crashQueue) Less(i, j int) bool { return que[i].at.Before(que[j].at) }
-func (que crashQueue) Swap(i, j int)      { que[i], que[j] = que[j], que[i] }
-func (que *crashQueue) Push(x any)        { *que = append(*que, x.(crashEvent)) }
-func (que *crashQueue) Pop() any {
+func (que eventQueue) Len() int           { return len(que) }
+func (que eventQueue) Less(i, j int) bool { return que[i].at.Before(que[j].at) }
+func (que eventQueue) Swap(i, j int)      { que[i], que[j] = que[j], que[i] }
+func (que *eventQueue) Push(x any)        { *que = append(*que, x.(simEvent)) }
+func (que *eventQueue) Pop() any {
 	old := *que
 	last := old[len(old)-1]
 	*que = old[:len(old)-1]
 	return last
 }
 
-// The work of a play: what the users' calm days have, of one service.
+// The load of the simulation is that of one service on a day without incidents.
 const (
-	crashSlots     = 8
-	crashRate      = 1.6 // requests a second and engine
-	crashStay      = 2 * time.Second
-	crashResumable = 0.4
-	crashComeBack  = 0.3 // of the callers who lost a stream, after some seconds
-	crashTime      = 100 * time.Millisecond
-	crashLapse     = 3 * time.Second
-	crashTick      = 5 * time.Millisecond
+	crashSlots           = 8
+	crashRequestRate     = 1.6 // requests per second and engine
+	crashOccupancy       = 2 * time.Second
+	crashRepeatableShare = 0.4
+	crashRetryShare      = 0.3 // share of the clients that lost a stream and retry after some seconds
+	crashDelay           = 100 * time.Millisecond
+	crashEntryExpiry     = 3 * time.Second
+	crashTickInterval    = 5 * time.Millisecond
 )
 
-func newCrashPlay(cfg crashPlayConfig) *crashPlay {
-	pla := &crashPlay{
+func newCrashSim(cfg crashSimConfig) *crashSim {
+	sim := &crashSim{
 		cfg: cfg, random: rand.New(rand.NewPCG(cfg.seed, 7)),
-		des: &desk{
+		har: &harness{
 			core: scheduler.New(scheduler.Config{
-				Self: own, Repeats: scheduler.Repeats{Ratio: 0.2, Window: 10 * time.Second, Slack: 50}, LimitSlack: 1000, Quarantine: cfg.policy,
+				Self: ownEpoch, Repeats: scheduler.Repeats{Ratio: 0.2, Window: 10 * time.Second, Slack: 50}, LimitSlack: 1000, Quarantine: cfg.policy,
 			}),
 			now: time.Unix(5000, 0),
 		},
@@ -122,207 +124,207 @@
 		runs: make(map[request.ID]*crashRun), waiting: make(map[request.ID]*crashRun),
 	}
 	for range cfg.engines {
-		pla.start()
+		sim.startEngine()
 	}
-	pla.tell()
-	return pla
+	sim.publishEngines()
+	return sim
 }
 
-func (pla *crashPlay) in(wait time.Duration, what func()) {
-	heap.Push(&pla.queue, crashEvent{at: pla.des.now.Add(wait), what: what})
+func (sim *crashSim) schedule(wait time.Duration, what func()) {
+	heap.Push(&sim.queue, simEvent{at: sim.har.now.Add(wait), action: what})
 }
 
-func (pla *crashPlay) exponential(mean time.Duration) time.Duration {
-	return time.Duration(pla.random.ExpFloat64() * float64(mean))
+func (sim *crashSim) exponential(mean time.Duration) time.Duration {
+	return time.Duration(sim.random.ExpFloat64() * float64(mean))
 }
 
-// start starts an engine.
-func (pla *crashPlay) start() {
-	pla.number++
-	name := fmt.Sprint("e", pla.number)
-	eng := fleet.Engine{ID: fleet.EngineID{Name: name}, Service: "model", Slots: crashSlots, Domain: "d0", Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(pla.number))}
-	pla.engines[name] = &crashEngine{Engine: eng, runs: make(map[request.ID]*crashRun)}
-	pla.entries[name] = eng
-	if pla.cfg.chance > 0 {
-		pla.in(pla.exponential(time.Duration(float64(time.Second)/pla.cfg.chance)), func() {
-			if pla.engines[name] != nil {
-				pla.result.chanced++
-				pla.end(name)
+func (sim *crashSim) startEngine() {
+	sim.started++
+	name := fmt.Sprint("e", sim.started)
+	eng := fleet.Engine{ID: fleet.EngineID{Name: name}, Service: "model", Slots: crashSlots, Domain: "d0", Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(sim.started))}
+	sim.engines[name] = &crashEngine{Engine: eng, runs: make(map[request.ID]*crashRun)}
+	sim.entries[name] = eng
+	if sim.cfg.randomCrashes > 0 {
+		sim.schedule(sim.exponential(time.Duration(float64(time.Second)/sim.cfg.randomCrashes)), func() {
+			if sim.engines[name] != nil {
+				sim.result.randomCrashes++
+				sim.crash(name)
 			}
 		})
 	}
 }
 
-// tell brings the core the entries as they are.
-func (pla *crashPlay) tell() {
+// publishEngines sends the core the engines' current entries.
+func (sim *crashSim) publishEngines() {
 	var all []fleet.Engine
-	for num := range pla.number {
-		if eng, known := pla.entries[fmt.Sprint("e", num+1)]; known {
+	for num := range sim.started {
+		if eng, known := sim.entries[fmt.Sprint("e", num+1)]; known {
 			all = append(all, eng)
 		}
 	}
-	pla.take(pla.des.handle(scheduler.EnginesChanged{Engines: all}))
+	sim.apply(sim.har.handle(scheduler.EnginesChanged{Engines: all}))
 }
 
-// end ends an engine: what it ran is lost, its entry lapses later, another one starts.
-func (pla *crashPlay) end(name string) {
-	eng := pla.engines[name]
-	delete(pla.engines, name)
-	for _, run := range eng.sorted() {
-		delete(pla.runs, run.reserve.ID)
+// crash crashes an engine: its runs are lost, and once its entry has expired another one starts.
+func (sim *crashSim) crash(name string) {
+	eng := sim.engines[name]
+	delete(sim.engines, name)
+	for _, run := range eng.sortedRuns() {
+		delete(sim.runs, run.reserve.ID)
 		sub := run.reserve.Subject()
-		pla.take(pla.des.handle(scheduler.Received{From: peer, Message: reservation.EngineEnded{
+		sim.apply(sim.har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineEnded{
 			ID: run.reserve.ID, Observation: quarantine.Observation{Subject: sub, Engine: name},
 		}}))
-		pla.take(pla.des.release(reservation.Release{ID: run.reserve.ID, Engine: name, Dispatched: true, Failed: true}))
-		pla.loseRun(run)
+		sim.apply(sim.har.release(reservation.Release{ID: run.reserve.ID, Engine: name, Dispatched: true, Failed: true}))
+		sim.handleLostRun(run)
 	}
-	pla.in(crashLapse, func() {
-		delete(pla.entries, name)
-		pla.start()
-		pla.tell()
+	sim.schedule(crashEntryExpiry, func() {
+		delete(sim.entries, name)
+		sim.startEngine()
+		sim.publishEngines()
 	})
 }
 
-func (eng *crashEngine) sorted() []*crashRun {
+func (eng *crashEngine) sortedRuns() []*crashRun {
 	return slices.SortedFunc(maps.Values(eng.runs), func(one, two *crashRun) int {
 		return cmp.Compare(one.reserve.ID.Unique, two.reserve.ID.Unique)
 	})
 }
 
-// loseRun has the host repeat what an end took, or its caller come back some day.
-func (pla *crashPlay) loseRun(run *crashRun) {
+// handleLostRun repeats a run that a crash took if it is repeatable; otherwise its client may retry
+// later.
+func (sim *crashSim) handleLostRun(run *crashRun) {
 	switch {
 	case run.reserve.Repeatable && run.reserve.Attempt == 0:
 		again := *run
 		again.reserve.Attempt, again.reserve.Exclude = 1, []string{run.engine.ID.Name}
-		pla.ask(&again)
-	case run.culprit:
+		sim.reserve(&again)
+	case run.poison:
 	default:
-		pla.result.lost++
-		if run.tries == 0 && pla.random.Float64() < crashComeBack {
-			pla.result.lost--
-			pla.in(pla.exponential(2*time.Second), func() { pla.again(run) })
+		sim.result.lost++
+		if run.retries == 0 && sim.random.Float64() < crashRetryShare {
+			sim.result.lost--
+			sim.schedule(sim.exponential(2*time.Second), func() { sim.retry(run) })
 		}
 	}
 }
 
-// again has a caller send its request once more, under another id.
-func (pla *crashPlay) again(run *crashRun) {
+// retry has a client send its request once more, under another ID.
+func (sim *crashSim) retry(run *crashRun) {
 	again := *run
-	pla.name(&again.reserve)
+	sim.assignID(&again.reserve)
 	again.reserve.Attempt, again.reserve.Exclude = 0, nil
-	again.tries++
-	pla.ask(&again)
+	again.retries++
+	sim.reserve(&again)
 }
 
-// name gives a request an id of its own.
-func (pla *crashPlay) name(res *reservation.Reserve) {
-	pla.sent++
-	res.ID = id(fmt.Sprintf("c%09d", pla.sent))
+// assignID gives a request a unique ID.
+func (sim *crashSim) assignID(res *reservation.Reserve) {
+	sim.sent++
+	res.ID = requestID(fmt.Sprintf("c%09d", sim.sent))
 }
 
-func (pla *crashPlay) digest() call.Digest {
+func (sim *crashSim) randomDigest() call.Digest {
 	var dig call.Digest
 	for idx := range dig {
-		dig[idx] = byte(pla.random.IntN(256))
+		dig[idx] = byte(sim.random.IntN(256))
 	}
 	return dig
 }
 
-// send sends a request; the accounts have unequal shares of the work.
-func (pla *crashPlay) send(culprit bool, account string, dig call.Digest) {
-	res := prompt("", 300+pla.random.IntN(600))
-	pla.name(&res)
+// send sends a request of an account.
+func (sim *crashSim) send(culprit bool, account string, dig call.Digest) {
+	res := promptReservation("", 300+sim.random.IntN(600))
+	sim.assignID(&res)
 	res.Account, res.Digest, res.Route = account, dig, "stream"
-	res.Repeatable = !culprit && pla.random.Float64() < crashResumable
+	res.Repeatable = !culprit && sim.random.Float64() < crashRepeatableShare
 	if res.Repeatable {
 		res.Route = "resume"
 	}
 	if !culprit {
-		pla.result.sent++
+		sim.result.sent++
 	}
-	pla.ask(&crashRun{reserve: res, culprit: culprit})
+	sim.reserve(&crashRun{reserve: res, poison: culprit})
 }
 
-func (pla *crashPlay) ask(run *crashRun) {
-	pla.waiting[run.reserve.ID] = run
-	pla.take(pla.des.reserve(run.reserve))
+func (sim *crashSim) reserve(run *crashRun) {
+	sim.waiting[run.reserve.ID] = run
+	sim.apply(sim.har.reserve(run.reserve))
 }
 
-// take carries out what the core says.
-func (pla *crashPlay) take(sends []scheduler.Send) {
+// apply applies the core's decisions.
+func (sim *crashSim) apply(sends []scheduler.Send) {
 	for _, snd := range sends {
 		switch msg := snd.Message.(type) {
 		case reservation.Grant:
-			pla.grant(msg)
+			sim.handleGrant(msg)
 		case reservation.Refuse:
-			pla.refuse(msg)
+			sim.handleRefusal(msg)
 		}
 	}
 }
 
-func (pla *crashPlay) grant(gra reservation.Grant) {
-	run := pla.waiting[gra.ID]
-	delete(pla.waiting, gra.ID)
-	eng := pla.engines[gra.Engine]
+func (sim *crashSim) handleGrant(gra reservation.Grant) {
+	run := sim.waiting[gra.ID]
+	delete(sim.waiting, gra.ID)
+	eng := sim.engines[gra.Engine]
 	if eng == nil {
-		// Its connection is refused, and another one is asked for.
-		pla.take(pla.des.release(reservation.Release{ID: gra.ID, Engine: gra.Engine, Failed: true}))
+		// The connection to the engine is refused; the host reserves another one.
+		sim.apply(sim.har.release(reservation.Release{ID: gra.ID, Engine: gra.Engine, Failed: true}))
 		run.reserve.Exclude = append(append([]string(nil), run.reserve.Exclude...), gra.Engine)
 		if len(run.reserve.Exclude) <= 3 {
-			pla.ask(run)
+			sim.reserve(run)
 		}
 		return
 	}
-	run.engine, run.began = eng, pla.des.now
-	eng.runs[gra.ID], pla.runs[gra.ID] = run, run
-	if run.culprit {
-		pla.result.arrivals++
-		pla.in(crashTime, func() {
-			if pla.engines[gra.Engine] == eng && pla.runs[gra.ID] == run {
-				pla.result.ended++
-				pla.result.last = pla.des.now.Sub(time.Unix(5000, 0))
-				pla.end(gra.Engine)
+	run.engine, run.startedAt = eng, sim.har.now
+	eng.runs[gra.ID], sim.runs[gra.ID] = run, run
+	if run.poison {
+		sim.result.arrivals++
+		sim.schedule(crashDelay, func() {
+			if sim.engines[gra.Engine] == eng && sim.runs[gra.ID] == run {
+				sim.result.crashed++
+				sim.result.lastCrash = sim.har.now.Sub(time.Unix(5000, 0))
+				sim.crash(gra.Engine)
 			}
 		})
 		return
 	}
-	pla.in(pla.exponential(crashStay), func() {
-		if pla.runs[gra.ID] != run {
+	sim.schedule(sim.exponential(crashOccupancy), func() {
+		if sim.runs[gra.ID] != run {
 			return
 		}
-		delete(pla.runs, gra.ID)
+		delete(sim.runs, gra.ID)
 		delete(eng.runs, gra.ID)
-		pla.result.served++
-		took := pla.des.now.Sub(run.began)
-		pla.take(pla.des.release(reservation.Release{ID: gra.ID, Engine: gra.Engine, Dispatched: true, Answered: true, FirstToken: min(took, 100*time.Millisecond), DecodeTokens: 40, Total: took}))
+		sim.result.served++
+		took := sim.har.now.Sub(run.startedAt)
+		sim.apply(sim.har.release(reservation.Release{ID: gra.ID, Engine: gra.Engine, Dispatched: true, Answered: true, FirstToken: min(took, 100*time.Millisecond), DecodeTokens: 40, Total: took}))
 	})
 }
 
-func (pla *crashPlay) refuse(ref reservation.Refuse) {
-	run := pla.waiting[ref.ID]
-	delete(pla.waiting, ref.ID)
-	if run == nil || run.culprit {
+func (sim *crashSim) handleRefusal(ref reservation.Refuse) {
+	run := sim.waiting[ref.ID]
+	delete(sim.waiting, ref.ID)
+	if run == nil || run.poison {
 		return
 	}
 	if ref.Reason == reservation.ReasonHeld {
-		pla.result.held++
+		sim.result.held++
 		return
 	}
-	if run.tries == 0 {
-		pla.in(min(ref.RetryAfter, 3*time.Second), func() { pla.again(run) })
+	if run.retries == 0 {
+		sim.schedule(min(ref.RetryAfter, 3*time.Second), func() { sim.retry(run) })
 	}
 }
 
-// crashAccounts share the work like this.
+// crashAccounts are the accounts and their shares of the load.
 var crashAccounts = []struct {
 	name  string
 	share float64
 }{{"large", 0.4}, {"second", 0.25}, {"third", 0.2}, {"fourth", 0.1}, {"small", 0.05}}
 
-func (pla *crashPlay) anyAccount() string {
-	left := pla.random.Float64()
+func (sim *crashSim) randomAccount() string {
+	left := sim.random.Float64()
 	for _, acc := range crashAccounts {
 		left -= acc.share
 		if left < 0 {
@@ -332,40 +334,40 @@
 	return crashAccounts[0].name
 }
 
-// run plays the length of the play.
-func (pla *crashPlay) run() crashResult {
-	end := pla.des.now.Add(pla.cfg.length)
+// run runs the simulation for its duration.
+func (sim *crashSim) run() crashResult {
+	end := sim.har.now.Add(sim.cfg.duration)
 	var arrive func()
 	arrive = func() {
-		pla.send(false, pla.anyAccount(), pla.digest())
-		pla.in(pla.exponential(time.Duration(float64(time.Second)/(crashRate*float64(pla.cfg.engines)))), arrive)
+		sim.send(false, sim.randomAccount(), sim.randomDigest())
+		sim.schedule(sim.exponential(time.Duration(float64(time.Second)/(crashRequestRate*float64(sim.cfg.engines)))), arrive)
 	}
-	pla.in(0, arrive)
-	for num := range pla.cfg.culprits {
-		account, dig := crashAccounts[num%len(crashAccounts)].name, pla.digest()
+	sim.schedule(0, arrive)
+	for num := range sim.cfg.poisonClients {
+		account, dig := crashAccounts[num%len(crashAccounts)].name, sim.randomDigest()
 		var culprit func()
 		culprit = func() {
-			if pla.cfg.varied {
-				dig = pla.digest()
+			if sim.cfg.varied {
+				dig = sim.randomDigest()
 			}
-			pla.send(true, account, dig)
-			pla.in(pla.exponential(250*time.Millisecond), culprit)
+			sim.send(true, account, dig)
+			sim.schedule(sim.exponential(250*time.Millisecond), culprit)
 		}
-		pla.in(3*time.Second, culprit)
+		sim.schedule(3*time.Second, culprit)
 	}
 	var tick func()
 	tick = func() {
-		pla.take(pla.des.handle(scheduler.Tick{}))
-		pla.in(crashTick, tick)
+		sim.apply(sim.har.handle(scheduler.Tick{}))
+		sim.schedule(crashTickInterval, tick)
 	}
-	pla.in(0, tick)
-	for len(pla.queue) > 0 {
-		evt := heap.Pop(&pla.queue).(crashEvent)
+	sim.schedule(0, tick)
+	for len(sim.queue) > 0 {
+		evt := heap.Pop(&sim.queue).(simEvent)
 		if evt.at.After(end) {
 			break
 		}
-		pla.des.now = evt.at
-		evt.what()
+		sim.har.now = evt.at
+		evt.action()
 	}
-	return pla.result
+	return sim.result
 }
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -15,187 +15,190 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// pauseWay is what is made of an engine's wish for a pause.
-type pauseWay uint8
+// backoffPolicy is how hosts and the coordinator react to an engine's backoff request.
+type backoffPolicy uint8
 
 const (
-	// pauseIgnored is as it was before: a failure like any other.
-	pauseIgnored pauseWay = iota
-	// pauseByHost has the host that was asked send grants back, and nobody else know.
-	pauseByHost
-	// pauseOfAsked has who decides grant it nothing to the host that was asked.
-	pauseOfAsked
-	// pauseOfAll has all hosts keep away for a while, and one request try first.
-	pauseOfAll
-	// pauseProbing has one request at a time of the others try at once, then each time later.
-	pauseProbing
+	// backoffIgnored treats the backoff request as a failure like any other.
+	backoffIgnored backoffPolicy = iota
+	// backoffByHost has only the host that received it return grants; it tells no other host.
+	backoffByHost
+	// backoffOfReceiver has the coordinator not grant the engine to the host that received it.
+	backoffOfReceiver
+	// backoffOfAll blocks the engine for all hosts for a while, then one request probes it.
+	backoffOfAll
+	// backoffProbing has the other hosts probe the engine at once, with one request at a time, and
+	// later after each failed probe.
+	backoffProbing
 )
 
-// pausePlay is a service some of whose engines turn all requests away for a time and ask for
-// a pause each time, before one core that decides for many hosts; time is the play's own.
-type pausePlay struct {
-	cfg     pausePlayConfig
-	des     *desk
+// backoffSim simulates a service behind one core that schedules for many hosts. Some of the engines
+// reject requests for a while, with a backoff request each time. It has a simulated clock.
+type backoffSim struct {
+	cfg     backoffSimConfig
+	har     *harness
 	random  *rand.Rand
-	queue   crashQueue
+	queue   eventQueue
 	sent    int
-	engines map[string]*pauseEngine
-	hosts   map[request.Epoch]*fleet.Notices
-	waiting map[request.ID]*pauseRun
-	result  pauseResult
+	engines map[string]*backoffEngine
+	notices map[request.Epoch]*fleet.Notices
+	waiting map[request.ID]*backoffRun
+	result  backoffResult
 }
 
-type pausePlayConfig struct {
+type backoffSimConfig struct {
 	seed    uint64
-	way     pauseWay
+	policy  backoffPolicy
 	engines int
 	hosts   int
-	// share of the engines turn away at a time, for shed; failing is the share of answers
-	// that the others fail meanwhile.
-	share    float64
-	failing  float64
-	attempts int
-	// load is the part of all engines' slots that is usually taken.
+	// shedShare is the share of engines that shed load at a time, for backoffShed; failureShare is
+	// the share of answers of the other engines that fail.
+	shedShare    float64
+	failureShare float64
+	maxAttempts  int
+	// load is the mean share of all engines' slots that is taken.
 	load float64
-	// part is the share of requests that an engine turns away; 0 for all.
-	part float64
+	// rejectShare is the share of requests that a shedding engine rejects; 0 for all.
+	rejectShare float64
 }
 
-type pauseResult struct {
-	sent, served, turned, refused int
-	// worst is the most that one host sent an engine between half a second after it was
-	// asked for a pause and the pause's end.
-	worst int
-	// back is how long engines that served again waited for their first request.
-	back  time.Duration
-	backs int
+type backoffResult struct {
+	sent, served, rejected, refused int
+	// maxDuringBackoff is the largest number of requests that one host sent an engine between
+	// half a second after it received a backoff request and the end of the backoff.
+	maxDuringBackoff int
+	// idle is the total time that engines waited for their first request after they had stopped
+	// shedding, returns how many did.
+	idle    time.Duration
+	returns int
 }
 
-type pauseEngine struct {
+type backoffEngine struct {
 	fleet.Engine
-	shedUntil time.Time
-	waits     bool
-	// asked is when hosts were last asked for a pause, sent how many requests came since.
+	shedUntil     time.Time
+	awaitsRequest bool
+	// asked is when the engine last sent each host a backoff request, sent how many requests it has
+	// got from the host since.
 	asked map[request.Epoch]time.Time
 	sent  map[request.Epoch]int
 }
 
-type pauseRun struct {
+type backoffRun struct {
 	reserve reservation.Reserve
 	host    request.Epoch
-	tries   int
-	// started is when the caller sent it.
-	started time.Time
+	retries int
+	// started is when the client sent the request.
+	startedAt time.Time
 }
 
-// The work of a play: backend servers as on the users' days.
+// The load of the simulation is that of backend servers in production.
 const (
-	pauseSlots = 6
-	pauseWork  = 60 * time.Millisecond
-	pauseAim   = 300 * time.Millisecond
-	pauseTime  = 1500 * time.Millisecond
-	pauseRest  = 3 * time.Second
-	pauseTrip  = time.Millisecond
-	pauseShed  = 8 * time.Second
+	backoffSlots         = 6
+	backoffServiceTime   = 60 * time.Millisecond
+	backoffLatencyTarget = 300 * time.Millisecond
+	backoffTimeout       = 1500 * time.Millisecond
+	backoffPeriod        = 3 * time.Second
+	backoffNetworkDelay  = time.Millisecond
+	backoffShedPeriod    = 8 * time.Second
 )
 
-func newPausePlay(cfg pausePlayConfig) *pausePlay {
-	scope := map[pauseWay]scheduler.PauseScope{pauseOfAsked: scheduler.PauseAsked, pauseOfAll: scheduler.PauseAll}[cfg.way]
-	pla := &pausePlay{
-		cfg: cfg, random: rand.New(rand.NewPCG(cfg.seed, 11)), engines: make(map[string]*pauseEngine),
-		hosts: make(map[request.Epoch]*fleet.Notices), waiting: make(map[request.ID]*pauseRun),
-		des: &desk{
-			core: scheduler.New(scheduler.Config{Self: own, Repeats: scheduler.Repeats{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}, LimitSlack: 1000, Pauses: scope}),
+func newBackoffSim(cfg backoffSimConfig) *backoffSim {
+	scope := map[backoffPolicy]scheduler.PauseScope{backoffOfReceiver: scheduler.PauseAsked, backoffOfAll: scheduler.PauseAll}[cfg.policy]
+	sim := &backoffSim{
+		cfg: cfg, random: rand.New(rand.NewPCG(cfg.seed, 11)), engines: make(map[string]*backoffEngine),
+		notices: make(map[request.Epoch]*fleet.Notices), waiting: make(map[request.ID]*backoffRun),
+		har: &harness{
+			core: scheduler.New(scheduler.Config{Self: ownEpoch, Repeats: scheduler.Repeats{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}, LimitSlack: 1000, Pauses: scope}),
 			now:  time.Unix(5000, 0),
 		},
 	}
 	var all []fleet.Engine
 	for num := range cfg.engines {
-		eng := plainEngine(fmt.Sprintf("e%03d", num), pauseSlots)
+		eng := plainEngine(fmt.Sprintf("e%03d", num), backoffSlots)
 		all = append(all, eng)
-		pla.engines[eng.ID.Name] = &pauseEngine{Engine: eng, asked: make(map[request.Epoch]time.Time), sent: make(map[request.Epoch]int)}
+		sim.engines[eng.ID.Name] = &backoffEngine{Engine: eng, asked: make(map[request.Epoch]time.Time), sent: make(map[request.Epoch]int)}
 	}
 	for num := range cfg.hosts {
-		pla.hosts[request.Epoch(num+10)] = fleet.NewNotices()
+		sim.notices[request.Epoch(num+10)] = fleet.NewNotices()
 	}
-	pla.des.handle(scheduler.EnginesChanged{Engines: all})
-	return pla
+	sim.har.handle(scheduler.EnginesChanged{Engines: all})
+	return sim
 }
 
-func (pla *pausePlay) in(wait time.Duration, what func()) {
-	heap.Push(&pla.queue, crashEvent{at: pla.des.now.Add(wait), what: what})
+func (sim *backoffSim) schedule(wait time.Duration, what func()) {
+	heap.Push(&sim.queue, simEvent{at: sim.har.now.Add(wait), action: what})
 }
 
-func (pla *pausePlay) exponential(mean time.Duration) time.Duration {
-	return time.Duration(pla.random.ExpFloat64() * float64(mean))
+func (sim *backoffSim) exponential(mean time.Duration) time.Duration {
+	return time.Duration(sim.random.ExpFloat64() * float64(mean))
 }
 
-// run plays two times of shedding, and what comes after.
-func (pla *pausePlay) run() pauseResult {
+// run simulates two periods of shedding and the time after them.
+func (sim *backoffSim) run() backoffResult {
 	length := 30 * time.Second
-	pla.in(0, func() { pla.arrive() })
-	pla.in(0, func() { pla.tick() })
+	sim.schedule(0, func() { sim.arrive() })
+	sim.schedule(0, func() { sim.tick() })
 	for _, at := range []time.Duration{4 * time.Second, 16 * time.Second} {
-		pla.in(at, pla.shed)
+		sim.schedule(at, sim.shed)
 	}
-	end := pla.des.now.Add(length)
-	for len(pla.queue) > 0 {
-		evt := heap.Pop(&pla.queue).(crashEvent)
+	end := sim.har.now.Add(length)
+	for len(sim.queue) > 0 {
+		evt := heap.Pop(&sim.queue).(simEvent)
 		if evt.at.After(end) {
 			break
 		}
-		pla.des.now = evt.at
-		evt.what()
+		sim.har.now = evt.at
+		evt.action()
 	}
-	return pla.result
+	return sim.result
 }
 
-func (pla *pausePlay) tick() {
-	pla.take(pla.des.after(0))
-	pla.in(crashTick, pla.tick)
+func (sim *backoffSim) tick() {
+	sim.apply(sim.har.advance(0))
+	sim.schedule(crashTickInterval, sim.tick)
 }
 
-func (pla *pausePlay) shed() {
-	count := max(1, int(pla.cfg.share*float64(pla.cfg.engines)))
-	first := pla.random.IntN(pla.cfg.engines)
+func (sim *backoffSim) shed() {
+	count := max(1, int(sim.cfg.shedShare*float64(sim.cfg.engines)))
+	first := sim.random.IntN(sim.cfg.engines)
 	for num := range count {
-		eng := pla.engines[fmt.Sprintf("e%03d", (first+num)%pla.cfg.engines)]
-		eng.shedUntil, eng.waits = pla.des.now.Add(pauseShed), true
+		eng := sim.engines[fmt.Sprintf("e%03d", (first+num)%sim.cfg.engines)]
+		eng.shedUntil, eng.awaitsRequest = sim.har.now.Add(backoffShedPeriod), true
 	}
 }
 
-func (pla *pausePlay) arrive() {
-	rate := pla.cfg.load * float64(pla.cfg.engines*pauseSlots) / pauseWork.Seconds()
-	pla.in(pla.exponential(time.Duration(float64(time.Second)/rate)), pla.arrive)
-	pla.result.sent++
-	pla.ask(&pauseRun{started: pla.des.now, host: request.Epoch(10 + pla.random.IntN(pla.cfg.hosts))}, true)
+func (sim *backoffSim) arrive() {
+	rate := sim.cfg.load * float64(sim.cfg.engines*backoffSlots) / backoffServiceTime.Seconds()
+	sim.schedule(sim.exponential(time.Duration(float64(time.Second)/rate)), sim.arrive)
+	sim.result.sent++
+	sim.reserve(&backoffRun{startedAt: sim.har.now, host: request.Epoch(10 + sim.random.IntN(sim.cfg.hosts))}, true)
 }
 
-func (pla *pausePlay) ask(run *pauseRun, fresh bool) {
+func (sim *backoffSim) reserve(run *backoffRun, fresh bool) {
 	if fresh {
-		pla.sent++
-		run.reserve = plain(fmt.Sprintf("p%09d", pla.sent))
+		sim.sent++
+		run.reserve = plainReservation(fmt.Sprintf("p%09d", sim.sent))
 	}
-	spent := pla.des.now.Sub(run.started)
-	run.reserve.Aim, run.reserve.Remaining = pauseAim-spent, pauseTime-spent
-	pla.waiting[run.reserve.ID] = run
-	pla.take(pla.des.handle(scheduler.Received{From: run.host, Message: run.reserve}))
+	spent := sim.har.now.Sub(run.startedAt)
+	run.reserve.Aim, run.reserve.Remaining = backoffLatencyTarget-spent, backoffTimeout-spent
+	sim.waiting[run.reserve.ID] = run
+	sim.apply(sim.har.handle(scheduler.Received{From: run.host, Message: run.reserve}))
 }
 
-func (pla *pausePlay) take(sends []scheduler.Send) {
+func (sim *backoffSim) apply(sends []scheduler.Send) {
 	for _, snd := range sends {
-		run := pla.waiting[idOf(snd.Message)]
-		delete(pla.waiting, idOf(snd.Message))
+		run := sim.waiting[decisionID(snd.Message)]
+		delete(sim.waiting, decisionID(snd.Message))
 		switch msg := snd.Message.(type) {
 		case reservation.Grant:
-			pla.in(pauseTrip, func() { pla.granted(run, msg.Engine) })
+			sim.schedule(backoffNetworkDelay, func() { sim.handleGrant(run, msg.Engine) })
 		case reservation.Refuse:
-			pla.refused(run, msg.RetryAfter)
+			sim.handleRefusal(run, msg.RetryAfter)
 		}
 	}
 }
 
-func idOf(msg reservation.Message) request.ID {
+func decisionID(msg reservation.Message) request.ID {
 	switch msg := msg.(type) {
 	case reservation.Grant:
 		return msg.ID
@@ -206,106 +209,106 @@
 	}
 }
 
-// granted has the host look at the engine once more, and send the request.
-func (pla *pausePlay) granted(run *pauseRun, name string) {
-	eng, now := pla.engines[name], pla.des.now
-	if word := pla.hosts[run.host].Bar(now, eng.ID); word != nil {
-		pla.tell(run.host, fleet.Notice{Run: eng.ID, Word: word})
-		pla.finish(run, reservation.Release{ID: run.reserve.ID, Engine: name})
+// handleGrant checks the host's own notices of the engine once more and sends the request.
+func (sim *backoffSim) handleGrant(run *backoffRun, name string) {
+	eng, now := sim.engines[name], sim.har.now
+	if word := sim.notices[run.host].Bar(now, eng.ID); word != nil {
+		sim.reportNotice(run.host, fleet.Notice{Run: eng.ID, Word: word})
+		sim.release(run, reservation.Release{ID: run.reserve.ID, Engine: name})
 		run.reserve.Again = true
-		if pla.cfg.way == pauseByHost {
-			// Nobody else knows why it was sent back.
+		if sim.cfg.policy == backoffByHost {
+			// The coordinator doesn't know why the grant was returned.
 			run.reserve.Exclude = append(run.reserve.Exclude, name)
 		}
-		pla.ask(run, false)
+		sim.reserve(run, false)
 		return
 	}
-	if since := now.Sub(eng.asked[run.host]); since > 500*time.Millisecond && since < pauseRest {
+	if since := now.Sub(eng.asked[run.host]); since > 500*time.Millisecond && since < backoffPeriod {
 		eng.sent[run.host]++
-		pla.result.worst = max(pla.result.worst, eng.sent[run.host])
+		sim.result.maxDuringBackoff = max(sim.result.maxDuringBackoff, eng.sent[run.host])
 	}
-	if now.Before(eng.shedUntil) && (pla.cfg.part == 0 || pla.random.Float64() < pla.cfg.part) {
-		pla.in(pauseTrip, func() { pla.turnedAway(run, eng) })
+	if now.Before(eng.shedUntil) && (sim.cfg.rejectShare == 0 || sim.random.Float64() < sim.cfg.rejectShare) {
+		sim.schedule(backoffNetworkDelay, func() { sim.handleRejection(run, eng) })
 		return
 	}
-	if eng.waits {
-		eng.waits = false
-		pla.result.back += now.Sub(eng.shedUntil)
-		pla.result.backs++
+	if eng.awaitsRequest {
+		eng.awaitsRequest = false
+		sim.result.idle += now.Sub(eng.shedUntil)
+		sim.result.returns++
 	}
-	failed := pla.random.Float64() < pla.cfg.failing
-	took := pla.exponential(pauseWork)
-	pla.in(took, func() {
-		pla.finish(run, reservation.Release{ID: run.reserve.ID, Engine: name, Dispatched: true, Answered: true, Failed: failed, Total: took})
+	failed := sim.random.Float64() < sim.cfg.failureShare
+	took := sim.exponential(backoffServiceTime)
+	sim.schedule(took, func() {
+		sim.release(run, reservation.Release{ID: run.reserve.ID, Engine: name, Dispatched: true, Answered: true, Failed: failed, Total: took})
 		if !failed {
-			pla.result.served++
+			sim.result.served++
 		}
 	})
 }
 
-func (pla *pausePlay) turnedAway(run *pauseRun, eng *pauseEngine) {
-	pla.result.turned++
-	if now := pla.des.now; now.Sub(eng.asked[run.host]) >= pauseRest || pla.cfg.way == pauseIgnored {
+func (sim *backoffSim) handleRejection(run *backoffRun, eng *backoffEngine) {
+	sim.result.rejected++
+	if now := sim.har.now; now.Sub(eng.asked[run.host]) >= backoffPeriod || sim.cfg.policy == backoffIgnored {
 		eng.asked[run.host], eng.sent[run.host] = now, 0
 	}
 	rel := reservation.Release{ID: run.reserve.ID, Engine: eng.ID.Name, Dispatched: true, Rejected: true}
-	if pla.cfg.way != pauseIgnored {
-		not := fleet.Notice{Run: eng.ID, Word: fleet.Pause{Left: pauseRest}}
-		pla.hosts[run.host].Take(pla.des.now, not)
-		pla.tell(run.host, not)
-		rel.BackedOff = pla.cfg.way != pauseByHost
+	if sim.cfg.policy != backoffIgnored {
+		ntc := fleet.Notice{Run: eng.ID, Word: fleet.Pause{Left: backoffPeriod}}
+		sim.notices[run.host].Take(sim.har.now, ntc)
+		sim.reportNotice(run.host, ntc)
+		rel.BackedOff = sim.cfg.policy != backoffByHost
 	}
-	pla.finish(run, rel)
+	sim.release(run, rel)
 	run.reserve.Attempt++
 	run.reserve.Exclude = append(run.reserve.Exclude, eng.ID.Name)
 	run.reserve.Again = false
-	if run.reserve.Attempt < pla.cfg.attempts {
-		pla.ask(run, false)
+	if run.reserve.Attempt < sim.cfg.maxAttempts {
+		sim.reserve(run, false)
 		return
 	}
-	pla.refused(run, 500*time.Millisecond)
+	sim.handleRefusal(run, 500*time.Millisecond)
 }
 
-func (pla *pausePlay) tell(host request.Epoch, not fleet.Notice) {
-	if pla.cfg.way >= pauseOfAsked {
-		pla.take(pla.des.handle(scheduler.Received{From: host, Message: reservation.EngineNotice{Notice: not}}))
+func (sim *backoffSim) reportNotice(host request.Epoch, ntc fleet.Notice) {
+	if sim.cfg.policy >= backoffOfReceiver {
+		sim.apply(sim.har.handle(scheduler.Received{From: host, Message: reservation.EngineNotice{Notice: ntc}}))
 	}
 }
 
-func (pla *pausePlay) finish(run *pauseRun, rel reservation.Release) {
-	pla.take(pla.des.handle(scheduler.Received{From: run.host, Message: rel}))
+func (sim *backoffSim) release(run *backoffRun, rel reservation.Release) {
+	sim.apply(sim.har.handle(scheduler.Received{From: run.host, Message: rel}))
 }
 
-// refused has a caller come back once, to any host, if its time allows it.
-func (pla *pausePlay) refused(run *pauseRun, after time.Duration) {
-	left := pauseTime - pla.des.now.Sub(run.started)
-	if run.tries > 0 || after > left/3 {
-		pla.result.refused++
+// handleRefusal has a client retry once, at any host, if its remaining time allows it.
+func (sim *backoffSim) handleRefusal(run *backoffRun, after time.Duration) {
+	left := backoffTimeout - sim.har.now.Sub(run.startedAt)
+	if run.retries > 0 || after > left/3 {
+		sim.result.refused++
 		return
 	}
-	pla.in(after, func() {
-		pla.ask(&pauseRun{started: run.started, tries: 1, host: request.Epoch(10 + pla.random.IntN(pla.cfg.hosts))}, true)
+	sim.schedule(after, func() {
+		sim.reserve(&backoffRun{startedAt: run.startedAt, retries: 1, host: request.Epoch(10 + sim.random.IntN(sim.cfg.hosts))}, true)
 	})
 }
 
-// An engine that asks for a pause gets nothing from the host that it asked, whatever becomes
-// of the others, and is back soon after it serves again.
-func TestPausedEngineGetsNothingFromWhomItAsked(t *testing.T) {
+// An engine gets no request from a host that it sent a backoff request, under any policy for the
+// other hosts, and gets requests again soon after it has stopped shedding.
+func TestEngineGetsNoRequestFromReceiverOfBackoff(t *testing.T) {
 	for seed := range uint64(4) {
 		for _, share := range []float64{0.25, 1} {
-			for _, way := range []pauseWay{pauseOfAsked, pauseOfAll, pauseProbing} {
-				res := newPausePlay(pausePlayConfig{seed: seed, way: way, engines: 4, hosts: 7, share: share, failing: 0.3, attempts: 2, load: 0.3}).run()
-				assert.Equal(t, res.worst, 0, "%+v", res)
-				assert.Assert(t, res.back/time.Duration(max(1, res.backs)) < pauseRest+time.Second, "%+v", res)
+			for _, way := range []backoffPolicy{backoffOfReceiver, backoffOfAll, backoffProbing} {
+				res := newBackoffSim(backoffSimConfig{seed: seed, policy: way, engines: 4, hosts: 7, shedShare: share, failureShare: 0.3, maxAttempts: 2, load: 0.3}).run()
+				assert.Equal(t, res.maxDuringBackoff, 0, "%+v", res)
+				assert.Assert(t, res.idle/time.Duration(max(1, res.returns)) < backoffPeriod+time.Second, "%+v", res)
 			}
 		}
 	}
 }
 
-// BenchmarkWaysOfPausing prints what each way costs, a play: requests turned away, refused to
-// the end and served, the most that one host sent an engine while it wanted none, and how
-// long engines that serve again wait for work.
-func BenchmarkWaysOfPausing(b *testing.B) {
+// BenchmarkBackoffPolicies reports the cost of each policy: requests rejected per simulation,
+// requests finally refused, requests served, the largest number that one host sent an engine during
+// a backoff, and how long engines that serve again wait for their first request.
+func BenchmarkBackoffPolicies(b *testing.B) {
 	ways := []string{"ignored", "by-host", "asked", "all", "probing"}
 	for _, size := range []struct{ engines, hosts int }{{4, 7}, {18, 7}, {60, 85}, {140, 300}} {
 		for _, kind := range []struct {
@@ -327,27 +330,27 @@
 			for way, name := range ways {
 				b.Run(fmt.Sprintf("%d/%s/%s", size.engines, kind.name, name), func(b *testing.B) {
 					const seeds = 5
-					var sum pauseResult
+					var sum backoffResult
 					for b.Loop() {
-						sum = pauseResult{}
+						sum = backoffResult{}
 						for seed := range uint64(seeds) {
-							res := newPausePlay(pausePlayConfig{
-								seed: seed, way: pauseWay(way), engines: size.engines, hosts: size.hosts, share: kind.share, failing: kind.fail, attempts: kind.attempts, load: kind.load, part: kind.part,
+							res := newBackoffSim(backoffSimConfig{
+								seed: seed, policy: backoffPolicy(way), engines: size.engines, hosts: size.hosts, shedShare: kind.share, failureShare: kind.fail, maxAttempts: kind.attempts, load: kind.load, rejectShare: kind.part,
 							}).run()
 							sum.sent += res.sent
 							sum.served += res.served
-							sum.turned += res.turned
+							sum.rejected += res.rejected
 							sum.refused += res.refused
-							sum.worst = max(sum.worst, res.worst)
-							sum.back += res.back
-							sum.backs += res.backs
+							sum.maxDuringBackoff = max(sum.maxDuringBackoff, res.maxDuringBackoff)
+							sum.idle += res.idle
+							sum.returns += res.returns
 						}
 					}
-					b.ReportMetric(float64(sum.turned)/seeds, "turned")
+					b.ReportMetric(float64(sum.rejected)/seeds, "turned")
 					b.ReportMetric(10000*float64(sum.refused)/float64(sum.sent), "refused/10k")
 					b.ReportMetric(100*float64(sum.served)/float64(sum.sent), "served%")
-					b.ReportMetric(float64(sum.worst), "worst")
-					b.ReportMetric(sum.back.Seconds()/float64(max(1, sum.backs)), "s-back")
+					b.ReportMetric(float64(sum.maxDuringBackoff), "worst")
+					b.ReportMetric(sum.idle.Seconds()/float64(max(1, sum.returns)), "s-back")
 				})
 			}
 		}
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -15,149 +15,151 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-func engineIn(domain, name string) fleet.Engine {
+func engineInDomain(domain, name string) fleet.Engine {
 	eng := plainEngine(name, 100)
 	eng.Domain = domain
 	return eng
 }
 
-// An engine whose failure domain is emptied is granted to nobody, what runs there goes on, and
-// it is used again when that is taken back.
-func TestEmptiedDomainIsGrantedToNobody(t *testing.T) {
-	des := newDesk(engineIn("d0", "a"), engineIn("d1", "b"))
-	assert.Equal(t, engineOf(des.reserve(plain("before")), "before"), "a", "its own domain")
-	emptied := engineIn("d0", "a")
+// An engine in an evacuated failure domain gets no grants, its running requests continue, and it is
+// used again when the evacuation is withdrawn.
+func TestEvacuatedDomainGetsNoGrants(t *testing.T) {
+	har := newHarness(engineInDomain("d0", "a"), engineInDomain("d1", "b"))
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("before")), "before"), "a", "the gateway's own domain is preferred")
+	emptied := engineInDomain("d0", "a")
 	emptied.Emptied = true
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{emptied, engineIn("d1", "b")}})
-	assert.Equal(t, des.core.RunningIn("d0"), 1)
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{emptied, engineInDomain("d1", "b")}})
+	assert.Equal(t, har.core.RunningIn("d0"), 1)
 	for num := range 20 {
-		assert.Equal(t, des.ask(fmt.Sprint("r", num)), "b")
+		assert.Equal(t, har.reserveAndAnswer(fmt.Sprint("r", num)), "b")
 	}
-	des.release(answered("before"))
-	assert.Equal(t, des.core.RunningIn("d0"), 0)
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{engineIn("d0", "a"), engineIn("d1", "b")}})
-	assert.Equal(t, des.ask("again"), "a")
+	har.release(answeredRelease("before"))
+	assert.Equal(t, har.core.RunningIn("d0"), 0)
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{engineInDomain("d0", "a"), engineInDomain("d1", "b")}})
+	assert.Equal(t, har.reserveAndAnswer("again"), "a")
 }
 
-// A gateway may know of an order before this core does: it gets nothing there, and others do.
-func TestGatewayThatKeepsToAnOrderIsGrantedNothingThere(t *testing.T) {
-	des := newDesk(engineIn("d0", "a"), engineIn("d1", "b"))
-	des.handle(scheduler.DomainsClosed{Gateway: peer, Domains: []string{"d0"}})
+// A gateway may read an evacuation order before this core does: it then gets no grants in that
+// domain, while other gateways do.
+func TestGatewayThatEnforcesAnOrderGetsNoGrantsInItsDomain(t *testing.T) {
+	har := newHarness(engineInDomain("d0", "a"), engineInDomain("d1", "b"))
+	har.handle(scheduler.DomainsClosed{Gateway: peerEpoch, Domains: []string{"d0"}})
 	other := request.Epoch(77)
 	for num := range 10 {
-		assert.Equal(t, des.ask(fmt.Sprint("r", num)), "b")
+		assert.Equal(t, har.reserveAndAnswer(fmt.Sprint("r", num)), "b")
 		name := fmt.Sprint("o", num)
-		assert.Equal(t, engineOf(des.reserveFrom(other, plain(name)), name), "a")
+		assert.Equal(t, grantedEngine(har.reserveFrom(other, plainReservation(name)), name), "a")
 	}
-	des.handle(scheduler.DomainsClosed{Gateway: peer})
-	assert.Equal(t, des.ask("again"), "a")
-	des.handle(scheduler.DomainsClosed{Gateway: peer, Domains: []string{"d0"}})
-	des.handle(scheduler.GatewayLost{Gateway: peer})
-	assert.Equal(t, des.ask("started anew"), "a")
+	har.handle(scheduler.DomainsClosed{Gateway: peerEpoch})
+	assert.Equal(t, har.reserveAndAnswer("again"), "a")
+	har.handle(scheduler.DomainsClosed{Gateway: peerEpoch, Domains: []string{"d0"}})
+	har.handle(scheduler.GatewayLost{Gateway: peerEpoch})
+	assert.Equal(t, har.reserveAndAnswer("started anew"), "a")
 }
 
-// Requests of a gateway to which all places are closed wait without holding up the others'.
-func TestClosedPlacesHoldUpNobodyElse(t *testing.T) {
-	one := engineIn("d0", "a")
+// The requests of a gateway to which all domains are closed wait without blocking those of others.
+func TestClosedDomainDoesNotBlockOtherGateways(t *testing.T) {
+	one := engineInDomain("d0", "a")
 	one.Slots = 1
-	des := newDesk(one)
-	des.handle(scheduler.DomainsClosed{Gateway: peer, Domains: []string{"d0"}})
-	assert.Equal(t, des.ask("waits"), "")
-	assert.Equal(t, engineOf(des.reserveFrom(77, plain("other")), "other"), "a")
+	har := newHarness(one)
+	har.handle(scheduler.DomainsClosed{Gateway: peerEpoch, Domains: []string{"d0"}})
+	assert.Equal(t, har.reserveAndAnswer("waits"), "")
+	assert.Equal(t, grantedEngine(har.reserveFrom(77, plainReservation("other")), "other"), "a")
 }
 
-func regional(engines ...fleet.Engine) *desk {
-	des := &desk{now: time.Unix(5000, 0), core: scheduler.New(scheduler.Config{
-		Self: own, Repeats: scheduler.Repeats{Ratio: 0.2, Window: 10 * time.Second, Slack: 10}, LimitSlack: 1000,
+func newRegionalHarness(engines ...fleet.Engine) *harness {
+	har := &harness{now: time.Unix(5000, 0), core: scheduler.New(scheduler.Config{
+		Self: ownEpoch, Repeats: scheduler.Repeats{Ratio: 0.2, Window: 10 * time.Second, Slack: 10}, LimitSlack: 1000,
 		Regions: map[string]string{"d0": "north", "d1": "north", "d2": "south"},
 	})}
-	des.handle(scheduler.EnginesChanged{Engines: engines})
-	return des
+	har.handle(scheduler.EnginesChanged{Engines: engines})
+	return har
 }
 
-func within(name string, regions ...string) reservation.Reserve {
-	res := plain(name)
+func reservationInRegions(name string, regions ...string) reservation.Reserve {
+	res := plainReservation(name)
 	res.Regions = regions
 	return res
 }
 
-func TestRequestRunsInTheRegionsThatAreAllowed(t *testing.T) {
-	des := regional(engineIn("d0", "a"), engineIn("d2", "c"), engineIn("elsewhere", "e"))
+func TestRequestRunsOnlyInAllowedRegions(t *testing.T) {
+	har := newRegionalHarness(engineInDomain("d0", "a"), engineInDomain("d2", "c"), engineInDomain("elsewhere", "e"))
 	for num := range 20 {
 		name := fmt.Sprint("south-", num)
-		assert.Equal(t, engineOf(des.reserve(within(name, "south")), name), "c")
+		assert.Equal(t, grantedEngine(har.reserve(reservationInRegions(name, "south")), name), "c")
 		name = fmt.Sprint("north-", num)
-		assert.Equal(t, engineOf(des.reserve(within(name, "north", "west")), name), "a")
+		assert.Equal(t, grantedEngine(har.reserve(reservationInRegions(name, "north", "west")), name), "a")
 	}
-	assert.Equal(t, reasonOf(des.reserve(within("nowhere", "west")), "nowhere"), reservation.ReasonRegion)
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{engineIn("d0", "a")}})
-	assert.Equal(t, reasonOf(des.reserve(within("lost", "south")), "lost"), reservation.ReasonRegion, "the region is lost")
-	assert.Equal(t, des.ask("anywhere"), "a")
+	assert.Equal(t, refusalReason(har.reserve(reservationInRegions("nowhere", "west")), "nowhere"), reservation.ReasonRegion)
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{engineInDomain("d0", "a")}})
+	assert.Equal(t, refusalReason(har.reserve(reservationInRegions("lost", "south")), "lost"), reservation.ReasonRegion, "the last engine of the region has deregistered")
+	assert.Equal(t, har.reserveAndAnswer("anywhere"), "a")
 }
 
-// Requests that are bound to a region whose places are taken wait without holding up others.
-func TestFullRegionHoldsUpNobodyElse(t *testing.T) {
-	full := engineIn("d2", "c")
+// Requests that are bound to a region without free slots wait without blocking others.
+func TestFullRegionDoesNotBlockOtherRequests(t *testing.T) {
+	full := engineInDomain("d2", "c")
 	full.Slots = 0
-	des := regional(engineIn("d0", "a"), full)
+	har := newRegionalHarness(engineInDomain("d0", "a"), full)
 	for num := range 3 {
-		des.reserve(within(fmt.Sprint("runs-", num), "south"))
+		har.reserve(reservationInRegions(fmt.Sprint("runs-", num), "south"))
 	}
 	for num := range 10 {
 		name := fmt.Sprint("free-", num)
-		assert.Equal(t, engineOf(des.reserve(plain(name)), name), "a")
+		assert.Equal(t, grantedEngine(har.reserve(plainReservation(name)), name), "a")
 	}
 }
 
-// The own region goes first: the way to another one takes longer than a busier engine.
-func TestOwnRegionGoesFirst(t *testing.T) {
-	busy := engineIn("d1", "b")
+// The gateway's own region is preferred: the network delay to another one costs more than a busier
+// engine.
+func TestOwnRegionIsPreferred(t *testing.T) {
+	busy := engineInDomain("d1", "b")
 	busy.Slots = 4
-	des := regional(busy, engineIn("d2", "c"))
+	har := newRegionalHarness(busy, engineInDomain("d2", "c"))
 	for num := range 4 {
 		name := fmt.Sprint("r", num)
-		assert.Equal(t, engineOf(des.reserve(plain(name)), name), "b")
+		assert.Equal(t, grantedEngine(har.reserve(plainReservation(name)), name), "b")
 	}
 }
 
-// BenchmarkManyWaitingForARegion has thousands of requests that may run in one region wait for
-// its engines, all of whose places are taken, and lets time pass.
+// BenchmarkManyWaitingForARegion measures a tick while thousands of requests that may run in one
+// region only wait for its engines, which have no free slots.
 func BenchmarkManyWaitingForARegion(b *testing.B) {
 	for _, regions := range [][]string{nil, {"south"}} {
 		b.Run(fmt.Sprint(len(regions), "named"), func(b *testing.B) {
 			var engines []fleet.Engine
 			for num := range 650 {
-				eng := engineIn("d2", fmt.Sprintf("e%03d", num))
+				eng := engineInDomain("d2", fmt.Sprintf("e%03d", num))
 				eng.Slots = 0
 				engines = append(engines, eng)
 			}
-			des := regional(engines...)
+			har := newRegionalHarness(engines...)
 			long := func(name string) reservation.Reserve {
-				res := within(name, regions...)
+				res := reservationInRegions(name, regions...)
 				res.Aim, res.Remaining = time.Hour, time.Hour
 				return res
 			}
 			for num := range 650 * 2 {
-				des.reserve(long(fmt.Sprint("run-", num)))
+				har.reserve(long(fmt.Sprint("run-", num)))
 			}
 			for num := range 4096 {
-				des.reserveFrom(request.Epoch(100+num%300), long(fmt.Sprint("wait-", num)))
+				har.reserveFrom(request.Epoch(100+num%300), long(fmt.Sprint("wait-", num)))
 			}
 			for b.Loop() {
-				des.after(time.Microsecond)
+				har.advance(time.Microsecond)
 			}
 		})
 	}
 }
 
-// Whatever engines there are, whichever domains are emptied, as far as this core or a gateway
-// knows, and whoever asks and comes back: no request is granted an engine outside its regions
-// or in a domain that is closed to it, and what could run somewhere is granted or waits.
-func TestNothingIsGrantedOutsideItsPlaces(t *testing.T) {
+// For any engines, any domains that are evacuated as far as this core or a gateway knows, and any
+// gateways that place reservations, fail and return: no request is granted an engine outside its
+// regions or in a domain that is closed to its gateway.
+func TestNoGrantOutsideRegionsOrInClosedDomains(t *testing.T) {
 	domains := []string{"d0", "d1", "d2", "elsewhere"}
 	regions := map[string]string{"d0": "north", "d1": "north", "d2": "south"}
 	rapid.Check(t, func(rt *rapid.T) {
-		des := regional()
+		har := newRegionalHarness()
 		engines := make(map[string]fleet.Engine)
 		closed := make(map[request.Epoch]map[string]bool)
 		for num := range rapid.IntRange(5, 80).Draw(rt, "steps") {
@@ -167,31 +169,31 @@
 				var all []fleet.Engine
 				clear(engines)
 				for idx := range rapid.IntRange(0, 6).Draw(rt, "engines") {
-					eng := engineIn(rapid.SampledFrom(domains).Draw(rt, "domain"), fmt.Sprint("e", num, "-", idx))
+					eng := engineInDomain(rapid.SampledFrom(domains).Draw(rt, "domain"), fmt.Sprint("e", num, "-", idx))
 					eng.Slots, eng.Emptied = rapid.IntRange(1, 3).Draw(rt, "slots"), rapid.IntRange(0, 3).Draw(rt, "emptied") == 0
 					engines[eng.ID.Name] = eng
 					all = append(all, eng)
 				}
-				des.handle(scheduler.EnginesChanged{Engines: all})
+				har.handle(scheduler.EnginesChanged{Engines: all})
 			case 1:
 				named := rapid.SliceOfNDistinct(rapid.SampledFrom(domains), 0, 2, rapid.ID[string]).Draw(rt, "closed")
 				closed[gateway] = make(map[string]bool)
 				for _, domain := range named {
 					closed[gateway][domain] = true
 				}
-				des.handle(scheduler.DomainsClosed{Gateway: gateway, Domains: named})
+				har.handle(scheduler.DomainsClosed{Gateway: gateway, Domains: named})
 			case 2:
 				delete(closed, gateway)
-				des.handle(scheduler.GatewayLost{Gateway: gateway})
+				har.handle(scheduler.GatewayLost{Gateway: gateway})
 			default:
-				res := within(fmt.Sprint("r", num), rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"north", "south", "west"}), 0, 2, rapid.ID[string]).Draw(rt, "regions")...)
-				engine, _ := decisionOn(des.reserveFrom(gateway, res), res.ID.Unique)
+				res := reservationInRegions(fmt.Sprint("r", num), rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"north", "south", "west"}), 0, 2, rapid.ID[string]).Draw(rt, "regions")...)
+				engine, _ := decisionFor(har.reserveFrom(gateway, res), res.ID.Unique)
 				eng := engines[engine]
 				if engine == "" {
 					continue
 				}
 				if eng.Emptied || closed[gateway][eng.Domain] || len(res.Regions) > 0 && !slices.Contains(res.Regions, regions[eng.Domain]) {
-					rt.Fatalf("%v was granted %+v, closed to it %v", res.Regions, eng, closed[gateway])
+					rt.Fatalf("request bound to regions %v was granted %+v; domains closed to its gateway: %v", res.Regions, eng, closed[gateway])
 				}
 			}
 		}
--- a/scheduler/place_ways_test.go
+++ b/scheduler/place_ways_test.go
@@ -16,202 +16,204 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// emptyWay is who keeps requests from a failure domain that is being emptied.
-type emptyWay uint8
+// evacuationPolicy is how requests are kept out of a failure domain that is being evacuated.
+type evacuationPolicy uint8
 
 const (
-	// emptyByDecider has who decides grant nothing there, once it knows.
-	emptyByDecider emptyWay = iota
-	// emptyBySendingBack has each host send back what it is granted there.
-	emptyBySendingBack
-	// emptyBySaying has each host send it back, and say to which orders it keeps.
-	emptyBySaying
+	// evacuateByCoordinator has the coordinator grant nothing there once it has read the order.
+	evacuateByCoordinator evacuationPolicy = iota
+	// evacuateByReturn has each host return the grants that it gets there.
+	evacuateByReturn
+	// evacuateByReport has each host return those grants and report which orders it enforces.
+	evacuateByReport
 )
 
 const (
-	emptyDomains = 4
-	emptyTrip    = time.Millisecond
-	emptyWork    = 40 * time.Millisecond
-	// deciderKnows is when who decides reads the order: the store turns it away. Hosts read it
-	// within hostsKnow.
-	deciderKnows = 4 * time.Second
-	hostsKnow    = time.Second
-	// maxGone is how many grants of one request may be of engines that are gone before it is
-	// refused.
-	maxGone = 3
+	evacuationDomains      = 4
+	evacuationNetworkDelay = time.Millisecond
+	evacuationServiceTime  = 40 * time.Millisecond
+	// coordinatorReads is when the coordinator reads the order: the store rejects its reads until
+	// then. Hosts read it within hostsRead.
+	coordinatorReads = 4 * time.Second
+	hostsRead        = time.Second
+	// maxReturned is how many grants of one request a host may return before it refuses the request,
+	// as for engines that have deregistered.
+	maxReturned = 3
 )
 
-// emptyPlay is a service over four failure domains, one of which is emptied at second 0.
-type emptyPlay struct {
-	way     emptyWay
-	now     time.Time
-	start   time.Time
-	random  *rand.Rand
-	queue   crashQueue
-	des     *desk
-	engines []fleet.Engine
-	domain  map[string]string
-	knows   map[request.Epoch]time.Time
-	runs    map[request.ID]*emptyRun
-	result  emptyResult
-	asked   int
+// evacuationSim simulates a service over four failure domains, one of which is evacuated at second
+// 0.
+type evacuationSim struct {
+	policy       evacuationPolicy
+	now          time.Time
+	start        time.Time
+	random       *rand.Rand
+	queue        eventQueue
+	har          *harness
+	engines      []fleet.Engine
+	domain       map[string]string
+	orderRead    map[request.Epoch]time.Time
+	runs         map[request.ID]*evacuationRun
+	result       evacuationResult
+	reservations int
 }
 
-type emptyRun struct {
-	reserve reservation.Reserve
-	host    request.Epoch
-	sent    int
+type evacuationRun struct {
+	reserve  reservation.Reserve
+	host     request.Epoch
+	returned int
 }
 
-type emptyResult struct {
-	// late are requests that reached the emptied domain although their host knew, or any at
-	// all a second after the last host did.
-	sent, served, refused, late, back int
+type evacuationResult struct {
+	// late counts the requests that reached the evacuated domain although their host had read the
+	// order; returned counts the grants that hosts returned.
+	sent, served, refused, late, returned int
 }
 
-func newEmptyPlay(seed uint64, way emptyWay, engines, hosts int, length time.Duration, load float64) emptyResult {
-	pla := &emptyPlay{
-		way: way, now: time.Unix(5000, 0), random: rand.New(rand.NewPCG(seed, 5)), domain: make(map[string]string),
-		knows: make(map[request.Epoch]time.Time), runs: make(map[request.ID]*emptyRun),
+func runEvacuationSim(seed uint64, way evacuationPolicy, engines, hosts int, length time.Duration, load float64) evacuationResult {
+	sim := &evacuationSim{
+		policy: way, now: time.Unix(5000, 0), random: rand.New(rand.NewPCG(seed, 5)), domain: make(map[string]string),
+		orderRead: make(map[request.Epoch]time.Time), runs: make(map[request.ID]*evacuationRun),
 	}
-	pla.start = pla.now
+	sim.start = sim.now
 	for num := range engines {
-		eng := engineIn(fmt.Sprint("d", num%emptyDomains), fmt.Sprintf("e%03d", num))
+		eng := engineInDomain(fmt.Sprint("d", num%evacuationDomains), fmt.Sprintf("e%03d", num))
 		eng.Slots = 4
-		pla.engines = append(pla.engines, eng)
-		pla.domain[eng.ID.Name] = eng.Domain
+		sim.engines = append(sim.engines, eng)
+		sim.domain[eng.ID.Name] = eng.Domain
 	}
-	pla.des = newDesk(pla.engines...)
+	sim.har = newHarness(sim.engines...)
 	for num := range hosts {
 		host := request.Epoch(100 + num)
-		wait := time.Duration(pla.random.Float64() * float64(hostsKnow))
-		pla.knows[host] = pla.now.Add(wait)
-		if way == emptyBySaying {
-			pla.in(wait+emptyTrip, func() {
-				pla.take(pla.des.core.Handle(pla.now, scheduler.DomainsClosed{Gateway: host, Domains: []string{"d0"}}))
+		wait := time.Duration(sim.random.Float64() * float64(hostsRead))
+		sim.orderRead[host] = sim.now.Add(wait)
+		if way == evacuateByReport {
+			sim.schedule(wait+evacuationNetworkDelay, func() {
+				sim.apply(sim.har.core.Handle(sim.now, scheduler.DomainsClosed{Gateway: host, Domains: []string{"d0"}}))
 			})
 		}
 	}
-	pla.in(deciderKnows, func() {
-		for num, eng := range pla.engines {
-			pla.engines[num].Emptied = eng.Domain == "d0"
+	sim.schedule(coordinatorReads, func() {
+		for num, eng := range sim.engines {
+			sim.engines[num].Emptied = eng.Domain == "d0"
 		}
-		pla.take(pla.des.core.Handle(pla.now, scheduler.EnginesChanged{Engines: pla.engines}))
+		sim.apply(sim.har.core.Handle(sim.now, scheduler.EnginesChanged{Engines: sim.engines}))
 	})
-	pla.in(0, func() { pla.arrive(load, hosts) })
-	pla.in(0, pla.tick)
-	for len(pla.queue) > 0 {
-		evt := heap.Pop(&pla.queue).(crashEvent)
-		if evt.at.Sub(pla.start) > length {
+	sim.schedule(0, func() { sim.arrive(load, hosts) })
+	sim.schedule(0, sim.tick)
+	for len(sim.queue) > 0 {
+		evt := heap.Pop(&sim.queue).(simEvent)
+		if evt.at.Sub(sim.start) > length {
 			break
 		}
-		pla.now = evt.at
-		evt.what()
+		sim.now = evt.at
+		evt.action()
 	}
-	return pla.result
+	return sim.result
 }
 
-func (pla *emptyPlay) in(wait time.Duration, what func()) {
-	heap.Push(&pla.queue, crashEvent{at: pla.now.Add(wait), what: what})
+func (sim *evacuationSim) schedule(wait time.Duration, what func()) {
+	heap.Push(&sim.queue, simEvent{at: sim.now.Add(wait), action: what})
 }
 
-func (pla *emptyPlay) tick() {
-	pla.take(pla.des.core.Handle(pla.now, scheduler.Tick{}))
-	pla.in(5*time.Millisecond, pla.tick)
+func (sim *evacuationSim) tick() {
+	sim.apply(sim.har.core.Handle(sim.now, scheduler.Tick{}))
+	sim.schedule(5*time.Millisecond, sim.tick)
 }
 
-func (pla *emptyPlay) arrive(load float64, hosts int) {
-	pla.in(time.Duration(pla.random.ExpFloat64()*float64(time.Second)/load), func() { pla.arrive(load, hosts) })
-	pla.result.sent++
-	run := &emptyRun{host: request.Epoch(100 + pla.random.IntN(hosts))}
-	run.reserve = plain("")
-	run.reserve.Domain = fmt.Sprint("d", pla.random.IntN(emptyDomains))
-	pla.ask(run)
+func (sim *evacuationSim) arrive(load float64, hosts int) {
+	sim.schedule(time.Duration(sim.random.ExpFloat64()*float64(time.Second)/load), func() { sim.arrive(load, hosts) })
+	sim.result.sent++
+	run := &evacuationRun{host: request.Epoch(100 + sim.random.IntN(hosts))}
+	run.reserve = plainReservation("")
+	run.reserve.Domain = fmt.Sprint("d", sim.random.IntN(evacuationDomains))
+	sim.reserve(run)
 }
 
-func (pla *emptyPlay) ask(run *emptyRun) {
-	pla.asked++
-	run.reserve.ID = id(fmt.Sprintf("q%07d", pla.asked))
-	pla.runs[run.reserve.ID] = run
-	pla.in(emptyTrip, func() {
-		pla.take(pla.des.core.Handle(pla.now, scheduler.Received{From: run.host, Message: run.reserve}))
+func (sim *evacuationSim) reserve(run *evacuationRun) {
+	sim.reservations++
+	run.reserve.ID = requestID(fmt.Sprintf("q%07d", sim.reservations))
+	sim.runs[run.reserve.ID] = run
+	sim.schedule(evacuationNetworkDelay, func() {
+		sim.apply(sim.har.core.Handle(sim.now, scheduler.Received{From: run.host, Message: run.reserve}))
 	})
 }
 
-func (pla *emptyPlay) take(sends []scheduler.Send) {
+func (sim *evacuationSim) apply(sends []scheduler.Send) {
 	for _, snd := range sends {
-		run := pla.runs[idOf(snd.Message)]
+		run := sim.runs[decisionID(snd.Message)]
 		if run == nil {
 			continue
 		}
-		delete(pla.runs, idOf(snd.Message))
+		delete(sim.runs, decisionID(snd.Message))
 		if gra, isGrant := snd.Message.(reservation.Grant); isGrant {
-			pla.in(emptyTrip, func() { pla.send(run, gra) })
+			sim.schedule(evacuationNetworkDelay, func() { sim.send(run, gra) })
 			continue
 		}
-		pla.result.refused++
+		sim.result.refused++
 	}
 }
 
-func (pla *emptyPlay) send(run *emptyRun, gra reservation.Grant) {
+func (sim *evacuationSim) send(run *evacuationRun, gra reservation.Grant) {
 	release := func(rel reservation.Release) {
 		rel.ID, rel.Engine = gra.ID, gra.Engine
-		pla.take(pla.des.core.Handle(pla.now, scheduler.Received{From: run.host, Message: rel}))
+		sim.apply(sim.har.core.Handle(sim.now, scheduler.Received{From: run.host, Message: rel}))
 	}
-	emptied := pla.domain[gra.Engine] == "d0"
-	knows := !pla.now.Before(pla.knows[run.host])
-	if emptied && knows && pla.way != emptyByDecider {
+	emptied := sim.domain[gra.Engine] == "d0"
+	knows := !sim.now.Before(sim.orderRead[run.host])
+	if emptied && knows && sim.policy != evacuateByCoordinator {
 		release(reservation.Release{})
-		pla.result.back++
-		run.sent++
+		sim.result.returned++
+		run.returned++
 		run.reserve.Again = true
 		run.reserve.Exclude = append(slices.Clone(run.reserve.Exclude), gra.Engine)
-		if run.sent >= maxGone && pla.way == emptyBySendingBack {
-			pla.result.refused++
+		if run.returned >= maxReturned && sim.policy == evacuateByReturn {
+			sim.result.refused++
 			return
 		}
-		pla.ask(run)
+		sim.reserve(run)
 		return
 	}
 	if emptied && knows {
-		pla.result.late++
+		sim.result.late++
 	}
-	pla.in(time.Duration(pla.random.ExpFloat64()*float64(emptyWork)), func() {
-		pla.result.served++
-		release(reservation.Release{Dispatched: true, Answered: true, Total: emptyWork})
+	sim.schedule(time.Duration(sim.random.ExpFloat64()*float64(evacuationServiceTime)), func() {
+		sim.result.served++
+		release(reservation.Release{Dispatched: true, Answered: true, Total: evacuationServiceTime})
 	})
 }
 
-// While who decides hasn't heard of an order, hosts that have send nothing there, and nobody is
-// refused for it.
-func TestHostsKeepToAnOrderThatWhoDecidesDoesNotKnow(t *testing.T) {
+// While the coordinator hasn't read an evacuation order, hosts that have read it send nothing into
+// the domain, and no request is refused for that.
+func TestHostsEnforceOrderBeforeCoordinatorReadsIt(t *testing.T) {
 	for seed := range uint64(3) {
-		res := newEmptyPlay(seed, emptyBySaying, 20, 7, 6*time.Second, 200)
-		assert.Assert(t, res.late == 0 && res.refused == 0 && res.back <= 10, "%+v", res)
+		res := runEvacuationSim(seed, evacuateByReport, 20, 7, 6*time.Second, 200)
+		assert.Assert(t, res.late == 0 && res.refused == 0 && res.returned <= 10, "%+v", res)
 	}
 }
 
-// BenchmarkWaysOfEmptying prints what each way gives: requests that reached the domain from
-// hosts that knew, that were refused, and grants sent back, of a thousand requests each.
-func BenchmarkWaysOfEmptying(b *testing.B) {
-	ways := map[emptyWay]string{emptyByDecider: "decider", emptyBySendingBack: "sent-back", emptyBySaying: "said"}
+// BenchmarkEvacuationPolicies reports for each policy the requests that reached the domain from
+// hosts that had read the order, the requests refused, and the grants returned, per thousand
+// requests each.
+func BenchmarkEvacuationPolicies(b *testing.B) {
+	ways := map[evacuationPolicy]string{evacuateByCoordinator: "decider", evacuateByReturn: "sent-back", evacuateByReport: "said"}
 	for _, size := range []struct{ engines, hosts int }{{4, 4}, {20, 7}, {140, 85}} {
 		for way, name := range ways {
 			b.Run(fmt.Sprintf("%d/%s", size.engines, name), func(b *testing.B) {
-				var sum emptyResult
+				var sum evacuationResult
 				for b.Loop() {
 					for seed := range uint64(5) {
-						res := newEmptyPlay(seed, way, size.engines, size.hosts, 8*time.Second, 30*float64(size.engines))
+						res := runEvacuationSim(seed, way, size.engines, size.hosts, 8*time.Second, 30*float64(size.engines))
 						sum.sent += res.sent
 						sum.late += res.late
 						sum.refused += res.refused
-						sum.back += res.back
+						sum.returned += res.returned
 					}
 				}
 				of := 1000 / float64(sum.sent)
 				b.ReportMetric(of*float64(sum.late), "late")
 				b.ReportMetric(of*float64(sum.refused), "refused")
-				b.ReportMetric(of*float64(sum.back), "back")
+				b.ReportMetric(of*float64(sum.returned), "back")
 			})
 		}
 	}
--- a/scheduler/rate_sim_test.go
+++ b/scheduler/rate_sim_test.go
@@ -13,82 +13,85 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// rateWay is what is made of the rate that an engine names for all hosts together.
-type rateWay uint8
+// ratePolicy is how hosts and coordinators apply the rate limit that an engine sets for all hosts
+// together.
+type ratePolicy uint8
 
 const (
-	// rateIgnored grants as if nothing had been named.
-	rateIgnored rateWay = iota
-	// rateByParts has each host keep to an equal part by itself, and send back what goes
-	// beyond it.
-	rateByParts
-	// rateByLease has hosts keep to parts that who decides lends them twice a second, by what
-	// they asked for.
+	// rateIgnored ignores rate limits.
+	rateIgnored ratePolicy = iota
+	// rateByShare has each host apply an equal share by itself and return the grants beyond it.
+	rateByShare
+	// rateByLease has hosts apply shares that the coordinator leases to them twice a second, in
+	// proportion to their demand.
 	rateByLease
-	// rateByGrant has who decides pace its grants, with a fixed part for who stands alone.
+	// rateByGrant has the coordinator pace its grants, with a fixed share for an isolated host.
 	rateByGrant
 )
 
 const (
-	rateWork    = 60 * time.Millisecond
-	rateAim     = 400 * time.Millisecond
-	rateTrip    = time.Millisecond
-	rateTick    = 10 * time.Millisecond
-	rateLease   = 500 * time.Millisecond
-	rateNamedAt = 2 * time.Second
-	// What the users allow: from some time after a rate was first named, in each window so
-	// many times what it allows and so many more, by hosts that were told some time before.
-	rateGrace  = 3 * time.Second
-	rateEnded  = 3 * time.Second
-	rateTold   = 500 * time.Millisecond
-	rateWindow = 4 * time.Second
-	rateFactor = 1.5
-	rateSlack  = 5
-	// slowChance is how often a connection takes up to a second to be made, grantHolds for how
-	// long a host uses a grant of an engine with a rate.
-	slowChance = 0.03
-	grantHolds = 500 * time.Millisecond
+	rateServiceTime   = 60 * time.Millisecond
+	rateLatencyTarget = 400 * time.Millisecond
+	rateNetworkDelay  = time.Millisecond
+	rateTickInterval  = 10 * time.Millisecond
+	rateLeaseInterval = 500 * time.Millisecond
+	rateSentAt        = 2 * time.Second
+	// From rateGrace after a rate limit was first sent, an engine may get in each rateWindow at most
+	// rateFactor times what its limit allows plus rateSlack requests. Only requests of hosts that
+	// have known the limit for rateKnown count. From rateRecovery after the limits' end no request
+	// may be refused.
+	rateGrace    = 3 * time.Second
+	rateRecovery = 3 * time.Second
+	rateKnown    = 500 * time.Millisecond
+	rateWindow   = 4 * time.Second
+	rateFactor   = 1.5
+	rateSlack    = 5
+	// slowProbability is the probability that connecting takes up to a second, grantTTL how long a
+	// host may use a grant of an engine with a rate limit.
+	slowProbability = 0.03
+	grantTTL        = 500 * time.Millisecond
 )
 
-// ratePlay is a service some of whose engines name rates, before hosts that are one group, or
-// several that have lost each other, each with a host that decides; time is the play's own.
-type ratePlay struct {
-	cfg     ratePlayConfig
+// rateSim simulates a service some of whose engines send rate limits. The hosts are one group, or
+// partitioned into several, each with a coordinator. It has a simulated clock.
+type rateSim struct {
+	cfg     rateSimConfig
 	now     time.Time
 	random  *rand.Rand
-	queue   crashQueue
+	queue   eventQueue
 	engines []*rateEngine
 	hosts   []*rateHost
 	runs    map[request.ID]*rateRun
 	sent    int
 	result  rateResult
-	// judgedFrom is from when on engines are held against their rates.
-	judgedFrom time.Time
-	endsAt     time.Time
+	// checkedFrom is the time from which on arrivals are compared with the rate limits.
+	checkedFrom time.Time
+	endsAt      time.Time
 }
 
-type ratePlayConfig struct {
+type rateSimConfig struct {
 	seed    uint64
-	way     rateWay
+	policy  ratePolicy
 	engines int
 	hosts   int
-	// rates are those that the first engines name; the others name none.
+	// rates are the rate limits of the first engines, per second; the others have none.
 	rates []float64
-	// load is in requests a second; favored is the part of them that comes to one host.
-	load    float64
-	favored float64
-	length  time.Duration
-	// endsAt is when engines name their rates no more; 0 for never.
+	// load is in requests per second; favored is the share of them that arrives at one host.
+	load     float64
+	favored  float64
+	duration time.Duration
+	// endsAt is when engines stop sending rate limits; 0 for never.
 	endsAt time.Duration
-	// changes are when hosts are divided anew, the first into how many groups.
+	// changes are the times at which the hosts are partitioned anew.
 	changes []rateChange
-	// cold are when the first engines go cold, for coldLength, in which each bears coldRate;
-	// hosts know up to coldKnown later.
+	// cold are the times at which the first engines go cold, for simColdPeriod with a limit of
+	// coldRate each; hosts read that up to coldReadDelay later.
 	cold     []time.Duration
 	coldRate float64
 }
 
-// rateChange has hosts be so many groups from a time on, led by the next hosts in turn.
+// rateChange partitions the hosts into groups from a time on; the next hosts in turn become the
+// coordinators.
 type rateChange struct {
 	at     time.Duration
 	groups int
@@ -96,395 +99,398 @@
 
 type rateResult struct {
 	sent, served, refused int
-	// refusedLater are those refused from rateEnded after the rates' end on.
-	refusedLater int
-	// worst is the largest part of what is allowed that an engine got in some window, used the
-	// least part of its rate, over the time for which it was named.
-	worst float64
-	used  float64
-	// waited is what those waited who were served.
+	// refusedLate counts the requests refused from rateRecovery after the limits' end on.
+	refusedLate int
+	// peakUse is the largest share of the allowance that an engine got within a window, minUse the
+	// smallest share of its rate limit that an engine got over the whole time.
+	peakUse float64
+	minUse  float64
+	// waited is the total wait of the requests that were served.
 	waited time.Duration
-	// coldWorst is the largest part of what a cold engine bears that it got within a second, of
-	// hosts that knew.
-	coldWorst float64
+	// coldPeakUse is the largest share of its allowance that a cold engine got within a second from
+	// hosts that knew it to be cold.
+	coldPeakUse float64
 }
 
 type rateEngine struct {
 	fleet.Engine
-	rate  float64
-	named bool
-	// arrivals are by hosts that it had told some time before, all of them others too.
+	rate    float64
+	limited bool
+	// arrivals are the requests of hosts that had known the limit for rateKnown, total counts those
+	// of all hosts.
 	arrivals []time.Time
-	all      int
-	// told is when it first named its rate to a host.
-	told map[*rateHost]time.Time
-	// coldUntil is until when it is cold, coldArrivals are by hosts that knew.
+	total    int
+	// sentLimit is when the engine first sent its rate limit to each host.
+	sentLimit map[*rateHost]time.Time
+	// coldUntil is the end of the engine's cold period, coldArrivals are the requests of hosts that
+	// knew it to be cold.
 	coldUntil    time.Time
 	coldArrivals []time.Time
 }
 
 type rateHost struct {
-	epoch   request.Epoch
-	des     *desk
-	heard   *fleet.Notices
-	decider *rateHost
-	// buckets are the host's own parts, by the engine.
-	buckets map[string]*ratePart
-	// cold is until when it takes engines to be cold.
+	epoch       request.Epoch
+	har         *harness
+	notices     *fleet.Notices
+	coordinator *rateHost
+	// shares are the host's shares of the engines' rate limits.
+	shares map[string]*rateShare
+	// cold is the end of the engines' cold periods as far as the host has read them.
 	cold map[string]time.Time
 }
 
-// ratePart is a host's part of an engine's rate.
-type ratePart struct {
+// rateShare is a host's share of an engine's rate limit, with its token bucket.
+type rateShare struct {
 	share, perSecond, tokens float64
-	filled                   time.Time
-	// wanted counts the requests since parts were last lent.
-	wanted int
+	filledAt                 time.Time
+	// demand counts the requests since shares were last leased.
+	demand int
 }
 
 type rateRun struct {
-	reserve reservation.Reserve
-	host    *rateHost
-	started time.Time
-	// asked is when it was last asked for.
-	asked time.Time
-	tries int
+	reserve   reservation.Reserve
+	host      *rateHost
+	startedAt time.Time
+	// reservedAt is when the host last placed the reservation.
+	reservedAt time.Time
+	retries    int
 }
 
-func newRatePlay(cfg ratePlayConfig) *ratePlay {
-	pla := &ratePlay{cfg: cfg, now: time.Unix(5000, 0), random: rand.New(rand.NewPCG(cfg.seed, 17)), runs: make(map[request.ID]*rateRun)}
+func newRateSim(cfg rateSimConfig) *rateSim {
+	sim := &rateSim{cfg: cfg, now: time.Unix(5000, 0), random: rand.New(rand.NewPCG(cfg.seed, 17)), runs: make(map[request.ID]*rateRun)}
 	var all []fleet.Engine
 	for num := range cfg.engines {
-		eng := &rateEngine{Engine: plainEngine(fmt.Sprintf("e%03d", num), 6), told: make(map[*rateHost]time.Time)}
+		eng := &rateEngine{Engine: plainEngine(fmt.Sprintf("e%03d", num), 6), sentLimit: make(map[*rateHost]time.Time)}
 		if num < len(cfg.rates) {
 			eng.rate = cfg.rates[num]
 		}
-		pla.engines = append(pla.engines, eng)
+		sim.engines = append(sim.engines, eng)
 		all = append(all, eng.Engine)
 	}
 	for num := range cfg.hosts {
-		hos := &rateHost{epoch: request.Epoch(num + 10), heard: fleet.NewNotices(), buckets: make(map[string]*ratePart), cold: make(map[string]time.Time)}
-		hos.des = &desk{now: pla.now, core: scheduler.New(scheduler.Config{
+		hos := &rateHost{epoch: request.Epoch(num + 10), notices: fleet.NewNotices(), shares: make(map[string]*rateShare), cold: make(map[string]time.Time)}
+		hos.har = &harness{now: sim.now, core: scheduler.New(scheduler.Config{
 			Self: hos.epoch, Repeats: scheduler.Repeats{Ratio: 0.2, Window: 10 * time.Second, Slack: 1000}, LimitSlack: 1000,
 		})}
-		hos.des.handle(scheduler.ConfigurationChanged{Table: coldTable(cfg.coldRate)})
-		hos.des.handle(scheduler.EnginesChanged{Engines: all})
-		pla.hosts = append(pla.hosts, hos)
+		hos.har.handle(scheduler.ConfigurationChanged{Table: tableWithColdRate(cfg.coldRate)})
+		hos.har.handle(scheduler.EnginesChanged{Engines: all})
+		sim.hosts = append(sim.hosts, hos)
 	}
-	pla.divide(1, 0)
-	return pla
+	sim.partition(1, 0)
+	return sim
 }
 
-// divide has hosts be so many groups, each decided for by one of them.
-func (pla *ratePlay) divide(groups, turn int) {
-	for num, hos := range pla.hosts {
-		former := hos.decider
+// partition divides the hosts into groups, each with one of them as the coordinator.
+func (sim *rateSim) partition(groups, turn int) {
+	for num, hos := range sim.hosts {
+		former := hos.coordinator
 		group := num % groups
-		size := len(pla.hosts)/groups + ordinalOf(group < len(pla.hosts)%groups)
-		hos.decider = pla.hosts[group+groups*(turn%size)]
-		if former != nil && former != hos.decider {
-			pla.take(former, former.des.core.Handle(pla.now, scheduler.GatewayLost{Gateway: hos.epoch}))
+		size := len(sim.hosts)/groups + boolToInt(group < len(sim.hosts)%groups)
+		hos.coordinator = sim.hosts[group+groups*(turn%size)]
+		if former != nil && former != hos.coordinator {
+			sim.apply(former, former.har.core.Handle(sim.now, scheduler.GatewayLost{Gateway: hos.epoch}))
 		}
 	}
-	for _, hos := range pla.hosts {
+	for _, hos := range sim.hosts {
 		served := 0
-		for _, other := range pla.hosts {
-			served += ordinalOf(other.decider == hos)
+		for _, other := range sim.hosts {
+			served += boolToInt(other.coordinator == hos)
 		}
-		sha := scheduler.ShareChanged{Parts: float64(len(pla.hosts)) / float64(max(1, served)), Hosts: len(pla.hosts), Elsewhere: served == 0}
-		pla.take(hos, hos.des.core.Handle(pla.now, sha))
-		for _, not := range hos.heard.Current(pla.now) {
-			pla.tell(hos, not)
+		sha := scheduler.ShareChanged{Parts: float64(len(sim.hosts)) / float64(max(1, served)), Hosts: len(sim.hosts), Elsewhere: served == 0}
+		sim.apply(hos, hos.har.core.Handle(sim.now, sha))
+		for _, ntc := range hos.notices.Current(sim.now) {
+			sim.reportNotice(hos, ntc)
 		}
 	}
-	for rid, run := range pla.runs {
-		// Those who wait ask again.
-		delete(pla.runs, rid)
-		pla.ask(run)
+	for rid, run := range sim.runs {
+		// Requests that wait are reserved once more at the new coordinator.
+		delete(sim.runs, rid)
+		sim.reserve(run)
 	}
 }
 
-func ordinalOf(holds bool) int {
+func boolToInt(holds bool) int {
 	if holds {
 		return 1
 	}
 	return 0
 }
 
-func (pla *ratePlay) in(wait time.Duration, what func()) {
-	heap.Push(&pla.queue, crashEvent{at: pla.now.Add(wait), what: what})
+func (sim *rateSim) schedule(wait time.Duration, what func()) {
+	heap.Push(&sim.queue, simEvent{at: sim.now.Add(wait), action: what})
 }
 
-func (pla *ratePlay) exponential(mean time.Duration) time.Duration {
-	return time.Duration(pla.random.ExpFloat64() * float64(mean))
+func (sim *rateSim) exponential(mean time.Duration) time.Duration {
+	return time.Duration(sim.random.ExpFloat64() * float64(mean))
 }
 
-func (pla *ratePlay) run() rateResult {
-	start := pla.now
-	pla.judgedFrom = start.Add(rateNamedAt + rateGrace)
-	pla.in(0, pla.arrive)
-	pla.in(0, pla.tick)
-	pla.in(0, pla.lend)
-	pla.in(rateNamedAt, func() {
-		for _, eng := range pla.engines[:len(pla.cfg.rates)] {
-			eng.named = true
+func (sim *rateSim) run() rateResult {
+	start := sim.now
+	sim.checkedFrom = start.Add(rateSentAt + rateGrace)
+	sim.schedule(0, sim.arrive)
+	sim.schedule(0, sim.tick)
+	sim.schedule(0, sim.leaseShares)
+	sim.schedule(rateSentAt, func() {
+		for _, eng := range sim.engines[:len(sim.cfg.rates)] {
+			eng.limited = true
 		}
 	})
-	if pla.cfg.endsAt > 0 {
-		pla.endsAt = start.Add(pla.cfg.endsAt)
-		pla.in(pla.cfg.endsAt, func() {
-			for _, eng := range pla.engines {
-				eng.named = false
+	if sim.cfg.endsAt > 0 {
+		sim.endsAt = start.Add(sim.cfg.endsAt)
+		sim.schedule(sim.cfg.endsAt, func() {
+			for _, eng := range sim.engines {
+				eng.limited = false
 			}
 		})
 	}
-	for num, at := range pla.cfg.cold {
-		pla.in(at, func() { pla.chill(pla.engines[num]) })
+	for num, at := range sim.cfg.cold {
+		sim.schedule(at, func() { sim.markCold(sim.engines[num]) })
 	}
-	for turn, cha := range pla.cfg.changes {
-		pla.in(cha.at, func() { pla.divide(cha.groups, turn+1) })
+	for turn, cha := range sim.cfg.changes {
+		sim.schedule(cha.at, func() { sim.partition(cha.groups, turn+1) })
 	}
-	end := start.Add(pla.cfg.length)
-	for len(pla.queue) > 0 {
-		evt := heap.Pop(&pla.queue).(crashEvent)
+	end := start.Add(sim.cfg.duration)
+	for len(sim.queue) > 0 {
+		evt := heap.Pop(&sim.queue).(simEvent)
 		if evt.at.After(end) {
 			break
 		}
-		pla.now = evt.at
-		evt.what()
+		sim.now = evt.at
+		evt.action()
 	}
-	pla.result.used = 1
-	for _, eng := range pla.engines[:len(pla.cfg.rates)] {
-		pla.judge(eng, end)
+	sim.result.minUse = 1
+	for _, eng := range sim.engines[:len(sim.cfg.rates)] {
+		sim.checkRate(eng, end)
 	}
-	for _, eng := range pla.engines[:len(pla.cfg.cold)] {
-		pla.judgeCold(eng)
+	for _, eng := range sim.engines[:len(sim.cfg.cold)] {
+		sim.checkColdRate(eng)
 	}
-	return pla.result
+	return sim.result
 }
 
-// judge holds what reached an engine against its rate.
-func (pla *ratePlay) judge(eng *rateEngine, until time.Time) {
-	counted := slices.DeleteFunc(slices.Clone(eng.arrivals), func(at time.Time) bool { return at.Before(pla.judgedFrom) })
+// checkRate compares the requests that reached an engine with its rate limit.
+func (sim *rateSim) checkRate(eng *rateEngine, until time.Time) {
+	counted := slices.DeleteFunc(slices.Clone(eng.arrivals), func(at time.Time) bool { return at.Before(sim.checkedFrom) })
 	allowed := rateFactor*eng.rate*rateWindow.Seconds() + rateSlack
 	first := 0
 	for last, at := range counted {
 		for at.Sub(counted[first]) >= rateWindow {
 			first++
 		}
-		pla.result.worst = max(pla.result.worst, float64(last-first+1)/allowed)
+		sim.result.peakUse = max(sim.result.peakUse, float64(last-first+1)/allowed)
 	}
 	if eng.rate > 0 {
-		pla.result.used = min(pla.result.used, float64(eng.all)/(eng.rate*until.Sub(pla.judgedFrom).Seconds()))
+		sim.result.minUse = min(sim.result.minUse, float64(eng.total)/(eng.rate*until.Sub(sim.checkedFrom).Seconds()))
 	}
 }
 
-func (pla *ratePlay) tick() {
-	for _, hos := range pla.hosts {
-		if hos.decider == hos {
-			pla.take(hos, hos.des.core.Handle(pla.now, scheduler.Tick{}))
+func (sim *rateSim) tick() {
+	for _, hos := range sim.hosts {
+		if hos.coordinator == hos {
+			sim.apply(hos, hos.har.core.Handle(sim.now, scheduler.Tick{}))
 		}
 	}
-	pla.in(rateTick, pla.tick)
+	sim.schedule(rateTickInterval, sim.tick)
 }
 
-func (pla *ratePlay) arrive() {
-	pla.in(pla.exponential(time.Duration(float64(time.Second)/pla.cfg.load)), pla.arrive)
-	hos := pla.hosts[pla.random.IntN(len(pla.hosts))]
-	if pla.random.Float64() < pla.cfg.favored {
-		hos = pla.hosts[len(pla.hosts)-1]
+func (sim *rateSim) arrive() {
+	sim.schedule(sim.exponential(time.Duration(float64(time.Second)/sim.cfg.load)), sim.arrive)
+	hos := sim.hosts[sim.random.IntN(len(sim.hosts))]
+	if sim.random.Float64() < sim.cfg.favored {
+		hos = sim.hosts[len(sim.hosts)-1]
 	}
-	pla.result.sent++
-	pla.ask(&rateRun{host: hos, started: pla.now})
+	sim.result.sent++
+	sim.reserve(&rateRun{host: hos, startedAt: sim.now})
 }
 
-func (pla *ratePlay) ask(run *rateRun) {
-	pla.sent++
+func (sim *rateSim) reserve(run *rateRun) {
+	sim.sent++
 	former := run.reserve
-	run.reserve = plain(fmt.Sprintf("q%09d", pla.sent))
-	run.reserve.Exclude, run.reserve.Again = former.Exclude, run.tries > 0
-	run.reserve.Aim = rateAim
-	run.asked = pla.now
-	pla.runs[run.reserve.ID] = run
-	pla.in(rateTrip, func() {
-		if pla.runs[run.reserve.ID] == run {
-			dec := run.host.decider
-			pla.take(dec, dec.des.core.Handle(pla.now, scheduler.Received{From: run.host.epoch, Message: run.reserve}))
+	run.reserve = plainReservation(fmt.Sprintf("q%09d", sim.sent))
+	run.reserve.Exclude, run.reserve.Again = former.Exclude, run.retries > 0
+	run.reserve.Aim = rateLatencyTarget
+	run.reservedAt = sim.now
+	sim.runs[run.reserve.ID] = run
+	sim.schedule(rateNetworkDelay, func() {
+		if sim.runs[run.reserve.ID] == run {
+			crd := run.host.coordinator
+			sim.apply(crd, crd.har.core.Handle(sim.now, scheduler.Received{From: run.host.epoch, Message: run.reserve}))
 		}
 	})
 }
 
-func (pla *ratePlay) take(dec *rateHost, sends []scheduler.Send) {
+func (sim *rateSim) apply(crd *rateHost, sends []scheduler.Send) {
 	for _, snd := range sends {
-		run := pla.runs[idOf(snd.Message)]
+		run := sim.runs[decisionID(snd.Message)]
 		gra, isGrant := snd.Message.(reservation.Grant)
 		if run == nil {
 			if isGrant {
-				pla.release(dec, dec, reservation.Release{ID: gra.ID, Engine: gra.Engine})
+				sim.release(crd, crd, reservation.Release{ID: gra.ID, Engine: gra.Engine})
 			}
 			continue
 		}
-		delete(pla.runs, idOf(snd.Message))
+		delete(sim.runs, decisionID(snd.Message))
 		if !isGrant {
-			pla.refuse()
+			sim.countRefusal()
 			continue
 		}
-		at := pla.now.Add(rateTrip)
-		connecting := rateTrip
-		if pla.random.Float64() < slowChance {
-			connecting += time.Duration(pla.random.Float64() * float64(time.Second))
+		at := sim.now.Add(rateNetworkDelay)
+		connecting := rateNetworkDelay
+		if sim.random.Float64() < slowProbability {
+			connecting += time.Duration(sim.random.Float64() * float64(time.Second))
 		}
-		pla.in(connecting, func() { pla.send(dec, run, gra, at) })
+		sim.schedule(connecting, func() { sim.send(crd, run, gra, at) })
 	}
 }
 
-func (pla *ratePlay) refuse() {
-	pla.result.refused++
-	if !pla.endsAt.IsZero() && pla.now.Sub(pla.endsAt) >= rateEnded {
-		pla.result.refusedLater++
+func (sim *rateSim) countRefusal() {
+	sim.result.refused++
+	if !sim.endsAt.IsZero() && sim.now.Sub(sim.endsAt) >= rateRecovery {
+		sim.result.refusedLate++
 	}
 }
 
-// send has the host look once more, and send the request.
-func (pla *ratePlay) send(dec *rateHost, run *rateRun, gra reservation.Grant, granted time.Time) {
-	num := slices.IndexFunc(pla.engines, func(eng *rateEngine) bool { return eng.ID.Name == gra.Engine })
-	eng := pla.engines[num]
-	if !pla.maySend(run.host, eng, gra, run.asked, granted) {
-		pla.release(dec, run.host, reservation.Release{ID: run.reserve.ID, Engine: gra.Engine})
-		run.tries++
-		if pla.cfg.way != rateByGrant {
-			// Nobody else knows why it was sent back.
+// send checks the host's own notices of the engine once more and sends the request.
+func (sim *rateSim) send(crd *rateHost, run *rateRun, gra reservation.Grant, granted time.Time) {
+	num := slices.IndexFunc(sim.engines, func(eng *rateEngine) bool { return eng.ID.Name == gra.Engine })
+	eng := sim.engines[num]
+	if !sim.maySend(run.host, eng, gra, run.reservedAt, granted) {
+		sim.release(crd, run.host, reservation.Release{ID: run.reserve.ID, Engine: gra.Engine})
+		run.retries++
+		if sim.cfg.policy != rateByGrant {
+			// The coordinator doesn't know why the grant was returned.
 			run.reserve.Exclude = append(run.reserve.Exclude, gra.Engine)
 		}
-		if pla.now.Sub(run.started) > rateAim || run.tries > 8 {
-			pla.refuse()
+		if sim.now.Sub(run.startedAt) > rateLatencyTarget || run.retries > 8 {
+			sim.countRefusal()
 			return
 		}
-		pla.ask(run)
+		sim.reserve(run)
 		return
 	}
-	if told, knows := eng.told[run.host]; knows && pla.now.Sub(told) >= rateTold {
-		eng.arrivals = append(eng.arrivals, pla.now)
-	}
-	if pla.now.Before(eng.coldUntil) && pla.now.Before(run.host.cold[eng.ID.Name]) {
-		eng.coldArrivals = append(eng.coldArrivals, pla.now)
-	}
-	if pla.now.After(pla.judgedFrom) {
-		eng.all++
-	}
-	sent := pla.now
-	took := rateTrip + pla.exponential(rateWork)
-	pla.in(took, func() {
-		pla.result.served++
-		pla.result.waited += sent.Sub(run.started)
-		// What a host says of an engine goes before the end of the request that told so.
-		not := pla.hear(run.host, eng, sent)
-		pla.in(rateTrip, func() {
-			if not.Word != nil {
-				pla.tell(run.host, not)
+	if told, knows := eng.sentLimit[run.host]; knows && sim.now.Sub(told) >= rateKnown {
+		eng.arrivals = append(eng.arrivals, sim.now)
+	}
+	if sim.now.Before(eng.coldUntil) && sim.now.Before(run.host.cold[eng.ID.Name]) {
+		eng.coldArrivals = append(eng.coldArrivals, sim.now)
+	}
+	if sim.now.After(sim.checkedFrom) {
+		eng.total++
+	}
+	sent := sim.now
+	took := rateNetworkDelay + sim.exponential(rateServiceTime)
+	sim.schedule(took, func() {
+		sim.result.served++
+		sim.result.waited += sent.Sub(run.startedAt)
+		// A host reports an engine's signal before it releases the request that carried it.
+		ntc := sim.readSignal(run.host, eng, sent)
+		sim.schedule(rateNetworkDelay, func() {
+			if ntc.Word != nil {
+				sim.reportNotice(run.host, ntc)
 			}
-			pla.release(dec, run.host, reservation.Release{ID: run.reserve.ID, Engine: gra.Engine, Dispatched: true, Answered: true, Total: took})
+			sim.release(crd, run.host, reservation.Release{ID: run.reserve.ID, Engine: gra.Engine, Dispatched: true, Answered: true, Total: took})
 		})
 	})
 }
 
-func (pla *ratePlay) release(dec, from *rateHost, rel reservation.Release) {
-	pla.take(dec, dec.des.core.Handle(pla.now, scheduler.Received{From: from.epoch, Message: rel}))
+func (sim *rateSim) release(crd, from *rateHost, rel reservation.Release) {
+	sim.apply(crd, crd.har.core.Handle(sim.now, scheduler.Received{From: from.epoch, Message: rel}))
 }
 
-// hear takes what an answer says of its engine, and returns it.
-func (pla *ratePlay) hear(hos *rateHost, eng *rateEngine, sent time.Time) fleet.Notice {
-	not := fleet.Notice{Run: eng.ID}
+// readSignal records the signal that an answer carries at the host, and returns it.
+func (sim *rateSim) readSignal(hos *rateHost, eng *rateEngine, sent time.Time) fleet.Notice {
+	ntc := fleet.Notice{Run: eng.ID}
 	switch {
-	case eng.named:
-		not.Word = fleet.RateLimit{PerSecond: eng.rate}
-		if _, knows := eng.told[hos]; !knows {
-			eng.told[hos] = pla.now
+	case eng.limited:
+		ntc.Word = fleet.RateLimit{PerSecond: eng.rate}
+		if _, knows := eng.sentLimit[hos]; !knows {
+			eng.sentLimit[hos] = sim.now
 		}
-	case hos.heard.EndsLimit(eng.ID, sent):
-		not.Word = fleet.Unlimited{}
+	case hos.notices.EndsLimit(eng.ID, sent):
+		ntc.Word = fleet.Unlimited{}
 	}
-	hos.heard.Take(pla.now, not)
-	return not
+	hos.notices.Take(sim.now, ntc)
+	return ntc
 }
 
-func (pla *ratePlay) tell(hos *rateHost, not fleet.Notice) {
-	if pla.cfg.way != rateByGrant {
+func (sim *rateSim) reportNotice(hos *rateHost, ntc fleet.Notice) {
+	if sim.cfg.policy != rateByGrant {
 		return
 	}
-	for _, to := range []*rateHost{hos, hos.decider} {
-		pla.take(to, to.des.core.Handle(pla.now, scheduler.Received{From: hos.epoch, Message: reservation.EngineNotice{Notice: not}}))
+	for _, to := range []*rateHost{hos, hos.coordinator} {
+		sim.apply(to, to.har.core.Handle(sim.now, scheduler.Received{From: hos.epoch, Message: reservation.EngineNotice{Notice: ntc}}))
 	}
 }
 
-func (pla *ratePlay) maySend(hos *rateHost, eng *rateEngine, gra reservation.Grant, asked, granted time.Time) bool {
-	if !pla.mayWarm(hos, eng, gra, granted) {
+func (sim *rateSim) maySend(hos *rateHost, eng *rateEngine, gra reservation.Grant, asked, granted time.Time) bool {
+	if !sim.maySendCold(hos, eng, gra, granted) {
 		return false
 	}
-	lim, holds := hos.heard.Limit(eng.ID)
-	if !holds || pla.cfg.way == rateIgnored {
+	lim, holds := hos.notices.Limit(eng.ID)
+	if !holds || sim.cfg.policy == rateIgnored {
 		return true
 	}
-	if pla.cfg.way == rateByGrant {
-		if gra.Rate == reservation.GrantRatePaced && pla.now.Sub(granted) < grantHolds {
+	if sim.cfg.policy == rateByGrant {
+		if gra.Rate == reservation.GrantRatePaced && sim.now.Sub(granted) < grantTTL {
 			return true
 		}
 		if gra.Rate == reservation.GrantRateEnded && asked.After(lim.At) {
-			hos.heard.Take(pla.now, fleet.Notice{Run: eng.ID, Word: fleet.Unlimited{}})
+			hos.notices.Take(sim.now, fleet.Notice{Run: eng.ID, Word: fleet.Unlimited{}})
 			return true
 		}
-		pla.tell(hos, fleet.Notice{Run: eng.ID, Word: lim.RateLimit})
+		sim.reportNotice(hos, fleet.Notice{Run: eng.ID, Word: lim.RateLimit})
 		return false
 	}
-	return pla.part(hos, eng).take(pla.now, lim.PerSecond)
+	return sim.shareOf(hos, eng).take(sim.now, lim.PerSecond)
 }
 
-func (pla *ratePlay) part(hos *rateHost, eng *rateEngine) *ratePart {
-	prt := hos.buckets[eng.ID.Name]
-	if prt == nil {
-		prt = &ratePart{share: 1 / float64(len(pla.hosts)), filled: pla.now}
-		hos.buckets[eng.ID.Name] = prt
+func (sim *rateSim) shareOf(hos *rateHost, eng *rateEngine) *rateShare {
+	shr := hos.shares[eng.ID.Name]
+	if shr == nil {
+		shr = &rateShare{share: 1 / float64(len(sim.hosts)), filledAt: sim.now}
+		hos.shares[eng.ID.Name] = shr
 	}
-	return prt
+	return shr
 }
 
-func (prt *ratePart) fill(now time.Time) {
-	rate := max(0.5, prt.perSecond) * prt.share
-	prt.tokens = min(1+rate/2, prt.tokens+now.Sub(prt.filled).Seconds()*rate)
-	prt.filled = now
+func (shr *rateShare) fill(now time.Time) {
+	rate := max(0.5, shr.perSecond) * shr.share
+	shr.tokens = min(1+rate/2, shr.tokens+now.Sub(shr.filledAt).Seconds()*rate)
+	shr.filledAt = now
 }
 
-func (prt *ratePart) take(now time.Time, perSecond float64) bool {
-	prt.fill(now)
-	prt.perSecond = perSecond
-	prt.wanted++
-	if prt.tokens < 1 {
+func (shr *rateShare) take(now time.Time, perSecond float64) bool {
+	shr.fill(now)
+	shr.perSecond = perSecond
+	shr.demand++
+	if shr.tokens < 1 {
 		return false
 	}
-	prt.tokens--
+	shr.tokens--
 	return true
 }
 
-// lend has each group's host that decides lend its part of the rates by what was asked for.
-func (pla *ratePlay) lend() {
-	pla.in(rateLease, pla.lend)
-	if pla.cfg.way != rateByLease {
+// leaseShares has each group's coordinator lease the group's share of the rate limits to its hosts
+// in proportion to their demand.
+func (sim *rateSim) leaseShares() {
+	sim.schedule(rateLeaseInterval, sim.leaseShares)
+	if sim.cfg.policy != rateByLease {
 		return
 	}
-	for _, eng := range pla.engines[:len(pla.cfg.rates)] {
+	for _, eng := range sim.engines[:len(sim.cfg.rates)] {
 		wanted, members := make(map[*rateHost]int), make(map[*rateHost]int)
-		for _, hos := range pla.hosts {
-			wanted[hos.decider] += pla.part(hos, eng).wanted
-			members[hos.decider]++
+		for _, hos := range sim.hosts {
+			wanted[hos.coordinator] += sim.shareOf(hos, eng).demand
+			members[hos.coordinator]++
 		}
-		for _, hos := range pla.hosts {
-			prt, whole := pla.part(hos, eng), float64(members[hos.decider])/float64(len(pla.hosts))
-			prt.fill(pla.now)
-			prt.share = whole / float64(members[hos.decider])
-			if wanted[hos.decider] > 0 {
-				prt.share = whole * float64(prt.wanted) / float64(wanted[hos.decider])
+		for _, hos := range sim.hosts {
+			shr, whole := sim.shareOf(hos, eng), float64(members[hos.coordinator])/float64(len(sim.hosts))
+			shr.fill(sim.now)
+			shr.share = whole / float64(members[hos.coordinator])
+			if wanted[hos.coordinator] > 0 {
+				shr.share = whole * float64(shr.demand) / float64(wanted[hos.coordinator])
 			}
-			prt.wanted = 0
+			shr.demand = 0
 		}
 	}
 }
--- a/scheduler/rate_test.go
+++ b/scheduler/rate_test.go
@@ -14,130 +14,135 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-func limitedTo(perSecond float64) fleet.Word {
+func rateLimitSignal(perSecond float64) fleet.Word {
 	return fleet.RateLimit{PerSecond: perSecond}
 }
 
-// ask has a request reserve, answered at once where it is granted; it returns the engine.
-func (des *desk) ask(name string) string {
-	engine := engineOf(des.reserve(plain(name)), name)
+// reserveAndAnswer reserves an engine for a request, answers it at once if granted, and returns the
+// engine.
+func (har *harness) reserveAndAnswer(name string) string {
+	engine := grantedEngine(har.reserve(plainReservation(name)), name)
 	if engine != "" {
-		des.release(answered(name))
+		har.release(answeredRelease(name))
 	}
 	return engine
 }
 
-// countOf asks so many times with a pause in between, and counts the grants of an engine,
-// which names its rate in each answer. Others don't answer.
-func (des *desk) countOf(engine string, perSecond float64, times int, pause time.Duration) int {
+// countRateLimitedGrants sends the given number of requests at the given interval and returns how
+// many were granted to the engine. The engine repeats its rate limit in each answer; other engines
+// don't answer.
+func (har *harness) countRateLimitedGrants(engine string, perSecond float64, times int, pause time.Duration) int {
 	count := 0
 	for num := range times {
-		sends := des.after(pause)
-		sends = append(sends, des.reserve(plain(fmt.Sprint("ask-", des.now.UnixNano(), "-", num)))...)
+		sends := har.advance(pause)
+		sends = append(sends, har.reserve(plainReservation(fmt.Sprint("ask-", har.now.UnixNano(), "-", num)))...)
 		for _, snd := range sends {
 			gra, isGrant := snd.Message.(reservation.Grant)
 			if !isGrant || gra.Engine != engine {
 				continue
 			}
 			count++
-			des.says(peer, engine, limitedTo(perSecond))
-			des.release(reservation.Release{ID: gra.ID, Dispatched: true, Answered: true, Total: time.Millisecond})
+			har.reportSignal(peerEpoch, engine, rateLimitSignal(perSecond))
+			har.release(reservation.Release{ID: gra.ID, Dispatched: true, Answered: true, Total: time.Millisecond})
 		}
 	}
 	return count
 }
 
-func TestEngineIsGrantedTheRateThatItTakes(t *testing.T) {
+func TestGrantsFollowRateLimit(t *testing.T) {
 	for _, perSecond := range []float64{0.5, 1.5, 4, 20} {
-		des := newDesk(plainEngine("a", 6), plainEngine("b", 0))
-		des.says(peer, "a", limitedTo(perSecond))
-		count := des.countOf("a", perSecond, 4000, 5*time.Millisecond)
+		har := newHarness(plainEngine("a", 6), plainEngine("b", 0))
+		har.reportSignal(peerEpoch, "a", rateLimitSignal(perSecond))
+		count := har.countRateLimitedGrants("a", perSecond, 4000, 5*time.Millisecond)
 		most := perSecond*20 + perSecond/2 + 1
 		assert.Assert(t, float64(count) <= most && float64(count) >= 0.8*perSecond*20, "%d at %g a second", count, perSecond)
 	}
 }
 
-// Nothing is saved up: neither in an hour nor while another core decides.
-func TestEngineWithARateGetsNoBurst(t *testing.T) {
-	des := newDesk(plainEngine("a", 100))
-	des.says(peer, "a", limitedTo(4))
-	des.after(time.Hour)
-	assert.Equal(t, des.countOf("a", 4, 50, 0), 3)
-	des.after(time.Hour)
-	des.handle(scheduler.ShareChanged{Parts: 7, Hosts: 7, Elsewhere: true})
-	des.after(time.Hour)
-	assert.Equal(t, des.countOf("a", 4, 50, 0), 0, "another decides")
-	des.handle(scheduler.ShareChanged{Parts: 1, Hosts: 7})
-	assert.Equal(t, des.countOf("a", 4, 50, 0), 0, "it knows nothing of what the former granted")
-	des.after(250 * time.Millisecond)
-	assert.Equal(t, des.countOf("a", 4, 50, 0), 1)
-	des.handle(scheduler.ShareChanged{Parts: 4, Hosts: 8})
-	assert.Equal(t, des.countOf("a", 4, 41, 100*time.Millisecond), 4, "its part of two of eight hosts")
+// An engine with a rate limit accumulates no burst, neither within an idle hour nor while another
+// core is the coordinator.
+func TestRateLimitedEngineGetsNoBurst(t *testing.T) {
+	har := newHarness(plainEngine("a", 100))
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(4))
+	har.advance(time.Hour)
+	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 3)
+	har.advance(time.Hour)
+	har.handle(scheduler.ShareChanged{Parts: 7, Hosts: 7, Elsewhere: true})
+	har.advance(time.Hour)
+	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 0, "another core is the coordinator")
+	har.handle(scheduler.ShareChanged{Parts: 1, Hosts: 7})
+	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 0, "it doesn't know the grants of the former coordinator")
+	har.advance(250 * time.Millisecond)
+	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 1)
+	har.handle(scheduler.ShareChanged{Parts: 4, Hosts: 8})
+	assert.Equal(t, har.countRateLimitedGrants("a", 4, 41, 100*time.Millisecond), 4, "its share of two of eight hosts")
 }
 
-func TestRateEndsWithALaterAnswerWithoutIt(t *testing.T) {
-	des := newDesk(plainEngine("a", 100))
-	assert.Equal(t, engineOf(des.reserve(plain("before")), "before"), "a")
-	des.after(time.Millisecond)
-	des.says(peer, "a", limitedTo(1))
-	des.handle(scheduler.Received{From: peer, Message: reservation.Adopt{ID: id("inherited"), Engine: "a", Service: "plain"}})
-	des.after(time.Second)
-	des.release(answered("before"))
-	des.release(answered("inherited"))
-	assert.Equal(t, des.ask("granted later"), "a")
-	assert.Equal(t, des.ask("after its answer"), "a")
-	assert.Equal(t, des.ask("once more"), "a")
+func TestRateLimitEndsWithLaterAnswerWithoutIt(t *testing.T) {
+	har := newHarness(plainEngine("a", 100))
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("before")), "before"), "a")
+	har.advance(time.Millisecond)
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(1))
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Adopt{ID: requestID("inherited"), Engine: "a", Service: "plain"}})
+	har.advance(time.Second)
+	har.release(answeredRelease("before"))
+	har.release(answeredRelease("inherited"))
+	assert.Equal(t, har.reserveAndAnswer("granted later"), "a")
+	assert.Equal(t, har.reserveAndAnswer("after its answer"), "a")
+	assert.Equal(t, har.reserveAndAnswer("once more"), "a")
 }
 
-// An answer to what was granted before the rate was named, or by another core, may be older.
-func TestRateOutlastsOlderAnswers(t *testing.T) {
-	des := newDesk(plainEngine("a", 100))
-	assert.Equal(t, engineOf(des.reserve(plain("before")), "before"), "a")
-	des.after(time.Millisecond)
-	des.says(peer, "a", limitedTo(1))
-	des.after(time.Millisecond)
-	des.handle(scheduler.Received{From: peer, Message: reservation.Adopt{ID: id("inherited"), Engine: "a", Service: "plain"}})
-	des.release(answered("before"))
-	des.release(answered("inherited"))
-	assert.Equal(t, des.countOf("a", 1, 9, 0), 0)
-	des.says(otherPeer, "a", fleet.Unlimited{})
-	assert.Equal(t, des.ask("told by a host"), "a")
+// An answer without a rate limit doesn't end the limit if the request was granted before the limit
+// was sent, or by another core: the answer may be older than the limit.
+func TestRateLimitOutlastsOlderAnswers(t *testing.T) {
+	har := newHarness(plainEngine("a", 100))
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("before")), "before"), "a")
+	har.advance(time.Millisecond)
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(1))
+	har.advance(time.Millisecond)
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Adopt{ID: requestID("inherited"), Engine: "a", Service: "plain"}})
+	har.release(answeredRelease("before"))
+	har.release(answeredRelease("inherited"))
+	assert.Equal(t, har.countRateLimitedGrants("a", 1, 9, 0), 0)
+	har.reportSignal(otherPeerEpoch, "a", fleet.Unlimited{})
+	assert.Equal(t, har.reserveAndAnswer("told by a host"), "a")
 }
 
-// A grant that isn't sent costs nothing, one that is turned away does.
-func TestGrantWithinARateThatIsSentBackSpendsNothing(t *testing.T) {
-	des := newDesk(plainEngine("a", 100))
-	des.says(peer, "a", limitedTo(1))
-	des.after(time.Second)
-	assert.Equal(t, engineOf(des.reserve(plain("unsent")), "unsent"), "a")
-	des.release(reservation.Release{ID: id("unsent")})
-	assert.Equal(t, engineOf(des.reserve(plain("sent")), "sent"), "a")
-	des.release(reservation.Release{ID: id("sent"), Dispatched: true, Rejected: true, BackedOff: true})
-	assert.Equal(t, engineOf(des.reserve(plain("next")), "next"), "")
-	assert.Equal(t, engineOf(des.after(400*time.Millisecond), "next"), "", "it isn't set aside, and takes one a second")
+// A grant that is returned unsent costs no token, a request that the engine rejects does.
+func TestReturnedGrantSpendsNoToken(t *testing.T) {
+	har := newHarness(plainEngine("a", 100))
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(1))
+	har.advance(time.Second)
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("unsent")), "unsent"), "a")
+	har.release(reservation.Release{ID: requestID("unsent")})
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("sent")), "sent"), "a")
+	har.release(reservation.Release{ID: requestID("sent"), Dispatched: true, Rejected: true, BackedOff: true})
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("next")), "next"), "")
+	assert.Equal(t, grantedEngine(har.advance(400*time.Millisecond), "next"), "", "the engine isn't ejected, and its limit is one request per second")
 }
 
-// Only an answer tells that an engine which takes nothing takes something again.
-func TestEngineWithARateOfNothingIsAskedNowAndThen(t *testing.T) {
-	des := newDesk(plainEngine("a", 6), plainEngine("b", 0))
-	des.says(peer, "a", limitedTo(0))
-	assert.Equal(t, des.countOf("a", 0, 2010, 5*time.Millisecond), 5, "in ten seconds")
+// Only an answer can show that an engine with a rate limit of zero takes requests again, so it
+// must be probed.
+func TestEngineWithRateLimitOfZeroIsProbed(t *testing.T) {
+	har := newHarness(plainEngine("a", 6), plainEngine("b", 0))
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(0))
+	assert.Equal(t, har.countRateLimitedGrants("a", 0, 2010, 5*time.Millisecond), 5, "in ten seconds")
 }
 
-// Those who can't be granted anything in their time hear at once, in the order of the line,
-// and come back one after another, as the engines take them.
-func TestWhoCannotBeGrantedWithinRatesHearsAtOnce(t *testing.T) {
-	des := newDesk(plainEngine("a", 6), plainEngine("b", 6))
+// Requests that can't be granted in time are refused at once, in the order of the queue. Their
+// RetryAfter spreads the retries at the rate that the engines take.
+func TestRequestBeyondRateLimitsIsRefusedAtOnce(t *testing.T) {
+	har := newHarness(plainEngine("a", 6), plainEngine("b", 6))
 	for _, name := range []string{"a", "b"} {
-		des.says(peer, name, limitedTo(10))
+		har.reportSignal(peerEpoch, name, rateLimitSignal(10))
 	}
-	des.after(time.Minute)
+	har.advance(time.Minute)
 	granted, waiting := 0, 0
 	var returns []time.Duration
 	for num := range 40 {
-		res := plain(fmt.Sprint("r", num))
+		res := plainReservation(fmt.Sprint("r", num))
 		res.Remaining = 3 * time.Second
-		engine, ref := decisionOn(des.reserve(res), fmt.Sprint("r", num))
+		engine, ref := decisionFor(har.reserve(res), fmt.Sprint("r", num))
 		switch {
 		case engine != "":
 			granted++
@@ -147,29 +152,29 @@
 			waiting++
 		}
 	}
-	// Six tokens each are saved up; of 85 ms the line gets 1.7 more.
+	// Each engine has saved six tokens; within 85 ms the queue gets 1.7 more.
 	assert.Equal(t, granted, 12)
 	assert.Equal(t, waiting, 1)
 	for num := 1; num < len(returns) && returns[num] < 900*time.Millisecond; num++ {
 		assert.Equal(t, returns[num]-returns[num-1], 50*time.Millisecond, "%v", returns)
 	}
-	urgent := plain("urgent")
+	urgent := plainReservation("urgent")
 	urgent.Rank = -1
-	des.reserve(urgent)
-	assert.Equal(t, engineOf(des.after(100*time.Millisecond), "urgent"), "a")
+	har.reserve(urgent)
+	assert.Equal(t, grantedEngine(har.advance(100*time.Millisecond), "urgent"), "a")
 }
 
-// One engine without a rate is there for all: nobody is refused for the others' rates.
-func TestEngineWithoutARateTakesTheRest(t *testing.T) {
-	des := newDesk(plainEngine("a", 6), plainEngine("b", 0))
-	des.says(peer, "a", limitedTo(1))
+// While one engine has no rate limit, no request is refused because of the limits of others.
+func TestEngineWithoutRateLimitServesTheRest(t *testing.T) {
+	har := newHarness(plainEngine("a", 6), plainEngine("b", 0))
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(1))
 	for num := range 30 {
-		assert.Equal(t, des.ask(fmt.Sprint("r", num)), "b")
+		assert.Equal(t, har.reserveAndAnswer(fmt.Sprint("r", num)), "b")
 	}
 }
 
-// BenchmarkManyWaitingForRates has thousands of requests of 300 gateways wait for 650
-// engines, some or all of which have named a rate, and lets time pass.
+// BenchmarkManyWaitingForRates measures a tick while thousands of requests of 300 gateways wait for
+// 650 engines, some or all of which have a rate limit.
 func BenchmarkManyWaitingForRates(b *testing.B) {
 	for _, paced := range []int{0, 65, 650} {
 		b.Run(fmt.Sprint(paced, "of650"), func(b *testing.B) {
@@ -177,112 +182,111 @@
 			for num := range engines {
 				engines[num] = plainEngine(fmt.Sprintf("e%03d", num), 0)
 			}
-			des := newDesk(engines...)
+			har := newHarness(engines...)
 			for num := range 650 * 2 {
-				des.reserve(long(fmt.Sprint("run-", num)))
+				har.reserve(longReservation(fmt.Sprint("run-", num)))
 			}
 			for num := range paced {
-				des.says(peer, fmt.Sprintf("e%03d", num), limitedTo(0))
+				har.reportSignal(peerEpoch, fmt.Sprintf("e%03d", num), rateLimitSignal(0))
 			}
 			for num := range 4096 {
-				des.reserveFrom(request.Epoch(100+num%300), long(fmt.Sprint("wait-", num)))
+				har.reserveFrom(request.Epoch(100+num%300), longReservation(fmt.Sprint("wait-", num)))
 			}
 			for b.Loop() {
-				des.after(time.Microsecond)
+				har.advance(time.Microsecond)
 			}
 		})
 	}
 }
 
-// After a pause an engine gets what its rate allows, and no more for the pause.
-func TestRateHoldsAfterAPause(t *testing.T) {
-	des := newDesk(plainEngine("a", 100))
-	des.says(peer, "a", limitedTo(4))
-	des.says(peer, "a", fleet.Pause{Left: 2 * time.Second})
-	assert.Equal(t, des.countOf("a", 4, 19, 100*time.Millisecond), 0)
-	des.after(time.Second)
-	assert.Equal(t, des.countOf("a", 4, 50, 0), 3)
+// After a backoff an engine gets what its rate limit allows; the backoff adds no tokens.
+func TestRateLimitAppliesAfterBackoff(t *testing.T) {
+	har := newHarness(plainEngine("a", 100))
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(4))
+	har.reportSignal(peerEpoch, "a", fleet.Pause{Left: 2 * time.Second})
+	assert.Equal(t, har.countRateLimitedGrants("a", 4, 19, 100*time.Millisecond), 0)
+	har.advance(time.Second)
+	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 3)
 }
 
-// The few places of an engine with a rate go to who finds its prompt in that engine's memory,
-// while others are served elsewhere.
-func TestPlacesWithinARateGoToWhosePromptIsThere(t *testing.T) {
-	des := newDesk(modelEngine("a"), modelEngine("b"))
+// The few grants of an engine with a rate limit go to requests whose prompt is in its cache, while
+// the others are served by other engines.
+func TestRateLimitedEnginePrefersCachedPrompts(t *testing.T) {
+	har := newHarness(modelEngine("a"), modelEngine("b"))
 	part := []call.Part{{ID: 7, Tokens: 6000}}
 	long := func(name string) reservation.Reserve {
-		res := prompt(name, 6100)
+		res := promptReservation(name, 6100)
 		res.Parts = part
 		return res
 	}
-	assert.Equal(t, engineOf(des.reserve(long("first")), "first"), "a")
-	des.says(peer, "a", limitedTo(2))
-	des.release(reservation.Release{ID: id("first"), Dispatched: true, Total: time.Millisecond})
-	des.after(time.Second)
+	assert.Equal(t, grantedEngine(har.reserve(long("first")), "first"), "a")
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(2))
+	har.release(reservation.Release{ID: requestID("first"), Dispatched: true, Total: time.Millisecond})
+	har.advance(time.Second)
 	there := 0
 	for num := range 200 {
-		des.after(50 * time.Millisecond)
+		har.advance(50 * time.Millisecond)
 		name := fmt.Sprint("r", num)
-		res := prompt(name, 200)
+		res := promptReservation(name, 200)
 		if num%20 == 0 {
 			res = long(name)
 		}
-		engine := engineOf(des.reserve(res), name)
+		engine := grantedEngine(har.reserve(res), name)
 		if engine == "a" {
-			there += ordinalOf(num%20 == 0)
-			des.says(peer, "a", limitedTo(2))
+			there += boolToInt(num%20 == 0)
+			har.reportSignal(peerEpoch, "a", rateLimitSignal(2))
 		}
-		des.release(reservation.Release{ID: id(name), Dispatched: true, Answered: true, Total: 10 * time.Millisecond})
+		har.release(reservation.Release{ID: requestID(name), Dispatched: true, Answered: true, Total: 10 * time.Millisecond})
 	}
 	assert.Assert(t, there >= 9, "%d of 10", there)
 }
 
-// A rate is the word of one run: the next one of the same name, or at its address, is free.
-func TestRateIsOfOneRun(t *testing.T) {
-	des := newDesk(plainEngine("a", 100))
-	des.says(peer, "a", limitedTo(1))
-	assert.Equal(t, des.countOf("a", 1, 5, 0), 0)
+// A rate limit applies to one run of an engine: the next run of the same name has none.
+func TestRateLimitEndsWithEngineRun(t *testing.T) {
+	har := newHarness(plainEngine("a", 100))
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(1))
+	assert.Equal(t, har.countRateLimitedGrants("a", 1, 5, 0), 0)
 	later := plainEngine("a", 100)
 	later.ID = fleet.NewEngineID("a", time.UnixMilli(9))
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{later}})
-	assert.Equal(t, engineOf(des.reserve(plain("free")), "free"), later.ID.String())
-	des.says(peer, "a", limitedTo(1))
-	assert.Equal(t, engineOf(des.reserve(plain("late word")), "late word"), later.ID.String(), "of the former run")
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{later}})
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("free")), "free"), later.ID.String())
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(1))
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("late word")), "late word"), later.ID.String(), "the signal was of the earlier run")
 }
 
-// An engine whose entry has gone still answers; what that tells doesn't count for the others.
-func TestRateOfAnEngineThatIsGoneEndsWithoutTheOthers(t *testing.T) {
-	des := newDesk(plainEngine("a", 100), plainEngine("b", 100))
-	des.says(peer, "a", limitedTo(1))
-	des.says(peer, "b", limitedTo(1))
-	des.after(time.Second)
-	assert.Equal(t, engineOf(des.reserve(plain("r")), "r"), "a")
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{plainEngine("b", 100)}})
-	des.release(answered("r"))
-	assert.Equal(t, engineOf(des.reserve(plain("s")), "s"), "b")
-	assert.Equal(t, reasonOf(des.reserve(plain("t")), "t"), reservation.ReasonRate, "all that are left name a rate")
+// A deregistered engine may still answer; the signals in its answers don't affect other engines.
+func TestAnswerOfDeregisteredEngineDoesNotAffectOthers(t *testing.T) {
+	har := newHarness(plainEngine("a", 100), plainEngine("b", 100))
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(1))
+	har.reportSignal(peerEpoch, "b", rateLimitSignal(1))
+	har.advance(time.Second)
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("r")), "r"), "a")
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{plainEngine("b", 100)}})
+	har.release(answeredRelease("r"))
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("s")), "s"), "b")
+	assert.Equal(t, refusalReason(har.reserve(plainReservation("t")), "t"), reservation.ReasonRate, "all remaining engines have a rate limit")
 }
 
-// Seen: one of four engines named a rate for 14 s. The others had room, it counted more in the
-// choice, and nothing was asked of it any more, so its rate never ended.
-// Cause: only an answer tells that a rate has ended, and nobody saw to it that one came.
-// Proof: this test; 0 of 700 requests before.
-func TestEngineWithARateIsAskedNowAndThen(t *testing.T) {
-	des := newDesk(plainEngine("a", 6), plainEngine("b", 6), plainEngine("c", 6), plainEngine("d", 6))
-	des.says(peer, "a", limitedTo(2))
+// Only an answer can show that a rate limit has ended. If the other engines have room, they are
+// preferred over the one with a rate limit; unless that engine is probed now and then, it gets no
+// requests (0 of 700 within 14 s) and its limit never ends.
+func TestRateLimitedEngineIsProbed(t *testing.T) {
+	har := newHarness(plainEngine("a", 6), plainEngine("b", 6), plainEngine("c", 6), plainEngine("d", 6))
+	har.reportSignal(peerEpoch, "a", rateLimitSignal(2))
 	named := 0
 	for num := range 700 {
-		des.after(20 * time.Millisecond)
-		if engine := engineOf(des.reserve(plain(fmt.Sprint("r", num))), fmt.Sprint("r", num)); engine == "a" {
+		har.advance(20 * time.Millisecond)
+		if engine := grantedEngine(har.reserve(plainReservation(fmt.Sprint("r", num))), fmt.Sprint("r", num)); engine == "a" {
 			named++
-			des.says(peer, "a", limitedTo(2))
+			har.reportSignal(peerEpoch, "a", rateLimitSignal(2))
 		}
-		des.release(answered(fmt.Sprint("r", num)))
+		har.release(answeredRelease(fmt.Sprint("r", num)))
 	}
 	assert.Assert(t, named >= 6 && named <= 8, "%d in 14 s", named)
 	count := 0
 	for num := range 350 {
-		des.after(20 * time.Millisecond)
-		if des.ask(fmt.Sprint("s", num)) == "a" {
+		har.advance(20 * time.Millisecond)
+		if har.reserveAndAnswer(fmt.Sprint("s", num)) == "a" {
 			count++
 		}
 	}
--- a/scheduler/rate_ways_test.go
+++ b/scheduler/rate_ways_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// Over all hosts together, however they are divided and whoever decides, an engine gets in no
-// window more than the users allow.
-func TestEngineGetsNoMoreThanItsRateHoweverHostsAreDivided(t *testing.T) {
+// All hosts together never send an engine more than its allowance within a window, for any partition
+// of the hosts and any coordinators.
+func TestRateLimitHoldsForAnyPartition(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		cfg := ratePlayConfig{
-			seed: rapid.Uint64().Draw(rt, "seed"), way: rateByGrant, engines: rapid.IntRange(1, 6).Draw(rt, "engines"), hosts: rapid.IntRange(1, 12).Draw(rt, "hosts"),
-			load: rapid.Float64Range(5, 150).Draw(rt, "load"), length: 15 * time.Second,
+		cfg := rateSimConfig{
+			seed: rapid.Uint64().Draw(rt, "seed"), policy: rateByGrant, engines: rapid.IntRange(1, 6).Draw(rt, "engines"), hosts: rapid.IntRange(1, 12).Draw(rt, "hosts"),
+			load: rapid.Float64Range(5, 150).Draw(rt, "load"), duration: 15 * time.Second,
 		}
 		for range rapid.IntRange(1, cfg.engines).Draw(rt, "limited") {
 			cfg.rates = append(cfg.rates, rapid.Float64Range(0, 12).Draw(rt, "rate"))
@@ -25,41 +25,41 @@
 				at: time.Duration(rapid.IntRange(1000, 14000).Draw(rt, "at")) * time.Millisecond, groups: rapid.IntRange(1, min(4, cfg.hosts)).Draw(rt, "groups"),
 			})
 		}
-		if res := newRatePlay(cfg).run(); res.worst > 1 {
+		if res := newRateSim(cfg).run(); res.peakUse > 1 {
 			rt.Fatalf("%+v", res)
 		}
 	})
 }
 
-// While somebody waits an engine gets what it takes, and its callers are served.
-func TestRateIsUsedWhileSomebodyWaits(t *testing.T) {
+// While requests wait, an engine gets at least 80% of its rate limit.
+func TestRateLimitIsUsedWhileRequestsWait(t *testing.T) {
 	for seed := range uint64(3) {
 		for _, hosts := range []int{1, 7, 40} {
-			res := newRatePlay(ratePlayConfig{
-				seed: seed, way: rateByGrant, engines: 4, hosts: hosts, rates: []float64{10, 4, 1.5, 0.5}, load: 150, favored: 0.5, length: 30 * time.Second,
+			res := newRateSim(rateSimConfig{
+				seed: seed, policy: rateByGrant, engines: 4, hosts: hosts, rates: []float64{10, 4, 1.5, 0.5}, load: 150, favored: 0.5, duration: 30 * time.Second,
 			}).run()
-			assert.Assert(t, res.worst <= 1 && res.used >= 0.8, "%+v", res)
+			assert.Assert(t, res.peakUse <= 1 && res.minUse >= 0.8, "%+v", res)
 		}
 	}
 }
 
-// When rates end, also rates of nothing, callers are served in full soon after.
-func TestFullServiceIsBackSoonAfterRatesEnd(t *testing.T) {
+// Soon after rate limits end, also limits of zero, no request is refused any more.
+func TestServiceRecoversAfterRateLimitsEnd(t *testing.T) {
 	for seed := range uint64(5) {
 		for _, hosts := range []int{1, 7, 40} {
-			res := newRatePlay(ratePlayConfig{
-				seed: seed, way: rateByGrant, engines: 4, hosts: hosts, rates: []float64{0, 0, 0.5, 1.5}, load: 120, length: 20 * time.Second, endsAt: 10 * time.Second,
+			res := newRateSim(rateSimConfig{
+				seed: seed, policy: rateByGrant, engines: 4, hosts: hosts, rates: []float64{0, 0, 0.5, 1.5}, load: 120, duration: 20 * time.Second, endsAt: 10 * time.Second,
 			}).run()
-			assert.Assert(t, res.refused > 0 && res.refusedLater == 0, "%+v", res)
+			assert.Assert(t, res.refused > 0 && res.refusedLate == 0, "%+v", res)
 		}
 	}
 }
 
-// BenchmarkWaysOfPacing prints what each way gives: the largest part of what the users allow
-// that an engine got in some window, the least part of its rate that an engine got, the
-// requests refused, and what those waited who were served.
-func BenchmarkWaysOfPacing(b *testing.B) {
-	ways := map[rateWay]string{rateIgnored: "ignored", rateByParts: "parts", rateByLease: "lease", rateByGrant: "grant"}
+// BenchmarkRateLimitPolicies reports for each policy the peak use of an engine's allowance within a
+// window, the smallest share of its rate limit that an engine got, the share of requests refused, and
+// the mean wait of the requests served.
+func BenchmarkRateLimitPolicies(b *testing.B) {
+	ways := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "parts", rateByLease: "lease", rateByGrant: "grant"}
 	for _, size := range []struct{ engines, hosts int }{{4, 4}, {18, 7}, {140, 300}} {
 		for _, kind := range []struct {
 			name    string
@@ -76,9 +76,9 @@
 		} {
 			for way, name := range ways {
 				b.Run(fmt.Sprintf("%d/%s/%s", size.engines, kind.name, name), func(b *testing.B) {
-					sum := sumOfRatePlays(b, way, size.engines, size.hosts, kind.limited, kind.load, kind.favored, kind.changes)
-					b.ReportMetric(sum.worst, "worst")
-					b.ReportMetric(sum.used, "used")
+					sum := sumRateSims(b, way, size.engines, size.hosts, kind.limited, kind.load, kind.favored, kind.changes)
+					b.ReportMetric(sum.peakUse, "worst")
+					b.ReportMetric(sum.minUse, "used")
 					b.ReportMetric(100*float64(sum.refused)/float64(sum.sent), "refused%")
 					b.ReportMetric(1000*sum.waited.Seconds()/float64(max(1, sum.served)), "ms-waited")
 				})
@@ -87,28 +87,28 @@
 	}
 }
 
-func sumOfRatePlays(b *testing.B, way rateWay, engines, hosts int, limited, load, favored float64, changes []rateChange) rateResult {
+func sumRateSims(b *testing.B, way ratePolicy, engines, hosts int, limited, load, favored float64, changes []rateChange) rateResult {
 	b.Helper()
-	sum := rateResult{used: 1}
+	sum := rateResult{minUse: 1}
 	for b.Loop() {
 		for seed := range uint64(3) {
-			cfg := ratePlayConfig{seed: seed, way: way, engines: engines, hosts: hosts, favored: favored, changes: changes, length: 30 * time.Second}
-			usual := load * float64(engines) * 6 / rateWork.Seconds() / 6
+			cfg := rateSimConfig{seed: seed, policy: way, engines: engines, hosts: hosts, favored: favored, changes: changes, duration: 30 * time.Second}
+			usual := load * float64(engines) * 6 / rateServiceTime.Seconds() / 6
 			for num := range max(1, int(limited*float64(engines))) {
 				cfg.rates = append(cfg.rates, []float64{10, 4, 1.5, 0.5}[num%4])
 			}
 			if limited == 1 {
-				// Twice what they all take.
+				// Twice what all engines take.
 				usual = 2 * 4 * float64(engines)
 			}
 			cfg.load = usual
-			res := newRatePlay(cfg).run()
+			res := newRateSim(cfg).run()
 			sum.sent += res.sent
 			sum.served += res.served
 			sum.refused += res.refused
 			sum.waited += res.waited
-			sum.worst = max(sum.worst, res.worst)
-			sum.used = min(sum.used, res.used)
+			sum.peakUse = max(sum.peakUse, res.peakUse)
+			sum.minUse = min(sum.minUse, res.minUse)
 		}
 	}
 	return sum
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -13,55 +13,55 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-func runOf(millis int64) fleet.Engine {
+func engineRun(millis int64) fleet.Engine {
 	eng := modelEngine("e")
 	eng.ID = fleet.NewEngineID("e", time.UnixMilli(millis))
 	return eng
 }
 
-func dumpOf(t *testing.T, des *desk) scheduler.EngineDump {
+func dumpEngine(t *testing.T, har *harness) scheduler.EngineDump {
 	t.Helper()
-	engines := des.core.Dump(des.now).Services[0].Engines
+	engines := har.core.Dump(har.now).Services[0].Engines
 	assert.Equal(t, len(engines), 1)
 	return engines[0]
 }
 
-// An engine that starts again under its name runs, reads and caches nothing, and its
-// former failures count no more. What is told of the former run doesn't touch it.
-func TestEngineThatStartsAgainBeginsAnew(t *testing.T) {
-	des := newDesk(runOf(1000))
+// An engine that restarts under the same name has no running requests, pending prefills or cached
+// tokens, and its earlier failures no longer count. Messages about the earlier run don't affect it.
+func TestRestartedEngineStartsClean(t *testing.T) {
+	har := newHarness(engineRun(1000))
 	parts := []call.Part{{ID: 7, Tokens: 500}}
 	for idx := range 3 {
-		res := prompt(fmt.Sprint("lost-", idx), 1000)
+		res := promptReservation(fmt.Sprint("lost-", idx), 1000)
 		res.Parts = parts
-		assert.Equal(t, engineOf(des.reserve(res), fmt.Sprint("lost-", idx)), runOf(1000).ID.String())
-		des.after(time.Millisecond)
+		assert.Equal(t, grantedEngine(har.reserve(res), fmt.Sprint("lost-", idx)), engineRun(1000).ID.String())
+		har.advance(time.Millisecond)
 	}
-	des.release(reservation.Release{ID: id("lost-0"), Dispatched: true, Failed: true})
-	des.release(reservation.Release{ID: id("lost-1"), Dispatched: true, Failed: true})
-	assert.Assert(t, dumpOf(t, des).AsideFor != "")
+	har.release(reservation.Release{ID: requestID("lost-0"), Dispatched: true, Failed: true})
+	har.release(reservation.Release{ID: requestID("lost-1"), Dispatched: true, Failed: true})
+	assert.Assert(t, dumpEngine(t, har).AsideFor != "")
 
-	des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{runOf(2000)}})
-	anew := dumpOf(t, des)
-	assert.Equal(t, anew.ID, runOf(2000).ID)
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{engineRun(2000)}})
+	anew := dumpEngine(t, har)
+	assert.Equal(t, anew.ID, engineRun(2000).ID)
 	assert.Equal(t, anew.Running, 0)
 	assert.Equal(t, anew.Unread, "0s")
 	assert.Equal(t, anew.CachedTokens, 0)
 	assert.Equal(t, anew.AsideFor, "")
 
-	assert.Equal(t, engineOf(des.reserve(prompt("next", 1000)), "next"), runOf(2000).ID.String())
-	des.release(reservation.Release{ID: id("lost-2"), Engine: runOf(1000).ID.String(), Dispatched: true, Failed: true})
-	des.handle(scheduler.Received{From: peer, Message: reservation.Adopt{ID: id("former"), Engine: runOf(1000).ID.String(), Service: "model", PromptTokens: 9000, Unread: true}})
-	des.handle(scheduler.Received{From: peer, Message: reservation.Progress{ID: id("lost-2"), FirstToken: time.Second}})
-	assert.Equal(t, dumpOf(t, des).Running, 1)
-	assert.Equal(t, dumpOf(t, des).AsideFor, "")
+	assert.Equal(t, grantedEngine(har.reserve(promptReservation("next", 1000)), "next"), engineRun(2000).ID.String())
+	har.release(reservation.Release{ID: requestID("lost-2"), Engine: engineRun(1000).ID.String(), Dispatched: true, Failed: true})
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Adopt{ID: requestID("former"), Engine: engineRun(1000).ID.String(), Service: "model", PromptTokens: 9000, Unread: true}})
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Progress{ID: requestID("lost-2"), FirstToken: time.Second}})
+	assert.Equal(t, dumpEngine(t, har).Running, 1)
+	assert.Equal(t, dumpEngine(t, har).AsideFor, "")
 }
 
-// A repeat may go to the run that follows the one that failed it.
-func TestRepeatMayGoToTheLaterRun(t *testing.T) {
-	des := newDesk(runOf(1000))
-	res := prompt("r", 100)
-	res.Attempt, res.Exclude = 1, []string{runOf(1000).ID.String()}
-	assert.Equal(t, engineOf(des.reserve(res), "r"), "")
-	assert.Equal(t, engineOf(des.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{runOf(2000)}}), "r"), runOf(2000).ID.String())
+// A repeat may run on the restarted engine although the earlier run is excluded.
+func TestRepeatMayRunOnRestartedEngine(t *testing.T) {
+	har := newHarness(engineRun(1000))
+	res := promptReservation("r", 100)
+	res.Attempt, res.Exclude = 1, []string{engineRun(1000).ID.String()}
+	assert.Equal(t, grantedEngine(har.reserve(res), "r"), "")
+	assert.Equal(t, grantedEngine(har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{engineRun(2000)}}), "r"), engineRun(2000).ID.String())
 }
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -21,83 +21,83 @@
 	limitSlack     = 1000.0
 )
 
-// party is some hosts, each with a core, of which one decides for all.
-type party struct {
-	now    time.Time
-	cores  []*scheduler.Core
-	active int
-	acc    route.Account
-	spent  []grantedCost
-	// debts are what the gateways owe, as they were at the time settled.
-	debts   []float64
-	settled time.Time
-	names   int
+// cluster is a number of hosts, each with a core; one of them is the coordinator.
+type cluster struct {
+	now         time.Time
+	cores       []*scheduler.Core
+	coordinator int
+	acc         route.Account
+	granted     []grantedCost
+	// debts are the gateways' debts as of settledAt.
+	debts        []float64
+	settledAt    time.Time
+	reservations int
 }
 
-// grantedCost is what one request took.
+// grantedCost is the cost of one granted request.
 type grantedCost struct {
 	at   time.Time
 	cost float64
 }
 
-func newParty(hosts int, acc route.Account) *party {
+func newCluster(hosts int, acc route.Account) *cluster {
 	tab, err := route.NewTable(route.Configuration{Version: 1, Accounts: []route.Account{acc}})
 	if err != nil {
 		panic(err)
 	}
-	par := &party{now: time.Unix(1000, 0), settled: time.Unix(1000, 0), active: -1, acc: acc, debts: make([]float64, hosts)}
+	clu := &cluster{now: time.Unix(1000, 0), settledAt: time.Unix(1000, 0), coordinator: -1, acc: acc, debts: make([]float64, hosts)}
 	for idx := range hosts {
-		cor := scheduler.New(config(request.Epoch(idx + 1)))
-		cor.Handle(par.now, scheduler.ShareChanged{Parts: float64(hosts), Hosts: hosts})
-		cor.Handle(par.now, scheduler.EnginesChanged{Engines: []fleet.Engine{plainEngine("e", 1_000_000)}})
-		cor.Handle(par.now, scheduler.ConfigurationChanged{Table: tab})
-		par.cores = append(par.cores, cor)
+		cor := scheduler.New(coreConfig(request.Epoch(idx + 1)))
+		cor.Handle(clu.now, scheduler.ShareChanged{Parts: float64(hosts), Hosts: hosts})
+		cor.Handle(clu.now, scheduler.EnginesChanged{Engines: []fleet.Engine{plainEngine("e", 1_000_000)}})
+		cor.Handle(clu.now, scheduler.ConfigurationChanged{Table: tab})
+		clu.cores = append(clu.cores, cor)
 	}
-	return par
+	return clu
 }
 
-// takeOver has another host decide for all.
-func (par *party) takeOver(next int) {
-	hosts := len(par.cores)
-	par.settle()
-	if par.active >= 0 {
-		par.cores[par.active].Handle(par.now, scheduler.ShareChanged{Parts: float64(hosts), Hosts: hosts})
+// takeOver makes another host the coordinator, and has all gateways report their debts to it.
+func (clu *cluster) takeOver(next int) {
+	hosts := len(clu.cores)
+	clu.settle()
+	if clu.coordinator >= 0 {
+		clu.cores[clu.coordinator].Handle(clu.now, scheduler.ShareChanged{Parts: float64(hosts), Hosts: hosts})
 	}
-	par.active = next
+	clu.coordinator = next
 	for gateway := range hosts {
-		par.cores[next].Handle(par.now, scheduler.ShareChanged{Parts: float64(hosts) / float64(gateway+1), Hosts: hosts})
-		par.cores[next].Handle(par.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: reservation.Spent{
-			Account: "kitchen", Debt: par.debts[gateway], Share: par.share(hosts),
+		clu.cores[next].Handle(clu.now, scheduler.ShareChanged{Parts: float64(hosts) / float64(gateway+1), Hosts: hosts})
+		clu.cores[next].Handle(clu.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: reservation.Spent{
+			Account: "kitchen", Debt: clu.debts[gateway], Share: clu.share(hosts),
 		}})
 	}
 }
 
-// config is that of all cores but for their epochs.
-func config(self request.Epoch) scheduler.Config {
+// coreConfig returns the configuration of a core; cores differ only in the epoch.
+func coreConfig(self request.Epoch) scheduler.Config {
 	return scheduler.Config{
 		Self: self, Repeats: scheduler.Repeats{Ratio: 1, Window: time.Second, Slack: 10},
 		LimitSlack: limitSlack, LimitWindow: limitWindow, LimitOvershoot: limitOvershoot,
 	}
 }
 
-// share returns a gateway's part where it knows so many hosts.
-func (par *party) share(hosts int) float64 {
-	return config(0).Burst(par.acc) / float64(hosts)
+// share returns a gateway's share of the burst if it knows the given number of hosts.
+func (clu *cluster) share(hosts int) float64 {
+	return coreConfig(0).Burst(clu.acc) / float64(hosts)
 }
 
-// settle has the gateways' debts shrink by their parts of the rate.
-func (par *party) settle() {
-	part := par.acc.Rate / float64(len(par.cores)) * par.now.Sub(par.settled).Seconds()
-	for idx := range par.debts {
-		par.debts[idx] = max(0, par.debts[idx]-part)
+// settle reduces the gateways' debts by their shares of the rate since the last call.
+func (clu *cluster) settle() {
+	part := clu.acc.Rate / float64(len(clu.cores)) * clu.now.Sub(clu.settledAt).Seconds()
+	for idx := range clu.debts {
+		clu.debts[idx] = max(0, clu.debts[idx]-part)
 	}
-	par.settled = par.now
+	clu.settledAt = clu.now
 }
 
-// sum returns what was granted since a time.
-func (par *party) sum(since time.Time) float64 {
+// costSince returns the total cost granted since the given time.
+func (clu *cluster) costSince(since time.Time) float64 {
 	total := 0.0
-	for _, spt := range par.spent {
+	for _, spt := range clu.granted {
 		if spt.at.After(since) {
 			total += spt.cost
 		}
@@ -105,105 +105,105 @@
 	return total
 }
 
-// ask has a gateway send a request; it reports whether the request was granted.
-func (par *party) ask(gateway int, cost float64) bool {
-	par.names++
-	name := fmt.Sprint("r", par.names)
-	res := plain(name)
+// reserve places a reservation from a gateway and reports whether it was granted.
+func (clu *cluster) reserve(gateway int, cost float64) bool {
+	clu.reservations++
+	name := fmt.Sprint("r", clu.reservations)
+	res := plainReservation(name)
 	res.Account, res.Cost = "kitchen", cost
-	sends := par.cores[par.active].Handle(par.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: res})
-	if engineOf(sends, name) == "" {
+	sends := clu.cores[clu.coordinator].Handle(clu.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: res})
+	if grantedEngine(sends, name) == "" {
 		return false
 	}
-	par.spent = append(par.spent, grantedCost{par.now, cost})
-	par.settle()
-	par.debts[gateway] += cost
+	clu.granted = append(clu.granted, grantedCost{clu.now, cost})
+	clu.settle()
+	clu.debts[gateway] += cost
 	return true
 }
 
-func TestCoordinatorThatTakesOverGoesOnWithTheLimit(t *testing.T) {
+func TestNewCoordinatorContinuesAccountLimit(t *testing.T) {
 	acc := route.Account{Name: "kitchen", Rate: 1000, Burst: 2000, ByTokens: true}
-	par := newParty(4, acc)
-	par.takeOver(0)
-	// Half of the rate, so that there is always room.
+	clu := newCluster(4, acc)
+	clu.takeOver(0)
+	// 50 every 100 ms is half of the rate, so the limit is never reached.
 	use := func(span time.Duration) (refused int) {
 		for range int(span / (100 * time.Millisecond)) {
-			par.now = par.now.Add(100 * time.Millisecond)
-			if !par.ask(par.names%4, 50) {
+			clu.now = clu.now.Add(100 * time.Millisecond)
+			if !clu.reserve(clu.reservations%4, 50) {
 				refused++
 			}
 		}
 		return refused
 	}
 	use(10 * time.Second)
-	par.takeOver(1)
+	clu.takeOver(1)
 	granted := 0
 	for range 100 {
-		if par.ask(granted%4, 50) {
+		if clu.reserve(granted%4, 50) {
 			granted++
 		}
 	}
-	// The burst alone allows 40 at once; without what the gateways tell it is 11.
+	// The burst alone allows 40 at once; without the debts that the gateways report it is 11.
 	assert.Assert(t, granted >= 40, "%d", granted)
 	assert.Equal(t, use(time.Second)+use(time.Second) <= 20, true)
 }
 
-// Hosts that start together know only some of the others at first, and tell the one
-// that decides of parts that are too large or, the start's debt being parted too, far
-// too small. They tell again: all of them together begin as one scheduler does.
-func TestHostsThatStartTogetherBeginAsOneDoes(t *testing.T) {
+// Hosts that start together know only some of the others at first, so they report shares to the
+// coordinator that are too large, or far too small since the start debt is divided too. After they
+// have reported again, all of them together start with the same allowance as a single scheduler.
+func TestHostsStartingTogetherGetOneStartAllowance(t *testing.T) {
 	acc := route.Account{Name: "kitchen", Rate: 1000, Burst: 4000, ByTokens: true}
 	const hosts, cost = 6, 10
-	cfg := config(1)
+	cfg := coreConfig(1)
 	want := int((cfg.Burst(acc) - cfg.StartDebt(acc)) / cost)
-	par := newParty(hosts, acc)
-	par.active = 0
+	clu := newCluster(hosts, acc)
+	clu.coordinator = 0
 	tell := func(gateway, known int) {
-		par.cores[0].Handle(par.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: reservation.Spent{
+		clu.cores[0].Handle(clu.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: reservation.Spent{
 			Account: "kitchen", Share: (cfg.Burst(acc) - cfg.StartDebt(acc)) / float64(known),
 		}})
 	}
 	for gateway := range hosts {
-		par.cores[0].Handle(par.now, scheduler.ShareChanged{Parts: float64(hosts) / float64(gateway+1), Hosts: hosts})
+		clu.cores[0].Handle(clu.now, scheduler.ShareChanged{Parts: float64(hosts) / float64(gateway+1), Hosts: hosts})
 		tell(gateway, 1+gateway%hosts)
 	}
 	for gateway := range hosts {
 		tell(gateway, hosts)
 	}
-	got := granted(par, cost)
-	assert.Assert(t, got <= want && got >= want-hosts, "%d granted, %d by one", got, want)
+	got := countGranted(clu, cost)
+	assert.Assert(t, got <= want && got >= want-hosts, "%d granted, %d by a single scheduler", got, want)
 	assert.Assert(t, want > 40, "%d", want)
 }
 
-// granted counts the requests that are granted in one moment.
-func granted(par *party, cost float64) int {
+// countGranted returns how many requests are granted without any time passing.
+func countGranted(clu *cluster, cost float64) int {
 	count := 0
-	for par.ask(0, cost) {
+	for clu.reserve(0, cost) {
 		count++
 	}
 	return count
 }
 
-func TestLimitHoldsHoweverOftenTheCoordinatorChanges(t *testing.T) {
+func TestAccountLimitHoldsAcrossCoordinatorChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		acc := route.Account{
 			Name: "kitchen", ByTokens: true,
 			Rate: rapid.Float64Range(200, 5000).Draw(t, "rate"), Burst: rapid.Float64Range(1000, 20_000).Draw(t, "burst"),
 		}
 		hosts := rapid.IntRange(2, 7).Draw(t, "hosts")
-		par := newParty(hosts, acc)
-		par.takeOver(0)
+		clu := newCluster(hosts, acc)
+		clu.takeOver(0)
 		allowed := (acc.Rate*limitWindow.Seconds()+acc.Burst)*(1+limitOvershoot) + limitSlack
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
-			par.now = par.now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * time.Millisecond)
+			clu.now = clu.now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * time.Millisecond)
 			if rapid.IntRange(0, 9).Draw(t, "change") == 0 {
-				par.takeOver(rapid.IntRange(0, hosts-1).Draw(t, "next"))
+				clu.takeOver(rapid.IntRange(0, hosts-1).Draw(t, "next"))
 			}
 			for range rapid.IntRange(0, 12).Draw(t, "requests") {
-				par.ask(rapid.IntRange(0, hosts-1).Draw(t, "gateway"), rapid.Float64Range(1, 100).Draw(t, "cost"))
+				clu.reserve(rapid.IntRange(0, hosts-1).Draw(t, "gateway"), rapid.Float64Range(1, 100).Draw(t, "cost"))
 			}
-			if used := par.sum(par.now.Add(-limitWindow)); used > allowed {
-				t.Fatalf("%.0f served in a window, %.0f allowed", used, allowed)
+			if used := clu.costSince(clu.now.Add(-limitWindow)); used > allowed {
+				t.Fatalf("cost of %.0f granted in a window, %.0f allowed", used, allowed)
 			}
 		}
 	})
