--- a/scheduler/choose_test.go
+++ b/scheduler/choose_test.go
@@ -16,13 +16,13 @@
 )
 
 func TestDrainingExcludedAndDeregisteredEnginesGetNoGrants(t *testing.T) {
-	drains := plainEngine("a", 4)
-	drains.Draining = true
-	har := newHarness(drains, plainEngine("b", 4), plainEngine("c", 4))
+	draining := plainEngine("a", 4)
+	draining.Draining = true
+	har := newHarness(draining, plainEngine("b", 4), plainEngine("c", 4))
 	res := plainReservation("r")
 	res.Exclude = []string{"b"}
 	assert.Equal(t, grantedEngine(har.reserve(res), "r"), "c")
-	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{drains}})
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{draining}})
 	assert.Equal(t, grantedEngine(har.reserve(plainReservation("s")), "s"), "")
 }
 
@@ -93,22 +93,22 @@
 func TestStoredMeasurementsApplyBeforeFirstAnswer(t *testing.T) {
 	slow, quick := modelEngine("a-slow"), modelEngine("b-quick")
 	slow.Address, quick.Address = netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
-	teacher := newHarness(slow, quick)
+	measured := newHarness(slow, quick)
 	for idx := range 40 {
 		name := fmt.Sprint("r", idx)
 		took := 60 * time.Millisecond
-		if grantedEngine(teacher.reserve(promptReservation(name, 2000)), name) == "a-slow" {
+		if grantedEngine(measured.reserve(promptReservation(name, 2000)), name) == "a-slow" {
 			took = 300 * time.Millisecond
 		}
-		teacher.advance(took)
-		teacher.answer(name, took, took, 1)
+		measured.advance(took)
+		measured.answer(name, took, took, 1)
 	}
-	recorded := teacher.core.Survey()
-	for name, learner := range map[string]*harness{"before its engines": newHarness(), "after them": newHarness(slow, quick)} {
+	measurements := measured.core.Survey()
+	for name, har := range map[string]*harness{"measurements before engines": newHarness(), "measurements after engines": newHarness(slow, quick)} {
 		t.Run(name, func(t *testing.T) {
-			learner.handle(scheduler.SurveyRead{Survey: recorded})
-			learner.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{slow, quick}})
-			assert.Equal(t, grantedEngine(learner.reserve(promptReservation("next", 6000)), "next"), "b-quick")
+			har.handle(scheduler.SurveyRead{Survey: measurements})
+			har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{slow, quick}})
+			assert.Equal(t, grantedEngine(har.reserve(promptReservation("next", 6000)), "next"), "b-quick")
 		})
 	}
 	assert.Equal(t, grantedEngine(newHarness(slow, quick).reserve(promptReservation("next", 6000)), "next"), "a-slow", "without measurements the first engine is as good as the second")
@@ -186,14 +186,14 @@
 		assert.Assert(t, grantedEngine(har.reserve(plainReservation(name)), name) != "a")
 	}
 	har.advance(time.Second)
-	trials := 0
+	probes := 0
 	for idx := range 10 {
 		name := fmt.Sprint("t", idx)
 		if grantedEngine(har.reserve(plainReservation(name)), name) == "a" {
-			trials++
+			probes++
 		}
 	}
-	assert.Equal(t, trials, 1, "a single request probes the ejected engine")
+	assert.Equal(t, probes, 1, "a single request probes the ejected engine")
 }
 
 func TestOnlyEngineIsNeverEjected(t *testing.T) {
--- a/scheduler/cold_sim_test.go
+++ b/scheduler/cold_sim_test.go
@@ -14,15 +14,18 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// This part of rateSim marks engines cold. Hosts, the coordinators among them, read that from the
-// store at different times.
+// rateSim also simulates engines that go cold. Each host, also a coordinator, reads from the store
+// after a delay of its own that an engine is cold.
 
 const (
 	simColdPeriod = 3 * time.Second
+	// coldReadDelay is the longest delay until a host reads that an engine is cold.
 	coldReadDelay = time.Second
-	coldWindow    = time.Second
-	coldFactor    = 1.5
-	coldSlack     = 5
+	// A cold engine may get in each coldWindow at most coldFactor times its cold rate plus coldSlack
+	// requests.
+	coldWindow = time.Second
+	coldFactor = 1.5
+	coldSlack  = 5
 	// coldGrantTTL is how long a host may use a grant of a cold engine.
 	coldGrantTTL = 250 * time.Millisecond
 )
@@ -91,16 +94,16 @@
 // a quarter of them, are cold: the peak use of a cold engine's allowance within a second (1 is all
 // of it), the share of requests refused, and the mean wait of the requests served.
 func BenchmarkColdEnginePolicies(b *testing.B) {
-	ways := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "parts", rateByGrant: "grant"}
+	policies := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "parts", rateByGrant: "grant"}
 	for _, size := range []struct{ engines, hosts int }{{4, 4}, {20, 7}, {140, 85}} {
-		for _, part := range []int{1, 4} {
-			for way, name := range ways {
-				b.Run(fmt.Sprintf("%d/one-in-%d/%s", size.engines, part, name), func(b *testing.B) {
+		for _, fraction := range []int{1, 4} {
+			for policy, name := range policies {
+				b.Run(fmt.Sprintf("%d/one-in-%d/%s", size.engines, fraction, name), func(b *testing.B) {
 					var sum rateResult
 					for b.Loop() {
 						for seed := range uint64(3) {
-							cfg := rateSimConfig{seed: seed, policy: way, engines: size.engines, hosts: size.hosts, load: 25 * float64(size.engines), duration: 8 * time.Second, coldRate: 8.7}
-							for range size.engines / part {
+							cfg := rateSimConfig{seed: seed, policy: policy, engines: size.engines, hosts: size.hosts, load: 25 * float64(size.engines), duration: 8 * time.Second, coldRate: 8.7}
+							for range size.engines / fraction {
 								cfg.cold = append(cfg.cold, 2*time.Second)
 							}
 							res := newRateSim(cfg).run()
@@ -141,7 +144,7 @@
 			cfg.rates = append(cfg.rates, rapid.Float64Range(0, 12).Draw(rt, "rate"))
 		}
 		for range rapid.IntRange(0, 4).Draw(rt, "changes") {
-			cfg.changes = append(cfg.changes, rateChange{
+			cfg.partitions = append(cfg.partitions, ratePartition{
 				at: time.Duration(rapid.IntRange(1000, 11000).Draw(rt, "at")) * time.Millisecond, groups: rapid.IntRange(1, min(4, cfg.hosts)).Draw(rt, "groups"),
 			})
 		}
@@ -158,7 +161,7 @@
 		for _, hosts := range []int{1, 7, 40} {
 			res := newRateSim(rateSimConfig{
 				seed: seed, policy: rateByGrant, engines: 4, hosts: hosts, load: 120, duration: 12 * time.Second, coldRate: 8,
-				cold: []time.Duration{2 * time.Second, 2 * time.Second, 2 * time.Second, 2 * time.Second}, endsAt: 2*time.Second + simColdPeriod - rateRecovery + 200*time.Millisecond,
+				cold: []time.Duration{2 * time.Second, 2 * time.Second, 2 * time.Second, 2 * time.Second}, limitsEndAt: 2*time.Second + simColdPeriod - rateRecovery + 200*time.Millisecond,
 			}).run()
 			assert.Assert(t, res.coldPeakUse <= 1 && res.coldPeakUse > 0.2, "%+v", res)
 			assert.Equal(t, res.refusedLate, 0, "%+v", res)
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -40,10 +40,10 @@
 
 // countGrants sends the given number of requests at the given interval, answers the engine's
 // grants at once, and returns how many there were.
-func (har *harness) countGrants(engine string, times int, pause time.Duration) int {
+func (har *harness) countGrants(engine string, times int, interval time.Duration) int {
 	count := 0
 	for num := range times {
-		sends := append(har.advance(pause), har.reserve(plainReservation(fmt.Sprint("ask-", har.now.UnixNano(), "-", num)))...)
+		sends := append(har.advance(interval), har.reserve(plainReservation(fmt.Sprint("ask-", har.now.UnixNano(), "-", num)))...)
 		for _, snd := range sends {
 			if gra, isGrant := snd.Message.(reservation.Grant); isGrant && gra.Engine == engine {
 				count++
--- a/scheduler/crash_sim_test.go
+++ b/scheduler/crash_sim_test.go
@@ -44,10 +44,10 @@
 	// change the request each time.
 	poisonClients int
 	varied        bool
-	// randomCrashes is the rate at which an engine crashes by itself, per second.
-	randomCrashes float64
-	policy        quarantine.Config
-	duration      time.Duration
+	// randomCrashRate is how often an engine crashes at random, per second.
+	randomCrashRate float64
+	policy          quarantine.Config
+	duration        time.Duration
 }
 
 // crashResult is the result of a simulation.
@@ -56,7 +56,7 @@
 	// reached an engine.
 	crashed  int
 	arrivals int
-	// randomCrashes counts the engines that crashed at random.
+	// randomCrashRate counts the engines that crashed at random.
 	randomCrashes int
 	// sent, served and lost count the harmless requests; held counts those of them that were
 	// refused as poison requests.
@@ -105,8 +105,8 @@
 	crashRequestRate     = 1.6 // requests per second and engine
 	crashOccupancy       = 2 * time.Second
 	crashRepeatableShare = 0.4
-	crashRetryShare      = 0.3 // share of the clients that lost a stream and retry after some seconds
-	crashDelay           = 100 * time.Millisecond
+	crashRetryShare      = 0.3                    // share of the clients that lost a stream and retry after some seconds
+	crashDelay           = 100 * time.Millisecond // from the start of a poison request to the crash
 	crashEntryExpiry     = 3 * time.Second
 	crashTickInterval    = 5 * time.Millisecond
 )
@@ -130,8 +130,8 @@
 	return sim
 }
 
-func (sim *crashSim) schedule(wait time.Duration, what func()) {
-	heap.Push(&sim.queue, simEvent{at: sim.har.now.Add(wait), action: what})
+func (sim *crashSim) schedule(wait time.Duration, action func()) {
+	heap.Push(&sim.queue, simEvent{at: sim.har.now.Add(wait), action: action})
 }
 
 func (sim *crashSim) exponential(mean time.Duration) time.Duration {
@@ -144,8 +144,8 @@
 	eng := fleet.Engine{ID: fleet.EngineID{Name: name}, Service: "model", Slots: crashSlots, Domain: "d0", Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(sim.started))}
 	sim.engines[name] = &crashEngine{Engine: eng, runs: make(map[request.ID]*crashRun)}
 	sim.entries[name] = eng
-	if sim.cfg.randomCrashes > 0 {
-		sim.schedule(sim.exponential(time.Duration(float64(time.Second)/sim.cfg.randomCrashes)), func() {
+	if sim.cfg.randomCrashRate > 0 {
+		sim.schedule(sim.exponential(time.Duration(float64(time.Second)/sim.cfg.randomCrashRate)), func() {
 			if sim.engines[name] != nil {
 				sim.result.randomCrashes++
 				sim.crash(name)
@@ -232,19 +232,19 @@
 	return dig
 }
 
-// send sends a request of an account.
-func (sim *crashSim) send(culprit bool, account string, dig call.Digest) {
+// send sends a request, poison or harmless, of an account.
+func (sim *crashSim) send(poison bool, account string, dig call.Digest) {
 	res := promptReservation("", 300+sim.random.IntN(600))
 	sim.assignID(&res)
 	res.Account, res.Digest, res.Route = account, dig, "stream"
-	res.Repeatable = !culprit && sim.random.Float64() < crashRepeatableShare
+	res.Repeatable = !poison && sim.random.Float64() < crashRepeatableShare
 	if res.Repeatable {
 		res.Route = "resume"
 	}
-	if !culprit {
+	if !poison {
 		sim.result.sent++
 	}
-	sim.reserve(&crashRun{reserve: res, poison: culprit})
+	sim.reserve(&crashRun{reserve: res, poison: poison})
 }
 
 func (sim *crashSim) reserve(run *crashRun) {
@@ -269,7 +269,7 @@
 	delete(sim.waiting, gra.ID)
 	eng := sim.engines[gra.Engine]
 	if eng == nil {
-		// The connection to the engine is refused; the host reserves another one.
+		// The connection to the engine is refused; the host reserves another engine.
 		sim.apply(sim.har.release(reservation.Release{ID: gra.ID, Engine: gra.Engine, Failed: true}))
 		run.reserve.Exclude = append(append([]string(nil), run.reserve.Exclude...), gra.Engine)
 		if len(run.reserve.Exclude) <= 3 {
@@ -334,7 +334,7 @@
 	return crashAccounts[0].name
 }
 
-// run runs the simulation for its duration.
+// run executes the simulation and returns its result.
 func (sim *crashSim) run() crashResult {
 	end := sim.har.now.Add(sim.cfg.duration)
 	var arrive func()
@@ -345,15 +345,15 @@
 	sim.schedule(0, arrive)
 	for num := range sim.cfg.poisonClients {
 		account, dig := crashAccounts[num%len(crashAccounts)].name, sim.randomDigest()
-		var culprit func()
-		culprit = func() {
+		var sendPoison func()
+		sendPoison = func() {
 			if sim.cfg.varied {
 				dig = sim.randomDigest()
 			}
 			sim.send(true, account, dig)
-			sim.schedule(sim.exponential(250*time.Millisecond), culprit)
+			sim.schedule(sim.exponential(250*time.Millisecond), sendPoison)
 		}
-		sim.schedule(3*time.Second, culprit)
+		sim.schedule(3*time.Second, sendPoison)
 	}
 	var tick func()
 	tick = func() {
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -30,8 +30,8 @@
 	res.Account, res.Cost = "kitchen", 100
 	assert.Equal(t, refusalReason(har.reserve(res), "over"), reservation.ReasonLimit)
 	har.release(reservation.Release{ID: requestID("r0"), Dispatched: false})
-	res.ID = requestID("given back")
-	assert.Equal(t, grantedEngine(har.reserve(res), "given back"), "e")
+	res.ID = requestID("after refund")
+	assert.Equal(t, grantedEngine(har.reserve(res), "after refund"), "e")
 }
 
 func TestAccountLimitIsDivided(t *testing.T) {
--- a/scheduler/notice_test.go
+++ b/scheduler/notice_test.go
@@ -16,9 +16,9 @@
 const otherPeerEpoch = request.Epoch(3)
 
 // reportSignal reports an engine's signal that a gateway received.
-func (har *harness) reportSignal(gateway request.Epoch, engine string, word fleet.Word) []scheduler.Send {
+func (har *harness) reportSignal(gateway request.Epoch, engine string, signal fleet.Word) []scheduler.Send {
 	return har.handle(scheduler.Received{From: gateway, Message: reservation.EngineNotice{
-		Notice: fleet.Notice{Run: fleet.EngineID{Name: engine}, Word: word},
+		Notice: fleet.Notice{Run: fleet.EngineID{Name: engine}, Word: signal},
 	}})
 }
 
@@ -90,11 +90,11 @@
 func TestBackoffAfterProbeDelaysNextProbe(t *testing.T) {
 	har := newHarness(plainEngine("a", 4))
 	har.reportSignal(request.Epoch(50), "a", fleet.Pause{Left: 10 * time.Second})
-	for num, pause := range []time.Duration{0, 500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
+	for num, delay := range []time.Duration{0, 500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
 		gateway := request.Epoch(100 + num)
-		if pause > 0 {
+		if delay > 0 {
 			early := fmt.Sprint("early", num)
-			har.advance(pause - 10*time.Millisecond)
+			har.advance(delay - 10*time.Millisecond)
 			engine, _ := decisionFor(har.reserveFrom(gateway, plainReservation(early)), early)
 			assert.Equal(t, engine, "", "%d", num)
 			har.handle(scheduler.Received{From: gateway, Message: reservation.Withdraw{ID: requestID(early)}})
@@ -193,9 +193,9 @@
 	}
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{plainEngine("a", 1), plainEngine("b", 4)}})
 	har.reportSignal(peerEpoch, "b", fleet.Pause{Left: 50 * time.Millisecond})
-	waits := plainReservation("waits")
-	waits.Rank = -1
-	engine, _ := decisionFor(har.reserve(waits), "waits")
+	waiting := plainReservation("waits")
+	waiting.Rank = -1
+	engine, _ := decisionFor(har.reserve(waiting), "waits")
 	assert.Equal(t, engine, "")
 	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("passes")), "passes"), "b")
 }
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -51,7 +51,7 @@
 	policy  backoffPolicy
 	engines int
 	hosts   int
-	// shedShare is the share of engines that shed load at a time, for backoffShed; failureShare is
+	// shedShare is the share of engines that shed load at a time, for backoffShedPeriod; failureShare is
 	// the share of answers of the other engines that fail.
 	shedShare    float64
 	failureShare float64
@@ -77,17 +77,17 @@
 	fleet.Engine
 	shedUntil     time.Time
 	awaitsRequest bool
-	// asked is when the engine last sent each host a backoff request, sent how many requests it has
+	// backoffAt is when the engine last sent each host a backoff request, sent how many requests it has
 	// got from the host since.
-	asked map[request.Epoch]time.Time
-	sent  map[request.Epoch]int
+	backoffAt map[request.Epoch]time.Time
+	sent      map[request.Epoch]int
 }
 
 type backoffRun struct {
 	reserve reservation.Reserve
 	host    request.Epoch
 	retries int
-	// started is when the client sent the request.
+	// startedAt is when the client sent the request.
 	startedAt time.Time
 }
 
@@ -116,7 +116,7 @@
 	for num := range cfg.engines {
 		eng := plainEngine(fmt.Sprintf("e%03d", num), backoffSlots)
 		all = append(all, eng)
-		sim.engines[eng.ID.Name] = &backoffEngine{Engine: eng, asked: make(map[request.Epoch]time.Time), sent: make(map[request.Epoch]int)}
+		sim.engines[eng.ID.Name] = &backoffEngine{Engine: eng, backoffAt: make(map[request.Epoch]time.Time), sent: make(map[request.Epoch]int)}
 	}
 	for num := range cfg.hosts {
 		sim.notices[request.Epoch(num+10)] = fleet.NewNotices()
@@ -125,8 +125,8 @@
 	return sim
 }
 
-func (sim *backoffSim) schedule(wait time.Duration, what func()) {
-	heap.Push(&sim.queue, simEvent{at: sim.har.now.Add(wait), action: what})
+func (sim *backoffSim) schedule(wait time.Duration, action func()) {
+	heap.Push(&sim.queue, simEvent{at: sim.har.now.Add(wait), action: action})
 }
 
 func (sim *backoffSim) exponential(mean time.Duration) time.Duration {
@@ -135,13 +135,13 @@
 
 // run simulates two periods of shedding and the time after them.
 func (sim *backoffSim) run() backoffResult {
-	length := 30 * time.Second
+	duration := 30 * time.Second
 	sim.schedule(0, func() { sim.arrive() })
 	sim.schedule(0, func() { sim.tick() })
 	for _, at := range []time.Duration{4 * time.Second, 16 * time.Second} {
 		sim.schedule(at, sim.shed)
 	}
-	end := sim.har.now.Add(length)
+	end := sim.har.now.Add(duration)
 	for len(sim.queue) > 0 {
 		evt := heap.Pop(&sim.queue).(simEvent)
 		if evt.at.After(end) {
@@ -223,7 +223,7 @@
 		sim.reserve(run, false)
 		return
 	}
-	if since := now.Sub(eng.asked[run.host]); since > 500*time.Millisecond && since < backoffPeriod {
+	if since := now.Sub(eng.backoffAt[run.host]); since > 500*time.Millisecond && since < backoffPeriod {
 		eng.sent[run.host]++
 		sim.result.maxDuringBackoff = max(sim.result.maxDuringBackoff, eng.sent[run.host])
 	}
@@ -248,8 +248,8 @@
 
 func (sim *backoffSim) handleRejection(run *backoffRun, eng *backoffEngine) {
 	sim.result.rejected++
-	if now := sim.har.now; now.Sub(eng.asked[run.host]) >= backoffPeriod || sim.cfg.policy == backoffIgnored {
-		eng.asked[run.host], eng.sent[run.host] = now, 0
+	if now := sim.har.now; now.Sub(eng.backoffAt[run.host]) >= backoffPeriod || sim.cfg.policy == backoffIgnored {
+		eng.backoffAt[run.host], eng.sent[run.host] = now, 0
 	}
 	rel := reservation.Release{ID: run.reserve.ID, Engine: eng.ID.Name, Dispatched: true, Rejected: true}
 	if sim.cfg.policy != backoffIgnored {
@@ -296,8 +296,8 @@
 func TestEngineGetsNoRequestFromReceiverOfBackoff(t *testing.T) {
 	for seed := range uint64(4) {
 		for _, share := range []float64{0.25, 1} {
-			for _, way := range []backoffPolicy{backoffOfReceiver, backoffOfAll, backoffProbing} {
-				res := newBackoffSim(backoffSimConfig{seed: seed, policy: way, engines: 4, hosts: 7, shedShare: share, failureShare: 0.3, maxAttempts: 2, load: 0.3}).run()
+			for _, policy := range []backoffPolicy{backoffOfReceiver, backoffOfAll, backoffProbing} {
+				res := newBackoffSim(backoffSimConfig{seed: seed, policy: policy, engines: 4, hosts: 7, shedShare: share, failureShare: 0.3, maxAttempts: 2, load: 0.3}).run()
 				assert.Equal(t, res.maxDuringBackoff, 0, "%+v", res)
 				assert.Assert(t, res.idle/time.Duration(max(1, res.returns)) < backoffPeriod+time.Second, "%+v", res)
 			}
@@ -309,14 +309,14 @@
 // requests finally refused, requests served, the largest number that one host sent an engine during
 // a backoff, and how long engines that serve again wait for their first request.
 func BenchmarkBackoffPolicies(b *testing.B) {
-	ways := []string{"ignored", "by-host", "asked", "all", "probing"}
+	policies := []string{"ignored", "by-host", "asked", "all", "probing"}
 	for _, size := range []struct{ engines, hosts int }{{4, 7}, {18, 7}, {60, 85}, {140, 300}} {
 		for _, kind := range []struct {
 			name        string
 			share, fail float64
 			load        float64
 			attempts    int
-			part        float64
+			rejectShare float64
 		}{
 			{"one", 0, 0, 0.3, 2, 0},
 			{"third", 0.3, 0, 0.3, 2, 0},
@@ -327,7 +327,7 @@
 			{"partly", 1, 0, 0.6, 2, 0.05},
 			{"partly-third", 0.3, 0, 0.6, 2, 0.6},
 		} {
-			for way, name := range ways {
+			for policy, name := range policies {
 				b.Run(fmt.Sprintf("%d/%s/%s", size.engines, kind.name, name), func(b *testing.B) {
 					const seeds = 5
 					var sum backoffResult
@@ -335,7 +335,7 @@
 						sum = backoffResult{}
 						for seed := range uint64(seeds) {
 							res := newBackoffSim(backoffSimConfig{
-								seed: seed, policy: backoffPolicy(way), engines: size.engines, hosts: size.hosts, shedShare: kind.share, failureShare: kind.fail, maxAttempts: kind.attempts, load: kind.load, rejectShare: kind.part,
+								seed: seed, policy: backoffPolicy(policy), engines: size.engines, hosts: size.hosts, shedShare: kind.share, failureShare: kind.fail, maxAttempts: kind.attempts, load: kind.load, rejectShare: kind.rejectShare,
 							}).run()
 							sum.sent += res.sent
 							sum.served += res.served
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -26,9 +26,9 @@
 func TestEvacuatedDomainGetsNoGrants(t *testing.T) {
 	har := newHarness(engineInDomain("d0", "a"), engineInDomain("d1", "b"))
 	assert.Equal(t, grantedEngine(har.reserve(plainReservation("before")), "before"), "a", "the gateway's own domain is preferred")
-	emptied := engineInDomain("d0", "a")
-	emptied.Emptied = true
-	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{emptied, engineInDomain("d1", "b")}})
+	evacuated := engineInDomain("d0", "a")
+	evacuated.Emptied = true
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{evacuated, engineInDomain("d1", "b")}})
 	assert.Equal(t, har.core.RunningIn("d0"), 1)
 	for num := range 20 {
 		assert.Equal(t, har.reserveAndAnswer(fmt.Sprint("r", num)), "b")
@@ -54,7 +54,7 @@
 	assert.Equal(t, har.reserveAndAnswer("again"), "a")
 	har.handle(scheduler.DomainsClosed{Gateway: peerEpoch, Domains: []string{"d0"}})
 	har.handle(scheduler.GatewayLost{Gateway: peerEpoch})
-	assert.Equal(t, har.reserveAndAnswer("started anew"), "a")
+	assert.Equal(t, har.reserveAndAnswer("after gateway loss"), "a")
 }
 
 // The requests of a gateway to which all domains are closed wait without blocking those of others.
--- a/scheduler/place_ways_test.go
+++ b/scheduler/place_ways_test.go
@@ -32,12 +32,12 @@
 	evacuationDomains      = 4
 	evacuationNetworkDelay = time.Millisecond
 	evacuationServiceTime  = 40 * time.Millisecond
-	// coordinatorReads is when the coordinator reads the order: the store rejects its reads until
-	// then. Hosts read it within hostsRead.
-	coordinatorReads = 4 * time.Second
-	hostsRead        = time.Second
-	// maxReturned is how many grants of one request a host may return before it refuses the request,
-	// as for engines that have deregistered.
+	// coordinatorReadDelay is when the coordinator reads the order: the store rejects its reads until
+	// then. Hosts read the order within hostReadDelay.
+	coordinatorReadDelay = 4 * time.Second
+	hostReadDelay        = time.Second
+	// maxReturned is how many grants of one request its host may return before it refuses the
+	// request; the limit is that for grants of deregistered engines.
 	maxReturned = 3
 )
 
@@ -70,9 +70,9 @@
 	sent, served, refused, late, returned int
 }
 
-func runEvacuationSim(seed uint64, way evacuationPolicy, engines, hosts int, length time.Duration, load float64) evacuationResult {
+func runEvacuationSim(seed uint64, policy evacuationPolicy, engines, hosts int, duration time.Duration, load float64) evacuationResult {
 	sim := &evacuationSim{
-		policy: way, now: time.Unix(5000, 0), random: rand.New(rand.NewPCG(seed, 5)), domain: make(map[string]string),
+		policy: policy, now: time.Unix(5000, 0), random: rand.New(rand.NewPCG(seed, 5)), domain: make(map[string]string),
 		orderRead: make(map[request.Epoch]time.Time), runs: make(map[request.ID]*evacuationRun),
 	}
 	sim.start = sim.now
@@ -85,15 +85,15 @@
 	sim.har = newHarness(sim.engines...)
 	for num := range hosts {
 		host := request.Epoch(100 + num)
-		wait := time.Duration(sim.random.Float64() * float64(hostsRead))
+		wait := time.Duration(sim.random.Float64() * float64(hostReadDelay))
 		sim.orderRead[host] = sim.now.Add(wait)
-		if way == evacuateByReport {
+		if policy == evacuateByReport {
 			sim.schedule(wait+evacuationNetworkDelay, func() {
 				sim.apply(sim.har.core.Handle(sim.now, scheduler.DomainsClosed{Gateway: host, Domains: []string{"d0"}}))
 			})
 		}
 	}
-	sim.schedule(coordinatorReads, func() {
+	sim.schedule(coordinatorReadDelay, func() {
 		for num, eng := range sim.engines {
 			sim.engines[num].Emptied = eng.Domain == "d0"
 		}
@@ -103,7 +103,7 @@
 	sim.schedule(0, sim.tick)
 	for len(sim.queue) > 0 {
 		evt := heap.Pop(&sim.queue).(simEvent)
-		if evt.at.Sub(sim.start) > length {
+		if evt.at.Sub(sim.start) > duration {
 			break
 		}
 		sim.now = evt.at
@@ -112,8 +112,8 @@
 	return sim.result
 }
 
-func (sim *evacuationSim) schedule(wait time.Duration, what func()) {
-	heap.Push(&sim.queue, simEvent{at: sim.now.Add(wait), action: what})
+func (sim *evacuationSim) schedule(wait time.Duration, action func()) {
+	heap.Push(&sim.queue, simEvent{at: sim.now.Add(wait), action: action})
 }
 
 func (sim *evacuationSim) tick() {
@@ -159,9 +159,9 @@
 		rel.ID, rel.Engine = gra.ID, gra.Engine
 		sim.apply(sim.har.core.Handle(sim.now, scheduler.Received{From: run.host, Message: rel}))
 	}
-	emptied := sim.domain[gra.Engine] == "d0"
-	knows := !sim.now.Before(sim.orderRead[run.host])
-	if emptied && knows && sim.policy != evacuateByCoordinator {
+	evacuated := sim.domain[gra.Engine] == "d0"
+	hasRead := !sim.now.Before(sim.orderRead[run.host])
+	if evacuated && hasRead && sim.policy != evacuateByCoordinator {
 		release(reservation.Release{})
 		sim.result.returned++
 		run.returned++
@@ -174,7 +174,7 @@
 		sim.reserve(run)
 		return
 	}
-	if emptied && knows {
+	if evacuated && hasRead {
 		sim.result.late++
 	}
 	sim.schedule(time.Duration(sim.random.ExpFloat64()*float64(evacuationServiceTime)), func() {
@@ -196,24 +196,24 @@
 // hosts that had read the order, the requests refused, and the grants returned, per thousand
 // requests each.
 func BenchmarkEvacuationPolicies(b *testing.B) {
-	ways := map[evacuationPolicy]string{evacuateByCoordinator: "decider", evacuateByReturn: "sent-back", evacuateByReport: "said"}
+	policies := map[evacuationPolicy]string{evacuateByCoordinator: "decider", evacuateByReturn: "sent-back", evacuateByReport: "said"}
 	for _, size := range []struct{ engines, hosts int }{{4, 4}, {20, 7}, {140, 85}} {
-		for way, name := range ways {
+		for policy, name := range policies {
 			b.Run(fmt.Sprintf("%d/%s", size.engines, name), func(b *testing.B) {
 				var sum evacuationResult
 				for b.Loop() {
 					for seed := range uint64(5) {
-						res := runEvacuationSim(seed, way, size.engines, size.hosts, 8*time.Second, 30*float64(size.engines))
+						res := runEvacuationSim(seed, policy, size.engines, size.hosts, 8*time.Second, 30*float64(size.engines))
 						sum.sent += res.sent
 						sum.late += res.late
 						sum.refused += res.refused
 						sum.returned += res.returned
 					}
 				}
-				of := 1000 / float64(sum.sent)
-				b.ReportMetric(of*float64(sum.late), "late")
-				b.ReportMetric(of*float64(sum.refused), "refused")
-				b.ReportMetric(of*float64(sum.returned), "back")
+				perThousand := 1000 / float64(sum.sent)
+				b.ReportMetric(perThousand*float64(sum.late), "late")
+				b.ReportMetric(perThousand*float64(sum.refused), "refused")
+				b.ReportMetric(perThousand*float64(sum.returned), "back")
 			})
 		}
 	}
--- a/scheduler/quarantine_test.go
+++ b/scheduler/quarantine_test.go
@@ -72,22 +72,22 @@
 		har.reportCrash(sameRequest("bad", name), grantedEngine(har.reserve(sameRequest("bad", name)), name))
 	}
 	assert.Equal(t, grantedEngine(har.reserve(sameRequest("bad", "waits")), "waits"), "", "no engine is idle")
-	kept := map[string]bool{}
+	used := map[string]bool{}
 	for num := range 12 {
 		name := fmt.Sprint("more-", num)
-		kept[grantedEngine(har.reserve(sameRequest(name, name)), name)] = true
+		used[grantedEngine(har.reserve(sameRequest(name, name)), name)] = true
 	}
-	assert.Equal(t, len(kept), 3, "two engines have crashed, and one is isolated: %v", kept)
+	assert.Equal(t, len(used), 3, "two engines have crashed, and one is isolated: %v", used)
 	for num := range 12 {
 		har.answerInFull(sameRequest("", fmt.Sprint("work-", num)))
 	}
-	alone := grantedEngine(har.sends, "waits")
-	assert.Assert(t, alone != "" && !kept[alone], alone)
+	exclusive := grantedEngine(har.sends, "waits")
+	assert.Assert(t, exclusive != "" && !used[exclusive], exclusive)
 	for num := range 8 {
 		name := fmt.Sprint("beside-", num)
-		assert.Assert(t, grantedEngine(har.reserve(sameRequest(name, name)), name) != alone, "the suspected request runs exclusively")
+		assert.Assert(t, grantedEngine(har.reserve(sameRequest(name, name)), name) != exclusive, "the suspected request runs exclusively")
 	}
-	har.reportCrash(sameRequest("bad", "waits"), alone)
+	har.reportCrash(sameRequest("bad", "waits"), exclusive)
 	assert.Equal(t, refusalReason(har.reserve(sameRequest("bad", "last")), "last"), reservation.ReasonHeld)
 	changed := sameRequest("worse", "changed")
 	assert.Assert(t, grantedEngine(har.reserve(changed), "changed") != "", "a changed request counts as another one")
@@ -98,11 +98,11 @@
 func TestCrashedEngineGetsNoGrants(t *testing.T) {
 	har := newHarness(newModelEngines(2)...)
 	first := sameRequest("one", "one")
-	ended := grantedEngine(har.reserve(first), "one")
-	har.reportCrash(first, ended)
+	crashed := grantedEngine(har.reserve(first), "one")
+	har.reportCrash(first, crashed)
 	for num := range 6 {
 		name := fmt.Sprint("next-", num)
-		assert.Assert(t, grantedEngine(har.reserve(sameRequest(name, name)), name) != ended)
+		assert.Assert(t, grantedEngine(har.reserve(sameRequest(name, name)), name) != crashed)
 	}
 	second := sameRequest("next-0", "next-0")
 	har.reportCrash(second, grantedEngine(har.sends, "next-0"))
@@ -136,8 +136,8 @@
 		next.handle(scheduler.Received{From: peerEpoch, Message: reservation.CaseReport{Report: rep}})
 	}
 	next.now = next.now.Add(time.Second)
-	alone := grantedEngine(next.reserve(sameRequest("bad", "three")), "three")
-	next.reportCrash(sameRequest("bad", "three"), alone)
+	exclusive := grantedEngine(next.reserve(sameRequest("bad", "three")), "three")
+	next.reportCrash(sameRequest("bad", "three"), exclusive)
 	assert.Equal(t, refusalReason(next.reserve(sameRequest("bad", "four")), "four"), reservation.ReasonHeld)
 }
 
@@ -146,15 +146,15 @@
 // request to be held. BenchmarkQuarantinePolicies compares this with other policies.
 func TestPoisonRequestsCrashFewEngines(t *testing.T) {
 	for _, size := range []int{4, 18, 60} {
-		for _, culprits := range []int{0, 1, 5} {
-			t.Run(fmt.Sprint(size, " engines, ", culprits), func(t *testing.T) {
-				res := newCrashSim(crashSimConfig{seed: 3, engines: size, poisonClients: culprits, duration: 25 * time.Second}).run()
-				assert.Assert(t, res.crashed <= 3*culprits, "%+v", res)
-				assert.Assert(t, culprits > 1 || res.held == 0, "%+v", res)
+		for _, poisonClients := range []int{0, 1, 5} {
+			t.Run(fmt.Sprint(size, " engines, ", poisonClients), func(t *testing.T) {
+				res := newCrashSim(crashSimConfig{seed: 3, engines: size, poisonClients: poisonClients, duration: 25 * time.Second}).run()
+				assert.Assert(t, res.crashed <= 3*poisonClients, "%+v", res)
+				assert.Assert(t, poisonClients > 1 || res.held == 0, "%+v", res)
 			})
 		}
 		t.Run(fmt.Sprint(size, " engines, random crashes"), func(t *testing.T) {
-			res := newCrashSim(crashSimConfig{seed: 3, engines: size, randomCrashes: 1.0 / 60, duration: 25 * time.Second}).run()
+			res := newCrashSim(crashSimConfig{seed: 3, engines: size, randomCrashRate: 1.0 / 60, duration: 25 * time.Second}).run()
 			assert.Equal(t, res.held, 0, "%+v", res)
 		})
 	}
@@ -164,11 +164,12 @@
 // request.
 func TestVaryingPoisonRequestsCrashFewEngines(t *testing.T) {
 	res := newCrashSim(crashSimConfig{seed: 3, engines: 18, poisonClients: 1, varied: true, duration: 40 * time.Second}).run()
-	assert.Assert(t, res.crashed <= 20, "148 of 148 without a quarantine of clients: %+v", res)
+	assert.Assert(t, res.crashed <= 20, "148 of 148 poison requests crash an engine unless their traffic source is restricted: %+v", res)
 }
 
-// crashPolicies are the quarantine policies to compare: none, hold after three crashes whatever ran
-// beside the request, hold after two crashes, and run a suspected request exclusively.
+// crashPolicies are the quarantine policies to compare: none, hold a request after three crashes
+// whatever ran beside it, hold it after two crashes, and run it exclusively after its first or, by
+// default, its second crash.
 var crashPolicies = []struct {
 	name   string
 	policy quarantine.Config
@@ -185,10 +186,10 @@
 func BenchmarkQuarantinePolicies(b *testing.B) {
 	for _, size := range []int{4, 18, 60, 650} {
 		for _, kind := range []struct {
-			name     string
-			culprits int
-			varied   bool
-			chance   float64
+			name          string
+			poisonClients int
+			varied        bool
+			crashRate     float64
 		}{
 			{"calm", 0, false, 0},
 			{"chance", 0, false, 1.0 / 60},
@@ -198,15 +199,15 @@
 			{"five", 5, false, 0},
 			{"varied", 1, true, 0},
 		} {
-			for _, way := range crashPolicies {
-				b.Run(fmt.Sprintf("%d/%s/%s", size, kind.name, way.name), func(b *testing.B) {
+			for _, policy := range crashPolicies {
+				b.Run(fmt.Sprintf("%d/%s/%s", size, kind.name, policy.name), func(b *testing.B) {
 					seeds := uint64(max(1, 40/size))
 					var sum crashResult
 					for b.Loop() {
 						sum = crashResult{}
 						for seed := range seeds {
 							res := newCrashSim(crashSimConfig{
-								seed: seed, engines: size, poisonClients: kind.culprits, varied: kind.varied, randomCrashes: kind.chance, policy: way.policy, duration: 40 * time.Second,
+								seed: seed, engines: size, poisonClients: kind.poisonClients, varied: kind.varied, randomCrashRate: kind.crashRate, policy: policy.policy, duration: 40 * time.Second,
 							}).run()
 							sum.crashed += res.crashed
 							sum.sent += res.sent
@@ -227,16 +228,16 @@
 	}
 }
 
-// BenchmarkManyWaiting measures a tick while a thousand requests wait and one engine has crashed;
-// with doubts, a thousand connections have broken too as unconfirmed crashes, and one more breaks
+// BenchmarkManyWaiting measures a tick while a thousand requests wait and one engine has crashed. In
+// the second case a thousand unconfirmed crashes have been reported too, and one more is reported
 // before each tick.
 func BenchmarkManyWaiting(b *testing.B) {
-	for _, doubts := range []int{0, 1000} {
-		b.Run(fmt.Sprint(doubts, "doubts"), func(b *testing.B) {
+	for _, unconfirmed := range []int{0, 1000} {
+		b.Run(fmt.Sprint(unconfirmed, "doubts"), func(b *testing.B) {
 			har := newHarness(newModelEngines(2)...)
 			first := sameRequest("bad", "bad")
 			har.reportCrash(first, grantedEngine(har.reserve(first), "bad"))
-			for num := range doubts {
+			for num := range unconfirmed {
 				har.reportUnconfirmedCrash(num)
 			}
 			for num := range 1024 {
@@ -246,7 +247,7 @@
 				har.reserve(res)
 			}
 			for b.Loop() {
-				if doubts > 0 {
+				if unconfirmed > 0 {
 					har.reportUnconfirmedCrash(0)
 				}
 				har.advance(time.Microsecond)
--- a/scheduler/rate_sim_test.go
+++ b/scheduler/rate_sim_test.go
@@ -25,7 +25,8 @@
 	// rateByLease has hosts apply shares that the coordinator leases to them twice a second, in
 	// proportion to their demand.
 	rateByLease
-	// rateByGrant has the coordinator pace its grants, with a fixed share for an isolated host.
+	// rateByGrant has the coordinator pace its grants, with a fixed share for a coordinator that can't
+	// reach the others.
 	rateByGrant
 )
 
@@ -46,10 +47,10 @@
 	rateWindow   = 4 * time.Second
 	rateFactor   = 1.5
 	rateSlack    = 5
-	// slowProbability is the probability that connecting takes up to a second, grantTTL how long a
+	// slowConnectProbability is the probability that connecting takes up to a second, rateGrantTTL how long a
 	// host may use a grant of an engine with a rate limit.
-	slowProbability = 0.03
-	grantTTL        = 500 * time.Millisecond
+	slowConnectProbability = 0.03
+	rateGrantTTL           = 500 * time.Millisecond
 )
 
 // rateSim simulates a service some of whose engines send rate limits. The hosts are one group, or
@@ -66,7 +67,7 @@
 	result  rateResult
 	// checkedFrom is the time from which on arrivals are compared with the rate limits.
 	checkedFrom time.Time
-	endsAt      time.Time
+	limitsEndAt time.Time
 }
 
 type rateSimConfig struct {
@@ -76,23 +77,23 @@
 	hosts   int
 	// rates are the rate limits of the first engines, per second; the others have none.
 	rates []float64
-	// load is in requests per second; favored is the share of them that arrives at one host.
-	load     float64
-	favored  float64
-	duration time.Duration
-	// endsAt is when engines stop sending rate limits; 0 for never.
-	endsAt time.Duration
-	// changes are the times at which the hosts are partitioned anew.
-	changes []rateChange
+	// load is in requests per second; favoredShare is the share of them that arrives at one host.
+	load         float64
+	favoredShare float64
+	duration     time.Duration
+	// limitsEndAt is when engines stop sending rate limits; 0 for never.
+	limitsEndAt time.Duration
+	// partitions are the changes of the hosts' partition.
+	partitions []ratePartition
 	// cold are the times at which the first engines go cold, for simColdPeriod with a limit of
 	// coldRate each; hosts read that up to coldReadDelay later.
 	cold     []time.Duration
 	coldRate float64
 }
 
-// rateChange partitions the hosts into groups from a time on; the next hosts in turn become the
+// ratePartition partitions the hosts into groups from a time on; the next hosts in turn become the
 // coordinators.
-type rateChange struct {
+type ratePartition struct {
 	at     time.Duration
 	groups int
 }
@@ -216,8 +217,8 @@
 	return 0
 }
 
-func (sim *rateSim) schedule(wait time.Duration, what func()) {
-	heap.Push(&sim.queue, simEvent{at: sim.now.Add(wait), action: what})
+func (sim *rateSim) schedule(wait time.Duration, action func()) {
+	heap.Push(&sim.queue, simEvent{at: sim.now.Add(wait), action: action})
 }
 
 func (sim *rateSim) exponential(mean time.Duration) time.Duration {
@@ -235,9 +236,9 @@
 			eng.limited = true
 		}
 	})
-	if sim.cfg.endsAt > 0 {
-		sim.endsAt = start.Add(sim.cfg.endsAt)
-		sim.schedule(sim.cfg.endsAt, func() {
+	if sim.cfg.limitsEndAt > 0 {
+		sim.limitsEndAt = start.Add(sim.cfg.limitsEndAt)
+		sim.schedule(sim.cfg.limitsEndAt, func() {
 			for _, eng := range sim.engines {
 				eng.limited = false
 			}
@@ -246,7 +247,7 @@
 	for num, at := range sim.cfg.cold {
 		sim.schedule(at, func() { sim.markCold(sim.engines[num]) })
 	}
-	for turn, cha := range sim.cfg.changes {
+	for turn, cha := range sim.cfg.partitions {
 		sim.schedule(cha.at, func() { sim.partition(cha.groups, turn+1) })
 	}
 	end := start.Add(sim.cfg.duration)
@@ -296,7 +297,7 @@
 func (sim *rateSim) arrive() {
 	sim.schedule(sim.exponential(time.Duration(float64(time.Second)/sim.cfg.load)), sim.arrive)
 	hos := sim.hosts[sim.random.IntN(len(sim.hosts))]
-	if sim.random.Float64() < sim.cfg.favored {
+	if sim.random.Float64() < sim.cfg.favoredShare {
 		hos = sim.hosts[len(sim.hosts)-1]
 	}
 	sim.result.sent++
@@ -336,7 +337,7 @@
 		}
 		at := sim.now.Add(rateNetworkDelay)
 		connecting := rateNetworkDelay
-		if sim.random.Float64() < slowProbability {
+		if sim.random.Float64() < slowConnectProbability {
 			connecting += time.Duration(sim.random.Float64() * float64(time.Second))
 		}
 		sim.schedule(connecting, func() { sim.send(crd, run, gra, at) })
@@ -345,7 +346,7 @@
 
 func (sim *rateSim) countRefusal() {
 	sim.result.refused++
-	if !sim.endsAt.IsZero() && sim.now.Sub(sim.endsAt) >= rateRecovery {
+	if !sim.limitsEndAt.IsZero() && sim.now.Sub(sim.limitsEndAt) >= rateRecovery {
 		sim.result.refusedLate++
 	}
 }
@@ -368,7 +369,7 @@
 		sim.reserve(run)
 		return
 	}
-	if told, knows := eng.sentLimit[run.host]; knows && sim.now.Sub(told) >= rateKnown {
+	if sentAt, knows := eng.sentLimit[run.host]; knows && sim.now.Sub(sentAt) >= rateKnown {
 		eng.arrivals = append(eng.arrivals, sim.now)
 	}
 	if sim.now.Before(eng.coldUntil) && sim.now.Before(run.host.cold[eng.ID.Name]) {
@@ -422,7 +423,7 @@
 	}
 }
 
-func (sim *rateSim) maySend(hos *rateHost, eng *rateEngine, gra reservation.Grant, asked, granted time.Time) bool {
+func (sim *rateSim) maySend(hos *rateHost, eng *rateEngine, gra reservation.Grant, reservedAt, granted time.Time) bool {
 	if !sim.maySendCold(hos, eng, gra, granted) {
 		return false
 	}
@@ -431,10 +432,10 @@
 		return true
 	}
 	if sim.cfg.policy == rateByGrant {
-		if gra.Rate == reservation.GrantRatePaced && sim.now.Sub(granted) < grantTTL {
+		if gra.Rate == reservation.GrantRatePaced && sim.now.Sub(granted) < rateGrantTTL {
 			return true
 		}
-		if gra.Rate == reservation.GrantRateEnded && asked.After(lim.At) {
+		if gra.Rate == reservation.GrantRateEnded && reservedAt.After(lim.At) {
 			hos.notices.Take(sim.now, fleet.Notice{Run: eng.ID, Word: fleet.Unlimited{}})
 			return true
 		}
@@ -478,17 +479,17 @@
 		return
 	}
 	for _, eng := range sim.engines[:len(sim.cfg.rates)] {
-		wanted, members := make(map[*rateHost]int), make(map[*rateHost]int)
+		demand, members := make(map[*rateHost]int), make(map[*rateHost]int)
 		for _, hos := range sim.hosts {
-			wanted[hos.coordinator] += sim.shareOf(hos, eng).demand
+			demand[hos.coordinator] += sim.shareOf(hos, eng).demand
 			members[hos.coordinator]++
 		}
 		for _, hos := range sim.hosts {
-			shr, whole := sim.shareOf(hos, eng), float64(members[hos.coordinator])/float64(len(sim.hosts))
+			shr, groupShare := sim.shareOf(hos, eng), float64(members[hos.coordinator])/float64(len(sim.hosts))
 			shr.fill(sim.now)
-			shr.share = whole / float64(members[hos.coordinator])
-			if wanted[hos.coordinator] > 0 {
-				shr.share = whole * float64(shr.demand) / float64(wanted[hos.coordinator])
+			shr.share = groupShare / float64(members[hos.coordinator])
+			if demand[hos.coordinator] > 0 {
+				shr.share = groupShare * float64(shr.demand) / float64(demand[hos.coordinator])
 			}
 			shr.demand = 0
 		}
--- a/scheduler/rate_test.go
+++ b/scheduler/rate_test.go
@@ -31,10 +31,10 @@
 // countRateLimitedGrants sends the given number of requests at the given interval and returns how
 // many were granted to the engine. The engine repeats its rate limit in each answer; other engines
 // don't answer.
-func (har *harness) countRateLimitedGrants(engine string, perSecond float64, times int, pause time.Duration) int {
+func (har *harness) countRateLimitedGrants(engine string, perSecond float64, times int, interval time.Duration) int {
 	count := 0
 	for num := range times {
-		sends := har.advance(pause)
+		sends := har.advance(interval)
 		sends = append(sends, har.reserve(plainReservation(fmt.Sprint("ask-", har.now.UnixNano(), "-", num)))...)
 		for _, snd := range sends {
 			gra, isGrant := snd.Message.(reservation.Grant)
@@ -54,8 +54,8 @@
 		har := newHarness(plainEngine("a", 6), plainEngine("b", 0))
 		har.reportSignal(peerEpoch, "a", rateLimitSignal(perSecond))
 		count := har.countRateLimitedGrants("a", perSecond, 4000, 5*time.Millisecond)
-		most := perSecond*20 + perSecond/2 + 1
-		assert.Assert(t, float64(count) <= most && float64(count) >= 0.8*perSecond*20, "%d at %g a second", count, perSecond)
+		maxGrants := perSecond*20 + perSecond/2 + 1
+		assert.Assert(t, float64(count) <= maxGrants && float64(count) >= 0.8*perSecond*20, "%d at %g a second", count, perSecond)
 	}
 }
 
@@ -105,7 +105,7 @@
 	har.release(answeredRelease("inherited"))
 	assert.Equal(t, har.countRateLimitedGrants("a", 1, 9, 0), 0)
 	har.reportSignal(otherPeerEpoch, "a", fleet.Unlimited{})
-	assert.Equal(t, har.reserveAndAnswer("told by a host"), "a")
+	assert.Equal(t, har.reserveAndAnswer("signal from a host"), "a")
 }
 
 // A grant that is returned unsent costs no token, a request that the engine rejects does.
@@ -176,8 +176,8 @@
 // BenchmarkManyWaitingForRates measures a tick while thousands of requests of 300 gateways wait for
 // 650 engines, some or all of which have a rate limit.
 func BenchmarkManyWaitingForRates(b *testing.B) {
-	for _, paced := range []int{0, 65, 650} {
-		b.Run(fmt.Sprint(paced, "of650"), func(b *testing.B) {
+	for _, limited := range []int{0, 65, 650} {
+		b.Run(fmt.Sprint(limited, "of650"), func(b *testing.B) {
 			engines := make([]fleet.Engine, 650)
 			for num := range engines {
 				engines[num] = plainEngine(fmt.Sprintf("e%03d", num), 0)
@@ -186,7 +186,7 @@
 			for num := range 650 * 2 {
 				har.reserve(longReservation(fmt.Sprint("run-", num)))
 			}
-			for num := range paced {
+			for num := range limited {
 				har.reportSignal(peerEpoch, fmt.Sprintf("e%03d", num), rateLimitSignal(0))
 			}
 			for num := range 4096 {
@@ -213,32 +213,32 @@
 // the others are served by other engines.
 func TestRateLimitedEnginePrefersCachedPrompts(t *testing.T) {
 	har := newHarness(modelEngine("a"), modelEngine("b"))
-	part := []call.Part{{ID: 7, Tokens: 6000}}
-	long := func(name string) reservation.Reserve {
+	parts := []call.Part{{ID: 7, Tokens: 6000}}
+	cached := func(name string) reservation.Reserve {
 		res := promptReservation(name, 6100)
-		res.Parts = part
+		res.Parts = parts
 		return res
 	}
-	assert.Equal(t, grantedEngine(har.reserve(long("first")), "first"), "a")
+	assert.Equal(t, grantedEngine(har.reserve(cached("first")), "first"), "a")
 	har.reportSignal(peerEpoch, "a", rateLimitSignal(2))
 	har.release(reservation.Release{ID: requestID("first"), Dispatched: true, Total: time.Millisecond})
 	har.advance(time.Second)
-	there := 0
+	hits := 0
 	for num := range 200 {
 		har.advance(50 * time.Millisecond)
 		name := fmt.Sprint("r", num)
 		res := promptReservation(name, 200)
 		if num%20 == 0 {
-			res = long(name)
+			res = cached(name)
 		}
 		engine := grantedEngine(har.reserve(res), name)
 		if engine == "a" {
-			there += boolToInt(num%20 == 0)
+			hits += boolToInt(num%20 == 0)
 			har.reportSignal(peerEpoch, "a", rateLimitSignal(2))
 		}
 		har.release(reservation.Release{ID: requestID(name), Dispatched: true, Answered: true, Total: 10 * time.Millisecond})
 	}
-	assert.Assert(t, there >= 9, "%d of 10", there)
+	assert.Assert(t, hits >= 9, "%d of 10", hits)
 }
 
 // A rate limit applies to one run of an engine: the next run of the same name has none.
@@ -246,12 +246,12 @@
 	har := newHarness(plainEngine("a", 100))
 	har.reportSignal(peerEpoch, "a", rateLimitSignal(1))
 	assert.Equal(t, har.countRateLimitedGrants("a", 1, 5, 0), 0)
-	later := plainEngine("a", 100)
-	later.ID = fleet.NewEngineID("a", time.UnixMilli(9))
-	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{later}})
-	assert.Equal(t, grantedEngine(har.reserve(plainReservation("free")), "free"), later.ID.String())
+	restarted := plainEngine("a", 100)
+	restarted.ID = fleet.NewEngineID("a", time.UnixMilli(9))
+	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{restarted}})
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("free")), "free"), restarted.ID.String())
 	har.reportSignal(peerEpoch, "a", rateLimitSignal(1))
-	assert.Equal(t, grantedEngine(har.reserve(plainReservation("late word")), "late word"), later.ID.String(), "the signal was of the earlier run")
+	assert.Equal(t, grantedEngine(har.reserve(plainReservation("late signal")), "late signal"), restarted.ID.String(), "the signal was of the earlier run")
 }
 
 // A deregistered engine may still answer; the signals in its answers don't affect other engines.
@@ -273,16 +273,16 @@
 func TestRateLimitedEngineIsProbed(t *testing.T) {
 	har := newHarness(plainEngine("a", 6), plainEngine("b", 6), plainEngine("c", 6), plainEngine("d", 6))
 	har.reportSignal(peerEpoch, "a", rateLimitSignal(2))
-	named := 0
+	probes := 0
 	for num := range 700 {
 		har.advance(20 * time.Millisecond)
 		if engine := grantedEngine(har.reserve(plainReservation(fmt.Sprint("r", num))), fmt.Sprint("r", num)); engine == "a" {
-			named++
+			probes++
 			har.reportSignal(peerEpoch, "a", rateLimitSignal(2))
 		}
 		har.release(answeredRelease(fmt.Sprint("r", num)))
 	}
-	assert.Assert(t, named >= 6 && named <= 8, "%d in 14 s", named)
+	assert.Assert(t, probes >= 6 && probes <= 8, "%d in 14 s", probes)
 	count := 0
 	for num := range 350 {
 		har.advance(20 * time.Millisecond)
--- a/scheduler/rate_ways_test.go
+++ b/scheduler/rate_ways_test.go
@@ -21,7 +21,7 @@
 			cfg.rates = append(cfg.rates, rapid.Float64Range(0, 12).Draw(rt, "rate"))
 		}
 		for range rapid.IntRange(0, 4).Draw(rt, "changes") {
-			cfg.changes = append(cfg.changes, rateChange{
+			cfg.partitions = append(cfg.partitions, ratePartition{
 				at: time.Duration(rapid.IntRange(1000, 14000).Draw(rt, "at")) * time.Millisecond, groups: rapid.IntRange(1, min(4, cfg.hosts)).Draw(rt, "groups"),
 			})
 		}
@@ -36,7 +36,7 @@
 	for seed := range uint64(3) {
 		for _, hosts := range []int{1, 7, 40} {
 			res := newRateSim(rateSimConfig{
-				seed: seed, policy: rateByGrant, engines: 4, hosts: hosts, rates: []float64{10, 4, 1.5, 0.5}, load: 150, favored: 0.5, duration: 30 * time.Second,
+				seed: seed, policy: rateByGrant, engines: 4, hosts: hosts, rates: []float64{10, 4, 1.5, 0.5}, load: 150, favoredShare: 0.5, duration: 30 * time.Second,
 			}).run()
 			assert.Assert(t, res.peakUse <= 1 && res.minUse >= 0.8, "%+v", res)
 		}
@@ -48,7 +48,7 @@
 	for seed := range uint64(5) {
 		for _, hosts := range []int{1, 7, 40} {
 			res := newRateSim(rateSimConfig{
-				seed: seed, policy: rateByGrant, engines: 4, hosts: hosts, rates: []float64{0, 0, 0.5, 1.5}, load: 120, duration: 20 * time.Second, endsAt: 10 * time.Second,
+				seed: seed, policy: rateByGrant, engines: 4, hosts: hosts, rates: []float64{0, 0, 0.5, 1.5}, load: 120, duration: 20 * time.Second, limitsEndAt: 10 * time.Second,
 			}).run()
 			assert.Assert(t, res.refused > 0 && res.refusedLate == 0, "%+v", res)
 		}
@@ -59,24 +59,24 @@
 // window, the smallest share of its rate limit that an engine got, the share of requests refused, and
 // the mean wait of the requests served.
 func BenchmarkRateLimitPolicies(b *testing.B) {
-	ways := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "parts", rateByLease: "lease", rateByGrant: "grant"}
+	policies := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "parts", rateByLease: "lease", rateByGrant: "grant"}
 	for _, size := range []struct{ engines, hosts int }{{4, 4}, {18, 7}, {140, 300}} {
 		for _, kind := range []struct {
-			name    string
-			limited float64
-			load    float64
-			favored float64
-			changes []rateChange
+			name         string
+			limited      float64
+			load         float64
+			favoredShare float64
+			partitions   []ratePartition
 		}{
 			{"third", 0.3, 0.5, 0, nil},
 			{"all", 1, 1, 0, nil},
 			{"all-favored", 1, 1, 0.7, nil},
-			{"all-lost", 1, 1, 0, []rateChange{{8 * time.Second, 1}, {9 * time.Second, 1}, {10 * time.Second, 1}, {16 * time.Second, 1}}},
-			{"all-divided", 1, 1, 0, []rateChange{{8 * time.Second, 3}, {14 * time.Second, 1}, {20 * time.Second, 2}, {24 * time.Second, 1}}},
+			{"all-lost", 1, 1, 0, []ratePartition{{8 * time.Second, 1}, {9 * time.Second, 1}, {10 * time.Second, 1}, {16 * time.Second, 1}}},
+			{"all-divided", 1, 1, 0, []ratePartition{{8 * time.Second, 3}, {14 * time.Second, 1}, {20 * time.Second, 2}, {24 * time.Second, 1}}},
 		} {
-			for way, name := range ways {
+			for policy, name := range policies {
 				b.Run(fmt.Sprintf("%d/%s/%s", size.engines, kind.name, name), func(b *testing.B) {
-					sum := sumRateSims(b, way, size.engines, size.hosts, kind.limited, kind.load, kind.favored, kind.changes)
+					sum := sumRateSims(b, policy, size.engines, size.hosts, kind.limited, kind.load, kind.favoredShare, kind.partitions)
 					b.ReportMetric(sum.peakUse, "worst")
 					b.ReportMetric(sum.minUse, "used")
 					b.ReportMetric(100*float64(sum.refused)/float64(sum.sent), "refused%")
@@ -87,21 +87,21 @@
 	}
 }
 
-func sumRateSims(b *testing.B, way ratePolicy, engines, hosts int, limited, load, favored float64, changes []rateChange) rateResult {
+func sumRateSims(b *testing.B, policy ratePolicy, engines, hosts int, limited, load, favoredShare float64, partitions []ratePartition) rateResult {
 	b.Helper()
 	sum := rateResult{minUse: 1}
 	for b.Loop() {
 		for seed := range uint64(3) {
-			cfg := rateSimConfig{seed: seed, policy: way, engines: engines, hosts: hosts, favored: favored, changes: changes, duration: 30 * time.Second}
-			usual := load * float64(engines) * 6 / rateServiceTime.Seconds() / 6
+			cfg := rateSimConfig{seed: seed, policy: policy, engines: engines, hosts: hosts, favoredShare: favoredShare, partitions: partitions, duration: 30 * time.Second}
+			total := load * float64(engines) * 6 / rateServiceTime.Seconds() / 6
 			for num := range max(1, int(limited*float64(engines))) {
 				cfg.rates = append(cfg.rates, []float64{10, 4, 1.5, 0.5}[num%4])
 			}
 			if limited == 1 {
 				// Twice what all engines take.
-				usual = 2 * 4 * float64(engines)
+				total = 2 * 4 * float64(engines)
 			}
-			cfg.load = usual
+			cfg.load = total
 			res := newRateSim(cfg).run()
 			sum.sent += res.sent
 			sum.served += res.served
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -42,12 +42,12 @@
 	assert.Assert(t, dumpEngine(t, har).AsideFor != "")
 
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{engineRun(2000)}})
-	anew := dumpEngine(t, har)
-	assert.Equal(t, anew.ID, engineRun(2000).ID)
-	assert.Equal(t, anew.Running, 0)
-	assert.Equal(t, anew.Unread, "0s")
-	assert.Equal(t, anew.CachedTokens, 0)
-	assert.Equal(t, anew.AsideFor, "")
+	restarted := dumpEngine(t, har)
+	assert.Equal(t, restarted.ID, engineRun(2000).ID)
+	assert.Equal(t, restarted.Running, 0)
+	assert.Equal(t, restarted.Unread, "0s")
+	assert.Equal(t, restarted.CachedTokens, 0)
+	assert.Equal(t, restarted.AsideFor, "")
 
 	assert.Equal(t, grantedEngine(har.reserve(promptReservation("next", 1000)), "next"), engineRun(2000).ID.String())
 	har.release(reservation.Release{ID: requestID("lost-2"), Engine: engineRun(1000).ID.String(), Dispatched: true, Failed: true})
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -53,8 +53,8 @@
 	return res
 }
 
-// A version that isn't known to be healthy gets no request before a share of the requests is
-// reserved for it in the store, none after that reservation has expired, and no repeats.
+// A version that isn't known to be healthy gets only the share of requests that the coordinator has
+// reserved for it: none before the reservation or after its expiry, and no repeats.
 func TestNewVersionGetsOnlyReservedCanaryRequests(t *testing.T) {
 	har := newRolloutHarness(t)
 	for idx := range 4 {
@@ -68,8 +68,8 @@
 	assert.Equal(t, grantedEngine(har.reserve(res), "repeat"), "old-2")
 	assert.Equal(t, grantedEngine(har.reserve(repeatableReservation("trial")), "trial"), "new-1")
 	har.now = har.now.Add(time.Second)
-	lapsed := grantedEngine(har.reserve(repeatableReservation("lapsed")), "lapsed")
-	assert.Assert(t, lapsed == "old-1" || lapsed == "old-2", lapsed)
+	expired := grantedEngine(har.reserve(repeatableReservation("lapsed")), "lapsed")
+	assert.Assert(t, expired == "old-1" || expired == "old-2", expired)
 }
 
 // Canary requests go to one engine until it has as much load as the old engines, since some
@@ -106,19 +106,19 @@
 func TestFailuresRollBackRollout(t *testing.T) {
 	har := newRolloutHarness(t)
 	har.recordRollouts()
-	bad := 0
+	failures := 0
 	for idx := range 60 {
 		name := fmt.Sprint("r-", idx)
 		granted := grantedEngine(har.reserve(repeatableReservation(name)), name)
 		failed := granted == "new-1" || granted == "new-2"
 		if failed {
-			bad++
+			failures++
 		}
 		har.advance(100 * time.Millisecond)
 		har.release(reservation.Release{ID: requestID(name), Engine: granted, Dispatched: true, Failed: failed, Total: 20 * time.Millisecond})
 		har.recordRollouts()
 	}
-	assert.Assert(t, bad > 0 && bad <= 10, "%d", bad)
+	assert.Assert(t, failures > 0 && failures <= 10, "%d", failures)
 	assert.Equal(t, har.core.Dump(har.now).Services[0].Rollout.State, "RolledBack")
 }
 
@@ -141,9 +141,9 @@
 		har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{eng}})
 		assert.Equal(t, grantedEngine(har.reserve(repeatableReservation(eng.ID.Name)), eng.ID.Name), eng.ID.Name)
 	}
-	starting := newHarness(later...)
-	starting.handle(scheduler.RolloutsChanged{Standings: []rollout.Standing{completed}})
-	starting.handle(scheduler.EnginesChanged{Engines: later})
-	starting.handle(scheduler.RolloutsChanged{Standings: []rollout.Standing{completed}})
-	assert.Assert(t, grantedEngine(starting.reserve(repeatableReservation("r")), "r") != "")
+	restarted := newHarness(later...)
+	restarted.handle(scheduler.RolloutsChanged{Standings: []rollout.Standing{completed}})
+	restarted.handle(scheduler.EnginesChanged{Engines: later})
+	restarted.handle(scheduler.RolloutsChanged{Standings: []rollout.Standing{completed}})
+	assert.Assert(t, grantedEngine(restarted.reserve(repeatableReservation("r")), "r") != "")
 }
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -87,9 +87,9 @@
 
 // settle reduces the gateways' debts by their shares of the rate since the last call.
 func (clu *cluster) settle() {
-	part := clu.acc.Rate / float64(len(clu.cores)) * clu.now.Sub(clu.settledAt).Seconds()
+	share := clu.acc.Rate / float64(len(clu.cores)) * clu.now.Sub(clu.settledAt).Seconds()
 	for idx := range clu.debts {
-		clu.debts[idx] = max(0, clu.debts[idx]-part)
+		clu.debts[idx] = max(0, clu.debts[idx]-share)
 	}
 	clu.settledAt = clu.now
 }
@@ -126,7 +126,7 @@
 	clu := newCluster(4, acc)
 	clu.takeOver(0)
 	// 50 every 100 ms is half of the rate, so the limit is never reached.
-	use := func(span time.Duration) (refused int) {
+	spend := func(span time.Duration) (refused int) {
 		for range int(span / (100 * time.Millisecond)) {
 			clu.now = clu.now.Add(100 * time.Millisecond)
 			if !clu.reserve(clu.reservations%4, 50) {
@@ -135,7 +135,7 @@
 		}
 		return refused
 	}
-	use(10 * time.Second)
+	spend(10 * time.Second)
 	clu.takeOver(1)
 	granted := 0
 	for range 100 {
@@ -145,7 +145,7 @@
 	}
 	// The burst alone allows 40 at once; without the debts that the gateways report it is 11.
 	assert.Assert(t, granted >= 40, "%d", granted)
-	assert.Equal(t, use(time.Second)+use(time.Second) <= 20, true)
+	assert.Equal(t, spend(time.Second)+spend(time.Second) <= 20, true)
 }
 
 // Hosts that start together know only some of the others at first, so they report shares to the
@@ -158,17 +158,17 @@
 	want := int((cfg.Burst(acc) - cfg.StartDebt(acc)) / cost)
 	clu := newCluster(hosts, acc)
 	clu.coordinator = 0
-	tell := func(gateway, known int) {
+	report := func(gateway, known int) {
 		clu.cores[0].Handle(clu.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: reservation.Spent{
 			Account: "kitchen", Share: (cfg.Burst(acc) - cfg.StartDebt(acc)) / float64(known),
 		}})
 	}
 	for gateway := range hosts {
 		clu.cores[0].Handle(clu.now, scheduler.ShareChanged{Parts: float64(hosts) / float64(gateway+1), Hosts: hosts})
-		tell(gateway, 1+gateway%hosts)
+		report(gateway, 1+gateway%hosts)
 	}
 	for gateway := range hosts {
-		tell(gateway, hosts)
+		report(gateway, hosts)
 	}
 	got := countGranted(clu, cost)
 	assert.Assert(t, got <= want && got >= want-hosts, "%d granted, %d by a single scheduler", got, want)
