--- a/scheduler/notice_test.go
+++ b/scheduler/notice_test.go
@@ -242,8 +242,8 @@
 // BenchmarkManyWaitingUnderPauses measures a tick while thousands of requests of 300 gateways wait
 // for 650 engines, some of which have sent a backoff request to some gateways.
 func BenchmarkManyWaitingUnderPauses(b *testing.B) {
-	for _, paused := range []int{0, 1, 65, 650} {
-		b.Run(fmt.Sprint(paused, "of650"), func(b *testing.B) {
+	for _, backedOff := range []int{0, 1, 65, 650} {
+		b.Run(fmt.Sprint(backedOff, "of650"), func(b *testing.B) {
 			engines := make([]fleet.Engine, 650)
 			for num := range engines {
 				engines[num] = plainEngine(fmt.Sprintf("e%03d", num), 0)
@@ -252,7 +252,7 @@
 			for num := range 650 * 2 {
 				har.reserve(longReservation(fmt.Sprint("run-", num)))
 			}
-			for num := range paused {
+			for num := range backedOff {
 				for gateway := range 20 {
 					har.reportSignal(request.Epoch(100+gateway*15), fmt.Sprintf("e%03d", num), fleet.Pause{Left: time.Hour})
 				}
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -21,7 +21,7 @@
 const (
 	// backoffIgnored treats the backoff request as a failure like any other.
 	backoffIgnored backoffPolicy = iota
-	// backoffByHost has only the host that received it return grants; it tells no other host.
+	// backoffByHost has only the host that received it return grants; no other component learns of it.
 	backoffByHost
 	// backoffOfReceiver has the coordinator not grant the engine to the host that received it.
 	backoffOfReceiver
@@ -212,8 +212,8 @@
 // handleGrant checks the host's own notices of the engine once more and sends the request.
 func (sim *backoffSim) handleGrant(run *backoffRun, name string) {
 	eng, now := sim.engines[name], sim.har.now
-	if word := sim.notices[run.host].Bar(now, eng.ID); word != nil {
-		sim.reportNotice(run.host, fleet.Notice{Run: eng.ID, Word: word})
+	if sig := sim.notices[run.host].Bar(now, eng.ID); sig != nil {
+		sim.reportNotice(run.host, fleet.Notice{Run: eng.ID, Word: sig})
 		sim.release(run, reservation.Release{ID: run.reserve.ID, Engine: name})
 		run.reserve.Again = true
 		if sim.cfg.policy == backoffByHost {
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -134,16 +134,16 @@
 				engines = append(engines, eng)
 			}
 			har := newRegionalHarness(engines...)
-			long := func(name string) reservation.Reserve {
+			longRegional := func(name string) reservation.Reserve {
 				res := reservationInRegions(name, regions...)
 				res.Aim, res.Remaining = time.Hour, time.Hour
 				return res
 			}
 			for num := range 650 * 2 {
-				har.reserve(long(fmt.Sprint("run-", num)))
+				har.reserve(longRegional(fmt.Sprint("run-", num)))
 			}
 			for num := range 4096 {
-				har.reserveFrom(request.Epoch(100+num%300), long(fmt.Sprint("wait-", num)))
+				har.reserveFrom(request.Epoch(100+num%300), longRegional(fmt.Sprint("wait-", num)))
 			}
 			for b.Loop() {
 				har.advance(time.Microsecond)
--- a/scheduler/rate_sim_test.go
+++ b/scheduler/rate_sim_test.go
@@ -184,12 +184,12 @@
 // partition divides the hosts into groups, each with one of them as the coordinator.
 func (sim *rateSim) partition(groups, turn int) {
 	for num, hos := range sim.hosts {
-		former := hos.coordinator
+		previous := hos.coordinator
 		group := num % groups
 		size := len(sim.hosts)/groups + boolToInt(group < len(sim.hosts)%groups)
 		hos.coordinator = sim.hosts[group+groups*(turn%size)]
-		if former != nil && former != hos.coordinator {
-			sim.apply(former, former.har.core.Handle(sim.now, scheduler.GatewayLost{Gateway: hos.epoch}))
+		if previous != nil && previous != hos.coordinator {
+			sim.apply(previous, previous.har.core.Handle(sim.now, scheduler.GatewayLost{Gateway: hos.epoch}))
 		}
 	}
 	for _, hos := range sim.hosts {
@@ -306,9 +306,9 @@
 
 func (sim *rateSim) reserve(run *rateRun) {
 	sim.sent++
-	former := run.reserve
+	previous := run.reserve
 	run.reserve = plainReservation(fmt.Sprintf("q%09d", sim.sent))
-	run.reserve.Exclude, run.reserve.Again = former.Exclude, run.retries > 0
+	run.reserve.Exclude, run.reserve.Again = previous.Exclude, run.retries > 0
 	run.reserve.Aim = rateLatencyTarget
 	run.reservedAt = sim.now
 	sim.runs[run.reserve.ID] = run
@@ -369,7 +369,7 @@
 		sim.reserve(run)
 		return
 	}
-	if sentAt, knows := eng.sentLimit[run.host]; knows && sim.now.Sub(sentAt) >= rateKnown {
+	if sentAt, known := eng.sentLimit[run.host]; known && sim.now.Sub(sentAt) >= rateKnown {
 		eng.arrivals = append(eng.arrivals, sim.now)
 	}
 	if sim.now.Before(eng.coldUntil) && sim.now.Before(run.host.cold[eng.ID.Name]) {
@@ -404,7 +404,7 @@
 	switch {
 	case eng.limited:
 		ntc.Word = fleet.RateLimit{PerSecond: eng.rate}
-		if _, knows := eng.sentLimit[hos]; !knows {
+		if _, known := eng.sentLimit[hos]; !known {
 			eng.sentLimit[hos] = sim.now
 		}
 	case hos.notices.EndsLimit(eng.ID, sent):
--- a/scheduler/rate_test.go
+++ b/scheduler/rate_test.go
@@ -71,7 +71,7 @@
 	har.advance(time.Hour)
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 0, "another core is the coordinator")
 	har.handle(scheduler.ShareChanged{Parts: 1, Hosts: 7})
-	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 0, "it doesn't know the grants of the former coordinator")
+	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 0, "it doesn't know the grants of the previous coordinator")
 	har.advance(250 * time.Millisecond)
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 1)
 	har.handle(scheduler.ShareChanged{Parts: 4, Hosts: 8})
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -141,9 +141,9 @@
 		har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{eng}})
 		assert.Equal(t, grantedEngine(har.reserve(repeatableReservation(eng.ID.Name)), eng.ID.Name), eng.ID.Name)
 	}
-	restarted := newHarness(later...)
-	restarted.handle(scheduler.RolloutsChanged{Standings: []rollout.Standing{completed}})
-	restarted.handle(scheduler.EnginesChanged{Engines: later})
-	restarted.handle(scheduler.RolloutsChanged{Standings: []rollout.Standing{completed}})
-	assert.Assert(t, grantedEngine(restarted.reserve(repeatableReservation("r")), "r") != "")
+	laterHost := newHarness(later...)
+	laterHost.handle(scheduler.RolloutsChanged{Standings: []rollout.Standing{completed}})
+	laterHost.handle(scheduler.EnginesChanged{Engines: later})
+	laterHost.handle(scheduler.RolloutsChanged{Standings: []rollout.Standing{completed}})
+	assert.Assert(t, grantedEngine(laterHost.reserve(repeatableReservation("r")), "r") != "")
 }
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -97,9 +97,9 @@
 // costSince returns the total cost granted since the given time.
 func (clu *cluster) costSince(since time.Time) float64 {
 	total := 0.0
-	for _, spt := range clu.granted {
-		if spt.at.After(since) {
-			total += spt.cost
+	for _, grt := range clu.granted {
+		if grt.at.After(since) {
+			total += grt.cost
 		}
 	}
 	return total
