--- a/scheduler/notice_test.go
+++ b/scheduler/notice_test.go
@@ -144,7 +144,7 @@
 func TestProbeWithoutAnswerIsFollowedByAnother(t *testing.T) {
 	for name, end := range map[string]func(*harness){
 		"not sent":     func(har *harness) { har.release(reservation.Release{ID: requestID("probe")}) },
-		"caller left":  func(har *harness) { har.release(reservation.Release{ID: requestID("probe"), Dispatched: true}) },
+		"client left":  func(har *harness) { har.release(reservation.Release{ID: requestID("probe"), Dispatched: true}) },
 		"gateway lost": func(har *harness) { har.handle(scheduler.GatewayLost{Gateway: peerEpoch}) },
 	} {
 		t.Run(name, func(t *testing.T) {
