--- a/scheduler/apart.go
+++ b/scheduler/apart.go
@@ -7,30 +7,30 @@
 	"lynxwell.dev/lynxwell/quarantine"
 )
 
-// Requests that may end their engine go to engines that are set apart, where nothing is lost
-// with them that needn't be. Engines that have ended get nothing.
+// Requests that may crash their engine are placed on isolated engines, where a crash affects as
+// few other requests as possible. Crashed engines are granted nothing.
 
 const (
-	// apartFor is for how long an engine is kept free for a suspected request after one
-	// last asked: callers come back within a third of ten seconds, and the answers that it
-	// still gives take some seconds too.
+	// apartFor is how long an engine stays isolated after the last suspect request asked for it.
+	// Clients retry within a third of ten seconds, and the answers still in progress take some
+	// seconds too.
 	apartFor = 5 * time.Second
-	// minToSetApart is how many engines a service has at least where one is set apart: of
-	// two, one would be half of the service.
+	// minToSetApart is the minimum number of engines of a service for isolation: one of two would
+	// be half of the service.
 	minToSetApart = 3
-	// enginesPerApart is for how many engines one may be set apart, beside the first.
+	// enginesPerApart is the number of engines for each isolated engine beyond the first.
 	enginesPerApart = 16
-	// endedFor is for how long an engine that ended isn't taken for an idle one: its entry
-	// outlasts it by three heartbeats.
+	// endedFor is how long a crashed engine isn't regarded as idle: its entry stays registered
+	// for three heartbeats.
 	endedFor = 10 * time.Second
-	// goneFor is for how long an engine that ended gets nothing: it refuses connections, and a
-	// request that meets three such engines is refused. Engines are back after some seconds,
-	// and one that was taken for ended by mistake is in use again after this.
+	// goneFor is how long a crashed engine is granted nothing. It refuses connections, and a
+	// request that meets three such engines is refused. Engines restart within seconds, and one
+	// that was mistaken for crashed is in use again after this time.
 	goneFor = 2 * time.Second
 )
 
-// chooseApart returns an engine for a request that may end it, where nothing is lost with
-// it that needn't be. Where there is none, one gets nothing more until it is free.
+// chooseApart returns an engine for a request that may crash it, so that as few other requests
+// as possible are affected. If there is none, it isolates an engine until that is idle.
 func (cor *Core) chooseApart(now time.Time, svc *service, wai *waiter, han handling) candidate {
 	if len(svc.engines) < minToSetApart {
 		return cor.choose(now, svc, wai)
@@ -52,7 +52,7 @@
 			calmest = ene
 		}
 	}
-	// Of two that are left none is kept free, but an idle one serves.
+	// With fewer engines available than that, none is kept free, but an idle one may be used.
 	more := apart < 1+len(open)/enginesPerApart && len(open) >= minToSetApart
 	if free != nil && len(open) < minToSetApart {
 		more = apart < 1
@@ -67,7 +67,7 @@
 	return candidate{}
 }
 
-// admits reports whether the engine may be given a request that may end it.
+// admits reports whether the engine may be granted a request that may crash it.
 func (ene *engine) admits(now time.Time, han handling) bool {
 	if ene.aloneRuns > 0 || !ene.hasSlot() || !ene.pacing.admits(now) {
 		return false
@@ -83,8 +83,8 @@
 	return true
 }
 
-// openTo returns the engines at which a request may run alone: no others' trials, none
-// that it was at before, and none that is taken to have ended.
+// openTo returns the engines on which a request may run exclusively. It leaves out canaries,
+// engines that the request excludes, and those that are regarded as crashed.
 func (cor *Core) openTo(now time.Time, svc *service, wai *waiter) []*engine {
 	acc := svc.access(now, wai.reserve)
 	acc.trial = nil
@@ -101,8 +101,8 @@
 	return open
 }
 
-// keepApart keeps the engines free that are set apart, and sets another one apart where
-// there may be one.
+// keepApart extends the isolation of isolated engines, and isolates another engine if more are
+// allowed.
 func (svc *service) keepApart(now time.Time, open []*engine, calmest *engine, more bool) {
 	for _, ene := range open {
 		if ene.isApart(now) {
@@ -114,33 +114,33 @@
 	}
 }
 
-// setApart keeps an engine for suspected requests for a while.
+// setApart reserves an engine for suspect requests for a while.
 func (svc *service) setApart(now time.Time, ene *engine) {
 	ene.apartUntil = now.Add(apartFor)
 	svc.mark(ene.apartUntil)
 }
 
-// mark notes that an engine may be set apart or gone until a time.
+// extendExclusions records that an engine may be isolated or down until a time.
 func (svc *service) mark(until time.Time) {
 	if until.After(svc.markedUntil) {
 		svc.markedUntil = until
 	}
 }
 
-// isMarked reports whether an engine may be set apart or gone.
+// isMarked reports whether an engine may be isolated or down.
 func (svc *service) isMarked(now time.Time) bool {
 	return svc.aloneRuns > 0 || now.Before(svc.markedUntil)
 }
 
-// isApart reports whether the engine is kept for suspected requests.
+// isApart reports whether the engine is reserved for suspect requests.
 func (ene *engine) isApart(now time.Time) bool {
 	return now.Before(ene.apartUntil) || ene.runsAlone()
 }
 
-// runsAlone reports whether the engine runs a suspected request.
+// runsAlone reports whether the engine runs a suspect request exclusively.
 func (ene *engine) runsAlone() bool { return ene.aloneRuns > 0 }
 
-// runsWatched reports whether the engine runs a request that was part of an end.
+// runsWatched reports whether the engine runs a request that was involved in a crash.
 func (ene *engine) runsWatched() bool {
 	for _, rnn := range ene.running {
 		if rnn.watched {
@@ -150,7 +150,7 @@
 	return false
 }
 
-// emptyIn predicts after what time the engine runs nothing, if it gets nothing more.
+// emptyIn predicts when the engine is idle if it is granted nothing more.
 func (ene *engine) emptyIn(now time.Time) time.Duration {
 	var longest time.Duration
 	for _, rnn := range ene.running {
@@ -159,19 +159,19 @@
 	return longest
 }
 
-// endedLately reports whether the engine is taken to have ended.
+// endedLately reports whether the engine is regarded as crashed.
 func (ene *engine) endedLately(now time.Time) bool {
 	return ene.ended && now.Sub(ene.endedAt) < endedFor
 }
 
-// isGone reports whether the engine ended so lately that nothing listens there: its entry
-// is still in the store, and it looks idle.
+// isGone reports whether the engine crashed so recently that nothing listens at its address: it
+// is still registered and looks idle.
 func (ene *engine) isGone(now time.Time) bool {
 	return ene.ended && now.Sub(ene.endedAt) < goneFor
 }
 
-// goneAllowed reports whether engines that ended may be left out: not while all of a
-// service's would be, since one host may take a cut link for an engine's end.
+// goneAllowed reports whether crashed engines may be excluded. They may not if all engines of
+// the service would be, since a host may mistake a broken link for a crash.
 func (svc *service) goneAllowed(now time.Time) bool {
 	return slices.ContainsFunc(svc.engines, func(ene *engine) bool { return !ene.leaving() && !ene.isGone(now) })
 }
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -14,95 +14,95 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// engine is what the scheduler knows of one engine.
+// engine is the scheduler's state of one engine.
 type engine struct {
 	fleet.Engine
-	// name is the run's id as hosts tell it to one another.
+	// name is the engine's id in messages between hosts.
 	name string
-	// region is that of its failure domain; empty where it isn't known.
+	// region is the region of the engine's failure domain; empty if unknown.
 	region string
-	// stopped says that a roll-out to another version has stopped it.
+	// stopped is set if a roll-out to another version has stopped the engine.
 	stopped bool
 	running map[request.ID]*run
-	// model is how fast it reads prompts and writes answers.
+	// model predicts the engine's prefill and decode times.
 	model *pace.Engine
-	// reading are the runs whose prompts it hasn't read, in the order that it got
-	// them; headSince is when it began with the first.
+	// prefills are the runs with a pending prefill, in the order of their grants. headSince is
+	// when the engine began with the first of them.
 	reading   []*run
 	headSince time.Time
-	// work is the time of a request without a prompt.
+	// serviceTime is the estimated time of a request without a prompt.
 	work time.Duration
-	// stay is how long a request with a prompt keeps a slot.
+	// occupancy is the estimated time that a request with a prompt occupies a slot.
 	stay time.Duration
-	// eventTokens is how many tokens an event of an answer holds.
+	// eventTokens is the number of tokens in one event of an answer.
 	eventTokens int
-	// parts are the parts of prompts taken to be in the engine's cache.
+	// cached holds the prompt parts that are assumed to be in the engine's cache.
 	parts       *simplelru.LRU[uint64, int]
 	partTokens  int
 	cacheTokens int
 	health      health
-	// apartUntil is until when it gets nothing but suspected requests, aloneRuns counts
-	// those that it runs.
+	// apartUntil is the end of the engine's isolation, aloneRuns the number of its exclusive
+	// runs.
 	apartUntil time.Time
 	aloneRuns  int
-	// ended says that it was told to have ended, at a time; its entry may outlast it.
+	// crashed is set if the engine was reported to have crashed, at endedAt. Its entry may still
+	// be registered.
 	ended   bool
 	endedAt time.Time
-	// said is what it has said of itself in answers; nil for nothing.
+	// signals are the engine's signals in force; nil for none.
 	said *said
-	// pacing keeps what it is granted to the rate that it has named, and to what it bears while
-	// it is cold; nil for neither. rateEnded says that it had named one, and an answer without
-	// came after all that did.
+	// limiter limits the grants of the engine to its signaled rate, and to what it bears while it
+	// is cold; nil for neither. rateEnded is set if a signaled rate was followed by an answer
+	// without one.
 	pacing    *pacing
 	rateEnded bool
 }
 
-// run is a request that an engine was given.
+// run is a request that was granted an engine.
 type run struct {
 	engine  *engine
 	gateway request.Epoch
 	account string
 	cost    float64
-	// tokens are those to be read; 0 for a request without a prompt.
+	// tokens is the number of prompt tokens to prefill; 0 for a request without a prompt.
 	tokens int
 	unread bool
-	// read is how long the engine was predicted to read them, given when it got
-	// the run.
+	// prefillTime is the predicted time of the prefill, grantedAt the time of the grant.
 	read  time.Duration
 	given time.Time
-	// ends is when it was predicted to end.
+	// endsAt is the predicted end of the run.
 	ends time.Time
-	// queued says that it had to wait for a slot or for other prompts, so that its
-	// first event tells nothing of the engine's speed.
+	// queued is set if the request had to wait for a slot or for other prefills. Its first event
+	// then isn't a measure of the engine's speed.
 	queued bool
-	// expected is how long the first token was predicted to take.
+	// expected is the predicted time to the first token.
 	expected time.Duration
-	// paced says that it took a token of the engine's rate, inherited that another core granted
-	// it some time ago.
+	// tookToken is set if the run took a token of the engine's rate limiter, inherited if another
+	// core granted it some time ago.
 	paced     bool
 	inherited bool
-	// cold says that the engine was cold when it got the run: how long that takes tells
-	// nothing of a warm one.
+	// cold is set if the engine was cold at the grant, so that the run isn't a measure of its
+	// speed when warm.
 	cold bool
-	// route and repeatable are the request's, where this scheduler granted it; loaded says
-	// that its engine had as much to do as others.
+	// route and repeatable are those of the request if this core granted it. loaded is set if the
+	// engine had as much load as the others.
 	route      string
 	repeatable bool
 	loaded     bool
-	// subject is the request as far as it matters whether it ends engines. alone says that
-	// it may, and has the engine for itself, guarded that those of its sender may, and that
-	// only such are beside it; watched that it was part of an end before.
+	// subject identifies the request in the quarantine. exclusive is set if it is suspected and
+	// has the engine for itself, restricted if its traffic source is restricted and only such
+	// requests run beside it, watched if it was involved in a crash before.
 	subject quarantine.Subject
 	alone   bool
 	guarded bool
 	watched bool
 }
 
-// maxParts bounds the parts remembered of an engine.
+// maxParts bounds the number of cached prompt parts tracked per engine.
 const maxParts = 4096
 
-// maxOver bounds the runs beyond an engine's slots that are told apart; more than
-// beyondSlots come only from hosts that decided alone.
+// maxOver bounds the runs beyond an engine's slots that slotWait distinguishes. More than
+// beyondSlots occur only if hosts have scheduled alone.
 const maxOver = 8
 
 func newEngine(eng fleet.Engine, model *pace.Engine) *engine {
@@ -110,14 +110,13 @@
 		Engine: eng, name: eng.ID.String(), running: make(map[request.ID]*run), model: model, work: assumedWork,
 		stay: assumedStay, eventTokens: 1, cacheTokens: assumedCacheTokens,
 	}
-	// The only error is a size below 1.
+	// NewLRU fails only for a size below 1.
 	ene.parts, _ = simplelru.NewLRU(maxParts, func(_ uint64, tokens int) { ene.partTokens -= tokens })
 	return ene
 }
 
-// unreadTime returns how long the engine still reads what it was given. A prompt
-// whose first event is overdue is taken to need as long again as it is late: what
-// comes behind it waits too.
+// unreadTime predicts how long the engine's pending prefills take. A prefill whose first event
+// is overdue is assumed to need as long again as it is late, which delays those behind it too.
 func (ene *engine) unreadTime(now time.Time) time.Duration {
 	if len(ene.reading) == 0 {
 		return 0
@@ -132,7 +131,7 @@
 	return left
 }
 
-// begin notes that the engine got a run.
+// start records that the engine was granted a run.
 func (ene *engine) begin(now time.Time, rnn *run, answerTokens int) {
 	rnn.given, rnn.cold = now, ene.isCold(now)
 	rnn.ends = now.Add(ene.lasting(rnn, answerTokens))
@@ -147,8 +146,7 @@
 	ene.reading = append(ene.reading, rnn)
 }
 
-// lasting predicts how long a run takes; one whose answer's length isn't known as
-// long as others do.
+// runTime predicts the duration of a run; without a length hint it is the estimated occupancy.
 func (ene *engine) lasting(rnn *run, answerTokens int) time.Duration {
 	if answerTokens <= 0 {
 		return ene.stay
@@ -156,7 +154,7 @@
 	return rnn.expected + ene.stayTime(answerTokens)
 }
 
-// end notes that the engine has read a run's prompt, or has it no more.
+// finishPrefill records that the prefill of a run has finished, or that the run has ended.
 func (ene *engine) end(now time.Time, rnn *run) {
 	rnn.unread = false
 	place := slices.Index(ene.reading, rnn)
@@ -167,7 +165,7 @@
 	if place > 0 || len(ene.reading) == 0 {
 		return
 	}
-	// It began with the next one when it had read this one, some steps before the
+	// The engine began with the next prefill when it finished this one, some steps before the
 	// first event.
 	ene.headSince = now
 	if began := now.Add(-ene.model.Overhead()); began.After(ene.reading[0].given) {
@@ -175,8 +173,8 @@
 	}
 }
 
-// toRead returns how many tokens of a prompt the engine's cache lacks: parts
-// count only while all before them are there too.
+// toRead returns the number of prompt tokens that the engine's cache lacks. A part is served
+// from the cache only if all parts before it are cached too.
 func (ene *engine) toRead(tokens int, parts []call.Part) int {
 	for _, par := range parts {
 		if !ene.parts.Contains(par.ID) {
@@ -187,7 +185,7 @@
 	return max(1, tokens)
 }
 
-// remember takes the prompt's parts to be in the cache.
+// cacheParts adds the prompt's parts to those assumed to be cached.
 func (ene *engine) remember(parts []call.Part) {
 	for _, par := range parts {
 		if _, known := ene.parts.Get(par.ID); known {
@@ -201,7 +199,7 @@
 	}
 }
 
-// wait predicts how long a request waits until the engine begins with it.
+// startDelay predicts how long a request waits until the engine begins with it.
 func (ene *engine) wait(now time.Time, tokens int) time.Duration {
 	if tokens == 0 {
 		queued := max(0, len(ene.running)-ene.Slots+1)
@@ -210,8 +208,7 @@
 	return max(ene.unreadTime(now), ene.slotWait(now))
 }
 
-// alone predicts how long a first event takes where the engine has nothing else to
-// do.
+// unloadedFirst predicts the time to the first event on an otherwise idle engine.
 func (ene *engine) alone(tokens int) time.Duration {
 	if tokens == 0 {
 		return ene.work
@@ -219,8 +216,8 @@
 	return ene.model.ReadTime(tokens) + ene.model.Overhead()
 }
 
-// slotWait predicts how long the next request waits for a slot: until as many
-// runs have ended as are too many.
+// slotWait predicts how long the next request waits for a slot: until as many runs have ended as
+// exceed the slots.
 func (ene *engine) slotWait(now time.Time) time.Duration {
 	over := len(ene.running) - ene.Slots + 1
 	if over <= 0 {
@@ -245,8 +242,8 @@
 	return soonest[max(0, count-1)]
 }
 
-// left predicts how much longer a run goes on. One that should have ended is taken
-// to need half as long again as it is late: long answers are the least foreseen.
+// timeLeft predicts the remaining time of a run. An overdue run is assumed to need half as long
+// again as it is late, since long answers are the least predictable.
 func (rnn *run) left(now time.Time) time.Duration {
 	left := rnn.ends.Sub(now)
 	if left < 0 {
@@ -255,15 +252,14 @@
 	return left
 }
 
-// learnRead takes in how long a prompt that waited for nothing took to its first
-// event.
+// learnRead applies the measured time to the first event of a prompt that didn't wait.
 func (ene *engine) learnRead(rnn *run, took time.Duration) {
 	if !rnn.queued && !rnn.cold {
 		ene.model.ObserveRead(rnn.tokens, took)
 	}
 }
 
-// learnWork takes the measured time of a request without a prompt.
+// learnWork applies the measured time of a request without a prompt.
 func (ene *engine) learnWork(rnn *run, took time.Duration) {
 	if rnn.cold {
 		return
@@ -271,19 +267,18 @@
 	ene.work += time.Duration(workGain * float64(took-ene.work))
 }
 
-// learnStay takes the measured time of a request with a prompt.
+// learnStay applies the measured time of a request with a prompt.
 func (ene *engine) learnStay(took time.Duration) {
 	ene.stay += time.Duration(stayGain * float64(took-ene.stay))
 }
 
-// stayTime predicts how long an answer takes from its first event on.
+// stayTime predicts the time of an answer from its first event on.
 func (ene *engine) stayTime(answerTokens int) time.Duration {
 	return time.Duration(float64(answerTokens) / float64(ene.eventTokens) * float64(ene.model.Event()))
 }
 
-// finishChance returns how likely a stream ends before its deadline here: its
-// caller's guess of its length is right in the middle, and its logarithm is off
-// like a normal variable.
+// finishChance returns the probability that a stream ends before its deadline. It takes the
+// client's length hint as the median of a log-normal distribution.
 func (ene *engine) finishChance(first time.Duration, answerTokens int, remaining time.Duration) float64 {
 	if answerTokens <= 0 {
 		return 1
--- a/scheduler/notice.go
+++ b/scheduler/notice.go
@@ -10,63 +10,67 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// What engines say of themselves in their answers reaches this core from the gateways that
-// heard it. A gateway that was asked for a pause is never granted the engine meanwhile, also
-// where nothing else is left; an engine that leaves is granted to nobody. It is their own
-// word and no guess, so it isn't weighed against an engine's health or the size of a service.
+// Engines send signals about themselves in their answers, which the gateways forward to this
+// core as notices. A gateway that received a backoff request is never granted the engine until
+// it expires, even if no other engine is left. A draining engine is granted to no gateway.
+// Unlike outlier ejection, which infers an engine's state, these rules apply regardless of the
+// size of the service.
 
-// PauseScope is who keeps away from an engine that has asked one gateway for a pause.
+// PauseScope selects the gateways that are affected by an engine's backoff request to one of
+// them.
 type PauseScope uint8
 
-// Which of them serves callers best hangs on how much the engine turns away, which it doesn't
-// say; docs/design/engines-own-word.md has the figures.
+// Which scope serves clients best depends on the share of requests that the engine rejects,
+// which it doesn't report; docs/design/engines-own-word.md compares them.
 const (
-	// PauseProbing has one request of the others at a time find out whether the engine
-	// serves them: at once, and later each time that it asks again.
+	// PauseProbing lets one request at a time of the other gateways probe whether the engine
+	// serves them: at once after the first backoff request, and after a growing delay when it is
+	// repeated.
 	PauseProbing PauseScope = iota
-	// PauseAll has all gateways keep away, for a while: an engine that turns away a part of
-	// what it gets is out of use most of the time.
+	// PauseAll applies the backoff to all gateways for a bounded time. An engine that rejects
+	// only a part of its requests is then out of use most of the time.
 	PauseAll
-	// PauseAsked has the others go on as if nothing had been said: with many gateways an
-	// engine that turns all away does so to each of them.
+	// PauseAsked applies the backoff only to the gateway that received it. An engine that rejects
+	// all requests then rejects those of each gateway separately.
 	PauseAsked
 )
 
 const (
-	// maxSharedPause bounds for how long those keep away that weren't asked: as long as
-	// from an engine that fails again and again. One gateway may have heard wrong.
+	// maxSharedPause bounds the backoff of gateways that didn't receive the request, like an
+	// ejection for repeated failures: a single gateway may have misread the signal.
 	maxSharedPause = maxAside
-	// probeFor is for how long one request keeps the others waiting that tries an engine
-	// first: its answer may be lost, and engines are to be back within a second.
+	// probeFor bounds how long one probe holds back other requests: its answer may be lost, and a
+	// recovered engine should be in use again within a second.
 	probeFor = time.Second
-	// toldAgain is by how much a pause may seem longer when it is told again: the difference
-	// between two ways from a gateway to here.
+	// toldAgain is the difference in remaining backoff up to which a notice counts as repeated.
+	// It covers the difference between the network delays of two paths from a gateway to this
+	// core.
 	toldAgain = 200 * time.Millisecond
-	// minBackoffSpread and maxBackoffSpread are how long after a pause's end those come back
-	// who were refused until then, so that they don't come in step.
+	// minBackoffSpread and maxBackoffSpread bound the jitter added to the end of a backoff in the
+	// retry delay of refused requests, so that their clients don't return at the same moment.
 	minBackoffSpread = 100 * time.Millisecond
 	maxBackoffSpread = 500 * time.Millisecond
 )
 
-// said is what an engine has said of itself. Engines that have said nothing have none, so
-// that a calm day costs one comparison an engine.
+// signalState holds the signals of an engine that are in force. An engine without signals has
+// none, so that the check costs one comparison.
 type said struct {
-	// leaves says that it leaves, or that another one answers at its address.
+	// draining is set if the engine is draining or another one has replaced it at its address.
 	leaves bool
-	// asked is until when the gateways that it asked for a pause send it nothing, sharedUntil
-	// until when the others don't.
+	// backoffUntil is the end of the backoff of each gateway that received a request for it,
+	// sharedUntil the end of the backoff of the others.
 	asked       map[request.Epoch]time.Time
 	sharedUntil time.Time
-	// at is when it last asked. Until an answer to a later run shows that it serves again it
-	// gets one request at a time, which probe is.
+	// requestedAt is the time of the last backoff request. The engine is recovering until a run
+	// granted later is answered; meanwhile it gets one request at a time, the probe.
 	at       time.Time
 	unproved bool
 	probe    *run
-	// step is for how long the others kept away the last time.
+	// sharedBackoff is the duration of the last backoff of the other gateways.
 	step time.Duration
 }
 
-// heard takes what an engine said to a gateway.
+// applyNotice applies an engine's signal that a gateway received.
 func (cor *Core) heard(now time.Time, from request.Epoch, msg reservation.EngineNotice) {
 	ene := cor.engines[msg.Run]
 	if ene == nil {
@@ -87,7 +91,7 @@
 	cor.serveEngine(now, ene)
 }
 
-// speaks returns what an engine has said that keeps gateways away, about to be changed.
+// signalsOf returns the signal state of an engine for modification, creating it if necessary.
 func (cor *Core) speaks(ene *engine) *said {
 	svc := cor.service(ene.Service)
 	if ene.said == nil {
@@ -98,7 +102,7 @@
 	return ene.said
 }
 
-// String returns what holds of it, for dumps.
+// String returns the state for dumps.
 func (sai *said) String() string {
 	switch {
 	case sai.leaves:
@@ -110,9 +114,9 @@
 	}
 }
 
-// pause keeps a gateway away to the end of what it was asked for, and the others for a while
-// when it is asked anew: what is told again, as to a host that decides next or with a grant
-// that is sent back, says nothing more of the engine.
+// applyBackoff blocks a gateway for the requested time, and the other gateways for a while if
+// the request is new. A repeated notice, such as one sent to a new coordinator or with a
+// returned grant, carries no new information.
 func (sai *said) pause(now time.Time, from request.Epoch, left time.Duration, scope PauseScope) {
 	until := now.Add(left)
 	anew := until.Sub(sai.asked[from]) > toldAgain
@@ -132,9 +136,9 @@
 	sai.at, sai.unproved = now, true
 }
 
-// nextStep returns for how long the others keep away: not at all at first, since the engine
-// may turn away a part of what it gets only, and longer each time that it turns away the one
-// that tried. What it was given before that and turns away tells nothing new.
+// nextStep returns the backoff of the other gateways: none at first, since the engine may reject
+// only a part of its requests, and twice as long after each rejected probe. Rejections of
+// requests that were granted before the backoff carry no new information.
 func (sai *said) nextStep(from request.Epoch) time.Duration {
 	switch {
 	case !sai.unproved:
@@ -145,22 +149,23 @@
 	return sai.step
 }
 
-// bars reports whether the engine may not be granted to a gateway now.
+// blocks reports whether the engine may not be granted to the gateway.
 func (sai *said) bars(now time.Time, gateway request.Epoch) bool {
 	return sai.barsAll(now) || now.Before(sai.asked[gateway])
 }
 
-// barsAll reports whether the engine may be granted to no gateway now.
+// barsAll reports whether the engine may not be granted to any gateway.
 func (sai *said) barsAll(now time.Time) bool {
 	return sai.leaves || now.Before(sai.sharedUntil) || sai.probing(now)
 }
 
-// probing reports whether a request is finding out whether the engine serves again.
+// probing reports whether a probe of the engine is in progress.
 func (sai *said) probing(now time.Time) bool {
 	return sai.unproved && sai.probe != nil && now.Sub(sai.probe.given) < probeFor
 }
 
-// opens returns from when on the engine may be granted to a gateway, unless it leaves.
+// blockedUntil returns the time from which the engine may be granted to the gateway, unless it
+// is draining.
 func (sai *said) opens(gateway request.Epoch) time.Time {
 	if at := sai.asked[gateway]; at.After(sai.sharedUntil) {
 		return at
@@ -168,50 +173,50 @@
 	return sai.sharedUntil
 }
 
-// lapsed reports whether nothing of what was said holds any more.
+// expired reports whether no signal is in force any more, and removes the expired backoffs.
 func (sai *said) lapsed(now time.Time) bool {
 	maps.DeleteFunc(sai.asked, func(_ request.Epoch, until time.Time) bool { return !now.Before(until) })
 	return !sai.leaves && !sai.unproved && len(sai.asked) == 0 && !now.Before(sai.sharedUntil)
 }
 
-// barredFor reports whether the engine said anything that keeps it from a gateway.
+// barredFor reports whether a signal blocks the engine for the gateway.
 func (ene *engine) barredFor(now time.Time, gateway request.Epoch) bool {
 	return ene.said != nil && ene.said.bars(now, gateway)
 }
 
-// leaving reports whether the engine leaves, by its entry or by its own word.
+// isDraining reports whether the engine is draining according to its store entry or its signals.
 func (ene *engine) leaving() bool {
 	return ene.Closed() || ene.said != nil && ene.said.leaves
 }
 
-// silenced reports whether the engine is granted to nobody now.
+// isBlocked reports whether the engine may not be granted to any gateway.
 func (ene *engine) silenced(now time.Time) bool {
 	return ene.Closed() || ene.said != nil && ene.said.barsAll(now)
 }
 
-// noteProbe has the run find out whether an engine serves again that asked for a pause.
+// noteProbe makes the run the probe of an engine that is recovering from a backoff.
 func (ene *engine) noteProbe(rnn *run) {
 	if ene.said != nil && ene.said.unproved {
 		ene.said.probe = rnn
 	}
 }
 
-// noteServes takes an answer to a run that the engine got after it last asked for a pause:
-// it serves again.
+// noteServes ends the recovery of the engine if the answered run was granted after the last
+// backoff request.
 func (ene *engine) noteServes(rnn *run) {
 	if ene.said != nil && rnn.given.After(ene.said.at) {
 		ene.said.unproved, ene.said.probe = false, nil
 	}
 }
 
-// endProbe lets the next one try where this run has ended, whatever it showed.
+// endProbe allows the next probe once this run has ended, whatever its result.
 func (ene *engine) endProbe(rnn *run) {
 	if ene.said != nil && ene.said.probe == rnn {
 		ene.said.probe = nil
 	}
 }
 
-// forgetSaid drops what engines of the service have said that holds no more.
+// forgetSaid drops expired signals of the service's engines.
 func (svc *service) forgetSaid(now time.Time) {
 	if svc.said == 0 {
 		return
@@ -230,37 +235,37 @@
 	}
 }
 
-// closings are until when a service's engines may not be granted, by what they have said. It
-// is found once and kept until one says more: thousands of requests of hundreds of gateways
-// may wait for the end of hundreds of pauses (BenchmarkManyWaitingUnderPauses).
+// blockCache caches when a service's engines are blocked by their signals. It is computed once
+// and invalidated by each new signal: thousands of requests of hundreds of gateways may wait for
+// the end of hundreds of backoffs (BenchmarkManyWaitingUnderPauses).
 type closings struct {
-	// open says that some engine has said nothing, looked that this is known.
+	// available is set if some engine has no signals in force, computed if the cache is valid.
 	open   bool
 	looked bool
 	by     map[request.Epoch]closing
 }
 
-// closing is until when no engine may be granted to a gateway.
+// blockPeriod is the time for which no engine may be granted to a gateway.
 type closing struct {
-	// holds is false where an engine has said nothing against it.
+	// blocked is false if an engine is available.
 	holds bool
-	// opens says that one of them may be granted from a time on; otherwise all leave.
+	// ends is set if one of the engines is blocked only for a time; otherwise all are draining.
 	opens bool
 	until time.Time
-	// elsewhere is from when on one may be granted to gateways that weren't asked: a caller
-	// that comes back does so to any host.
+	// othersUntil is the end of the period for gateways that didn't receive a backoff request: a
+	// client may retry at any host.
 	elsewhere time.Time
 }
 
-// hasAsked reports whether an engine of the service has asked the gateway for a pause.
+// hasAsked reports whether the gateway has a backoff in force at an engine of the service.
 func (svc *service) hasAsked(now time.Time, gateway request.Epoch) bool {
 	return slices.ContainsFunc(svc.engines, func(ene *engine) bool {
 		return ene.said != nil && now.Before(ene.said.asked[gateway])
 	})
 }
 
-// closingFor returns until when none of the engines that are left to a request may be
-// granted to it.
+// closingFor returns the period for which all engines that the request doesn't exclude are
+// blocked.
 func (svc *service) closingFor(wai *waiter) closing {
 	if len(wai.reserve.Exclude) > 0 {
 		return svc.closing(wai.gateway, wai.reserve.Exclude)
@@ -306,8 +311,8 @@
 	return clo
 }
 
-// refuseClosed refuses a request at once that can't be granted before its time is up, since
-// all engines that are left leave or have asked for a pause, and reports whether it did.
+// refuseClosed refuses a request at once if all its engines are draining, or in backoff beyond
+// its maximum wait, and reports whether it did.
 func (cor *Core) refuseClosed(now time.Time, svc *service, wai *waiter) bool {
 	if svc.said == 0 {
 		return false
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -12,45 +12,45 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// A request may end each engine that runs it, and come again under another id. What it did
-// is remembered by its digest; without that one caller with four such requests a second
-// took a service of ten engines from everybody. How such a request is told from those that
-// ran beside it stands in package quarantine; here it is kept away from them.
+// A poison request crashes each engine that runs it, and may return under another id. It is
+// therefore tracked by its digest: otherwise a single client that sent four such requests per
+// second put a service of ten engines out of use. Package quarantine tells poison requests from
+// those that ran beside them; this file keeps them away from other requests.
 
-// HeldRead brings the held requests that the store was read to hold.
+// HeldRead brings the held requests that are recorded in the store.
 type HeldRead struct{ Holds []quarantine.Hold }
 
-// RequestFreed says that an operator lets a held request go.
+// RequestFreed reports that an operator released a held request.
 type RequestFreed struct{ Digest call.Digest }
 
 func (HeldRead) isEvent()     {}
 func (RequestFreed) isEvent() {}
 
 const (
-	// watchedCost is what a request counts in the choice that was part of an engine's end,
-	// at an engine that runs another such: if that engine ends too, it should be plain
-	// which of them did it.
+	// watchedCost is the cost of placing a watched request on an engine that already runs one. If
+	// the engine crashes, it should be clear which of the requests caused it.
 	watchedCost = 200 * time.Millisecond
 )
 
-// handling is how a request that waits is dealt with.
+// handling is how a waiting request is treated.
 type handling uint8
 
 const (
-	// handleUsual gives it any engine.
+	// handleUsual allows any engine.
 	handleUsual handling = iota
-	// handleLater has it wait for what came of the same request before.
+	// handleLater keeps the request waiting for the result of an earlier run with the same
+	// digest, or of its traffic source.
 	handleLater
-	// handleAlone gives it an engine that runs nothing else.
+	// handleAlone requires an engine that runs nothing else.
 	handleAlone
-	// handleGuarded gives it an engine that runs nothing else but older requests of those
-	// whose requests are tried so.
+	// handleGuarded requires an engine that runs nothing but older requests of restricted
+	// sources.
 	handleGuarded
-	// handleHeld refuses it.
+	// handleHeld refuses the request.
 	handleHeld
 )
 
-// handling returns how a request is dealt with. On a calm day that is one look.
+// handling returns how a request is treated. It returns early while the quarantine is empty.
 func (cor *Core) handling(now time.Time, res reservation.Reserve) handling {
 	reg := cor.quarantine
 	if reg.Quiet() {
@@ -81,9 +81,9 @@
 	}
 }
 
-// handlingOf returns how a request that waits is dealt with. Hundreds wait in overload, and
-// are looked at with each that begins or ends: it looks anew only where more is known
-// (BenchmarkManyWaiting).
+// handlingOf returns how a waiting request is treated. It caches the usual result until the
+// quarantine changes, since it is called for hundreds of waiting requests whenever a run starts
+// or ends (BenchmarkManyWaiting).
 func (cor *Core) handlingOf(now time.Time, wai *waiter) handling {
 	current := cor.quarantine.Version() + 1
 	if wai.usualAt == current {
@@ -96,8 +96,8 @@
 	return han
 }
 
-// heldBack refuses a request that certainly isn't run in time, and reports whether it did:
-// one that is held, and one of a source that pauses for longer than it may wait.
+// heldBack refuses a request that can't run in time, and reports whether it did: a held request,
+// or one whose traffic source is paused for longer than the request may wait.
 func (cor *Core) heldBack(now time.Time, from request.Epoch, res reservation.Reserve, svc *service) bool {
 	if cor.quarantine.Quiet() {
 		return false
@@ -114,7 +114,7 @@
 	return true
 }
 
-// Held returns the refusal of a request that is held.
+// Held returns the refusal of a request, and whether the request is held.
 func (cor *Core) Held(now time.Time, res reservation.Reserve) (reservation.Refuse, bool) {
 	if cor.quarantine.Quiet() || cor.quarantine.Level(now, res.Digest) != quarantine.LevelHeld {
 		return reservation.Refuse{}, false
@@ -123,7 +123,7 @@
 	return reservation.Refuse{ID: res.ID, Ballot: res.Ballot, Reason: reservation.ReasonHeld, RetryAfter: left}, true
 }
 
-// noteBegun counts a run by its digest.
+// noteBegun counts the run by its digest.
 func (cor *Core) noteBegun(rnn *run) {
 	if rnn.subject.Digest != (call.Digest{}) {
 		cor.runningOf[rnn.subject.Digest]++
@@ -134,7 +134,7 @@
 	}
 }
 
-// noteOver takes a run off that count.
+// noteOver removes the run from the counts.
 func (cor *Core) noteOver(now time.Time, rnn *run) {
 	dig := rnn.subject.Digest
 	cor.runningOf[dig]--
@@ -147,12 +147,12 @@
 	rnn.engine.aloneRuns--
 	cor.service(rnn.engine.Service).aloneRuns--
 	if !cor.anyApart(now, rnn.engine.Service) {
-		// The others may use the engine again.
+		// No request needs the isolated engine any more: release it for normal requests.
 		rnn.engine.apartUntil = time.Time{}
 	}
 }
 
-// anyApart reports whether a request of the service waits for an engine that is set apart.
+// anyApart reports whether a request of the service waits for an isolated engine.
 func (cor *Core) anyApart(now time.Time, service string) bool {
 	svc := cor.services[service]
 	return svc != nil && slices.ContainsFunc(svc.waiting, func(wai *waiter) bool {
@@ -161,8 +161,8 @@
 	})
 }
 
-// noteWhole takes a whole answer for what it says: the request doesn't end engines, and
-// the engine lives.
+// noteWhole records a complete answer: it clears the request of suspicion and shows that the
+// engine is alive.
 func (cor *Core) noteWhole(now time.Time, rnn *run) {
 	if cor.quarantine.Quiet() {
 		return
@@ -177,7 +177,7 @@
 	}
 }
 
-// engineEnded takes a gateway's word of an engine that ended under a request.
+// applyCrash records a gateway's report that an engine crashed while it ran a request.
 func (cor *Core) engineEnded(now time.Time, msg reservation.EngineEnded) {
 	obs := msg.Observation
 	if rnn := cor.runs[msg.ID]; rnn != nil && rnn.engine.name == obs.Engine {
@@ -190,7 +190,7 @@
 	cor.noteEnd(now, obs)
 }
 
-// noteEnd notes an engine's end under a request.
+// noteEnd records the crash of an engine that ran a request.
 func (cor *Core) noteEnd(now time.Time, obs quarantine.Observation) {
 	ene := cor.engines[fleet.ParseEngineID(obs.Engine)]
 	if ene != nil && !ene.ended {
@@ -207,7 +207,7 @@
 	}
 }
 
-// explained reports whether the engine ran a request that was part of an end before.
+// hasKnownCause reports whether the engine ran a request that was involved in an earlier crash.
 func (cor *Core) explained(ene *engine) bool {
 	for _, rnn := range ene.running {
 		if rnn.alone || rnn.guarded || cor.quarantine.Ends(rnn.subject.Digest) > 0 {
@@ -217,8 +217,8 @@
 	return false
 }
 
-// noteUnexplained has the registry weigh who was at the engine that ended against who was
-// at the others.
+// noteUnexplained has the registry compare the traffic sources at the crashed engine with those
+// at the other engines.
 func (cor *Core) noteUnexplained(now time.Time, ended *engine) {
 	svc := cor.service(ended.Service)
 	others := 0
@@ -248,7 +248,8 @@
 	}
 }
 
-// sourcesAt returns who has a request at the engine, and who a new one.
+// sourcesAt returns the traffic sources with a request at the engine, and those with a young
+// request.
 func (ene *engine) sourcesAt(now time.Time) (here, young map[quarantine.Source]bool) {
 	here, young = make(map[quarantine.Source]bool), make(map[quarantine.Source]bool)
 	for _, rnn := range ene.running {
@@ -261,7 +262,7 @@
 	return here, young
 }
 
-// settleDoubts tells the registry of the engines that are known now.
+// settleDoubts passes the known engines to the registry, to settle unconfirmed crashes.
 func (cor *Core) settleDoubts(now time.Time) {
 	if cor.quarantine.Quiet() {
 		return
@@ -275,55 +276,57 @@
 	}
 }
 
-// SourceChange says that a source's requests run alone from now on, or no longer.
+// SourceChange reports that the requests of a traffic source are restricted to isolated engines
+// from now on, or no longer.
 type SourceChange struct {
 	Source     quarantine.Source
 	Restricted bool
 }
 
-// QuarantineChanges returns what has become of requests and sources since it was last
-// called, for the log and for other hosts.
+// QuarantineChanges returns the changes of requests and traffic sources since the last call, for
+// the log and for other hosts.
 func (cor *Core) QuarantineChanges() ([]quarantine.Change, []SourceChange) {
 	changes, sources := cor.quarantine.Changes(), cor.sources
 	cor.sources = nil
 	return changes, sources
 }
 
-// CaseReports returns what another host is told of requests at a level or above, the worst
-// first.
+// CaseReports returns at most the given number of reports on requests at a level or above, the
+// most suspect first, for other hosts.
 func (cor *Core) CaseReports(now time.Time, least quarantine.Level, most int) []quarantine.Report {
 	return cor.quarantine.Reports(now, least, most)
 }
 
-// KnowsCase reports whether anything is known against a request.
+// KnowsCase reports whether the request was involved in a crash.
 func (cor *Core) KnowsCase(dig call.Digest) bool {
 	return cor.quarantine.Ends(dig) > 0
 }
 
-// HoldsToStore returns the held requests as the store should hold them, and whether that
-// differs from what it was last read to hold.
+// HoldsToStore returns the held requests to be stored, and whether they differ from those last
+// read from the store.
 func (cor *Core) HoldsToStore() ([]quarantine.Hold, bool) {
 	return cor.quarantine.ToStore()
 }
 
-// CaseDump is what is known against one request.
+// CaseDump is the state of a request that was involved in crashes.
 type CaseDump struct {
 	Digest  call.Digest
 	Level   string
 	Service string
 	Account string
 	Route   string
-	// Engines are those that ended while they ran it; Alone says that it ran alone on the
-	// last of them.
+	// Engines are those that crashed while they ran the request. Alone is set if it ran
+	// exclusively on the last of them.
 	Engines []string
 	Alone   bool
-	// Until is when it is let out; the zero time for one that isn't held, or is for good.
+	// Until is when the request is released. It is the zero time for a request that isn't held or
+	// is held permanently.
 	Until   time.Time
 	ForGood bool
 	Trials  int
 }
 
-// maxCaseDumps bounds the requests that a dump names: an operator looks for few.
+// maxCaseDumps bounds the number of requests in a dump; operators look up only a few.
 const maxCaseDumps = 512
 
 func (cor *Core) dumpCases(now time.Time) []CaseDump {
@@ -344,7 +347,7 @@
 	return dumps
 }
 
-// dropRuns forgets the runs of a gateway that is lost.
+// dropRuns removes the runs of a lost gateway.
 func (cor *Core) dropRuns(now time.Time, gateway request.Epoch) {
 	maps.DeleteFunc(cor.runs, func(id request.ID, rnn *run) bool {
 		if rnn.gateway != gateway {
--- a/scheduler/rate.go
+++ b/scheduler/rate.go
@@ -9,52 +9,54 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// An engine in need names the most requests a second that it takes from all hosts together, and
-// one that is cold bears no more than its operators say. Who decides keeps the sum: a token for
-// each grant, at the lower of the two rates, in this core's share of it. A core that decides for
-// nobody has no share, so that one that takes over begins with nothing saved up, whatever the
-// former one gave out in its last seconds.
+// An overloaded engine signals the number of requests per second that it accepts from all hosts
+// together, and a cold engine bears only the configured rate. The scheduler enforces the sum
+// with a token bucket: each grant takes a token, at the lower of the two rates times this core's
+// share. A core that schedules for no host has no share, so that a new coordinator starts with
+// an empty bucket, whatever the former one granted in its last seconds.
 
 const (
-	// minRate is what an engine is asked at the least, in requests a second, also one that
-	// takes nothing: only an answer tells that its rate has ended.
+	// minRate is the lowest rate of grants in requests per second, applied even to an engine that
+	// accepts none: only an answer shows that the limit has ended.
 	minRate = 0.5
-	// maxSaved is how long an engine's tokens are saved up, beside one request: requests come
-	// unevenly, and what isn't saved is lost to those who wait.
+	// maxSaved is the capacity of an engine's token bucket as a period, in addition to one
+	// request: requests arrive unevenly, and tokens that aren't kept are lost to the waiting
+	// requests.
 	maxSaved = 500 * time.Millisecond
-	// coldSaved is the same for an engine that is cold: it bears half as many again as come in a
-	// second, and a grant may be used a quarter of a second later.
+	// coldSaved is the same for a cold engine. It bears half as many again as arrive in a second,
+	// and a grant may be used a quarter of a second later.
 	coldSaved = 200 * time.Millisecond
-	// askedAgain is after what time an engine that has named a rate is given a request although
-	// others would serve it better: only an answer tells that its rate has ended, and what is
-	// believed of it is to be a few seconds old at most.
+	// askedAgain is the period after which an engine with a rate limit is granted a request even
+	// if another engine would serve it better. Only an answer shows that the limit has ended, and
+	// the known state should be a few seconds old at most.
 	askedAgain = 2 * time.Second
-	// spentWindow is for how long grants are remembered for the dump, maxSpent how many.
+	// spentWindow is how long grants are kept for the dump, maxSpent how many are kept.
 	spentWindow = 4 * time.Second
 	maxSpent    = 128
 )
 
-// pacing keeps what an engine is granted to the rate that it has named, and to what it bears
-// while it is cold.
+// rateLimiter limits the grants of an engine to its signaled rate, and to what it bears while it
+// is cold.
 type pacing struct {
-	// named says that it has named a rate, perSecond, and last did at namedAt.
+	// hasRate is set if the engine has signaled a rate, perSecond, the last time at namedAt.
 	named     bool
 	perSecond float64
 	namedAt   time.Time
-	// coldUntil is until when it is cold, coldRate what it bears meanwhile, in requests a second.
+	// coldUntil is when the engine is warm, coldRate what it bears until then, in requests per
+	// second.
 	coldUntil time.Time
 	coldRate  float64
-	// share is this core's part of the rate; 0 while it decides for nobody.
+	// share is this core's share of the rate; 0 while it schedules for no host.
 	share float64
-	// tokens are what may be granted now, filled when they were last counted.
+	// tokens is the content of the bucket at the time filledAt.
 	tokens float64
 	filled time.Time
-	// spent are the last grants, the newest last, takenAt is when the last one was.
+	// grants are the recent grants, the newest last, and takenAt the time of the last one.
 	spent   []spending
 	takenAt time.Time
 }
 
-// spending is a grant that took a token.
+// rateGrant is a grant that took a token.
 type spending struct {
 	gateway request.Epoch
 	at      time.Time
@@ -65,12 +67,12 @@
 	return now.Before(pac.coldUntil)
 }
 
-// holds reports whether anything bounds what the engine is granted.
+// isActive reports whether the grants of the engine are limited.
 func (pac *pacing) holds(now time.Time) bool {
 	return pac.named || pac.isCold(now)
 }
 
-// limit returns what the engine takes of all hosts, in requests a second.
+// limit returns the engine's limit for all hosts, in requests per second; infinite without one.
 func (pac *pacing) limit(now time.Time) float64 {
 	limit := math.Inf(1)
 	if pac.named {
@@ -82,7 +84,7 @@
 	return limit
 }
 
-// rate returns this core's part of that.
+// rate returns this core's share of the limit, in requests per second.
 func (pac *pacing) rate(now time.Time) float64 {
 	if pac.share == 0 || !pac.holds(now) {
 		return 0
@@ -99,7 +101,7 @@
 	pac.tokens = min(pac.tokens, 1+rate*pac.saved(now).Seconds())
 }
 
-// saved returns for how long tokens are saved up.
+// burstTime returns the capacity of the bucket as a period.
 func (pac *pacing) saved(now time.Time) time.Duration {
 	if pac.isCold(now) {
 		return coldSaved
@@ -107,19 +109,19 @@
 	return maxSaved
 }
 
-// name takes the rate that the engine has named now.
+// setRate applies the rate that the engine signaled.
 func (pac *pacing) name(now time.Time, perSecond float64) {
 	pac.fill(now)
 	pac.named, pac.perSecond, pac.namedAt = true, perSecond, now
 }
 
-// chill takes the engine to be cold until a time.
+// setCold marks the engine cold until a time, with the rate that it bears meanwhile.
 func (pac *pacing) chill(now, until time.Time, perSecond float64) {
 	pac.fill(now)
 	pac.coldUntil, pac.coldRate = until, perSecond
 }
 
-// divide takes this core's new share; one that had none has nothing saved up.
+// setShare applies this core's new share. The bucket is emptied when the share was or becomes 0.
 func (pac *pacing) divide(now time.Time, share float64) {
 	pac.fill(now)
 	if pac.share == 0 || share == 0 {
@@ -128,7 +130,7 @@
 	pac.share = share
 }
 
-// admits reports whether a request may be granted now.
+// admits reports whether a request may be granted.
 func (pac *pacing) admits(now time.Time) bool {
 	if pac == nil || !pac.holds(now) {
 		return true
@@ -137,8 +139,8 @@
 	return pac.tokens >= 1
 }
 
-// overdue reports whether the engine has named a rate and wasn't asked for a while whether that
-// holds on.
+// needsCheck reports whether the engine has signaled a rate but was granted no request lately
+// that would show whether the rate still applies.
 func (pac *pacing) overdue(now time.Time) bool {
 	if pac == nil || !pac.named {
 		return false
@@ -150,7 +152,7 @@
 	return now.Sub(asked) >= askedAgain
 }
 
-// take spends a token.
+// take takes a token for a grant.
 func (pac *pacing) take(now time.Time, gateway request.Epoch) {
 	pac.tokens--
 	pac.takenAt = now
@@ -161,7 +163,7 @@
 	pac.spent = append(pac.spent, spending{gateway: gateway, at: now})
 }
 
-// giveBack returns the token of a grant that wasn't sent.
+// refund returns the token of a grant whose request wasn't sent.
 func (pac *pacing) giveBack(gateway request.Epoch) {
 	pac.tokens++
 	for idx, spe := range pac.spent {
@@ -178,13 +180,13 @@
 	}
 }
 
-// spentLately returns how many grants took a token of late; no more than are remembered.
+// spentLately returns the number of recent grants, up to the number that is kept.
 func (pac *pacing) spentLately(now time.Time) int {
 	pac.forgetSpent(now)
 	return len(pac.spent)
 }
 
-// rateShare returns this core's part of what engines take from all hosts.
+// rateShare returns this core's share of the engines' rate limits.
 func (cor *Core) rateShare() float64 {
 	if cor.elsewhere {
 		return 0
@@ -192,14 +194,14 @@
 	return 1 / cor.parts
 }
 
-// limitRate takes the rate that an engine has named. What it was granted before counts for
-// all that it could have saved up.
+// limitRate applies a signaled rate. Requests granted before count as the whole burst that could
+// have been saved up.
 func (cor *Core) limitRate(now time.Time, ene *engine, lim fleet.RateLimit) {
 	ene.rateEnded = false
 	cor.pace(now, ene).name(now, lim.PerSecond)
 }
 
-// pace returns the engine's pacing, a new one where it has none.
+// limiterOf returns the engine's rate limiter, creating it if necessary.
 func (cor *Core) pace(now time.Time, ene *engine) *pacing {
 	if ene.pacing == nil {
 		ene.pacing = &pacing{share: cor.rateShare(), filled: now}
@@ -208,7 +210,8 @@
 	return ene.pacing
 }
 
-// unlimit ends an engine's rate. Its entry may have gone before the answer came that shows it.
+// clearRate ends an engine's signaled rate limit. The engine may have been deregistered before
+// the answer that shows this arrived.
 func (cor *Core) unlimit(now time.Time, ene *engine) {
 	if ene.pacing == nil || !ene.pacing.named {
 		return
@@ -217,7 +220,7 @@
 	cor.dropPacing(now, ene)
 }
 
-// dropPacing forgets the engine's pacing if nothing bounds what it is granted any more.
+// dropPacing removes the engine's rate limiter if no limit is in force.
 func (cor *Core) dropPacing(now time.Time, ene *engine) {
 	if ene.pacing == nil || ene.pacing.holds(now) {
 		return
@@ -228,8 +231,8 @@
 	}
 }
 
-// grantRate returns what a gateway is told of the engine's rate with a grant: of its end by
-// one gateway's answer the others hear so.
+// grantRate returns the state of the engine's rate limit for a grant. Other gateways learn this
+// way that the answer to one gateway has ended the limit.
 func (ene *engine) grantRate() reservation.GrantRate {
 	switch {
 	case ene.pacing != nil && ene.pacing.named:
@@ -241,7 +244,7 @@
 	}
 }
 
-// shareRates divides the rates anew.
+// shareRates applies this core's current share to all rate limiters.
 func (cor *Core) shareRates(now time.Time) {
 	for _, ene := range cor.engines {
 		if ene.pacing != nil {
@@ -250,9 +253,9 @@
 	}
 }
 
-// noteUnlimited takes an answer: had it named a rate, its gateway would have told that first.
-// So it ends one that was named before its request was granted. Of a run that another core
-// granted it isn't known when it was answered.
+// noteUnlimited records an answer without a rate limit; with one, the gateway would have sent a
+// notice first. It ends a limit that was signaled before the run was granted. Runs granted by
+// another core are ignored, since it isn't known when they were answered.
 func (cor *Core) noteUnlimited(now time.Time, rnn *run) {
 	pac := rnn.engine.pacing
 	if pac != nil && !rnn.inherited && rnn.given.After(pac.namedAt) {
@@ -260,17 +263,17 @@
 	}
 }
 
-// allowance is what those who wait for a service may hope for while all of its engines that
-// are in use have named a rate, or are cold.
+// allowance is the number of grants available to a service's waiting requests while all its
+// engines in use have signaled a rate or are cold.
 type allowance struct {
-	// holds is false where some engine has named none.
+	// limited is false if some engine has no limit.
 	holds bool
-	// tokens are those of all engines now, perSecond what comes of them.
+	// tokens is the sum of the engines' tokens, perSecond the sum of their rates.
 	tokens    float64
 	perSecond float64
 }
 
-// allowance returns what the service's engines take as they are now.
+// allowance returns the current allowance of the service's engines.
 func (svc *service) allowance(now time.Time) allowance {
 	var alw allowance
 	if svc.paced == 0 {
@@ -291,8 +294,9 @@
 	return alw
 }
 
-// refuseSpent refuses a request at once that can't be granted before its time is up, since
-// those before it get all that the engines take, and reports whether it did.
+// refuseSpent refuses a request at once if the allowance won't reach it before its maximum wait
+// ends, and reports whether it did. The requests ahead of it in the queue use the allowance
+// first.
 func (cor *Core) refuseSpent(now time.Time, svc *service, wai *waiter, alw allowance, ahead int) bool {
 	lapsed := wai.paced && !now.Before(wai.until)
 	if !alw.holds || !lapsed && alw.reaches(ahead, wai.until.Sub(now)) {
@@ -305,14 +309,16 @@
 	return true
 }
 
-// reaches reports whether a request behind so many others may be granted within a time. Parts
-// of a token at several engines count for whole ones, so that nobody is refused who needn't be.
+// suffices reports whether a request behind so many others may be granted within a time.
+// Fractions of tokens at several engines are added up, so that no request is refused that could
+// be granted.
 func (alw allowance) reaches(ahead int, left time.Duration) bool {
 	return alw.tokens+alw.perSecond*left.Seconds() >= float64(ahead+1)
 }
 
-// returnAfter returns when a caller that was refused for want of allowance comes back: as the
-// line moves, one after another. Who would come too late for its time takes no place.
+// returnAfter returns when the client of a request refused for lack of allowance should retry:
+// one after another at the rate of the allowance. A client whose turn would come too late gets
+// the usual retry delay and takes no turn.
 func (svc *service) returnAfter(now time.Time, wai *waiter, alw allowance) time.Duration {
 	step := time.Duration(float64(time.Second) / alw.perSecond)
 	next := now.Add(time.Duration(float64(len(svc.waiting)) * float64(step)))
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package scheduler decides which request goes to which engine, and when: it
-// keeps the waiting requests in order, the engines' slots and unread prompts,
-// the client accounts' limits and the services' budgets of repeats.
+// Package scheduler decides which engine serves each request and when. It keeps the queues of
+// waiting requests, the slots and pending prefills of the engines, the limits of the client
+// accounts and the retry budgets of the services.
 //
 // # Usage
 //
@@ -10,9 +10,9 @@
 //		// snd.Message is a reservation.Grant or a reservation.Refuse
 //	}
 //
-// A Core is pure: events and the time go in, messages come out. One host's core
-// decides for all hosts while they reach it; any other host's decides for that
-// host alone meanwhile.
+// A Core does no I/O and reads no clock: it takes events with the current time and returns
+// messages. The coordinator's core schedules for all hosts that can reach it. While a host can't
+// reach the coordinator, its own core schedules for that host alone.
 package scheduler
 
 import (
@@ -27,82 +27,84 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-// Repeats bounds the requests that are sent to a further engine, over all hosts.
+// Repeats bounds the retries of requests at further engines, over all hosts.
 type Repeats struct {
-	// Ratio is the share of a service's requests that may be repeated.
+	// Ratio is the share of a service's requests that may be retried, from 0 to 1.
 	Ratio float64
-	// Window is the time over which both are counted.
+	// Window is the period over which requests and retries are counted.
 	Window time.Duration
-	// Slack is how many more may be repeated in a window.
+	// Slack is the number of additional retries allowed per window.
 	Slack float64
 }
 
-// Config holds what a Core is made from.
+// Config configures a Core.
 type Config struct {
-	// Self is the epoch of the host whose core this is.
+	// Self is the epoch of the host that runs this core.
 	Self    request.Epoch
 	Repeats Repeats
-	// LimitSlack is how many units over all hosts may be served beyond a client
-	// account's limit before the users count it as broken.
+	// LimitSlack is the number of units that all hosts together may serve beyond a client
+	// account's limit before the limit counts as violated.
 	LimitSlack float64
-	// LimitWindow is the window in which an account's use is counted, and
-	// LimitOvershoot the part of its limit there by which it may be exceeded.
+	// LimitWindow is the window over which an account's usage is measured. LimitOvershoot is the
+	// fraction of the limit by which the usage in a window may exceed it.
 	LimitWindow    time.Duration
 	LimitOvershoot float64
-	// Rollouts bounds what versions get that aren't known to be good.
+	// Rollouts bounds the traffic to versions that aren't known to be healthy.
 	Rollouts rollout.Config
-	// Pauses says who keeps away from an engine that has asked for a pause.
+	// Pauses selects the gateways that stop sending to an engine after its backoff request.
 	Pauses PauseScope
-	// Regions are the regions of failure domains.
+	// Regions maps failure domains to their regions.
 	Regions map[string]string
-	// Quarantine says when requests are held back that end engines.
+	// Quarantine sets when requests that crash engines are held.
 	Quarantine quarantine.Config
 }
 
-// Event is something that happened to the scheduler.
+// Event is an input of Core.Handle.
 type Event interface {
 	isEvent()
 }
 
-// EnginesChanged brings all engines as they are known now.
+// EnginesChanged replaces the list of known engines.
 type EnginesChanged struct{ Engines []fleet.Engine }
 
-// ConfigurationChanged brings a newer configuration.
+// ConfigurationChanged replaces the configuration.
 type ConfigurationChanged struct{ Table *route.Table }
 
-// Received brings a gateway's message.
+// Received is a message from a gateway.
 type Received struct {
 	From    request.Epoch
 	Message reservation.Message
 }
 
-// GatewayLost says that a gateway's session is gone.
+// GatewayLost reports that a gateway's session has ended.
 type GatewayLost struct{ Gateway request.Epoch }
 
-// GrantedElsewhere says that another host's scheduler gave this host a run, so
-// that this one knows of it in case it has to decide alone.
+// GrantedElsewhere reports a run that another host's scheduler granted to this host, so that
+// this core accounts for it when it has to schedule alone.
 type GrantedElsewhere struct{ Adopt reservation.Adopt }
 
-// ShareChanged says into how many parts like this scheduler's the limits are
-// divided: 1 where it decides for all hosts, 3 where it decides for two of six.
+// ShareChanged sets the divisor of the limits: each of this many equal schedulers enforces its
+// share of them. It is 1 for a core that schedules for all hosts, and 3 for one that schedules
+// for two of six.
 type ShareChanged struct {
 	Parts float64
-	// Hosts is how many hosts there are; Elsewhere says that this scheduler decides for none
+	// Hosts is the number of hosts. The following field is set while this core schedules for none
 	// of them.
 	Hosts     int
 	Elsewhere bool
 }
 
-// SurveyRead brings what the hosts have recorded of the engines' speed.
+// SurveyRead brings the recorded speed measurements of the engines.
 type SurveyRead struct{ Survey pace.Survey }
 
-// DomainsClosed says to which failure domains a gateway sends nothing, all of them each time.
+// DomainsClosed lists all failure domains to which a gateway sends no requests. It replaces the
+// gateway's former list.
 type DomainsClosed struct {
 	Gateway request.Epoch
 	Domains []string
 }
 
-// Tick lets time pass.
+// Tick serves the queues at the current time.
 type Tick struct{}
 
 func (EnginesChanged) isEvent()       {}
@@ -115,33 +117,36 @@
 func (DomainsClosed) isEvent()        {}
 func (Tick) isEvent()                 {}
 
-// Send is a message to a gateway.
+// Send is a message to be sent to a gateway.
 type Send struct {
 	To      request.Epoch
 	Message reservation.Message
-	// Inputs are what the decision rests on.
+	// Inputs are the values that the decision is based on.
 	Inputs Inputs
 }
 
-// Inputs are what a grant or a refusal rests on, for the log.
+// Inputs are the values that a grant or a refusal is based on, for the decision log.
 type Inputs struct {
-	// Waited is how long the request has waited here, Waiting how many do.
+	// Waited is the time that the request has spent in the queue. Waiting is the length of the
+	// queue.
 	Waited  time.Duration
 	Waiting int
-	// Running, Unread and Expected tell of the engine that was granted: its
-	// requests, the time that it still reads, and the predicted first token.
+	// These describe the granted engine: its number of running requests, the time of its pending
+	// prefills, and the predicted time to the first token.
 	Running  int
 	Unread   time.Duration
 	Expected time.Duration
-	// Engines is how many the service has, Aside how many of them are left out for their
-	// health; AsideUsed says that these are too many, so that they are used all the same.
+	// Engines is the number of the service's engines. The next two are the number of engines that
+	// outlier detection would eject, and whether these are too many, so that they are used
+	// anyway.
 	Engines   int
 	Aside     int
 	AsideUsed bool
-	// Paced is how many of them have named a rate or are cold, WaitedForRate says that the
-	// request could have been granted one of these but for that. PerSecond is the rate of the
-	// engine that was granted, Spent how many it was granted within four seconds before; 0
-	// without one. Cold says that it is cold.
+	// The first counts the service's engines that have signaled a rate limit or are cold.
+	// WaitedForRate is set if only these limits kept the request from being granted. PerSecond is
+	// the rate limit of the granted engine in requests per second, followed by the number of
+	// requests that it was granted in the last four seconds; both are 0 without a limit. Cold is
+	// set if the engine is cold.
 	Paced         int
 	WaitedForRate bool
 	PerSecond     float64
@@ -149,67 +154,66 @@
 	Cold          bool
 }
 
-// The figures of the policy.
+// Parameters of the scheduling policy.
 const (
-	// waitShare is the part of a request's aim that it may wait for an engine:
-	// a refusal within a quarter still leaves its caller time to come back.
+	// waitShare is the fraction of a request's latency target that it may wait for an engine: a
+	// refusal within a quarter of the target leaves the client time to retry.
 	waitShare = 0.25
-	// waitMargin is what an answer needs to reach the caller within that.
+	// waitMargin is reserved for delivering the response to the client within that time.
 	waitMargin = 15 * time.Millisecond
-	// overloadMemory is for how long a service counts as overloaded after it refused a
-	// request that could have been in time: callers that were refused come back within
-	// so long, and a burst lasts about as long.
+	// overloadMemory is how long a service counts as overloaded after it refused a request that
+	// could have met its target. Refused clients retry within this time, and bursts last about as
+	// long.
 	overloadMemory = 4 * time.Second
-	// beyondSlots is how many requests an engine is given beyond its slots, so
-	// that a slot that falls free has work at once.
+	// beyondSlots is the number of requests that an engine may queue beyond its slots, so that a
+	// slot that becomes free has work at once.
 	beyondSlots = 2
-	// unreadLimit is how much prompt, in the engine's own time, may be unread at
-	// an engine before it gets more.
+	// unreadLimit bounds the predicted time of an engine's pending prefills. An engine above it
+	// is granted no further requests.
 	unreadLimit = 200 * time.Millisecond
-	// assumedWork is the time of a request to a plain service nothing is known of.
+	// assumedWork is the initial estimate of the service time of a request without a prompt.
 	assumedWork = 30 * time.Millisecond
-	// assumedStay is how long a request keeps a slot of an engine nothing is known of.
+	// assumedStay is the initial estimate of the time that a request occupies a slot.
 	assumedStay = time.Second
-	// workGain is the weight of a new measurement in the learned time of a request
+	// workGain is the weight of a new measurement in the estimated service time of requests
 	// without a prompt.
 	workGain = 0.2
-	// stayGain is the weight of a new measurement in the learned stay: lengths
-	// differ a hundredfold, so it is slow.
+	// stayGain is the weight of a new measurement in the estimated occupancy. It is small since
+	// answer lengths vary a hundredfold.
 	stayGain = 0.05
-	// hintSpread is by how many doublings callers' guesses of an answer's length
-	// are off, as a standard deviation.
+	// hintSpread is the standard deviation of the clients' answer length hints, in doublings.
 	hintSpread = 0.72
-	// finishCost is what a stream that certainly misses its deadline counts in the
-	// choice, beside the time to the first token. It keeps long answers off engines
-	// too slow for them, where they would be cut.
+	// finishCost is the cost of a stream that certainly misses its deadline, added to the time to
+	// the first token. It keeps long answers off engines too slow to complete them.
 	finishCost = 1000 * time.Millisecond
-	// lateShare is how many times its aim a late first event may take: callers leave
-	// after four times, and predictions are off by a fifth. It keeps prompts that are
-	// too long for any engine from being lost at a slow one.
+	// lateShare is the multiple of its latency target that a late first event may take. Clients
+	// give up after four times the target, and predictions are off by a fifth. The bound keeps
+	// prompts that are too long for any engine from timing out at a slow one.
 	lateShare = 3.0
-	// loadCost is what an engine full to its slots counts in the choice, beside
-	// the time to the first token: all its streams slow down with each more.
+	// loadCost is the cost of an engine with all slots in use, added to the time to the first
+	// token: each additional stream slows down all streams of the engine.
 	loadCost = 40 * time.Millisecond
-	// crossCost is what an engine in another failure domain counts, for the way
-	// and the bytes.
+	// crossCost is the cost of an engine in another failure domain, for the network delay and the
+	// traffic.
 	crossCost = 40 * time.Millisecond
-	// regionCost is the same for one in another region: tens of milliseconds each way, and
-	// bytes on the narrowest links there are.
+	// regionCost is the cost of an engine in another region, which is tens of milliseconds away
+	// over the links with the least bandwidth.
 	regionCost = 120 * time.Millisecond
-	// rateCost is what an engine that has named a rate, or is cold, counts: its few places are
-	// for who has a prompt in its memory, or no other engine.
+	// rateCost is the cost of an engine that has signaled a rate limit or is cold. It reserves
+	// the few requests that such an engine accepts for those with a cached prompt and those that
+	// no other engine can serve.
 	rateCost = 40 * time.Millisecond
-	// minRetryShare and maxRetryShare are the parts of its time left after which a
-	// refused caller comes back: overload and used-up limits last some seconds,
-	// callers wait a third of their time at most, and they must not return in step.
+	// minRetryShare and maxRetryShare bound the delay after which a refused client retries, as
+	// fractions of its remaining time. Overload and exhausted limits last some seconds, clients
+	// wait for a third of their time at most, and the retries must not be synchronized.
 	minRetryShare = 0.16
 	maxRetryShare = 0.32
-	// maxRetrySpan bounds the time that this is a share of: a burst is over within
+	// maxRetrySpan caps the remaining time that these fractions apply to: bursts are over within
 	// five seconds.
 	maxRetrySpan = 15 * time.Second
-	// cacheShare is the part of an engine's memory that is taken to hold cached
-	// parts; running requests need the rest.
+	// cacheShare is the fraction of an engine's memory assumed to hold cached prompt parts.
+	// Running requests need the rest.
 	cacheShare = 0.6
-	// assumedCacheTokens is the memory of an engine whose operators told none.
+	// assumedCacheTokens is the cache size of an engine for which none is configured.
 	assumedCacheTokens = 200_000
 )
