--- a/pace/line.go
+++ b/pace/line.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// forget is the share of all earlier observations' weight that each new one takes
-	// away: the last hundred count, over all engines of a service.
+	// forget is the fraction by which each new observation reduces the weight of all earlier
+	// ones: about the last hundred of a service's engines count.
 	forget = 0.01
-	// priorWeight is the weight of what a line begins with, beside one observation's.
+	// priorWeight is the weight of each of the two points that a line starts with, relative to
+	// one observation.
 	priorWeight = 3.0
-	// priorTokens is where the prior tells the time of a token: a prompt of middling
-	// length.
+	// priorTokens is the prompt length of the second of these points, that of a medium prompt.
 	priorTokens = 4000
-	// errorFloor keeps short prompts from counting more than their noise allows: the
-	// way there and back alone varies by some milliseconds.
+	// errorFloor is added to a time before it scales the relative error, so that short prompts
+	// don't count more than their noise allows: the network round trip alone varies by some
+	// milliseconds.
 	errorFloor = 30 * time.Millisecond
-	// minToken bounds the learned time of a token, minOverhead that of a first event.
+	// minToken bounds the learned time per token, minOverhead the learned fixed time.
 	minToken    = time.Microsecond
 	minOverhead = time.Millisecond
 )
 
-// line fits the time to a first event as a fixed part and a part per token, by
-// least squares of the relative errors; older observations count less.
+// line fits the time to the first event as a fixed part plus a part per token, by least squares
+// of the relative errors with exponentially decreasing weights.
 type line struct {
 	overhead time.Duration
 	token    time.Duration
@@ -31,7 +32,7 @@
 	sumXY    float64
 }
 
-// newLine returns a line that begins with the given parts.
+// newLine returns a line with initial values for both parts.
 func newLine(overhead, token time.Duration) line {
 	lin := line{overhead: max(minOverhead, overhead), token: max(minToken, token)}
 	lin.add(0, lin.overhead, priorWeight)
@@ -39,7 +40,7 @@
 	return lin
 }
 
-// observe takes in a time for so many effective tokens.
+// observe adds the time measured for a number of effective tokens.
 func (lin *line) observe(tokens float64, took time.Duration) {
 	keep := 1 - forget
 	lin.one *= keep
@@ -62,7 +63,7 @@
 	lin.sumXY += weight * tokens * millis
 }
 
-// fit solves for both parts; observations that are all alike leave them as they are.
+// fit solves for both parts. They stay unchanged if all observations have the same length.
 func (lin *line) fit() {
 	det := lin.one*lin.sumXX - lin.sumX*lin.sumX
 	if det <= 0 {
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,5 +1,5 @@
-// Package pace learns, from traffic alone, how fast the model engines of a
-// service read prompts and write answers: they differ several times.
+// Package pace learns from live traffic how fast the model engines of a service prefill prompts
+// and generate answers. The speeds of engines may differ several times.
 //
 // # Usage
 //
@@ -8,11 +8,11 @@
 //	eng.ObserveRead(6600, 130*time.Millisecond)  // the first event of an answer
 //	eng.ObserveEvents(40, 700*time.Millisecond)  // its other events
 //	first := eng.Overhead() + eng.ReadTime(2000)
-//	other := svc.NewEngine(eng.Profile())        // what another host begins with
+//	other := svc.NewEngine(eng.Profile())        // on another host
 //
-// What engines of a service have in common, how the time grows with a prompt's
-// length, is learned from all of them; what sets one apart is a factor, which
-// its first few answers tell. Nothing here depends on a clock.
+// How the prefill time grows with the length of a prompt is learned from all engines of a
+// service. Each engine differs from this reference by two factors, one for prefill and one for
+// events, which are learned from its first few answers. The package reads no clock.
 package pace
 
 import (
@@ -22,78 +22,78 @@
 
 // Reference is the speed that a service's engines are compared with.
 type Reference struct {
-	// Overhead is the time to an answer's first event beside reading the prompt.
+	// Overhead is the time to the first event of an answer without the prefill.
 	Overhead time.Duration
-	// Token is the time to read one token of a short prompt.
+	// Token is the prefill time per token of a short prompt.
 	Token time.Duration
 	// Event is the time between two events of an answer.
 	Event time.Duration
 }
 
-// Prior is what a service is taken for that nothing is known of.
+// Prior is the reference of a service without measurements.
 var Prior = Reference{Overhead: 35 * time.Millisecond, Token: 15 * time.Microsecond, Event: 25 * time.Millisecond}
 
-// Profile is what sets an engine apart, as hosts tell one another.
+// Profile is the speed of an engine relative to the reference, as exchanged by hosts.
 type Profile struct {
-	// Read and Event are how many times as long as the reference's an engine's
-	// reading and its events take; 0 is not known.
+	// Read and Event are the engine's prefill and event times as multiples of the reference
+	// times; 0 if unknown.
 	Read  float64
 	Event float64
-	// Weight is how many answers stand behind them, up to maxWeight.
+	// Weight is the number of answers they are based on, up to maxWeight.
 	Weight float64
 }
 
 const (
-	// quadraticTokens is the length of a prompt whose attention costs as much time
-	// as all the rest of reading it; models of some ten billion parameters lie
-	// between 50,000 and 150,000.
+	// quadraticTokens is the prompt length at which attention takes as much time as the rest of
+	// the prefill. Models with about ten billion parameters lie between 50,000 and 150,000.
 	quadraticTokens = 120_000
-	// factorGain is the least weight of a new measurement in an engine's factors.
+	// factorGain is the minimum weight of a new measurement in an engine's factors.
 	factorGain = 0.15
-	// referenceGain is the weight of one in the reference's time between events.
+	// referenceGain is the weight of a new measurement in the reference's event time.
 	referenceGain = 0.05
-	// minEvents is the shortest answer whose events tell their pace.
+	// minEvents is the minimum number of events of an answer to be measured.
 	minEvents = 8
-	// maxWeight bounds the trust in a profile that another host told.
+	// maxWeight bounds the weight of an engine's profile, including those of other hosts.
 	maxWeight = 10
-	// maxStep bounds, as a factor, how far one measurement lies from what was
-	// predicted: what is beyond has a cause of its own.
+	// maxStep is the maximum factor between a measurement and the prediction; larger deviations
+	// have causes other than the engine's speed and are clamped.
 	maxStep = 8
-	// maxFactor bounds the factors.
+	// maxFactor bounds the factors of an engine.
 	maxFactor = 50
-	// sureAnswers is from how many answers on an engine teaches the reference.
+	// sureAnswers is the number of answers after which an engine's measurements update the
+	// reference.
 	sureAnswers = 3
 )
 
-// Service is what the engines of a service have in common.
+// Service is the speed model that the engines of a service share.
 type Service struct {
 	read  line
 	event float64
-	// answers is how many have told of the service.
+	// answers is the number of answers observed.
 	answers int
 }
 
-// NewService returns a service that begins with a reference.
+// NewService returns a service with an initial reference.
 func NewService(ref Reference) *Service {
 	return &Service{read: newLine(ref.Overhead, ref.Token), event: float64(ref.Event)}
 }
 
-// Reference returns what the engines are compared with now.
+// Reference returns the current reference.
 func (svc *Service) Reference() Reference {
 	return Reference{Overhead: svc.read.overhead, Token: svc.read.token, Event: time.Duration(svc.event)}
 }
 
-// Engine is what is known of one engine.
+// Engine is the speed model of one engine.
 type Engine struct {
 	service *Service
 	read    factor
 	event   factor
-	// readTimes and eventTimes are both factors as they are used, blended.
+	// readTimes and eventTimes are the blended factors that predictions use.
 	readTimes  float64
 	eventTimes float64
 }
 
-// factor is how many times as long as the reference's something takes.
+// factor is the logarithm of a time as a multiple of the reference time.
 type factor struct {
 	log    float64
 	weight float64
@@ -106,7 +106,7 @@
 	return factor{log: math.Log(min(maxFactor, max(1/float64(maxFactor), value))), weight: min(maxWeight, weight)}
 }
 
-// observe takes in the logarithm of a measured ratio.
+// observe adds the logarithm of a measured ratio.
 func (fac *factor) observe(log float64) {
 	bound := math.Log(maxStep)
 	if fac.weight > 0 {
@@ -117,25 +117,25 @@
 	fac.weight = min(maxWeight, fac.weight+1)
 }
 
-// NewEngine returns an engine that begins with a profile; the zero one is not known.
+// NewEngine returns an engine with an initial profile; the zero profile is unknown.
 func (svc *Service) NewEngine(pro Profile) *Engine {
 	eng := &Engine{service: svc, read: factorOf(pro.Read, pro.Weight), event: factorOf(pro.Event, pro.Weight)}
 	eng.blendBoth()
 	return eng
 }
 
-// Known reports whether any answer told of the engine.
+// Known reports whether the engine has any measurements.
 func (eng *Engine) Known() bool { return eng.read.weight+eng.event.weight > 0 }
 
-// blendBoth works both factors out anew: where no answer told of one, the other
-// does, since both come from the same processor, and else the engine is taken to be
-// like the reference.
+// blendBoth updates the blended factors. Without measurements of one factor, the other one is
+// used, since both depend on the same processor. Without either, the engine is assumed to equal
+// the reference.
 func (eng *Engine) blendBoth() {
 	eng.readTimes = math.Exp(blend(eng.read, eng.event))
 	eng.eventTimes = math.Exp(blend(eng.event, eng.read))
 }
 
-// otherShare is the weight of an answer that told of the other factor.
+// otherShare is the weight of a measurement of the other factor.
 const otherShare = 0.3
 
 func blend(own, other factor) float64 {
@@ -146,18 +146,18 @@
 	return (own.weight*own.log + otherShare*other.weight*other.log) / weight
 }
 
-// effective returns how many tokens of a short prompt take as long to read.
+// effective returns the number of tokens with the same prefill time in a short prompt.
 func effective(tokens int) float64 {
 	length := float64(max(0, tokens))
 	return length + length*length/quadraticTokens
 }
 
-// ReadTime predicts how long the engine reads so many tokens by itself.
+// ReadTime predicts the prefill time of a number of tokens, without the overhead.
 func (eng *Engine) ReadTime(tokens int) time.Duration {
 	return time.Duration(effective(tokens) * float64(eng.service.read.token) * eng.readTimes)
 }
 
-// Overhead predicts the time to a first event beside reading.
+// Overhead predicts the time to the first event without the prefill.
 func (eng *Engine) Overhead() time.Duration {
 	return time.Duration(float64(eng.service.read.overhead) * eng.readTimes)
 }
@@ -167,8 +167,8 @@
 	return time.Duration(eng.service.event * eng.eventTimes)
 }
 
-// ObserveRead takes in how long a prompt of so many tokens took to the first event,
-// where the engine had nothing else to read.
+// ObserveRead adds the measured time to the first event for a prompt of a number of tokens. The
+// engine must have had no other prefills pending.
 func (eng *Engine) ObserveRead(tokens int, took time.Duration) {
 	if took <= 0 || tokens <= 0 {
 		return
@@ -183,7 +183,7 @@
 	}
 }
 
-// ObserveEvents takes in an answer's events, and how long those after the first took.
+// ObserveEvents adds the number of events of an answer and the time from the first to the last.
 func (eng *Engine) ObserveEvents(events int, took time.Duration) {
 	if events < minEvents || took <= 0 {
 		return
@@ -192,13 +192,13 @@
 	eng.event.observe(math.Log(each / eng.service.event))
 	eng.blendBoth()
 	if eng.read.weight >= sureAnswers {
-		// Measured by the engine's reading, so that an engine of which only that is
-		// known has its events predicted too.
+		// Normalized by the prefill factor, so that the reference also predicts the events of
+		// engines for which only the prefill factor is known.
 		eng.service.event += referenceGain * (each/math.Exp(eng.read.log) - eng.service.event)
 	}
 }
 
-// Profile returns what sets the engine apart.
+// Profile returns the engine's profile; the zero profile if unknown.
 func (eng *Engine) Profile() Profile {
 	if !eng.Known() {
 		return Profile{}
--- a/pace/survey.go
+++ b/pace/survey.go
@@ -8,33 +8,32 @@
 	"slices"
 )
 
-// Survey is what is known of all engines, as it is kept for hosts that start: they
-// know nothing by themselves, and a third of the engines may be several times
-// slower than the others.
+// Survey holds the measured speeds of all engines. It is stored for hosts that start without
+// measurements: a third of the engines may be several times slower than the others.
 type Survey struct {
 	Services []ServiceSurvey
 }
 
-// ServiceSurvey is one service's part.
+// ServiceSurvey holds the measured speeds of one service.
 type ServiceSurvey struct {
 	Name      string
 	Reference Reference
 	Engines   []Record
 }
 
-// Record is one engine's part. The engine is named by its address, since a restart
+// Record is the profile of one engine. It is identified by its address, since after a restart it
 // runs on the same processor under another id.
 type Record struct {
 	Address netip.AddrPort
 	Profile
 }
 
-// changeFactor is by how much, as a factor, a profile differs from a recorded one
-// that is to be recorded anew: predictions are off by a fifth anyway.
+// changeFactor is the factor by which a profile must differ from the recorded one to be recorded
+// again. Predictions are off by a fifth anyway.
 const changeFactor = 1.3
 
-// Differs reports whether the newer survey tells anything new: an engine that
-// isn't in this one, or whose profile has changed. Engines that are gone don't count.
+// Differs reports whether the newer survey has an engine that isn't in this one, or whose
+// profile has changed. Engines that are missing from the newer one are ignored.
 func (sur Survey) Differs(newer Survey) bool {
 	known := sur.Profiles()
 	for _, svc := range newer.Services {
@@ -65,7 +64,7 @@
 	return math.Abs(math.Log(one/two)) > math.Log(changeFactor)
 }
 
-// NewSurvey returns the survey of the services, engines in the order of their
+// NewSurvey returns the survey of the given services, with their engines in the order of their
 // addresses.
 func NewSurvey(services map[string]ServiceSurvey) Survey {
 	var sur Survey
@@ -78,7 +77,7 @@
 	return sur
 }
 
-// Adopt takes what another host learned of the engine, where it knows more.
+// Adopt replaces the engine's profile by that of another host if it is based on more answers.
 func (eng *Engine) Adopt(pro Profile) {
 	if pro.Weight <= max(eng.read.weight, eng.event.weight) {
 		return
@@ -87,8 +86,8 @@
 	eng.blendBoth()
 }
 
-// Adopt takes what another host learned of the service, where this one has learned
-// little itself.
+// Adopt replaces the reference by that of another host, unless this service has learned its own
+// or the given one is invalid.
 func (svc *Service) Adopt(ref Reference) {
 	if svc.answers >= sureAnswers || ref.Overhead <= 0 || ref.Token <= 0 || ref.Event <= 0 {
 		return
--- a/scheduler/cold.go
+++ b/scheduler/cold.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Engines that are cold take few requests a second and fall over under many more: after their
-// start, and whenever they say so. It is known from their entries, by the word of a gateway
-// that knows more, and to a core that has seen the engine end: the run that is there next may
-// enter the store late, or not at all while that is away.
+// A cold engine accepts few requests per second and fails under many more. Engines are cold
+// after their start and whenever they signal it. The core learns of it from store entries and
+// from notices of gateways. It also marks a crashed engine cold when it records the crash, since
+// the next run at the address may be registered late, or not at all while the store is
+// unavailable.
 
-// chillListed takes what the engines' entries tell.
+// chillListed marks engines cold according to their store entries.
 func (cor *Core) chillListed(now time.Time) {
 	for _, ene := range cor.engines {
 		cor.chill(now, ene, ene.ColdUntil)
 	}
 }
 
-// chill takes an engine to be cold until a time. It does nothing where operators name no rate
-// that a cold engine of the service bears.
+// chill marks an engine cold until a time. It does nothing if the configuration sets no rate for
+// cold engines of the service.
 func (cor *Core) chill(now time.Time, ene *engine, until time.Time) {
 	if !until.After(now) || ene.pacing != nil && !until.After(ene.pacing.coldUntil) {
 		return
@@ -31,8 +32,8 @@
 	}
 }
 
-// coldOf returns how many requests a second a cold engine of the service bears, and for how
-// long an engine is cold after its start; 0 where that is no matter.
+// coldOf returns the number of requests per second that a cold engine of the service bears, and
+// how long an engine is cold after its start; 0 if not configured.
 func (cor *Core) coldOf(service string) (float64, time.Duration) {
 	if cor.table == nil {
 		return 0, 0
@@ -41,14 +42,14 @@
 	return svc.ColdRate, svc.ColdFor
 }
 
-// chillEnded takes an engine to be cold that was told to have ended: what answers there next is
-// another run, whatever its entry tells.
+// chillEnded marks a crashed engine cold: the next answer from its address comes from another
+// run, whatever the entry says.
 func (cor *Core) chillEnded(now time.Time, ene *engine) {
 	_, dur := cor.coldOf(ene.Service)
 	cor.chill(now, ene, now.Add(goneFor+dur))
 }
 
-// warm forgets the engines of the service that are warm by now.
+// expireCold removes the limits of engines that have become warm.
 func (cor *Core) warm(now time.Time, svc *service) {
 	if svc.warmAt.IsZero() || now.Before(svc.warmAt) {
 		return
--- a/scheduler/dump.go
+++ b/scheduler/dump.go
@@ -10,80 +10,82 @@
 	"lynxwell.dev/lynxwell/rollout"
 )
 
-// Dump is the state of a core.
+// Dump is the state of a core, for operators.
 type Dump struct {
-	// Parts is into how many parts like this one's the limits are divided; 1
-	// where this host's core decides for all.
+	// The limits are divided by this number; it is 1 if this host's core schedules for all hosts.
 	Parts    float64
 	Services []ServiceDump
 	Accounts []AccountDump
-	// Cases are the requests that were part of engines' ends, the worst first, Restricted
-	// those whose requests run alone since theirs end engines and change each time.
+	// Cases are the requests that were involved in crashes, the most suspect first. Restricted
+	// are the traffic sources whose requests run only on isolated engines, since they crash
+	// engines and change each time.
 	Cases      []CaseDump          `json:",omitempty"`
 	Restricted []quarantine.Source `json:",omitempty"`
 }
 
-// ServiceDump is one service.
+// ServiceDump is the state of one service.
 type ServiceDump struct {
 	Name    string
 	Waiting int
-	// Requests and Repeated are those of the last window.
+	// Requests and Repeated count the requests and retries in the last window.
 	Requests float64
 	Repeated float64
-	// Overhead, Token and Event are the speed that engines are compared with.
+	// Overhead, Token and Event are the reference times that engines are compared with.
 	Overhead string
 	Token    string
 	Event    string
 	Engines  []EngineDump
-	// Rollout is the service's newest roll-out, nil for none.
+	// Rollout is the service's latest roll-out, nil for none.
 	Rollout *rollout.Dump `json:",omitempty"`
 }
 
-// EngineDump is what the core takes an engine to be like.
+// EngineDump is the state of one engine.
 type EngineDump struct {
 	ID       fleet.EngineID
 	Version  string
 	Running  int
 	Slots    int
 	Draining bool
-	// Unread is how long it still reads the prompts it was given.
+	// The predicted time of the pending prefills.
 	Unread string
-	// Read and Event are how many times as long as the reference's its reading and
-	// its events take, Weight how many answers told so; Work is the time of a request
+	// Read and Event are the engine's prefill and event times as multiples of the reference,
+	// Weight is the number of answers they are based on. Work is the estimated time of a request
 	// without a prompt.
 	Read   float64
 	Event  float64
 	Weight float64
 	Work   string
-	// AsideFor is for how long it gets nothing because it failed; empty for not.
+	// The remaining time of the engine's ejection after failures; empty if it isn't ejected.
 	AsideFor string
-	// Says is what the engine has said of itself; empty for nothing. PausedFor is for how
-	// long nobody is granted it, Asked how many gateways it has asked for a pause.
+	// Says is the state of the engine's signals; empty for none. PausedFor is the remaining
+	// backoff of all gateways, Asked the number of gateways that received a backoff request.
 	Says      string `json:",omitempty"`
 	PausedFor string `json:",omitempty"`
 	Asked     int    `json:",omitempty"`
-	// Emptied says that operators have its failure domain emptied.
+	// Emptied is set if the engine's failure domain is evacuated.
 	Emptied bool `json:",omitempty"`
-	// Rate is what it takes of all hosts together; nil where nothing bounds it. ColdFor is for
-	// how much longer it is cold; empty for not.
+	// Rate is the engine's limit for all hosts together; nil for none. ColdFor is the remaining
+	// time until it is warm; empty if it isn't cold.
 	Rate    *RateDump `json:",omitempty"`
 	ColdFor string    `json:",omitempty"`
-	// CachedTokens are taken to be in its cache.
+	// CachedTokens is the number of prompt tokens assumed to be in the engine's cache.
 	CachedTokens int
 }
 
-// RateDump is the rate that an engine has named, or bears while it is cold.
+// RateDump is the rate limit of an engine, which it has signaled or which applies while it is
+// cold.
 type RateDump struct {
-	// PerSecond is the lower of the two, Own what this core grants of it.
+	// PerSecond is the lower of the two limits in requests per second, Own this core's share of
+	// it.
 	PerSecond float64
 	Own       float64
-	// Tokens are the requests that may be granted now, Spent those that were within four
-	// seconds before, by the gateway; only the last are remembered.
+	// Tokens is the number of requests that may be granted now. The map counts the grants of the
+	// last four seconds by gateway, up to the number that is kept.
 	Tokens float64
 	Spent  map[string]int
 }
 
-// AccountDump is one client account's limit.
+// AccountDump is the state of one client account's limit.
 type AccountDump struct {
 	Name  string
 	Level float64
@@ -91,7 +93,7 @@
 	Burst float64
 }
 
-// Dump returns the core's state.
+// Dump returns the state of the core.
 func (cor *Core) Dump(now time.Time) Dump {
 	dum := Dump{Parts: cor.parts, Cases: cor.dumpCases(now), Restricted: cor.quarantine.Restricted()}
 	for _, svc := range cor.services {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// failuresToSuspect is how many failures in a row have an engine set aside:
-	// one may be chance, a second in a row seldom is.
+	// failuresToSuspect is the number of consecutive failures after which an engine is ejected: a
+	// single failure may be chance, a second one seldom is.
 	failuresToSuspect = 2
-	// minAside and maxAside bound for how long an engine is set aside; it doubles
-	// with each time until an answer comes.
+	// minAside and maxAside bound the duration of an ejection. It doubles with each consecutive
+	// ejection until the engine answers.
 	minAside = 500 * time.Millisecond
 	maxAside = 4 * time.Second
-	// errorGain is the weight of a new outcome in the share of failures.
+	// errorGain is the weight of a new outcome in the failure rate.
 	errorGain = 0.15
-	// errorShare is the share of failures from which an engine is set aside; some
-	// services fail one request in seven in good health.
+	// errorShare is the failure rate at which an engine is ejected. Some healthy services fail
+	// one request in seven.
 	errorShare = 0.35
 )
 
-// health judges an engine by the traffic that it had.
+// health tracks the failures of an engine, for outlier ejection.
 type health struct {
 	failures int
 	share    float64
 	aside    time.Duration
 	until    time.Time
-	// trial is set while one request finds out whether the engine is back.
+	// probing is set while a single request probes an ejected engine.
 	trial bool
 }
 
-// usable reports whether the engine may get a request.
+// usable reports whether the engine may be granted a request.
 func (hea *health) usable(now time.Time) bool {
 	if hea.aside == 0 {
 		return true
@@ -35,12 +35,12 @@
 	return !now.Before(hea.until) && !hea.trial
 }
 
-// given notes that the engine got a request.
+// recordGrant records that the engine was granted a request.
 func (hea *health) given() {
 	hea.trial = hea.aside > 0
 }
 
-// succeeded notes an answer that was as it should be.
+// recordSuccess records a valid answer.
 func (hea *health) succeeded() {
 	hea.failures = 0
 	hea.share *= 1 - errorGain
@@ -48,7 +48,7 @@
 	hea.trial = false
 }
 
-// failed notes a failure.
+// recordFailure records a failure.
 func (hea *health) failed(now time.Time) {
 	hea.failures++
 	hea.share += errorGain * (1 - hea.share)
@@ -62,7 +62,7 @@
 	hea.share = 0
 }
 
-// forgotten notes a request that ended without telling anything of the engine.
+// recordUnknown records that a request ended without information about the engine's health.
 func (hea *health) forgotten() {
 	hea.trial = false
 }
--- a/scheduler/line.go
+++ b/scheduler/line.go
@@ -11,23 +11,23 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// waiter is a request that waits for an engine.
+// waiter is a request that waits in the queue of a service.
 type waiter struct {
 	reserve reservation.Reserve
 	gateway request.Epoch
 	number  uint64
 	since   time.Time
-	// until is when it is refused.
+	// until is when the request is refused.
 	until time.Time
-	// usualAt is the version of what is known against requests at which nothing was against
-	// this one, by one more, so that 0 is none.
+	// usualAt is the version of the quarantine, plus one, at which the request was found to need
+	// no special handling; 0 for none.
 	usualAt uint64
-	// scope stands for the regions in which it may run; empty for anywhere.
+	// scope identifies the regions in which the request may run; empty for all.
 	scope string
-	// late says that its caller has tried before and can't be served in time any more. In
-	// overload these would take the places of others that could be.
+	// late is set if the client has tried before and the target can't be met any more. In
+	// overload, such requests would take capacity from those that can meet theirs.
 	late bool
-	// paced says that an engine would have been its own but for the rate that it has named.
+	// rateLimited is set if only a rate limit kept an engine from being granted.
 	paced bool
 }
 
@@ -58,7 +58,7 @@
 	cor.serve(now, svc)
 }
 
-// waitTime returns for how long a request may wait for an engine.
+// waitTime returns the maximum time that a request may wait for an engine.
 func waitTime(res reservation.Reserve) time.Duration {
 	return min(max(0, time.Duration(waitShare*float64(res.Aim))-waitMargin), res.Remaining)
 }
@@ -67,11 +67,11 @@
 	return cmp.Or(
 		cmp.Compare(one.reserve.Rank, two.reserve.Rank),
 		cmp.Compare(one.reserve.Urgency, two.reserve.Urgency),
-		// Who can be in time goes before who can't any more: the other way round both
-		// would be late.
+		// Requests that can meet their target go before those that can't; in the opposite order,
+		// both would be late.
 		cmp.Compare(ordinal(one.late), ordinal(two.late)),
-		// A repeat has waited before, and engines have worked for it; one whose engine
-		// couldn't be used has waited too.
+		// Retries go first: they have waited before, and engines have spent work on them. So do
+		// requests that wait again because their engine couldn't be used.
 		cmp.Compare(ordinal(two.waitedBefore()), ordinal(one.waitedBefore())),
 		cmp.Compare(one.number, two.number),
 	)
@@ -92,37 +92,37 @@
 	cor.send(to, reservation.Refuse{ID: res.ID, Ballot: res.Ballot, Reason: reason, RetryAfter: retryAfter(res)}, inp)
 }
 
-// inputs returns what a decision on the service rests on.
+// inputs returns the inputs of a decision on a request of the service.
 func (svc *service) inputs(now, since time.Time) Inputs {
 	inp := Inputs{Waited: now.Sub(since), Waiting: len(svc.waiting), Engines: len(svc.engines), Aside: svc.aside(now)}
 	inp.AsideUsed = !svc.mayLeaveOut(inp.Aside)
 	return inp
 }
 
-// inputsOf returns what the decision on one that has waited rests on.
+// inputsOf returns the inputs of a decision on a waiting request.
 func (svc *service) inputsOf(now time.Time, wai *waiter) Inputs {
 	inp := svc.inputs(now, wai.since)
 	inp.Paced, inp.WaitedForRate = svc.paced, wai.paced
 	return inp
 }
 
-// retryAfter returns when the caller of a refused request comes back: within what
-// it has left, and callers not in step.
+// retryAfter returns when the client of a refused request should retry: within its remaining
+// time, with jitter so that clients don't retry at the same moment.
 func retryAfter(res reservation.Reserve) time.Duration {
 	share := minRetryShare + (maxRetryShare-minRetryShare)*pointOf(res.ID)
 	return time.Duration(share * float64(min(res.Remaining, maxRetrySpan)))
 }
 
-// pointOf spreads requests between 0 and 1 by their ids.
+// pointOf maps a request id to a number from 0 to 1, evenly distributed.
 func pointOf(id request.ID) float64 {
 	hash := fnv.New32a()
-	// A hash takes any bytes without an error.
+	// Write never returns an error.
 	_, _ = hash.Write([]byte(id.Unique))
 	return float64(hash.Sum32()%1000) / 1000
 }
 
-// serve gives engines to those who wait, in their order, and refuses those
-// whose time is up.
+// serve grants engines to the waiting requests in the order of the queue, and refuses those that
+// have reached their maximum wait.
 func (cor *Core) serve(now time.Time, svc *service) {
 	if len(svc.waiting) == 0 {
 		return
@@ -168,29 +168,29 @@
 			}
 		}
 	}
-	// A grant may have crossed the withdrawal.
+	// The grant may have been sent before the withdrawal arrived.
 	cor.release(now, reservation.Release{ID: id})
 }
 
-// line is what one look through those who wait has found of places. Thousands may wait, so
-// what holds for all requests of a gateway is found once.
+// queueScan is what one pass over the queue has found about free capacity. Thousands of requests
+// may wait, so that what applies to all requests of a gateway is determined once.
 type line struct {
-	// full says that a usual request found no engine; fullFor the same of gateways that engines
-	// have asked for a pause, or that send nothing to some failure domain: their requests may
-	// find none where others do.
+	// full is set if a request without special handling found no engine. fullFor is the same for
+	// single gateways that have a backoff from an engine in force, or that send nothing to some
+	// failure domains: their requests may find no engine where others do.
 	full    bool
 	fullFor map[request.Epoch]bool
-	// fullIn says the same of those that may run in some regions only, by these.
+	// fullIn is the same for requests that are limited to some regions, by scope.
 	fullIn map[string]bool
 }
 
-// isFull reports whether usual requests like this one find no engine.
+// isFull reports whether requests like this one, without special handling, find no engine.
 func (lin *line) isFull(wai *waiter) bool {
 	return lin.full || lin.fullFor[wai.gateway] || wai.scope != "" && lin.fullIn[wai.scope]
 }
 
-// note takes that a usual request found no engine; bounded says that some are closed to its
-// gateway that may be open to others.
+// recordFull records that a request without special handling found no engine. bounded is set if
+// some engines are closed to its gateway that may be open to others.
 func (lin *line) note(now time.Time, svc *service, wai *waiter, bounded bool) {
 	if lin.isFull(wai) {
 		return
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -8,11 +8,12 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// Where a request may run: not in a failure domain that is being emptied, as far as its gateway
-// or this core knows, and only in regions that its route and its client account allow.
+// Placement constraints: a request doesn't run in a failure domain that is being evacuated, as
+// far as its gateway or this core knows, and it runs only in the regions that its route and its
+// client account allow.
 
-// closeDomains takes to which failure domains a gateway sends nothing. It may know so before
-// this core does.
+// closeDomains replaces the failure domains to which a gateway sends nothing. The gateway may
+// learn of an evacuation before this core does.
 func (cor *Core) closeDomains(evt DomainsClosed) {
 	delete(cor.closed, evt.Gateway)
 	if len(evt.Domains) == 0 {
@@ -25,7 +26,7 @@
 	cor.closed[evt.Gateway] = closed
 }
 
-// RunningIn returns how much runs at the engines of a failure domain.
+// RunningIn returns the number of requests that run at the engines of a failure domain.
 func (cor *Core) RunningIn(domain string) int {
 	running := 0
 	for _, rnn := range cor.runs {
@@ -36,10 +37,10 @@
 	return running
 }
 
-// places are where a request may run.
+// placement constrains the engines that a request may run on.
 type places struct {
-	// closed are the failure domains to which its gateway sends nothing, regions those that
-	// are allowed; none for all.
+	// closed are the failure domains to which the gateway sends nothing. regions are the allowed
+	// regions; empty for all.
 	closed  map[string]bool
 	regions []string
 }
@@ -48,13 +49,13 @@
 	return places{closed: cor.closed[gateway], regions: res.Regions}
 }
 
-// bounded reports whether there is anything that keeps the request from some engine.
+// isConstrained reports whether the request may not run on some engines.
 func (pla places) bounded() bool {
 	return len(pla.closed) > 0 || len(pla.regions) > 0
 }
 
-// allow reports whether the request may run at an engine. One whose region isn't known is in
-// none that is allowed.
+// allows reports whether the request may run on an engine. An engine whose region is unknown is
+// in none of the allowed regions.
 func (pla places) allow(ene *engine) bool {
 	if pla.closed[ene.Domain] {
 		return false
@@ -62,18 +63,18 @@
 	return len(pla.regions) == 0 || slices.Contains(pla.regions, ene.region)
 }
 
-// regionOf returns the region of a failure domain; empty where it isn't known.
+// regionOf returns the region of a failure domain; empty if unknown.
 func (cor *Core) regionOf(domain string) string {
 	return cor.cfg.Regions[domain]
 }
 
-// origin is where a request comes from.
+// origin is the location of the host that a request arrived at.
 type origin struct {
 	domain string
 	region string
 }
 
-// wayTo returns what the way from there to an engine counts in the choice.
+// wayTo returns the cost of the network path from the origin to an engine.
 func (ori origin) wayTo(ene *engine) time.Duration {
 	switch {
 	case ene.Domain == ori.domain:
@@ -85,8 +86,8 @@
 	}
 }
 
-// refuseOutside refuses a request at once that no engine may serve in the regions that are
-// allowed for it, and reports whether it did.
+// refuseOutside refuses a request at once if no engine may serve it in its allowed regions, and
+// reports whether it did.
 func (cor *Core) refuseOutside(now time.Time, from request.Epoch, res reservation.Reserve, svc *service) bool {
 	if len(res.Regions) == 0 {
 		return false
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -8,10 +8,11 @@
 	"lynxwell.dev/lynxwell/rollout"
 )
 
-// RolloutsChanged brings what the store holds of all roll-outs.
+// RolloutsChanged brings the stored state of all roll-outs.
 type RolloutsChanged struct{ Standings []rollout.Standing }
 
-// RolloutRecorded says that a write of a roll-out was done, and the key's revision since.
+// RolloutRecorded reports that a write of a roll-out was stored, with the resulting revision of
+// its key.
 type RolloutRecorded struct {
 	Write    rollout.Write
 	Revision uint64
@@ -20,8 +21,8 @@
 func (RolloutsChanged) isEvent() {}
 func (RolloutRecorded) isEvent() {}
 
-// changeRollouts takes what the store holds now. A version whose roll-out was followed by
-// another order before it was known to be good gets nothing more.
+// changeRollouts applies the stored states. A version whose roll-out is replaced by another
+// order before it was known to be healthy gets no further requests.
 func (cor *Core) changeRollouts(now time.Time, standings []rollout.Standing) {
 	for _, std := range standings {
 		svc := cor.service(std.Order.Service)
@@ -35,7 +36,7 @@
 		}
 		delete(svc.distrusted, std.Order.Version)
 		svc.rollout = rollout.New(cor.cfg.Rollouts, std)
-		// Whoever starts when it is over knows no engine from before.
+		// A core that starts after the completion knows no engines from before it.
 		svc.moved = svc.rollout.State() == rollout.StateCompleted
 	}
 	for _, svc := range cor.services {
@@ -49,9 +50,9 @@
 	}
 }
 
-// stopFormer takes the former engines for stopped once the roll-out is seen to be
-// completed: they stop at once, and their entries outlast them by seconds. Engines that
-// come later, of whatever version, aren't concerned.
+// stopFormer regards the engines of the old version as stopped once the roll-out has completed:
+// they stop at once, while their entries stay registered for seconds. Engines that start later
+// are not affected, whatever their version.
 func (svc *service) stopFormer() {
 	if svc.rollout.State() != rollout.StateCompleted || svc.moved {
 		return
@@ -62,8 +63,8 @@
 	}
 }
 
-// RolloutWrites decides on the roll-outs as the one scheduler in charge of all hosts, and
-// returns what is to be written to the store.
+// RolloutWrites advances the roll-outs and returns the writes to the store. Only the core that
+// schedules for all hosts may call it.
 func (cor *Core) RolloutWrites(now time.Time) []rollout.Write {
 	var writes []rollout.Write
 	for _, svc := range cor.services {
@@ -75,7 +76,7 @@
 	return writes
 }
 
-// RolloutsOpen reports whether any roll-out still has to be decided or told.
+// RolloutsOpen reports whether any roll-out still has to be decided or published.
 func (cor *Core) RolloutsOpen() bool {
 	for _, svc := range cor.services {
 		if svc.rollout != nil && !svc.rollout.IsOver() {
@@ -85,17 +86,17 @@
 	return false
 }
 
-// isNew reports whether the engine is of the version that the service moves to.
+// isNew reports whether the engine runs the version of the service's latest roll-out.
 func (svc *service) isNew(ene *engine) bool {
 	return svc.rollout != nil && ene.Version == svc.rollout.Order().Version
 }
 
-// isRolling reports whether the service has a roll-out that isn't decided.
+// isRolling reports whether the service has an undecided roll-out.
 func (svc *service) isRolling() bool {
 	return svc.rollout != nil && !svc.rollout.State().IsEnd()
 }
 
-// fleet returns what a roll-out decides by.
+// fleet returns the counts of engines and runs that the roll-out is decided by.
 func (svc *service) fleet() rollout.Fleet {
 	var fle rollout.Fleet
 	for _, ene := range svc.engines {
@@ -117,20 +118,20 @@
 	return fle
 }
 
-// access is to which engines of a service a request may go.
+// access is the set of a service's engines that a request may run on, according to its roll-out.
 type access struct {
 	service *service
-	// restricted says that a roll-out was ever ordered; without one all engines are open.
+	// restricted is set if the service had a roll-out; without one, all engines are allowed.
 	restricted bool
 	rollout.Access
-	// trial is the one engine of a version that isn't known to be good which is tried, nil
-	// for none; all others of it get nothing.
+	// canary is the only engine of an unconfirmed version that may be granted the request; nil
+	// for none.
 	trial *engine
 }
 
-// access returns to which engines a request may go. A trial is given to as few engines as
-// bear it under the usual load: some versions are bad only then, and a share of a tenth
-// over as many new engines as there are former ones would never load one.
+// access returns the engines that a request may run on. Canary requests go to as few engines as
+// can serve them under the usual load: some versions fail only under load, and a share of a
+// tenth, spread over as many new engines as there are old ones, would never load one.
 func (svc *service) access(now time.Time, res reservation.Reserve) access {
 	if svc.rollout == nil {
 		return access{}
@@ -151,7 +152,7 @@
 	return acc
 }
 
-// allows reports whether a request may go to the engine, where access is restricted.
+// allows reports whether a request may run on the engine, if access is restricted.
 func (acc access) allows(ene *engine) bool {
 	switch {
 	case ene.stopped || acc.service.distrusted[ene.Version]:
@@ -163,7 +164,8 @@
 	}
 }
 
-// usualLoad returns how many requests a former engine runs, at least one.
+// usualLoad returns the mean number of running requests of an engine of the old version, at
+// least 1.
 func (svc *service) usualLoad() int {
 	engines, running := 0, 0
 	for _, ene := range svc.engines {
@@ -175,8 +177,8 @@
 	return max(1, running/max(1, engines))
 }
 
-// noteGiven notes a grant for the service's roll-out; the run isn't counted at its engine
-// yet.
+// noteGiven records a grant for the service's roll-out. The run must not have been added to the
+// engine yet.
 func (svc *service) noteGiven(rnn *run, res reservation.Reserve) {
 	rnn.route, rnn.repeatable = res.Route, res.Repeatable
 	if svc.rollout == nil {
@@ -186,9 +188,9 @@
 	svc.rollout.Given(svc.isNew(rnn.engine))
 }
 
-// noteAnswered notes what came of a run for the service's roll-out.
+// noteAnswered records the result of a run for the service's roll-out.
 func (svc *service) noteAnswered(now time.Time, rnn *run, rel reservation.Release) {
-	// What becomes of a suspected request tells nothing of its engine's version.
+	// The result of a suspect request says nothing about the version of its engine.
 	if !svc.isRolling() || rnn.route == "" || !rel.Dispatched || rel.Rejected || rel.BackedOff || rnn.alone || rnn.guarded || rnn.watched {
 		return
 	}
@@ -202,7 +204,7 @@
 	svc.rollout.Answered(now, ans)
 }
 
-// usualTime returns how long an answer takes an engine of usual speed.
+// usualTime returns how long an engine of reference speed takes for the answer.
 func (svc *service) usualTime(rnn *run, events int) time.Duration {
 	if rnn.tokens > 0 {
 		usual := svc.pace.NewEngine(pace.Profile{})
--- a/scheduler/survey.go
+++ b/scheduler/survey.go
@@ -2,7 +2,7 @@
 
 import "lynxwell.dev/lynxwell/pace"
 
-// Survey returns what the core knows of the engines' speed, to be recorded.
+// Survey returns the measured speeds of the engines, to be recorded in the store.
 func (cor *Core) Survey() pace.Survey {
 	services := make(map[string]pace.ServiceSurvey)
 	for _, svc := range cor.services {
@@ -19,7 +19,7 @@
 	return pace.NewSurvey(services)
 }
 
-// adoptSurvey takes what was recorded of engines that this core knows less of.
+// adoptSurvey applies the recorded profiles to engines of which this core has measured less.
 func (cor *Core) adoptSurvey(sur pace.Survey) {
 	cor.recorded = sur.Profiles()
 	for _, svc := range sur.Services {
