--- a/pace/pace.go
+++ b/pace/pace.go
@@ -60,37 +60,37 @@
 	maxStep = 8
 	// maxFactor bounds the factors of an engine.
 	maxFactor = 50
-	// sureAnswers is the number of answers after which an engine's measurements update the
+	// minAnswers is the number of answers after which an engine's measurements update the
 	// reference.
-	sureAnswers = 3
+	minAnswers = 3
 )
 
 // Service is the speed model that the engines of a service share.
 type Service struct {
-	read  line
-	event float64
+	prefill linearFit
+	event   float64
 	// answers is the number of answers observed.
 	answers int
 }
 
 // NewService returns a service with an initial reference.
 func NewService(ref Reference) *Service {
-	return &Service{read: newLine(ref.Overhead, ref.Token), event: float64(ref.Event)}
+	return &Service{prefill: newLinearFit(ref.Overhead, ref.Token), event: float64(ref.Event)}
 }
 
 // Reference returns the current reference.
 func (svc *Service) Reference() Reference {
-	return Reference{Overhead: svc.read.overhead, Token: svc.read.token, Event: time.Duration(svc.event)}
+	return Reference{Overhead: svc.prefill.overhead, Token: svc.prefill.token, Event: time.Duration(svc.event)}
 }
 
 // Engine is the speed model of one engine.
 type Engine struct {
 	service *Service
-	read    factor
+	prefill factor
 	event   factor
-	// readTimes and eventTimes are the blended factors that predictions use.
-	readTimes  float64
-	eventTimes float64
+	// prefillFactor and eventFactor are the blended factors that predictions use.
+	prefillFactor float64
+	eventFactor   float64
 }
 
 // factor is the logarithm of a time as a multiple of the reference time.
@@ -99,7 +99,7 @@
 	weight float64
 }
 
-func factorOf(value, weight float64) factor {
+func newFactor(value, weight float64) factor {
 	if value <= 0 || math.IsNaN(value) || math.IsNaN(weight) || weight <= 0 {
 		return factor{}
 	}
@@ -119,52 +119,52 @@
 
 // NewEngine returns an engine with an initial profile; the zero profile is unknown.
 func (svc *Service) NewEngine(pro Profile) *Engine {
-	eng := &Engine{service: svc, read: factorOf(pro.Read, pro.Weight), event: factorOf(pro.Event, pro.Weight)}
-	eng.blendBoth()
+	eng := &Engine{service: svc, prefill: newFactor(pro.Read, pro.Weight), event: newFactor(pro.Event, pro.Weight)}
+	eng.updateBlend()
 	return eng
 }
 
 // Known reports whether the engine has any measurements.
-func (eng *Engine) Known() bool { return eng.read.weight+eng.event.weight > 0 }
+func (eng *Engine) Known() bool { return eng.prefill.weight+eng.event.weight > 0 }
 
-// blendBoth updates the blended factors. Without measurements of one factor, the other one is
+// updateBlend updates the blended factors. Without measurements of one factor, the other one is
 // used, since both depend on the same processor. Without either, the engine is assumed to equal
 // the reference.
-func (eng *Engine) blendBoth() {
-	eng.readTimes = math.Exp(blend(eng.read, eng.event))
-	eng.eventTimes = math.Exp(blend(eng.event, eng.read))
+func (eng *Engine) updateBlend() {
+	eng.prefillFactor = math.Exp(blend(eng.prefill, eng.event))
+	eng.eventFactor = math.Exp(blend(eng.event, eng.prefill))
 }
 
-// otherShare is the weight of a measurement of the other factor.
-const otherShare = 0.3
+// otherWeight is the weight of a measurement of the other factor.
+const otherWeight = 0.3
 
 func blend(own, other factor) float64 {
-	weight := own.weight + otherShare*other.weight
+	weight := own.weight + otherWeight*other.weight
 	if weight == 0 {
 		return 0
 	}
-	return (own.weight*own.log + otherShare*other.weight*other.log) / weight
+	return (own.weight*own.log + otherWeight*other.weight*other.log) / weight
 }
 
-// effective returns the number of tokens with the same prefill time in a short prompt.
-func effective(tokens int) float64 {
+// effectiveTokens returns the number of tokens with the same prefill time in a short prompt.
+func effectiveTokens(tokens int) float64 {
 	length := float64(max(0, tokens))
 	return length + length*length/quadraticTokens
 }
 
 // ReadTime predicts the prefill time of a number of tokens, without the overhead.
 func (eng *Engine) ReadTime(tokens int) time.Duration {
-	return time.Duration(effective(tokens) * float64(eng.service.read.token) * eng.readTimes)
+	return time.Duration(effectiveTokens(tokens) * float64(eng.service.prefill.token) * eng.prefillFactor)
 }
 
 // Overhead predicts the time to the first event without the prefill.
 func (eng *Engine) Overhead() time.Duration {
-	return time.Duration(float64(eng.service.read.overhead) * eng.readTimes)
+	return time.Duration(float64(eng.service.prefill.overhead) * eng.prefillFactor)
 }
 
 // Event predicts the time between two events.
 func (eng *Engine) Event() time.Duration {
-	return time.Duration(eng.service.event * eng.eventTimes)
+	return time.Duration(eng.service.event * eng.eventFactor)
 }
 
 // ObserveRead adds the measured time to the first event for a prompt of a number of tokens. The
@@ -174,12 +174,12 @@
 		return
 	}
 	eng.service.answers++
-	lin := &eng.service.read
-	predicted := float64(lin.overhead) + effective(tokens)*float64(lin.token)
-	eng.read.observe(math.Log(float64(took) / predicted))
-	eng.blendBoth()
-	if eng.read.weight >= sureAnswers {
-		lin.observe(effective(tokens), time.Duration(float64(took)/math.Exp(eng.read.log)))
+	fit := &eng.service.prefill
+	predicted := float64(fit.overhead) + effectiveTokens(tokens)*float64(fit.token)
+	eng.prefill.observe(math.Log(float64(took) / predicted))
+	eng.updateBlend()
+	if eng.prefill.weight >= minAnswers {
+		fit.observe(effectiveTokens(tokens), time.Duration(float64(took)/math.Exp(eng.prefill.log)))
 	}
 }
 
@@ -190,11 +190,11 @@
 	}
 	each := float64(took) / float64(events-1)
 	eng.event.observe(math.Log(each / eng.service.event))
-	eng.blendBoth()
-	if eng.read.weight >= sureAnswers {
+	eng.updateBlend()
+	if eng.prefill.weight >= minAnswers {
 		// Normalized by the prefill factor, so that the reference also predicts the events of
 		// engines for which only the prefill factor is known.
-		eng.service.event += referenceGain * (each/math.Exp(eng.read.log) - eng.service.event)
+		eng.service.event += referenceGain * (each/math.Exp(eng.prefill.log) - eng.service.event)
 	}
 }
 
@@ -203,5 +203,5 @@
 	if !eng.Known() {
 		return Profile{}
 	}
-	return Profile{Read: eng.readTimes, Event: eng.eventTimes, Weight: max(eng.read.weight, eng.event.weight)}
+	return Profile{Read: eng.prefillFactor, Event: eng.eventFactor, Weight: max(eng.prefill.weight, eng.event.weight)}
 }
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -11,26 +11,26 @@
 	"lynxwell.dev/lynxwell/pace"
 )
 
-// true engines: what a prompt and an event take there.
+// trueEngine returns the actual times of an engine: slow is its factor to the reference.
 type trueEngine struct{ slow float64 }
 
-func (tru trueEngine) first(tokens int) time.Duration {
+func (eng trueEngine) first(tokens int) time.Duration {
 	length := float64(tokens)
-	return time.Duration(tru.slow * (40 + length/70 + length*length*0.24e-6) * float64(time.Millisecond))
+	return time.Duration(eng.slow * (40 + length/70 + length*length*0.24e-6) * float64(time.Millisecond))
 }
 
-func (tru trueEngine) events(count int) time.Duration {
-	return time.Duration(tru.slow * 16 * float64(count-1) * float64(time.Millisecond))
+func (eng trueEngine) events(count int) time.Duration {
+	return time.Duration(eng.slow * 16 * float64(count-1) * float64(time.Millisecond))
 }
 
-func within(t *testing.T, got, want time.Duration, part float64) {
+func assertWithin(t *testing.T, got, want time.Duration, tolerance float64) {
 	t.Helper()
-	assert.Assert(t, math.Abs(float64(got-want)) <= part*float64(want), "got %s, want %s", got, want)
+	assert.Assert(t, math.Abs(float64(got-want)) <= tolerance*float64(want), "got %s, want %s", got, want)
 }
 
 var prompts = []int{628, 1800, 6600, 300, 12000, 2500, 900, 25000, 1500, 4000}
 
-func TestUnlikeEnginesAreToldApartWithinAFewAnswers(t *testing.T) {
+func TestEnginesOfDifferentSpeedAreLearnedWithinAFewAnswers(t *testing.T) {
 	svc := pace.NewService(pace.Prior)
 	fast, slow := svc.NewEngine(pace.Profile{}), svc.NewEngine(pace.Profile{})
 	for idx := range 100 {
@@ -42,15 +42,15 @@
 		}
 	}
 	for _, tokens := range []int{300, 2000, 8000, 30000} {
-		within(t, fast.Overhead()+fast.ReadTime(tokens), trueEngine{0.7}.first(tokens), 0.15)
-		within(t, slow.Overhead()+slow.ReadTime(tokens), trueEngine{3}.first(tokens), 0.3)
+		assertWithin(t, fast.Overhead()+fast.ReadTime(tokens), trueEngine{0.7}.first(tokens), 0.15)
+		assertWithin(t, slow.Overhead()+slow.ReadTime(tokens), trueEngine{3}.first(tokens), 0.3)
 	}
-	within(t, fast.Event(), 11*time.Millisecond, 0.15)
-	// No long answer told of the slow one's events; its reading does.
-	within(t, slow.Event(), 48*time.Millisecond, 0.4)
+	assertWithin(t, fast.Event(), 11*time.Millisecond, 0.15)
+	// The slow engine had no measured events; they are predicted from its prefill factor.
+	assertWithin(t, slow.Event(), 48*time.Millisecond, 0.4)
 }
 
-func TestProfileIsWhatAnotherHostBeginsWith(t *testing.T) {
+func TestProfileInitializesEngineOfAnotherHost(t *testing.T) {
 	svc := pace.NewService(pace.Prior)
 	eng := svc.NewEngine(pace.Profile{})
 	assert.Assert(t, !eng.Known())
@@ -60,10 +60,10 @@
 	}
 	other := pace.NewService(pace.Prior).NewEngine(eng.Profile())
 	assert.Assert(t, other.Known())
-	within(t, other.ReadTime(5000), eng.ReadTime(5000), 0.4)
+	assertWithin(t, other.ReadTime(5000), eng.ReadTime(5000), 0.4)
 }
 
-func TestWhatTellsNothingIsPassedOver(t *testing.T) {
+func TestInvalidMeasurementsAreIgnored(t *testing.T) {
 	eng := pace.NewService(pace.Prior).NewEngine(pace.Profile{Read: math.NaN(), Event: math.Inf(1), Weight: 5})
 	eng.ObserveRead(0, time.Second)
 	eng.ObserveRead(100, 0)
@@ -71,7 +71,7 @@
 	assert.Assert(t, eng.ReadTime(1000) > 0 && eng.Event() > 0)
 }
 
-func TestPredictionsStaySaneWhateverIsObserved(t *testing.T) {
+func TestPredictionsStayValidForArbitraryMeasurements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		svc := pace.NewService(pace.Prior)
 		eng := svc.NewEngine(pace.Profile{Read: rapid.Float64().Draw(t, "read"), Event: rapid.Float64().Draw(t, "event"), Weight: rapid.Float64().Draw(t, "weight")})
@@ -80,16 +80,16 @@
 			eng.ObserveRead(rapid.IntRange(-1, 1_000_000).Draw(t, "tokens"), took)
 			eng.ObserveEvents(rapid.IntRange(-1, 5000).Draw(t, "events"), took)
 		}
-		former := time.Duration(0)
+		previous := time.Duration(0)
 		for _, tokens := range []int{0, 1, 100, 10_000, 200_000} {
-			read := eng.ReadTime(tokens)
-			if read < former {
-				t.Fatalf("a longer prompt is read sooner: %d in %s, a shorter one in %s", tokens, read, former)
+			prefill := eng.ReadTime(tokens)
+			if prefill < previous {
+				t.Fatalf("prefill of %d tokens predicted to take %s, less than %s of a shorter prompt", tokens, prefill, previous)
 			}
-			former = read
+			previous = prefill
 		}
 		if eng.Event() <= 0 || eng.Overhead() <= 0 {
-			t.Fatalf("event %s, overhead %s", eng.Event(), eng.Overhead())
+			t.Fatalf("predicted event time %s and overhead %s, want both above 0", eng.Event(), eng.Overhead())
 		}
 	})
 }
--- a/pace/survey.go
+++ b/pace/survey.go
@@ -32,14 +32,14 @@
 // again. Predictions are off by a fifth anyway.
 const changeFactor = 1.3
 
-// Differs reports whether the newer survey has an engine that isn't in this one, or whose
-// profile has changed. Engines that are missing from the newer one are ignored.
-func (sur Survey) Differs(newer Survey) bool {
-	known := sur.Profiles()
+// Differs reports whether newer has an engine that isn't in this one, or whose
+// profile has changed. Engines that are missing from newer are ignored.
+func (mea Survey) Differs(newer Survey) bool {
+	known := mea.Profiles()
 	for _, svc := range newer.Services {
 		for _, rec := range svc.Engines {
-			former, found := known[svc.Name][rec.Address]
-			if !found || far(former.Read, rec.Read) || far(former.Event, rec.Event) {
+			old, found := known[svc.Name][rec.Address]
+			if !found || hasChanged(old.Read, rec.Read) || hasChanged(old.Event, rec.Event) {
 				return true
 			}
 		}
@@ -48,9 +48,9 @@
 }
 
 // Profiles returns the engines' profiles by service and address.
-func (sur Survey) Profiles() map[string]map[netip.AddrPort]Profile {
-	services := make(map[string]map[netip.AddrPort]Profile, len(sur.Services))
-	for _, svc := range sur.Services {
+func (mea Survey) Profiles() map[string]map[netip.AddrPort]Profile {
+	services := make(map[string]map[netip.AddrPort]Profile, len(mea.Services))
+	for _, svc := range mea.Services {
 		profiles := make(map[netip.AddrPort]Profile, len(svc.Engines))
 		for _, rec := range svc.Engines {
 			profiles[rec.Address] = rec.Profile
@@ -60,37 +60,37 @@
 	return services
 }
 
-func far(one, two float64) bool {
-	return math.Abs(math.Log(one/two)) > math.Log(changeFactor)
+func hasChanged(left, right float64) bool {
+	return math.Abs(math.Log(left/right)) > math.Log(changeFactor)
 }
 
-// NewSurvey returns the survey of the given services, with their engines in the order of their
+// NewSurvey returns the measurements of the given services, with their engines in the order of their
 // addresses.
 func NewSurvey(services map[string]ServiceSurvey) Survey {
-	var sur Survey
+	var mea Survey
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		svc := services[name]
 		svc.Name = name
-		slices.SortFunc(svc.Engines, func(one, two Record) int { return cmp.Compare(one.Address.String(), two.Address.String()) })
-		sur.Services = append(sur.Services, svc)
+		slices.SortFunc(svc.Engines, func(left, right Record) int { return cmp.Compare(left.Address.String(), right.Address.String()) })
+		mea.Services = append(mea.Services, svc)
 	}
-	return sur
+	return mea
 }
 
 // Adopt replaces the engine's profile by that of another host if it is based on more answers.
 func (eng *Engine) Adopt(pro Profile) {
-	if pro.Weight <= max(eng.read.weight, eng.event.weight) {
+	if pro.Weight <= max(eng.prefill.weight, eng.event.weight) {
 		return
 	}
-	eng.read, eng.event = factorOf(pro.Read, pro.Weight), factorOf(pro.Event, pro.Weight)
-	eng.blendBoth()
+	eng.prefill, eng.event = newFactor(pro.Read, pro.Weight), newFactor(pro.Event, pro.Weight)
+	eng.updateBlend()
 }
 
 // Adopt replaces the reference by that of another host, unless this service has learned its own
 // or the given one is invalid.
 func (svc *Service) Adopt(ref Reference) {
-	if svc.answers >= sureAnswers || ref.Overhead <= 0 || ref.Token <= 0 || ref.Event <= 0 {
+	if svc.answers >= minAnswers || ref.Overhead <= 0 || ref.Token <= 0 || ref.Event <= 0 {
 		return
 	}
-	svc.read, svc.event = newLine(ref.Overhead, ref.Token), float64(ref.Event)
+	svc.prefill, svc.event = newLinearFit(ref.Overhead, ref.Token), float64(ref.Event)
 }
--- a/pace/survey_test.go
+++ b/pace/survey_test.go
@@ -15,21 +15,21 @@
 	addressB = netip.MustParseAddrPort("127.0.0.1:2")
 )
 
-func surveyOf(records ...pace.Record) pace.Survey {
+func measurementsOf(records ...pace.Record) pace.Survey {
 	return pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: records}})
 }
 
-func TestSurveyIsRecordedAnewWhenItTellsMore(t *testing.T) {
-	recorded := surveyOf(pace.Record{Address: addressA, Profile: pace.Profile{Read: 1, Event: 1, Weight: 5}})
+func TestDiffersReportsNewAndChangedEngines(t *testing.T) {
+	recorded := measurementsOf(pace.Record{Address: addressA, Profile: pace.Profile{Read: 1, Event: 1, Weight: 5}})
 	for name, tst := range map[string]struct {
 		newer pace.Survey
 		want  bool
 	}{
-		"the same":       {recorded, false},
-		"a little":       {surveyOf(pace.Record{Address: addressA, Profile: pace.Profile{Read: 1.1, Event: 0.9, Weight: 8}}), false},
-		"much slower":    {surveyOf(pace.Record{Address: addressA, Profile: pace.Profile{Read: 3, Event: 1, Weight: 8}}), true},
-		"another engine": {surveyOf(pace.Record{Address: addressB, Profile: pace.Profile{Read: 1, Event: 1, Weight: 1}}), true},
-		"an engine gone": {surveyOf(), false},
+		"unchanged":        {recorded, false},
+		"slightly changed": {measurementsOf(pace.Record{Address: addressA, Profile: pace.Profile{Read: 1.1, Event: 0.9, Weight: 8}}), false},
+		"much slower":      {measurementsOf(pace.Record{Address: addressA, Profile: pace.Profile{Read: 3, Event: 1, Weight: 8}}), true},
+		"new engine":       {measurementsOf(pace.Record{Address: addressB, Profile: pace.Profile{Read: 1, Event: 1, Weight: 1}}), true},
+		"missing engine":   {measurementsOf(), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, recorded.Differs(tst.newer), tst.want)
@@ -38,12 +38,12 @@
 	assert.Equal(t, pace.Survey{}.Differs(recorded), true)
 }
 
-func TestWhatIsRecordedYieldsToWhatIsMeasured(t *testing.T) {
+func TestAdoptedProfileYieldsToMeasurements(t *testing.T) {
 	svc := pace.NewService(pace.Prior)
 	eng := svc.NewEngine(pace.Profile{Read: 4, Event: 4, Weight: 2})
 	before := eng.ReadTime(5000)
 	eng.Adopt(pace.Profile{Read: 1, Event: 1, Weight: 1})
-	assert.Equal(t, eng.ReadTime(5000), before, "less is known there")
+	assert.Equal(t, eng.ReadTime(5000), before, "a profile based on fewer answers must be ignored")
 	eng.Adopt(pace.Profile{Read: 1, Event: 1, Weight: 6})
 	assert.Assert(t, eng.ReadTime(5000) < before)
 	for range 20 {
@@ -52,7 +52,7 @@
 	assert.Assert(t, eng.ReadTime(5000) > 2*before/3, "%s", eng.ReadTime(5000))
 }
 
-func TestReferenceOfAnotherHostIsTakenAtTheStartOnly(t *testing.T) {
+func TestReferenceIsAdoptedOnlyBeforeOwnMeasurements(t *testing.T) {
 	other := pace.Reference{Overhead: 80 * time.Millisecond, Token: 30 * time.Microsecond, Event: 50 * time.Millisecond}
 	svc := pace.NewService(pace.Prior)
 	svc.Adopt(pace.Reference{})
@@ -63,7 +63,7 @@
 	for range 10 {
 		eng.ObserveRead(1800, 100*time.Millisecond)
 	}
-	former := svc.Reference()
+	learned := svc.Reference()
 	svc.Adopt(pace.Prior)
-	assert.Equal(t, svc.Reference(), former)
+	assert.Equal(t, svc.Reference(), learned)
 }
