--- a/scheduler/apart.go
+++ b/scheduler/apart.go
@@ -35,12 +35,12 @@
 	if len(svc.engines) < minToSetApart {
 		return cor.choose(now, svc, wai)
 	}
-	open := cor.openTo(now, svc, wai)
-	apart := 0
-	var free, calmest *engine
-	for _, ene := range open {
+	eligible := cor.openTo(now, svc, wai)
+	isolated := 0
+	var free, soonest *engine
+	for _, ene := range eligible {
 		if ene.isApart(now) {
-			apart++
+			isolated++
 		}
 		switch {
 		case ene.admits(now, han):
@@ -48,22 +48,22 @@
 				free = ene
 			}
 		case ene.isApart(now):
-		case calmest == nil || ene.emptyIn(now) < calmest.emptyIn(now):
-			calmest = ene
+		case soonest == nil || ene.emptyIn(now) < soonest.emptyIn(now):
+			soonest = ene
 		}
 	}
 	// With fewer engines available than that, none is kept free, but an idle one may be used.
-	more := apart < 1+len(open)/enginesPerApart && len(open) >= minToSetApart
-	if free != nil && len(open) < minToSetApart {
-		more = apart < 1
+	canIsolate := isolated < 1+len(eligible)/enginesPerApart && len(eligible) >= minToSetApart
+	if free != nil && len(eligible) < minToSetApart {
+		canIsolate = isolated < 1
 	}
-	if free != nil && (more || free.isApart(now)) {
+	if free != nil && (canIsolate || free.isApart(now)) {
 		svc.setApart(now, free)
 		can := free.candidate(wai.reserve)
 		can.first = can.alone
 		return can
 	}
-	svc.keepApart(now, open, calmest, more)
+	svc.keepApart(now, eligible, soonest, canIsolate)
 	return candidate{}
 }
 
@@ -88,29 +88,29 @@
 func (cor *Core) openTo(now time.Time, svc *service, wai *waiter) []*engine {
 	acc := svc.access(now, wai.reserve)
 	acc.trial = nil
-	aside := svc.asideAllowed(now)
+	eject := svc.asideAllowed(now)
 	pla := cor.placesFor(wai.gateway, wai.reserve)
-	var open []*engine
+	var eligible []*engine
 	for _, ene := range svc.engines {
-		barred := !pla.allow(ene) || ene.Closed() || ene.barredFor(now, wai.gateway) || (acc.restricted && !acc.allows(ene)) || slices.Contains(wai.reserve.Exclude, ene.name)
-		if barred || ene.endedLately(now) || (aside && !ene.health.usable(now)) {
+		blocked := !pla.allow(ene) || ene.Closed() || ene.barredFor(now, wai.gateway) || (acc.restricted && !acc.allows(ene)) || slices.Contains(wai.reserve.Exclude, ene.name)
+		if blocked || ene.endedLately(now) || (eject && !ene.health.usable(now)) {
 			continue
 		}
-		open = append(open, ene)
+		eligible = append(eligible, ene)
 	}
-	return open
+	return eligible
 }
 
 // keepApart extends the isolation of isolated engines, and isolates another engine if more are
 // allowed.
-func (svc *service) keepApart(now time.Time, open []*engine, calmest *engine, more bool) {
-	for _, ene := range open {
+func (svc *service) keepApart(now time.Time, eligible []*engine, soonest *engine, canIsolate bool) {
+	for _, ene := range eligible {
 		if ene.isApart(now) {
 			svc.setApart(now, ene)
 		}
 	}
-	if more && calmest != nil {
-		svc.setApart(now, calmest)
+	if canIsolate && soonest != nil {
+		svc.setApart(now, soonest)
 	}
 }
 
--- a/scheduler/cold.go
+++ b/scheduler/cold.go
@@ -57,8 +57,8 @@
 	svc.warmAt = time.Time{}
 	for _, ene := range svc.engines {
 		cor.dropPacing(now, ene)
-		if pac := ene.pacing; pac != nil && pac.isCold(now) && (svc.warmAt.IsZero() || pac.coldUntil.Before(svc.warmAt)) {
-			svc.warmAt = pac.coldUntil
+		if lim := ene.pacing; lim != nil && lim.isCold(now) && (svc.warmAt.IsZero() || lim.coldUntil.Before(svc.warmAt)) {
+			svc.warmAt = lim.coldUntil
 		}
 	}
 }
--- a/scheduler/dump.go
+++ b/scheduler/dump.go
@@ -103,8 +103,8 @@
 		buc.fill(now)
 		dum.Accounts = append(dum.Accounts, AccountDump{Name: name, Level: buc.level, Rate: buc.rate, Burst: buc.burst})
 	}
-	slices.SortFunc(dum.Services, func(one, two ServiceDump) int { return cmp.Compare(one.Name, two.Name) })
-	slices.SortFunc(dum.Accounts, func(one, two AccountDump) int { return cmp.Compare(one.Name, two.Name) })
+	slices.SortFunc(dum.Services, func(left, right ServiceDump) int { return cmp.Compare(left.Name, right.Name) })
+	slices.SortFunc(dum.Accounts, func(left, right AccountDump) int { return cmp.Compare(left.Name, right.Name) })
 	return dum
 }
 
@@ -151,12 +151,12 @@
 	return dum
 }
 
-func (pac *pacing) dump(now time.Time) *RateDump {
-	pac.fill(now)
-	pac.forgetSpent(now)
-	dum := &RateDump{PerSecond: pac.limit(now), Own: pac.rate(now), Tokens: pac.tokens, Spent: make(map[string]int)}
-	for _, spe := range pac.spent {
-		dum.Spent[spe.gateway.String()]++
+func (lim *pacing) dump(now time.Time) *RateDump {
+	lim.fill(now)
+	lim.forgetSpent(now)
+	dum := &RateDump{PerSecond: lim.limit(now), Own: lim.rate(now), Tokens: lim.tokens, Spent: make(map[string]int)}
+	for _, grt := range lim.spent {
+		dum.Spent[grt.gateway.String()]++
 	}
 	return dum
 }
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -122,9 +122,9 @@
 		return 0
 	}
 	head := ene.reading[0]
-	spent := now.Sub(ene.headSince)
-	late := spent - head.read - ene.model.Overhead()
-	left := max(0, head.read-spent, late)
+	elapsed := now.Sub(ene.headSince)
+	late := elapsed - head.read - ene.model.Overhead()
+	left := max(0, head.read-elapsed, late)
 	for _, rnn := range ene.reading[1:] {
 		left += rnn.read
 	}
@@ -157,12 +157,12 @@
 // finishPrefill records that the prefill of a run has finished, or that the run has ended.
 func (ene *engine) end(now time.Time, rnn *run) {
 	rnn.unread = false
-	place := slices.Index(ene.reading, rnn)
-	if place < 0 {
+	pos := slices.Index(ene.reading, rnn)
+	if pos < 0 {
 		return
 	}
-	ene.reading = slices.Delete(ene.reading, place, place+1)
-	if place > 0 || len(ene.reading) == 0 {
+	ene.reading = slices.Delete(ene.reading, pos, pos+1)
+	if pos > 0 || len(ene.reading) == 0 {
 		return
 	}
 	// The engine began with the next prefill when it finished this one, some steps before the
@@ -219,25 +219,25 @@
 // slotWait predicts how long the next request waits for a slot: until as many runs have ended as
 // exceed the slots.
 func (ene *engine) slotWait(now time.Time) time.Duration {
-	over := len(ene.running) - ene.Slots + 1
-	if over <= 0 {
+	excess := len(ene.running) - ene.Slots + 1
+	if excess <= 0 {
 		return 0
 	}
 	var soonest [maxOver]time.Duration
-	over = min(over, maxOver)
+	excess = min(excess, maxOver)
 	count := 0
 	for _, rnn := range ene.running {
 		left := rnn.left(now)
-		place := count
-		for place > 0 && soonest[place-1] > left {
-			place--
+		pos := count
+		for pos > 0 && soonest[pos-1] > left {
+			pos--
 		}
-		if place >= over {
+		if pos >= excess {
 			continue
 		}
-		count = min(count+1, over)
-		copy(soonest[place+1:count], soonest[place:count-1])
-		soonest[place] = left
+		count = min(count+1, excess)
+		copy(soonest[pos+1:count], soonest[pos:count-1])
+		soonest[pos] = left
 	}
 	return soonest[max(0, count-1)]
 }
@@ -283,10 +283,10 @@
 	if answerTokens <= 0 {
 		return 1
 	}
-	room := remaining - first
-	if room <= 0 {
+	available := remaining - first
+	if available <= 0 {
 		return 0
 	}
-	off := math.Log2(float64(room)/float64(ene.stayTime(answerTokens))) / hintSpread
-	return 0.5 * (1 + math.Erf(off/math.Sqrt2))
+	deviation := math.Log2(float64(available)/float64(ene.stayTime(answerTokens))) / hintSpread
+	return 0.5 * (1 + math.Erf(deviation/math.Sqrt2))
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -52,9 +52,9 @@
 func (hea *health) failed(now time.Time) {
 	hea.failures++
 	hea.share += errorGain * (1 - hea.share)
-	wasTrial := hea.trial
+	wasProbing := hea.trial
 	hea.trial = false
-	if hea.failures < failuresToSuspect && hea.share < errorShare && !wasTrial {
+	if hea.failures < failuresToSuspect && hea.share < errorShare && !wasProbing {
 		return
 	}
 	hea.aside = min(maxAside, max(minAside, 2*hea.aside))
--- a/scheduler/line.go
+++ b/scheduler/line.go
@@ -53,8 +53,8 @@
 	wai := &waiter{reserve: res, gateway: from, number: svc.arrivals, since: now, scope: strings.Join(res.Regions, " ")}
 	wai.late = res.Attempt == 0 && res.Age > res.Aim
 	wai.until = now.Add(waitTime(res))
-	place, _ := slices.BinarySearchFunc(svc.waiting, wai, compareWaiters)
-	svc.waiting = slices.Insert(svc.waiting, place, wai)
+	pos, _ := slices.BinarySearchFunc(svc.waiting, wai, compareWaiters)
+	svc.waiting = slices.Insert(svc.waiting, pos, wai)
 	cor.serve(now, svc)
 }
 
@@ -63,17 +63,17 @@
 	return min(max(0, time.Duration(waitShare*float64(res.Aim))-waitMargin), res.Remaining)
 }
 
-func compareWaiters(one, two *waiter) int {
+func compareWaiters(left, right *waiter) int {
 	return cmp.Or(
-		cmp.Compare(one.reserve.Rank, two.reserve.Rank),
-		cmp.Compare(one.reserve.Urgency, two.reserve.Urgency),
+		cmp.Compare(left.reserve.Rank, right.reserve.Rank),
+		cmp.Compare(left.reserve.Urgency, right.reserve.Urgency),
 		// Requests that can meet their target go before those that can't; in the opposite order,
 		// both would be late.
-		cmp.Compare(ordinal(one.late), ordinal(two.late)),
+		cmp.Compare(ordinal(left.late), ordinal(right.late)),
 		// Retries go first: they have waited before, and engines have spent work on them. So do
 		// requests that wait again because their engine couldn't be used.
-		cmp.Compare(ordinal(two.waitedBefore()), ordinal(one.waitedBefore())),
-		cmp.Compare(one.number, two.number),
+		cmp.Compare(ordinal(right.waitedBefore()), ordinal(left.waitedBefore())),
+		cmp.Compare(left.number, right.number),
 	)
 }
 
@@ -81,8 +81,8 @@
 	return wai.reserve.Attempt > 0 || wai.reserve.Again
 }
 
-func ordinal(holds bool) int {
-	if holds {
+func ordinal(val bool) int {
+	if val {
 		return 1
 	}
 	return 0
@@ -131,14 +131,14 @@
 	cor.warm(now, svc)
 	kept := svc.waiting[:0]
 	alw := svc.allowance(now)
-	var lin line
+	var scn line
 	for _, wai := range svc.waiting {
 		han := cor.handlingOf(now, wai)
 		switch {
 		case han == handleHeld:
 			cor.giveBack(wai.reserve.Account, cor.costOf(wai.reserve))
 			cor.heldBack(now, wai.gateway, wai.reserve, svc)
-		case (han == handleAlone || han == handleGuarded || !lin.isFull(wai)) && cor.grant(now, svc, wai, han):
+		case (han == handleAlone || han == handleGuarded || !scn.isFull(wai)) && cor.grant(now, svc, wai, han):
 		case cor.refuseClosed(now, svc, wai):
 		case han == handleUsual && cor.refuseSpent(now, svc, wai, alw, len(kept)):
 		case !now.Before(wai.until):
@@ -149,7 +149,7 @@
 			cor.refuse(wai.gateway, wai.reserve, reservation.ReasonOverload, svc.inputsOf(now, wai))
 		default:
 			if len(wai.reserve.Exclude) == 0 && han == handleUsual {
-				lin.note(now, svc, wai, len(cor.closed[wai.gateway]) > 0)
+				scn.note(now, svc, wai, len(cor.closed[wai.gateway]) > 0)
 			}
 			kept = append(kept, wai)
 		}
@@ -185,29 +185,29 @@
 }
 
 // isFull reports whether requests like this one, without special handling, find no engine.
-func (lin *line) isFull(wai *waiter) bool {
-	return lin.full || lin.fullFor[wai.gateway] || wai.scope != "" && lin.fullIn[wai.scope]
+func (scn *line) isFull(wai *waiter) bool {
+	return scn.full || scn.fullFor[wai.gateway] || wai.scope != "" && scn.fullIn[wai.scope]
 }
 
 // recordFull records that a request without special handling found no engine. bounded is set if
 // some engines are closed to its gateway that may be open to others.
-func (lin *line) note(now time.Time, svc *service, wai *waiter, bounded bool) {
-	if lin.isFull(wai) {
+func (scn *line) note(now time.Time, svc *service, wai *waiter, bounded bool) {
+	if scn.isFull(wai) {
 		return
 	}
-	others := !bounded && (svc.said == 0 || !svc.hasAsked(now, wai.gateway))
+	anyGateway := !bounded && (svc.said == 0 || !svc.hasAsked(now, wai.gateway))
 	switch {
-	case others && wai.scope == "":
-		lin.full = true
-	case others:
-		if lin.fullIn == nil {
-			lin.fullIn = make(map[string]bool)
+	case anyGateway && wai.scope == "":
+		scn.full = true
+	case anyGateway:
+		if scn.fullIn == nil {
+			scn.fullIn = make(map[string]bool)
 		}
-		lin.fullIn[wai.scope] = true
+		scn.fullIn[wai.scope] = true
 	case wai.scope == "":
-		if lin.fullFor == nil {
-			lin.fullFor = make(map[request.Epoch]bool)
+		if scn.fullFor == nil {
+			scn.fullFor = make(map[request.Epoch]bool)
 		}
-		lin.fullFor[wai.gateway] = true
+		scn.fullFor[wai.gateway] = true
 	}
 }
--- a/scheduler/notice.go
+++ b/scheduler/notice.go
@@ -76,17 +76,17 @@
 	if ene == nil {
 		return
 	}
-	switch wrd := msg.Word.(type) {
+	switch sgn := msg.Word.(type) {
 	case fleet.Leaving, fleet.Replaced:
 		cor.speaks(ene).leaves = true
 	case fleet.Pause:
-		cor.speaks(ene).pause(now, from, wrd.Left, cor.cfg.Pauses)
+		cor.speaks(ene).pause(now, from, sgn.Left, cor.cfg.Pauses)
 	case fleet.RateLimit:
-		cor.limitRate(now, ene, wrd)
+		cor.limitRate(now, ene, sgn)
 	case fleet.Unlimited:
 		cor.unlimit(now, ene)
 	case fleet.Cold:
-		cor.chill(now, ene, now.Add(wrd.Left))
+		cor.chill(now, ene, now.Add(sgn.Left))
 	}
 	cor.serveEngine(now, ene)
 }
@@ -103,11 +103,11 @@
 }
 
 // String returns the state for dumps.
-func (sai *said) String() string {
+func (sig *said) String() string {
 	switch {
-	case sai.leaves:
+	case sig.leaves:
 		return "Leaves"
-	case sai.unproved:
+	case sig.unproved:
 		return "Unproved"
 	default:
 		return "Paused"
@@ -117,66 +117,66 @@
 // applyBackoff blocks a gateway for the requested time, and the other gateways for a while if
 // the request is new. A repeated notice, such as one sent to a new coordinator or with a
 // returned grant, carries no new information.
-func (sai *said) pause(now time.Time, from request.Epoch, left time.Duration, scope PauseScope) {
+func (sig *said) pause(now time.Time, from request.Epoch, left time.Duration, scope PauseScope) {
 	until := now.Add(left)
-	anew := until.Sub(sai.asked[from]) > toldAgain
-	if until.After(sai.asked[from]) {
-		sai.asked[from] = until
+	isNew := until.Sub(sig.asked[from]) > toldAgain
+	if until.After(sig.asked[from]) {
+		sig.asked[from] = until
 	}
-	if scope == PauseAsked || !anew {
+	if scope == PauseAsked || !isNew {
 		return
 	}
 	shared := min(left, maxSharedPause)
 	if scope == PauseProbing {
-		shared = min(left, sai.nextStep(from))
+		shared = min(left, sig.nextStep(from))
 	}
-	if until := now.Add(shared); until.After(sai.sharedUntil) {
-		sai.sharedUntil = until
+	if until := now.Add(shared); until.After(sig.sharedUntil) {
+		sig.sharedUntil = until
 	}
-	sai.at, sai.unproved = now, true
+	sig.at, sig.unproved = now, true
 }
 
 // nextStep returns the backoff of the other gateways: none at first, since the engine may reject
 // only a part of its requests, and twice as long after each rejected probe. Rejections of
 // requests that were granted before the backoff carry no new information.
-func (sai *said) nextStep(from request.Epoch) time.Duration {
+func (sig *said) nextStep(from request.Epoch) time.Duration {
 	switch {
-	case !sai.unproved:
-		sai.step = 0
-	case sai.probe != nil && sai.probe.gateway == from:
-		sai.step = min(maxAside, max(minAside, 2*sai.step))
+	case !sig.unproved:
+		sig.step = 0
+	case sig.probe != nil && sig.probe.gateway == from:
+		sig.step = min(maxAside, max(minAside, 2*sig.step))
 	}
-	return sai.step
+	return sig.step
 }
 
 // blocks reports whether the engine may not be granted to the gateway.
-func (sai *said) bars(now time.Time, gateway request.Epoch) bool {
-	return sai.barsAll(now) || now.Before(sai.asked[gateway])
+func (sig *said) bars(now time.Time, gateway request.Epoch) bool {
+	return sig.barsAll(now) || now.Before(sig.asked[gateway])
 }
 
 // barsAll reports whether the engine may not be granted to any gateway.
-func (sai *said) barsAll(now time.Time) bool {
-	return sai.leaves || now.Before(sai.sharedUntil) || sai.probing(now)
+func (sig *said) barsAll(now time.Time) bool {
+	return sig.leaves || now.Before(sig.sharedUntil) || sig.probing(now)
 }
 
 // probing reports whether a probe of the engine is in progress.
-func (sai *said) probing(now time.Time) bool {
-	return sai.unproved && sai.probe != nil && now.Sub(sai.probe.given) < probeFor
+func (sig *said) probing(now time.Time) bool {
+	return sig.unproved && sig.probe != nil && now.Sub(sig.probe.given) < probeFor
 }
 
 // blockedUntil returns the time from which the engine may be granted to the gateway, unless it
 // is draining.
-func (sai *said) opens(gateway request.Epoch) time.Time {
-	if at := sai.asked[gateway]; at.After(sai.sharedUntil) {
+func (sig *said) opens(gateway request.Epoch) time.Time {
+	if at := sig.asked[gateway]; at.After(sig.sharedUntil) {
 		return at
 	}
-	return sai.sharedUntil
+	return sig.sharedUntil
 }
 
 // expired reports whether no signal is in force any more, and removes the expired backoffs.
-func (sai *said) lapsed(now time.Time) bool {
-	maps.DeleteFunc(sai.asked, func(_ request.Epoch, until time.Time) bool { return !now.Before(until) })
-	return !sai.leaves && !sai.unproved && len(sai.asked) == 0 && !now.Before(sai.sharedUntil)
+func (sig *said) lapsed(now time.Time) bool {
+	maps.DeleteFunc(sig.asked, func(_ request.Epoch, until time.Time) bool { return !now.Before(until) })
+	return !sig.leaves && !sig.unproved && len(sig.asked) == 0 && !now.Before(sig.sharedUntil)
 }
 
 // barredFor reports whether a signal blocks the engine for the gateway.
@@ -270,25 +270,25 @@
 	if len(wai.reserve.Exclude) > 0 {
 		return svc.closing(wai.gateway, wai.reserve.Exclude)
 	}
-	clo := &svc.closings
-	if !clo.looked {
-		clo.looked = true
-		clo.open = slices.ContainsFunc(svc.engines, func(ene *engine) bool { return !ene.Closed() && ene.said == nil })
-		clo.by = make(map[request.Epoch]closing)
+	blk := &svc.closings
+	if !blk.looked {
+		blk.looked = true
+		blk.open = slices.ContainsFunc(svc.engines, func(ene *engine) bool { return !ene.Closed() && ene.said == nil })
+		blk.by = make(map[request.Epoch]closing)
 	}
-	if clo.open {
+	if blk.open {
 		return closing{}
 	}
-	known, found := clo.by[wai.gateway]
+	known, found := blk.by[wai.gateway]
 	if !found {
 		known = svc.closing(wai.gateway, nil)
-		clo.by[wai.gateway] = known
+		blk.by[wai.gateway] = known
 	}
 	return known
 }
 
 func (svc *service) closing(gateway request.Epoch, exclude []string) closing {
-	clo := closing{holds: true}
+	blk := closing{holds: true}
 	for _, ene := range svc.engines {
 		if ene.Closed() || slices.Contains(exclude, ene.name) {
 			continue
@@ -299,16 +299,16 @@
 		if ene.said.leaves {
 			continue
 		}
-		at, elsewhere := ene.said.opens(gateway), ene.said.sharedUntil
-		if !clo.opens || at.Before(clo.until) {
-			clo.until = at
+		at, others := ene.said.opens(gateway), ene.said.sharedUntil
+		if !blk.opens || at.Before(blk.until) {
+			blk.until = at
 		}
-		if !clo.opens || elsewhere.Before(clo.elsewhere) {
-			clo.elsewhere = elsewhere
+		if !blk.opens || others.Before(blk.elsewhere) {
+			blk.elsewhere = others
 		}
-		clo.opens = true
+		blk.opens = true
 	}
-	return clo
+	return blk
 }
 
 // refuseClosed refuses a request at once if all its engines are draining, or in backoff beyond
@@ -317,15 +317,15 @@
 	if svc.said == 0 {
 		return false
 	}
-	clo := svc.closingFor(wai)
-	if !clo.holds || clo.opens && !clo.until.After(wai.until) {
+	blk := svc.closingFor(wai)
+	if !blk.holds || blk.opens && !blk.until.After(wai.until) {
 		return false
 	}
-	after := retryAfter(wai.reserve)
-	if clo.opens {
-		after = max(0, clo.elsewhere.Sub(now)) + minBackoffSpread + time.Duration(pointOf(wai.reserve.ID)*float64(maxBackoffSpread-minBackoffSpread))
+	delay := retryAfter(wai.reserve)
+	if blk.opens {
+		delay = max(0, blk.elsewhere.Sub(now)) + minBackoffSpread + time.Duration(pointOf(wai.reserve.ID)*float64(maxBackoffSpread-minBackoffSpread))
 	}
 	cor.giveBack(wai.reserve.Account, cor.costOf(wai.reserve))
-	cor.send(wai.gateway, reservation.Refuse{ID: wai.reserve.ID, Ballot: wai.reserve.Ballot, Reason: reservation.ReasonBackoff, RetryAfter: after}, svc.inputsOf(now, wai))
+	cor.send(wai.gateway, reservation.Refuse{ID: wai.reserve.ID, Ballot: wai.reserve.Ballot, Reason: reservation.ReasonBackoff, RetryAfter: delay}, svc.inputsOf(now, wai))
 	return true
 }
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -219,29 +219,29 @@
 
 // noteUnexplained has the registry compare the traffic sources at the crashed engine with those
 // at the other engines.
-func (cor *Core) noteUnexplained(now time.Time, ended *engine) {
-	svc := cor.service(ended.Service)
-	others := 0
-	usual := make(map[quarantine.Source]int)
-	usualYoung := make(map[quarantine.Source]int)
+func (cor *Core) noteUnexplained(now time.Time, crashed *engine) {
+	svc := cor.service(crashed.Service)
+	otherEngines := 0
+	counts := make(map[quarantine.Source]int)
+	youngCounts := make(map[quarantine.Source]int)
 	for _, ene := range svc.engines {
-		if ene == ended || ene.leaving() || ene.endedLately(now) {
+		if ene == crashed || ene.leaving() || ene.endedLately(now) {
 			continue
 		}
-		others++
+		otherEngines++
 		here, young := ene.sourcesAt(now)
 		for src := range here {
-			usual[src]++
+			counts[src]++
 		}
 		for src := range young {
-			usualYoung[src]++
+			youngCounts[src]++
 		}
 	}
-	part := func(count int) float64 { return (float64(count) + 0.5) / float64(others+1) }
-	here, young := ended.sourcesAt(now)
+	shareOf := func(count int) float64 { return (float64(count) + 0.5) / float64(otherEngines+1) }
+	here, young := crashed.sourcesAt(now)
 	var present []quarantine.Presence
 	for src := range here {
-		present = append(present, quarantine.Presence{Source: src, Here: true, Young: young[src], Usual: part(usual[src]), UsualYoung: part(usualYoung[src])})
+		present = append(present, quarantine.Presence{Source: src, Here: true, Young: young[src], Usual: shareOf(counts[src]), UsualYoung: shareOf(youngCounts[src])})
 	}
 	for _, src := range cor.quarantine.UnexplainedEnd(now, present) {
 		cor.sources = append(cor.sources, SourceChange{Source: src, Restricted: true})
@@ -293,8 +293,8 @@
 
 // CaseReports returns at most the given number of reports on requests at a level or above, the
 // most suspect first, for other hosts.
-func (cor *Core) CaseReports(now time.Time, least quarantine.Level, most int) []quarantine.Report {
-	return cor.quarantine.Reports(now, least, most)
+func (cor *Core) CaseReports(now time.Time, minLevel quarantine.Level, limit int) []quarantine.Report {
+	return cor.quarantine.Reports(now, minLevel, limit)
 }
 
 // KnowsCase reports whether the request was involved in a crash.
--- a/scheduler/rate.go
+++ b/scheduler/rate.go
@@ -63,127 +63,127 @@
 }
 
 // isCold reports whether the engine is cold.
-func (pac *pacing) isCold(now time.Time) bool {
-	return now.Before(pac.coldUntil)
+func (lim *pacing) isCold(now time.Time) bool {
+	return now.Before(lim.coldUntil)
 }
 
 // isActive reports whether the grants of the engine are limited.
-func (pac *pacing) holds(now time.Time) bool {
-	return pac.named || pac.isCold(now)
+func (lim *pacing) holds(now time.Time) bool {
+	return lim.named || lim.isCold(now)
 }
 
 // limit returns the engine's limit for all hosts, in requests per second; infinite without one.
-func (pac *pacing) limit(now time.Time) float64 {
+func (lim *pacing) limit(now time.Time) float64 {
 	limit := math.Inf(1)
-	if pac.named {
-		limit = max(minRate, pac.perSecond)
+	if lim.named {
+		limit = max(minRate, lim.perSecond)
 	}
-	if pac.isCold(now) {
-		limit = min(limit, pac.coldRate)
+	if lim.isCold(now) {
+		limit = min(limit, lim.coldRate)
 	}
 	return limit
 }
 
 // rate returns this core's share of the limit, in requests per second.
-func (pac *pacing) rate(now time.Time) float64 {
-	if pac.share == 0 || !pac.holds(now) {
+func (lim *pacing) rate(now time.Time) float64 {
+	if lim.share == 0 || !lim.holds(now) {
 		return 0
 	}
-	return pac.share * pac.limit(now)
+	return lim.share * lim.limit(now)
 }
 
-func (pac *pacing) fill(now time.Time) {
-	rate := pac.rate(now)
-	if now.After(pac.filled) {
-		pac.tokens += now.Sub(pac.filled).Seconds() * rate
-		pac.filled = now
+func (lim *pacing) fill(now time.Time) {
+	rate := lim.rate(now)
+	if now.After(lim.filled) {
+		lim.tokens += now.Sub(lim.filled).Seconds() * rate
+		lim.filled = now
 	}
-	pac.tokens = min(pac.tokens, 1+rate*pac.saved(now).Seconds())
+	lim.tokens = min(lim.tokens, 1+rate*lim.saved(now).Seconds())
 }
 
 // burstTime returns the capacity of the bucket as a period.
-func (pac *pacing) saved(now time.Time) time.Duration {
-	if pac.isCold(now) {
+func (lim *pacing) saved(now time.Time) time.Duration {
+	if lim.isCold(now) {
 		return coldSaved
 	}
 	return maxSaved
 }
 
 // setRate applies the rate that the engine signaled.
-func (pac *pacing) name(now time.Time, perSecond float64) {
-	pac.fill(now)
-	pac.named, pac.perSecond, pac.namedAt = true, perSecond, now
+func (lim *pacing) name(now time.Time, perSecond float64) {
+	lim.fill(now)
+	lim.named, lim.perSecond, lim.namedAt = true, perSecond, now
 }
 
 // setCold marks the engine cold until a time, with the rate that it bears meanwhile.
-func (pac *pacing) chill(now, until time.Time, perSecond float64) {
-	pac.fill(now)
-	pac.coldUntil, pac.coldRate = until, perSecond
+func (lim *pacing) chill(now, until time.Time, perSecond float64) {
+	lim.fill(now)
+	lim.coldUntil, lim.coldRate = until, perSecond
 }
 
 // setShare applies this core's new share. The bucket is emptied when the share was or becomes 0.
-func (pac *pacing) divide(now time.Time, share float64) {
-	pac.fill(now)
-	if pac.share == 0 || share == 0 {
-		pac.tokens = 0
+func (lim *pacing) divide(now time.Time, share float64) {
+	lim.fill(now)
+	if lim.share == 0 || share == 0 {
+		lim.tokens = 0
 	}
-	pac.share = share
+	lim.share = share
 }
 
 // admits reports whether a request may be granted.
-func (pac *pacing) admits(now time.Time) bool {
-	if pac == nil || !pac.holds(now) {
+func (lim *pacing) admits(now time.Time) bool {
+	if lim == nil || !lim.holds(now) {
 		return true
 	}
-	pac.fill(now)
-	return pac.tokens >= 1
+	lim.fill(now)
+	return lim.tokens >= 1
 }
 
 // needsCheck reports whether the engine has signaled a rate but was granted no request lately
 // that would show whether the rate still applies.
-func (pac *pacing) overdue(now time.Time) bool {
-	if pac == nil || !pac.named {
+func (lim *pacing) overdue(now time.Time) bool {
+	if lim == nil || !lim.named {
 		return false
 	}
-	asked := pac.namedAt
-	if pac.takenAt.After(asked) {
-		asked = pac.takenAt
+	checked := lim.namedAt
+	if lim.takenAt.After(checked) {
+		checked = lim.takenAt
 	}
-	return now.Sub(asked) >= askedAgain
+	return now.Sub(checked) >= askedAgain
 }
 
 // take takes a token for a grant.
-func (pac *pacing) take(now time.Time, gateway request.Epoch) {
-	pac.tokens--
-	pac.takenAt = now
-	pac.forgetSpent(now)
-	if len(pac.spent) == maxSpent {
-		pac.spent = pac.spent[1:]
+func (lim *pacing) take(now time.Time, gateway request.Epoch) {
+	lim.tokens--
+	lim.takenAt = now
+	lim.forgetSpent(now)
+	if len(lim.spent) == maxSpent {
+		lim.spent = lim.spent[1:]
 	}
-	pac.spent = append(pac.spent, spending{gateway: gateway, at: now})
+	lim.spent = append(lim.spent, spending{gateway: gateway, at: now})
 }
 
 // refund returns the token of a grant whose request wasn't sent.
-func (pac *pacing) giveBack(gateway request.Epoch) {
-	pac.tokens++
-	for idx, spe := range pac.spent {
-		if spe.gateway == gateway {
-			pac.spent = append(pac.spent[:idx:idx], pac.spent[idx+1:]...)
+func (lim *pacing) giveBack(gateway request.Epoch) {
+	lim.tokens++
+	for idx, grt := range lim.spent {
+		if grt.gateway == gateway {
+			lim.spent = append(lim.spent[:idx:idx], lim.spent[idx+1:]...)
 			return
 		}
 	}
 }
 
-func (pac *pacing) forgetSpent(now time.Time) {
-	for len(pac.spent) > 0 && now.Sub(pac.spent[0].at) >= spentWindow {
-		pac.spent = pac.spent[1:]
+func (lim *pacing) forgetSpent(now time.Time) {
+	for len(lim.spent) > 0 && now.Sub(lim.spent[0].at) >= spentWindow {
+		lim.spent = lim.spent[1:]
 	}
 }
 
 // spentLately returns the number of recent grants, up to the number that is kept.
-func (pac *pacing) spentLately(now time.Time) int {
-	pac.forgetSpent(now)
-	return len(pac.spent)
+func (lim *pacing) spentLately(now time.Time) int {
+	lim.forgetSpent(now)
+	return len(lim.spent)
 }
 
 // rateShare returns this core's share of the engines' rate limits.
@@ -257,8 +257,8 @@
 // notice first. It ends a limit that was signaled before the run was granted. Runs granted by
 // another core are ignored, since it isn't known when they were answered.
 func (cor *Core) noteUnlimited(now time.Time, rnn *run) {
-	pac := rnn.engine.pacing
-	if pac != nil && !rnn.inherited && rnn.given.After(pac.namedAt) {
+	lim := rnn.engine.pacing
+	if lim != nil && !rnn.inherited && rnn.given.After(lim.namedAt) {
 		cor.unlimit(now, rnn.engine)
 	}
 }
@@ -298,8 +298,8 @@
 // ends, and reports whether it did. The requests ahead of it in the queue use the allowance
 // first.
 func (cor *Core) refuseSpent(now time.Time, svc *service, wai *waiter, alw allowance, ahead int) bool {
-	lapsed := wai.paced && !now.Before(wai.until)
-	if !alw.holds || !lapsed && alw.reaches(ahead, wai.until.Sub(now)) {
+	expired := wai.paced && !now.Before(wai.until)
+	if !alw.holds || !expired && alw.reaches(ahead, wai.until.Sub(now)) {
 		return false
 	}
 	cor.giveBack(wai.reserve.Account, cor.costOf(wai.reserve))
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -23,19 +23,19 @@
 
 // changeRollouts applies the stored states. A version whose roll-out is replaced by another
 // order before it was known to be healthy gets no further requests.
-func (cor *Core) changeRollouts(now time.Time, standings []rollout.Standing) {
-	for _, std := range standings {
-		svc := cor.service(std.Order.Service)
-		if svc.rollout != nil && std.Order.Revision <= svc.rollout.Order().Revision {
-			svc.rollout.Adopt(std)
+func (cor *Core) changeRollouts(now time.Time, states []rollout.Standing) {
+	for _, sta := range states {
+		svc := cor.service(sta.Order.Service)
+		if svc.rollout != nil && sta.Order.Revision <= svc.rollout.Order().Revision {
+			svc.rollout.Adopt(sta)
 			svc.stopFormer()
 			continue
 		}
-		if former := svc.rollout; former != nil && former.State() != rollout.StateCompleted {
-			svc.distrusted[former.Order().Version] = true
+		if previous := svc.rollout; previous != nil && previous.State() != rollout.StateCompleted {
+			svc.distrusted[previous.Order().Version] = true
 		}
-		delete(svc.distrusted, std.Order.Version)
-		svc.rollout = rollout.New(cor.cfg.Rollouts, std)
+		delete(svc.distrusted, sta.Order.Version)
+		svc.rollout = rollout.New(cor.cfg.Rollouts, sta)
 		// A core that starts after the completion knows no engines from before it.
 		svc.moved = svc.rollout.State() == rollout.StateCompleted
 	}
@@ -142,9 +142,9 @@
 		return acc
 	}
 	acc.New = false
-	usual := svc.usualLoad()
+	typical := svc.usualLoad()
 	for _, ene := range svc.engines {
-		if svc.isNew(ene) && !ene.silenced(now) && len(ene.running) < usual && ene.hasRoom(now) {
+		if svc.isNew(ene) && !ene.silenced(now) && len(ene.running) < typical && ene.hasRoom(now) {
 			acc.trial = ene
 			break
 		}
@@ -207,8 +207,8 @@
 // usualTime returns how long an engine of reference speed takes for the answer.
 func (svc *service) usualTime(rnn *run, events int) time.Duration {
 	if rnn.tokens > 0 {
-		usual := svc.pace.NewEngine(pace.Profile{})
-		return usual.Overhead() + usual.ReadTime(rnn.tokens) + time.Duration(max(0, events-1))*usual.Event()
+		typical := svc.pace.NewEngine(pace.Profile{})
+		return typical.Overhead() + typical.ReadTime(rnn.tokens) + time.Duration(max(0, events-1))*typical.Event()
 	}
 	engines, work := 0, time.Duration(0)
 	for _, ene := range svc.engines {
--- a/scheduler/survey.go
+++ b/scheduler/survey.go
@@ -20,9 +20,9 @@
 }
 
 // adoptSurvey applies the recorded profiles to engines of which this core has measured less.
-func (cor *Core) adoptSurvey(sur pace.Survey) {
-	cor.recorded = sur.Profiles()
-	for _, svc := range sur.Services {
+func (cor *Core) adoptSurvey(mea pace.Survey) {
+	cor.recorded = mea.Profiles()
+	for _, svc := range mea.Services {
 		cor.service(svc.Name).pace.Adopt(svc.Reference)
 	}
 	for _, ene := range cor.engines {
