--- a/scheduler/apart.go
+++ b/scheduler/apart.go
@@ -30,7 +30,8 @@
 )
 
 // chooseApart returns an engine for a request that may crash it, so that as few other requests
-// as possible are affected. If there is none, it isolates an engine until that is idle.
+// as possible are affected. If there is none, it may isolate the engine that will be idle first,
+// for the request to run there later.
 func (cor *Core) chooseApart(now time.Time, svc *service, wai *waiter, han handling) candidate {
 	if len(svc.engines) < minToSetApart {
 		return cor.choose(now, svc, wai)
@@ -52,7 +53,8 @@
 			soonest = ene
 		}
 	}
-	// With fewer engines available than that, none is kept free, but an idle one may be used.
+	// With fewer than minToSetApart engines available, none is kept free, but an idle one may be
+	// used.
 	canIsolate := isolated < 1+len(eligible)/enginesPerApart && len(eligible) >= minToSetApart
 	if free != nil && len(eligible) < minToSetApart {
 		canIsolate = isolated < 1
@@ -159,7 +161,7 @@
 	return longest
 }
 
-// endedLately reports whether the engine is regarded as crashed.
+// endedLately reports whether the engine crashed so recently that it isn't regarded as idle.
 func (ene *engine) endedLately(now time.Time) bool {
 	return ene.ended && now.Sub(ene.endedAt) < endedFor
 }
--- a/scheduler/cold.go
+++ b/scheduler/cold.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// chill marks an engine cold until a time. It does nothing if the configuration sets no rate for
-// cold engines of the service.
+// markCold marks an engine cold until a time. It does nothing if the configuration sets no rate
+// for cold engines of the service.
 func (cor *Core) chill(now time.Time, ene *engine, until time.Time) {
 	if !until.After(now) || ene.pacing != nil && !until.After(ene.pacing.coldUntil) {
 		return
--- a/scheduler/line.go
+++ b/scheduler/line.go
@@ -24,8 +24,9 @@
 	usualAt uint64
 	// scope identifies the regions in which the request may run; empty for all.
 	scope string
-	// late is set if the client has tried before and the target can't be met any more. In
-	// overload, such requests would take capacity from those that can meet theirs.
+	// late is set if the client had already waited longer than the latency target when this
+	// request arrived, so that the target can't be met any more. In overload, such requests would
+	// take capacity from those that can meet theirs.
 	late bool
 	// rateLimited is set if only a rate limit kept an engine from being granted.
 	paced bool
@@ -113,7 +114,7 @@
 	return time.Duration(share * float64(min(res.Remaining, maxRetrySpan)))
 }
 
-// pointOf maps a request id to a number from 0 to 1, evenly distributed.
+// pointOf maps a request id to an evenly distributed number from 0 to below 1.
 func pointOf(id request.ID) float64 {
 	hash := fnv.New32a()
 	// Write never returns an error.
@@ -173,7 +174,7 @@
 }
 
 // queueScan is what one pass over the queue has found about free capacity. Thousands of requests
-// may wait, so that what applies to all requests of a gateway is determined once.
+// may wait, so what applies to all requests of a gateway is determined once.
 type line struct {
 	// full is set if a request without special handling found no engine. fullFor is the same for
 	// single gateways that have a backoff from an engine in force, or that send nothing to some
@@ -189,13 +190,13 @@
 	return scn.full || scn.fullFor[wai.gateway] || wai.scope != "" && scn.fullIn[wai.scope]
 }
 
-// recordFull records that a request without special handling found no engine. bounded is set if
-// some engines are closed to its gateway that may be open to others.
-func (scn *line) note(now time.Time, svc *service, wai *waiter, bounded bool) {
+// recordFull records that a request without special handling found no engine. constrained is set
+// if some engines are closed to its gateway that may be open to others.
+func (scn *line) note(now time.Time, svc *service, wai *waiter, constrained bool) {
 	if scn.isFull(wai) {
 		return
 	}
-	anyGateway := !bounded && (svc.said == 0 || !svc.hasAsked(now, wai.gateway))
+	anyGateway := !constrained && (svc.said == 0 || !svc.hasAsked(now, wai.gateway))
 	switch {
 	case anyGateway && wai.scope == "":
 		scn.full = true
--- a/scheduler/listing.go
+++ b/scheduler/listing.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// equip applies the configured model parameters of the engine's service.
+// applyModel applies the configured model parameters of the engine's service.
 func (cor *Core) equip(ene *engine) {
 	if cor.table == nil {
 		return
--- a/scheduler/notice.go
+++ b/scheduler/notice.go
@@ -52,8 +52,8 @@
 	maxBackoffSpread = 500 * time.Millisecond
 )
 
-// signalState holds the signals of an engine that are in force. An engine without signals has
-// none, so that the check costs one comparison.
+// signalState holds the signals of an engine that are in force. The state of an engine without
+// any is nil, so that the check costs one comparison.
 type said struct {
 	// draining is set if the engine is draining or another one has replaced it at its address.
 	leaves bool
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -39,7 +39,7 @@
 	// handleUsual allows any engine.
 	handleUsual handling = iota
 	// handleLater keeps the request waiting for the result of an earlier run with the same
-	// digest, or of its traffic source.
+	// digest, or for the end of a pause of its traffic source.
 	handleLater
 	// handleAlone requires an engine that runs nothing else.
 	handleAlone
@@ -81,7 +81,7 @@
 	}
 }
 
-// handlingOf returns how a waiting request is treated. It caches the usual result until the
+// handlingOf returns how a waiting request is treated. It caches the normal result until the
 // quarantine changes, since it is called for hundreds of waiting requests whenever a run starts
 // or ends (BenchmarkManyWaiting).
 func (cor *Core) handlingOf(now time.Time, wai *waiter) handling {
--- a/scheduler/rate.go
+++ b/scheduler/rate.go
@@ -19,8 +19,8 @@
 	// minRate is the lowest rate of grants in requests per second, applied even to an engine that
 	// accepts none: only an answer shows that the limit has ended.
 	minRate = 0.5
-	// maxSaved is the capacity of an engine's token bucket as a period, in addition to one
-	// request: requests arrive unevenly, and tokens that aren't kept are lost to the waiting
+	// maxSaved is the capacity of an engine's token bucket, as the time to fill it, in addition
+	// to one request. Requests arrive unevenly, and tokens that don't fit are lost to the waiting
 	// requests.
 	maxSaved = 500 * time.Millisecond
 	// coldSaved is the same for a cold engine. It bears half as many again as arrive in a second,
@@ -101,7 +101,7 @@
 	lim.tokens = min(lim.tokens, 1+rate*lim.saved(now).Seconds())
 }
 
-// burstTime returns the capacity of the bucket as a period.
+// burstTime returns the capacity of the bucket as the time to fill it.
 func (lim *pacing) saved(now time.Time) time.Duration {
 	if lim.isCold(now) {
 		return coldSaved
@@ -194,8 +194,8 @@
 	return 1 / cor.parts
 }
 
-// limitRate applies a signaled rate. Requests granted before count as the whole burst that could
-// have been saved up.
+// limitRate applies a signaled rate. A new limiter starts with an empty bucket, as if the
+// requests granted before had used up the burst.
 func (cor *Core) limitRate(now time.Time, ene *engine, lim fleet.RateLimit) {
 	ene.rateEnded = false
 	cor.pace(now, ene).name(now, lim.PerSecond)
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -96,7 +96,7 @@
 	return svc.rollout != nil && !svc.rollout.State().IsEnd()
 }
 
-// fleet returns the counts of engines and runs that the roll-out is decided by.
+// rolloutFleet returns the counts of engines and runs that the roll-out is decided by.
 func (svc *service) fleet() rollout.Fleet {
 	var fle rollout.Fleet
 	for _, ene := range svc.engines {
@@ -207,15 +207,15 @@
 // usualTime returns how long an engine of reference speed takes for the answer.
 func (svc *service) usualTime(rnn *run, events int) time.Duration {
 	if rnn.tokens > 0 {
-		typical := svc.pace.NewEngine(pace.Profile{})
-		return typical.Overhead() + typical.ReadTime(rnn.tokens) + time.Duration(max(0, events-1))*typical.Event()
+		reference := svc.pace.NewEngine(pace.Profile{})
+		return reference.Overhead() + reference.ReadTime(rnn.tokens) + time.Duration(max(0, events-1))*reference.Event()
 	}
-	engines, work := 0, time.Duration(0)
+	engines, total := 0, time.Duration(0)
 	for _, ene := range svc.engines {
 		if !svc.isNew(ene) {
 			engines++
-			work += ene.work
+			total += ene.work
 		}
 	}
-	return work / time.Duration(max(1, engines))
+	return total / time.Duration(max(1, engines))
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -88,8 +88,7 @@
 // for two of six.
 type ShareChanged struct {
 	Parts float64
-	// Hosts is the number of hosts. The following field is set while this core schedules for none
-	// of them.
+	// Hosts is the number of hosts. Elsewhere is set while this core schedules for none of them.
 	Hosts     int
 	Elsewhere bool
 }
@@ -131,22 +130,21 @@
 	// queue.
 	Waited  time.Duration
 	Waiting int
-	// These describe the granted engine: its number of running requests, the time of its pending
-	// prefills, and the predicted time to the first token.
+	// Running, Unread and Expected describe the granted engine: its number of running requests,
+	// the time of its pending prefills, and the predicted time to the first token.
 	Running  int
 	Unread   time.Duration
 	Expected time.Duration
-	// Engines is the number of the service's engines. The next two are the number of engines that
-	// outlier detection would eject, and whether these are too many, so that they are used
-	// anyway.
+	// Engines is the number of the service's engines, Aside the number that outlier detection
+	// would eject. AsideUsed is set if these are too many, so that they are used anyway.
 	Engines   int
 	Aside     int
 	AsideUsed bool
-	// The first counts the service's engines that have signaled a rate limit or are cold.
+	// Paced is the number of the service's engines that have signaled a rate limit or are cold.
 	// WaitedForRate is set if only these limits kept the request from being granted. PerSecond is
-	// the rate limit of the granted engine in requests per second, followed by the number of
-	// requests that it was granted in the last four seconds; both are 0 without a limit. Cold is
-	// set if the engine is cold.
+	// the rate limit of the granted engine in requests per second, Spent the number of requests
+	// that it was granted in the last four seconds; both are 0 without a limit. Cold is set if
+	// the engine is cold.
 	Paced         int
 	WaitedForRate bool
 	PerSecond     float64
