--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -204,7 +204,8 @@
 	svc.rollout.Answered(now, ans)
 }
 
-// usualTime returns how long an engine of reference speed takes for the answer.
+// usualTime returns how long an engine of reference speed takes for the answer or, for a request
+// without a prompt, the mean service time of the engines of the old version.
 func (svc *service) usualTime(rnn *run, events int) time.Duration {
 	if rnn.tokens > 0 {
 		reference := svc.pace.NewEngine(pace.Profile{})
