--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -51,9 +51,9 @@
 	endedAt time.Time
 	// signals are the engine's signals in force; nil for none.
 	said *said
-	// limiter limits the grants of the engine to its signaled rate, and to what it bears while it
-	// is cold; nil for neither. rateEnded is set if a signaled rate was followed by an answer
-	// without one.
+	// limiter limits the grants of the engine to its signaled rate, and to the configured rate
+	// while it is cold; nil if neither applies. rateEnded is set if a signaled rate was followed
+	// by an answer without one.
 	pacing    *pacing
 	rateEnded bool
 }
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -14,8 +14,8 @@
 
 // A poison request crashes each engine that runs it, and may return under another id. It is
 // therefore tracked by its digest: otherwise a single client that sent four such requests per
-// second put a service of ten engines out of use. Package quarantine tells poison requests from
-// those that ran beside them; this file keeps them away from other requests.
+// second put a service of ten engines out of use. Package quarantine distinguishes poison
+// requests from those that ran beside them; this file keeps them away from other requests.
 
 // HeldRead brings the held requests that are recorded in the store.
 type HeldRead struct{ Holds []quarantine.Hold }
--- a/scheduler/rate.go
+++ b/scheduler/rate.go
@@ -10,7 +10,7 @@
 )
 
 // An overloaded engine signals the number of requests per second that it accepts from all hosts
-// together, and a cold engine bears only the configured rate. The scheduler enforces the sum
+// together, and a cold engine tolerates only the configured rate. The scheduler enforces the sum
 // with a token bucket: each grant takes a token, at the lower of the two rates times this core's
 // share. A core that schedules for no host has no share, so that a new coordinator starts with
 // an empty bucket, whatever the former one granted in its last seconds.
@@ -23,8 +23,8 @@
 	// to one request. Requests arrive unevenly, and tokens that don't fit are lost to the waiting
 	// requests.
 	maxSaved = 500 * time.Millisecond
-	// coldSaved is the same for a cold engine. It bears half as many again as arrive in a second,
-	// and a grant may be used a quarter of a second later.
+	// coldSaved is the same for a cold engine. It tolerates half as many requests again as its
+	// rate within a second, and a grant may be used a quarter of a second later.
 	coldSaved = 200 * time.Millisecond
 	// askedAgain is the period after which an engine with a rate limit is granted a request even
 	// if another engine would serve it better. Only an answer shows that the limit has ended, and
@@ -35,15 +35,15 @@
 	maxSpent    = 128
 )
 
-// rateLimiter limits the grants of an engine to its signaled rate, and to what it bears while it
-// is cold.
+// rateLimiter limits the grants of an engine to its signaled rate, and to the configured rate
+// while it is cold.
 type pacing struct {
 	// hasRate is set if the engine has signaled a rate, perSecond, the last time at namedAt.
 	named     bool
 	perSecond float64
 	namedAt   time.Time
-	// coldUntil is when the engine is warm, coldRate what it bears until then, in requests per
-	// second.
+	// coldUntil is when the engine is warm, coldRate the rate that applies until then, in
+	// requests per second.
 	coldUntil time.Time
 	coldRate  float64
 	// share is this core's share of the rate; 0 while it schedules for no host.
@@ -115,7 +115,7 @@
 	lim.named, lim.perSecond, lim.namedAt = true, perSecond, now
 }
 
-// setCold marks the engine cold until a time, with the rate that it bears meanwhile.
+// setCold marks the engine cold until a time, with the rate that applies until then.
 func (lim *pacing) chill(now, until time.Time, perSecond float64) {
 	lim.fill(now)
 	lim.coldUntil, lim.coldRate = until, perSecond
