--- a/pace/linearfit.go
+++ b/pace/linearfit.go
@@ -20,8 +20,8 @@
 	minOverhead = time.Millisecond
 )
 
-// linearFit fits the time to the first event as a fixed part plus a part per token, by least squares
-// of the relative errors with exponentially decreasing weights.
+// linearFit fits the time to the first event as a fixed part plus a part per token, by least
+// squares of the relative errors with exponentially decreasing weights.
 type linearFit struct {
 	overhead  time.Duration
 	token     time.Duration
--- a/pace/measurements.go
+++ b/pace/measurements.go
@@ -64,8 +64,8 @@
 	return math.Abs(math.Log(left/right)) > math.Log(changeFactor)
 }
 
-// NewSurvey returns the measurements of the given services, with their engines in the order of their
-// addresses.
+// NewSurvey returns the measurements of the given services, with their engines in the
+// order of their addresses.
 func NewSurvey(services map[string]ServiceSurvey) Survey {
 	var mea Survey
 	for _, name := range slices.Sorted(maps.Keys(services)) {
--- a/scheduler/apart.go
+++ b/scheduler/apart.go
@@ -11,12 +11,12 @@
 // few other requests as possible. Crashed engines are granted nothing.
 
 const (
-	// apartFor is how long an engine stays isolated after the last suspect request asked for it.
-	// Clients retry within a third of ten seconds, and the answers still in progress take some
-	// seconds too.
+	// apartFor is how long an engine stays isolated after the last suspect request asked
+	// for it. Clients retry within a third of ten seconds, and the answers still in progress
+	// take some seconds too.
 	apartFor = 5 * time.Second
-	// minToSetApart is the minimum number of engines of a service for isolation: one of two would
-	// be half of the service.
+	// minToSetApart is the minimum number of engines of a service for isolation: one of
+	// two would be half of the service.
 	minToSetApart = 3
 	// enginesPerApart is the number of engines for each isolated engine beyond the first.
 	enginesPerApart = 16
@@ -53,8 +53,8 @@
 			soonest = ene
 		}
 	}
-	// With fewer than minToSetApart engines available, none is kept free, but an idle one may be
-	// used.
+	// With fewer than minToSetApart engines available, none is kept free, but an idle one
+	// may be used.
 	canIsolate := isolated < 1+len(eligible)/enginesPerApart && len(eligible) >= minToSetApart
 	if free != nil && len(eligible) < minToSetApart {
 		canIsolate = isolated < 1
@@ -85,8 +85,8 @@
 	return true
 }
 
-// openTo returns the engines on which a request may run exclusively. It leaves out canaries,
-// engines that the request excludes, and those that are regarded as crashed.
+// openTo returns the engines on which a request may run exclusively. It leaves out
+// canaries, engines that the request excludes, and those that are regarded as crashed.
 func (cor *Core) openTo(now time.Time, svc *service, wai *waiter) []*engine {
 	acc := svc.access(now, wai.reserve)
 	acc.trial = nil
@@ -103,8 +103,8 @@
 	return eligible
 }
 
-// keepApart extends the isolation of isolated engines, and isolates another engine if more are
-// allowed.
+// keepApart extends the isolation of isolated engines, and isolates another engine if more
+// are allowed.
 func (svc *service) keepApart(now time.Time, eligible []*engine, soonest *engine, canIsolate bool) {
 	for _, ene := range eligible {
 		if ene.isApart(now) {
--- a/scheduler/cold.go
+++ b/scheduler/cold.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// coldOf returns the number of requests per second that a cold engine of the service accepts,
-// and how long an engine is cold after its start; 0 if not configured.
+// coldOf returns the number of requests per second that a cold engine of the service
+// accepts, and how long an engine is cold after its start; 0 if not configured.
 func (cor *Core) coldOf(service string) (float64, time.Duration) {
 	if cor.table == nil {
 		return 0, 0
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -41,8 +41,8 @@
 	partTokens  int
 	cacheTokens int
 	health      health
-	// apartUntil is the end of the engine's isolation, aloneRuns the number of its exclusive
-	// runs.
+	// apartUntil is the end of the engine's isolation, aloneRuns the number of its
+	// exclusive runs.
 	apartUntil time.Time
 	aloneRuns  int
 	// crashed is set if the engine was reported to have crashed, at endedAt. Its entry may still
@@ -115,8 +115,9 @@
 	return ene
 }
 
-// unreadTime predicts how long the engine's pending prefills take. A prefill whose first event
-// is overdue is assumed to need as long again as it is late, which delays those behind it too.
+// unreadTime predicts how long the engine's pending prefills take. A prefill whose first
+// event is overdue is assumed to need as long again as it is late, which delays those behind it
+// too.
 func (ene *engine) unreadTime(now time.Time) time.Duration {
 	if len(ene.reading) == 0 {
 		return 0
@@ -173,8 +174,8 @@
 	}
 }
 
-// toRead returns the number of prompt tokens that the engine's cache lacks. A part is served
-// from the cache only if all parts before it are cached too.
+// toRead returns the number of prompt tokens that the engine's cache lacks. A part is
+// served from the cache only if all parts before it are cached too.
 func (ene *engine) toRead(tokens int, parts []call.Part) int {
 	for _, par := range parts {
 		if !ene.parts.Contains(par.ID) {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -6,8 +6,8 @@
 	// failuresToSuspect is the number of consecutive failures after which an engine is ejected: a
 	// single failure may be chance, a second one seldom is.
 	failuresToSuspect = 2
-	// minAside and maxAside bound the duration of an ejection. It doubles with each consecutive
-	// ejection until the engine answers.
+	// minAside and maxAside bound the duration of an ejection. It doubles with each
+	// consecutive ejection until the engine answers.
 	minAside = 500 * time.Millisecond
 	maxAside = 4 * time.Second
 	// errorGain is the weight of a new outcome in the failure rate.
--- a/scheduler/line.go
+++ b/scheduler/line.go
@@ -176,9 +176,9 @@
 // queueScan is what one pass over the queue has found about free capacity. Thousands of requests
 // may wait, so what applies to all requests of a gateway is determined once.
 type line struct {
-	// full is set if a request without special handling found no engine. fullFor is the same for
-	// single gateways that have a backoff from an engine in force, or that send nothing to some
-	// failure domains: their requests may find no engine where others do.
+	// full is set if a request without special handling found no engine. fullFor is the
+	// same for single gateways that have a backoff from an engine in force, or that send nothing
+	// to some failure domains: their requests may find no engine where others do.
 	full    bool
 	fullFor map[request.Epoch]bool
 	// fullIn is the same for requests that are limited to some regions, by scope.
--- a/scheduler/notice.go
+++ b/scheduler/notice.go
@@ -30,8 +30,8 @@
 	// PauseAll applies the backoff to all gateways for a bounded time. An engine that rejects
 	// only a part of its requests is then out of use most of the time.
 	PauseAll
-	// PauseAsked applies the backoff only to the gateway that received it. An engine that rejects
-	// all requests then rejects those of each gateway separately.
+	// PauseAsked applies the backoff only to the gateway that received it. An engine that
+	// rejects all requests then rejects those of each gateway separately.
 	PauseAsked
 )
 
@@ -39,12 +39,12 @@
 	// maxSharedPause bounds the backoff of gateways that didn't receive the request, like an
 	// ejection for repeated failures: a single gateway may have misread the signal.
 	maxSharedPause = maxAside
-	// probeFor bounds how long one probe holds back other requests: its answer may be lost, and a
-	// recovered engine should be in use again within a second.
+	// probeFor bounds how long one probe holds back other requests: its answer may be lost,
+	// and a recovered engine should be in use again within a second.
 	probeFor = time.Second
-	// toldAgain is the difference in remaining backoff up to which a notice counts as repeated.
-	// It covers the difference between the network delays of two paths from a gateway to this
-	// core.
+	// toldAgain is the difference in remaining backoff up to which a notice counts as
+	// repeated. It covers the difference between the network delays of two paths from a gateway
+	// to this core.
 	toldAgain = 200 * time.Millisecond
 	// minBackoffSpread and maxBackoffSpread bound the jitter added to the end of a backoff in the
 	// retry delay of refused requests, so that their clients don't return at the same moment.
@@ -136,9 +136,9 @@
 	sig.at, sig.unproved = now, true
 }
 
-// nextStep returns the backoff of the other gateways: none at first, since the engine may reject
-// only a part of its requests, and twice as long after each rejected probe. Rejections of
-// requests that were granted before the backoff carry no new information.
+// nextStep returns the backoff of the other gateways: none at first, since the engine
+// may reject only a part of its requests, and twice as long after each rejected probe.
+// Rejections of requests that were granted before the backoff carry no new information.
 func (sig *said) nextStep(from request.Epoch) time.Duration {
 	switch {
 	case !sig.unproved:
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -12,8 +12,8 @@
 // far as its gateway or this core knows, and it runs only in the regions that its route and its
 // client account allow.
 
-// closeDomains replaces the failure domains to which a gateway sends nothing. The gateway may
-// learn of an evacuation before this core does.
+// closeDomains replaces the failure domains to which a gateway sends nothing. The gateway
+// may learn of an evacuation before this core does.
 func (cor *Core) closeDomains(evt DomainsClosed) {
 	delete(cor.closed, evt.Gateway)
 	if len(evt.Domains) == 0 {
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -96,8 +96,8 @@
 	return han
 }
 
-// heldBack refuses a request that can't run in time, and reports whether it did: a held request,
-// or one whose traffic source is paused for longer than the request may wait.
+// heldBack refuses a request that can't run in time, and reports whether it did: a held
+// request, or one whose traffic source is paused for longer than the request may wait.
 func (cor *Core) heldBack(now time.Time, from request.Epoch, res reservation.Reserve, svc *service) bool {
 	if cor.quarantine.Quiet() {
 		return false
@@ -217,8 +217,8 @@
 	return false
 }
 
-// noteUnexplained has the registry compare the traffic sources at the crashed engine with those
-// at the other engines.
+// noteUnexplained has the registry compare the traffic sources at the crashed engine with
+// those at the other engines.
 func (cor *Core) noteUnexplained(now time.Time, crashed *engine) {
 	svc := cor.service(crashed.Service)
 	otherEngines := 0
--- a/scheduler/rate.go
+++ b/scheduler/rate.go
@@ -19,18 +19,19 @@
 	// minRate is the lowest rate of grants in requests per second, applied even to an engine that
 	// accepts none: only an answer shows that the limit has ended.
 	minRate = 0.5
-	// maxSaved is the capacity of an engine's token bucket, as the time to fill it, in addition
-	// to one request. Requests arrive unevenly, and tokens that don't fit are lost to the waiting
-	// requests.
+	// maxSaved is the capacity of an engine's token bucket, as the time to fill it, in
+	// addition to one request. Requests arrive unevenly, and tokens that don't fit are lost to
+	// the waiting requests.
 	maxSaved = 500 * time.Millisecond
 	// coldSaved is the same for a cold engine. It tolerates half as many requests again as its
 	// rate within a second, and a grant may be used a quarter of a second later.
 	coldSaved = 200 * time.Millisecond
-	// askedAgain is the period after which an engine with a rate limit is granted a request even
-	// if another engine would serve it better. Only an answer shows that the limit has ended, and
-	// the known state should be a few seconds old at most.
+	// askedAgain is the period after which an engine with a rate limit is granted a request
+	// even if another engine would serve it better. Only an answer shows that the limit has
+	// ended, and the known state should be a few seconds old at most.
 	askedAgain = 2 * time.Second
-	// spentWindow is how long grants are kept for the dump, maxSpent how many are kept.
+	// spentWindow is how long grants are kept for the dump, maxSpent how many are
+	// kept.
 	spentWindow = 4 * time.Second
 	maxSpent    = 128
 )
@@ -294,8 +295,8 @@
 	return alw
 }
 
-// refuseSpent refuses a request at once if the allowance won't reach it before its maximum wait
-// ends, and reports whether it did. The requests ahead of it in the queue use the allowance
+// refuseSpent refuses a request at once if the allowance won't reach it before its maximum
+// wait ends, and reports whether it did. The requests ahead of it in the queue use the allowance
 // first.
 func (cor *Core) refuseSpent(now time.Time, svc *service, wai *waiter, alw allowance, ahead int) bool {
 	expired := wai.paced && !now.Before(wai.until)
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// stopFormer regards the engines of the old version as stopped once the roll-out has completed:
-// they stop at once, while their entries stay registered for seconds. Engines that start later
-// are not affected, whatever their version.
+// stopFormer regards the engines of the old version as stopped once the roll-out has
+// completed: they stop at once, while their entries stay registered for seconds. Engines that
+// start later are not affected, whatever their version.
 func (svc *service) stopFormer() {
 	if svc.rollout.State() != rollout.StateCompleted || svc.moved {
 		return
@@ -204,8 +204,8 @@
 	svc.rollout.Answered(now, ans)
 }
 
-// usualTime returns how long an engine of reference speed takes for the answer or, for a request
-// without a prompt, the mean service time of the engines of the old version.
+// usualTime returns how long an engine of reference speed takes for the answer or, for a
+// request without a prompt, the mean service time of the engines of the old version.
 func (svc *service) usualTime(rnn *run, events int) time.Duration {
 	if rnn.tokens > 0 {
 		reference := svc.pace.NewEngine(pace.Profile{})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -130,8 +130,8 @@
 	// queue.
 	Waited  time.Duration
 	Waiting int
-	// Running, Unread and Expected describe the granted engine: its number of running requests,
-	// the time of its pending prefills, and the predicted time to the first token.
+	// Running, Unread and Expected describe the granted engine: its number of running
+	// requests, the time of its pending prefills, and the predicted time to the first token.
 	Running  int
 	Unread   time.Duration
 	Expected time.Duration
@@ -140,11 +140,11 @@
 	Engines   int
 	Aside     int
 	AsideUsed bool
-	// Paced is the number of the service's engines that have signaled a rate limit or are cold.
-	// WaitedForRate is set if only these limits kept the request from being granted. PerSecond is
-	// the rate limit of the granted engine in requests per second, Spent the number of requests
-	// that it was granted in the last four seconds; both are 0 without a limit. Cold is set if
-	// the engine is cold.
+	// Paced is the number of the service's engines that have signaled a rate limit or are
+	// cold. WaitedForRate is set if only these limits kept the request from being granted.
+	// PerSecond is the rate limit of the granted engine in requests per second, Spent the
+	// number of requests that it was granted in the last four seconds; both are 0 without a
+	// limit. Cold is set if the engine is cold.
 	Paced         int
 	WaitedForRate bool
 	PerSecond     float64
@@ -163,26 +163,28 @@
 	// could have met its target. Refused clients retry within this time, and bursts last about as
 	// long.
 	overloadMemory = 4 * time.Second
-	// beyondSlots is the number of requests that an engine may queue beyond its slots, so that a
-	// slot that becomes free has work at once.
+	// beyondSlots is the number of requests that an engine may queue beyond its slots, so
+	// that a slot that becomes free has work at once.
 	beyondSlots = 2
-	// unreadLimit bounds the predicted time of an engine's pending prefills. An engine above it
-	// is granted no further requests.
+	// unreadLimit bounds the predicted time of an engine's pending prefills. An engine
+	// above it is granted no further requests.
 	unreadLimit = 200 * time.Millisecond
-	// assumedWork is the initial estimate of the service time of a request without a prompt.
+	// assumedWork is the initial estimate of the service time of a request without a
+	// prompt.
 	assumedWork = 30 * time.Millisecond
 	// assumedStay is the initial estimate of the time that a request occupies a slot.
 	assumedStay = time.Second
 	// workGain is the weight of a new measurement in the estimated service time of requests
 	// without a prompt.
 	workGain = 0.2
-	// stayGain is the weight of a new measurement in the estimated occupancy. It is small since
-	// answer lengths vary a hundredfold.
+	// stayGain is the weight of a new measurement in the estimated occupancy. It is small
+	// since answer lengths vary a hundredfold.
 	stayGain = 0.05
-	// hintSpread is the standard deviation of the clients' answer length hints, in doublings.
+	// hintSpread is the standard deviation of the clients' answer length hints, in
+	// doublings.
 	hintSpread = 0.72
-	// finishCost is the cost of a stream that certainly misses its deadline, added to the time to
-	// the first token. It keeps long answers off engines too slow to complete them.
+	// finishCost is the cost of a stream that certainly misses its deadline, added to
+	// the time to the first token. It keeps long answers off engines too slow to complete them.
 	finishCost = 1000 * time.Millisecond
 	// lateShare is the multiple of its latency target that a late first event may take. Clients
 	// give up after four times the target, and predictions are off by a fifth. The bound keeps
@@ -191,15 +193,15 @@
 	// loadCost is the cost of an engine with all slots in use, added to the time to the first
 	// token: each additional stream slows down all streams of the engine.
 	loadCost = 40 * time.Millisecond
-	// crossCost is the cost of an engine in another failure domain, for the network delay and the
-	// traffic.
+	// crossCost is the cost of an engine in another failure domain, for the network delay
+	// and the traffic.
 	crossCost = 40 * time.Millisecond
-	// regionCost is the cost of an engine in another region, which is tens of milliseconds away
-	// over the links with the least bandwidth.
+	// regionCost is the cost of an engine in another region, which is tens of milliseconds
+	// away over the links with the least bandwidth.
 	regionCost = 120 * time.Millisecond
-	// rateCost is the cost of an engine that has signaled a rate limit or is cold. It reserves
-	// the few requests that such an engine accepts for those with a cached prompt and those that
-	// no other engine can serve.
+	// rateCost is the cost of an engine that has signaled a rate limit or is cold. It
+	// reserves the few requests that such an engine accepts for those with a cached prompt and
+	// those that no other engine can serve.
 	rateCost = 40 * time.Millisecond
 	// minRetryShare and maxRetryShare bound the delay after which a refused client retries, as
 	// fractions of its remaining time. Overload and exhausted limits last some seconds, clients
