--- a/pace/line.go
+++ b/pace/line.go
@@ -3,73 +3,74 @@
 import "time"
 
 const (
-	// forget is the share of all earlier observations' weight that each new one takes
-	// away: the last hundred count, over all engines of a service.
-	forget = 0.01
-	// priorWeight is the weight of what a line begins with, beside one observation's.
+	// forgetShare is the fraction by which each new observation reduces the weight of all earlier
+	// ones: about the last hundred of a service's engines count.
+	forgetShare = 0.01
+	// priorWeight is the weight of each of the two points that a fit starts with, relative to
+	// one observation.
 	priorWeight = 3.0
-	// priorTokens is where the prior tells the time of a token: a prompt of middling
-	// length.
+	// priorTokens is the prompt length of the second of these points, that of a medium prompt.
 	priorTokens = 4000
-	// errorFloor keeps short prompts from counting more than their noise allows: the
-	// way there and back alone varies by some milliseconds.
+	// errorFloor is added to a time before it scales the relative error, so that short prompts
+	// don't count more than their noise allows: the network round trip alone varies by some
+	// milliseconds.
 	errorFloor = 30 * time.Millisecond
-	// minToken bounds the learned time of a token, minOverhead that of a first event.
+	// minToken bounds the learned time per token, minOverhead the learned fixed time.
 	minToken    = time.Microsecond
 	minOverhead = time.Millisecond
 )
 
-// line fits the time to a first event as a fixed part and a part per token, by
-// least squares of the relative errors; older observations count less.
-type line struct {
-	overhead time.Duration
-	token    time.Duration
-	one      float64
-	sumX     float64
-	sumY     float64
-	sumXX    float64
-	sumXY    float64
+// linearFit fits the time to the first event as a fixed part plus a part per token, by least
+// squares of the relative errors with exponentially decreasing weights.
+type linearFit struct {
+	overhead  time.Duration
+	token     time.Duration
+	sumWeight float64
+	sumX      float64
+	sumY      float64
+	sumXX     float64
+	sumXY     float64
 }
 
-// newLine returns a line that begins with the given parts.
-func newLine(overhead, token time.Duration) line {
-	lin := line{overhead: max(minOverhead, overhead), token: max(minToken, token)}
-	lin.add(0, lin.overhead, priorWeight)
-	lin.add(priorTokens, lin.overhead+priorTokens*lin.token, priorWeight)
-	return lin
+// newLinearFit returns a fit with initial values for both parts.
+func newLinearFit(overhead, token time.Duration) linearFit {
+	fit := linearFit{overhead: max(minOverhead, overhead), token: max(minToken, token)}
+	fit.add(0, fit.overhead, priorWeight)
+	fit.add(priorTokens, fit.overhead+priorTokens*fit.token, priorWeight)
+	return fit
 }
 
-// observe takes in a time for so many effective tokens.
-func (lin *line) observe(tokens float64, took time.Duration) {
-	keep := 1 - forget
-	lin.one *= keep
-	lin.sumX *= keep
-	lin.sumY *= keep
-	lin.sumXX *= keep
-	lin.sumXY *= keep
-	lin.add(tokens, took, 1)
-	lin.fit()
+// observe adds the time measured for a number of effective tokens.
+func (fit *linearFit) observe(tokens float64, took time.Duration) {
+	keep := 1 - forgetShare
+	fit.sumWeight *= keep
+	fit.sumX *= keep
+	fit.sumY *= keep
+	fit.sumXX *= keep
+	fit.sumXY *= keep
+	fit.add(tokens, took, 1)
+	fit.solve()
 }
 
-func (lin *line) add(tokens float64, took time.Duration, weight float64) {
+func (fit *linearFit) add(tokens float64, took time.Duration, weight float64) {
 	millis := float64(took) / float64(time.Millisecond)
 	floor := float64(errorFloor) / float64(time.Millisecond)
 	weight /= (millis + floor) * (millis + floor)
-	lin.one += weight
-	lin.sumX += weight * tokens
-	lin.sumY += weight * millis
-	lin.sumXX += weight * tokens * tokens
-	lin.sumXY += weight * tokens * millis
+	fit.sumWeight += weight
+	fit.sumX += weight * tokens
+	fit.sumY += weight * millis
+	fit.sumXX += weight * tokens * tokens
+	fit.sumXY += weight * tokens * millis
 }
 
-// fit solves for both parts; observations that are all alike leave them as they are.
-func (lin *line) fit() {
-	det := lin.one*lin.sumXX - lin.sumX*lin.sumX
+// solve solves for both parts. They stay unchanged if all observations have the same length.
+func (fit *linearFit) solve() {
+	det := fit.sumWeight*fit.sumXX - fit.sumX*fit.sumX
 	if det <= 0 {
 		return
 	}
-	slope := (lin.one*lin.sumXY - lin.sumX*lin.sumY) / det
-	base := (lin.sumY - slope*lin.sumX) / lin.one
-	lin.token = max(minToken, time.Duration(slope*float64(time.Millisecond)))
-	lin.overhead = max(minOverhead, time.Duration(base*float64(time.Millisecond)))
+	slope := (fit.sumWeight*fit.sumXY - fit.sumX*fit.sumY) / det
+	base := (fit.sumY - slope*fit.sumX) / fit.sumWeight
+	fit.token = max(minToken, time.Duration(slope*float64(time.Millisecond)))
+	fit.overhead = max(minOverhead, time.Duration(base*float64(time.Millisecond)))
 }
--- a/scheduler/line.go
+++ b/scheduler/line.go
@@ -11,23 +11,24 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// waiter is a request that waits for an engine.
+// waiter is a request that waits in the queue of a service.
 type waiter struct {
 	reserve reservation.Reserve
 	gateway request.Epoch
 	number  uint64
 	since   time.Time
-	// until is when it is refused.
+	// until is when the request is refused.
 	until time.Time
-	// usualAt is the version of what is known against requests at which nothing was against
-	// this one, by one more, so that 0 is none.
+	// usualAt is the version of the quarantine, plus one, at which the request was found to need
+	// no special handling; 0 for none.
 	usualAt uint64
-	// scope stands for the regions in which it may run; empty for anywhere.
+	// scope identifies the regions in which the request may run; empty for all.
 	scope string
-	// late says that its caller has tried before and can't be served in time any more. In
-	// overload these would take the places of others that could be.
+	// late is set if the client had already waited longer than the latency target when this
+	// request arrived, so that the target can't be met any more. In overload, such requests would
+	// take capacity from those that can meet theirs.
 	late bool
-	// paced says that an engine would have been its own but for the rate that it has named.
+	// rateLimited is set if only a rate limit kept an engine from being granted.
 	paced bool
 }
 
@@ -53,27 +54,27 @@
 	wai := &waiter{reserve: res, gateway: from, number: svc.arrivals, since: now, scope: strings.Join(res.Regions, " ")}
 	wai.late = res.Attempt == 0 && res.Age > res.Aim
 	wai.until = now.Add(waitTime(res))
-	place, _ := slices.BinarySearchFunc(svc.waiting, wai, compareWaiters)
-	svc.waiting = slices.Insert(svc.waiting, place, wai)
+	pos, _ := slices.BinarySearchFunc(svc.waiting, wai, compareWaiters)
+	svc.waiting = slices.Insert(svc.waiting, pos, wai)
 	cor.serve(now, svc)
 }
 
-// waitTime returns for how long a request may wait for an engine.
+// waitTime returns the maximum time that a request may wait for an engine.
 func waitTime(res reservation.Reserve) time.Duration {
 	return min(max(0, time.Duration(waitShare*float64(res.Aim))-waitMargin), res.Remaining)
 }
 
-func compareWaiters(one, two *waiter) int {
+func compareWaiters(left, right *waiter) int {
 	return cmp.Or(
-		cmp.Compare(one.reserve.Rank, two.reserve.Rank),
-		cmp.Compare(one.reserve.Urgency, two.reserve.Urgency),
-		// Who can be in time goes before who can't any more: the other way round both
-		// would be late.
-		cmp.Compare(ordinal(one.late), ordinal(two.late)),
-		// A repeat has waited before, and engines have worked for it; one whose engine
-		// couldn't be used has waited too.
-		cmp.Compare(ordinal(two.waitedBefore()), ordinal(one.waitedBefore())),
-		cmp.Compare(one.number, two.number),
+		cmp.Compare(left.reserve.Rank, right.reserve.Rank),
+		cmp.Compare(left.reserve.Urgency, right.reserve.Urgency),
+		// Requests that can meet their target go before those that can't; in the opposite order,
+		// both would be late.
+		cmp.Compare(ordinal(left.late), ordinal(right.late)),
+		// Retries go first: they have waited before, and engines have spent work on them. So do
+		// requests that wait again because their engine couldn't be used.
+		cmp.Compare(ordinal(right.waitedBefore()), ordinal(left.waitedBefore())),
+		cmp.Compare(left.number, right.number),
 	)
 }
 
@@ -81,8 +82,8 @@
 	return wai.reserve.Attempt > 0 || wai.reserve.Again
 }
 
-func ordinal(holds bool) int {
-	if holds {
+func ordinal(val bool) int {
+	if val {
 		return 1
 	}
 	return 0
@@ -92,37 +93,37 @@
 	cor.send(to, reservation.Refuse{ID: res.ID, Ballot: res.Ballot, Reason: reason, RetryAfter: retryAfter(res)}, inp)
 }
 
-// inputs returns what a decision on the service rests on.
+// inputs returns the inputs of a decision on a request of the service.
 func (svc *service) inputs(now, since time.Time) Inputs {
 	inp := Inputs{Waited: now.Sub(since), Waiting: len(svc.waiting), Engines: len(svc.engines), Aside: svc.aside(now)}
 	inp.AsideUsed = !svc.mayLeaveOut(inp.Aside)
 	return inp
 }
 
-// inputsOf returns what the decision on one that has waited rests on.
+// inputsOf returns the inputs of a decision on a waiting request.
 func (svc *service) inputsOf(now time.Time, wai *waiter) Inputs {
 	inp := svc.inputs(now, wai.since)
 	inp.Paced, inp.WaitedForRate = svc.paced, wai.paced
 	return inp
 }
 
-// retryAfter returns when the caller of a refused request comes back: within what
-// it has left, and callers not in step.
+// retryAfter returns when the client of a refused request should retry: within its remaining
+// time, with jitter so that clients don't retry at the same moment.
 func retryAfter(res reservation.Reserve) time.Duration {
 	share := minRetryShare + (maxRetryShare-minRetryShare)*pointOf(res.ID)
 	return time.Duration(share * float64(min(res.Remaining, maxRetrySpan)))
 }
 
-// pointOf spreads requests between 0 and 1 by their ids.
+// pointOf maps a request id to an evenly distributed number from 0 to below 1.
 func pointOf(id request.ID) float64 {
 	hash := fnv.New32a()
-	// A hash takes any bytes without an error.
+	// Write never returns an error.
 	_, _ = hash.Write([]byte(id.Unique))
 	return float64(hash.Sum32()%1000) / 1000
 }
 
-// serve gives engines to those who wait, in their order, and refuses those
-// whose time is up.
+// serve grants engines to the waiting requests in the order of the queue, and refuses those that
+// have reached their maximum wait.
 func (cor *Core) serve(now time.Time, svc *service) {
 	if len(svc.waiting) == 0 {
 		return
@@ -131,14 +132,14 @@
 	cor.warm(now, svc)
 	kept := svc.waiting[:0]
 	alw := svc.allowance(now)
-	var lin line
+	var scn line
 	for _, wai := range svc.waiting {
 		han := cor.handlingOf(now, wai)
 		switch {
 		case han == handleHeld:
 			cor.giveBack(wai.reserve.Account, cor.costOf(wai.reserve))
 			cor.heldBack(now, wai.gateway, wai.reserve, svc)
-		case (han == handleAlone || han == handleGuarded || !lin.isFull(wai)) && cor.grant(now, svc, wai, han):
+		case (han == handleAlone || han == handleGuarded || !scn.isFull(wai)) && cor.grant(now, svc, wai, han):
 		case cor.refuseClosed(now, svc, wai):
 		case han == handleUsual && cor.refuseSpent(now, svc, wai, alw, len(kept)):
 		case !now.Before(wai.until):
@@ -149,7 +150,7 @@
 			cor.refuse(wai.gateway, wai.reserve, reservation.ReasonOverload, svc.inputsOf(now, wai))
 		default:
 			if len(wai.reserve.Exclude) == 0 && han == handleUsual {
-				lin.note(now, svc, wai, len(cor.closed[wai.gateway]) > 0)
+				scn.note(now, svc, wai, len(cor.closed[wai.gateway]) > 0)
 			}
 			kept = append(kept, wai)
 		}
@@ -168,46 +169,46 @@
 			}
 		}
 	}
-	// A grant may have crossed the withdrawal.
+	// The grant may have been sent before the withdrawal arrived.
 	cor.release(now, reservation.Release{ID: id})
 }
 
-// line is what one look through those who wait has found of places. Thousands may wait, so
-// what holds for all requests of a gateway is found once.
+// queueScan is what one pass over the queue has found about free capacity. Thousands of requests
+// may wait, so what applies to all requests of a gateway is determined once.
 type line struct {
-	// full says that a usual request found no engine; fullFor the same of gateways that engines
-	// have asked for a pause, or that send nothing to some failure domain: their requests may
-	// find none where others do.
+	// full is set if a request without special handling found no engine. fullFor is the
+	// same for single gateways that have a backoff from an engine in force, or that send nothing
+	// to some failure domains: their requests may find no engine where others do.
 	full    bool
 	fullFor map[request.Epoch]bool
-	// fullIn says the same of those that may run in some regions only, by these.
+	// fullIn is the same for requests that are limited to some regions, by scope.
 	fullIn map[string]bool
 }
 
-// isFull reports whether usual requests like this one find no engine.
-func (lin *line) isFull(wai *waiter) bool {
-	return lin.full || lin.fullFor[wai.gateway] || wai.scope != "" && lin.fullIn[wai.scope]
+// isFull reports whether requests like this one, without special handling, find no engine.
+func (scn *line) isFull(wai *waiter) bool {
+	return scn.full || scn.fullFor[wai.gateway] || wai.scope != "" && scn.fullIn[wai.scope]
 }
 
-// note takes that a usual request found no engine; bounded says that some are closed to its
-// gateway that may be open to others.
-func (lin *line) note(now time.Time, svc *service, wai *waiter, bounded bool) {
-	if lin.isFull(wai) {
+// recordFull records that a request without special handling found no engine. constrained is set
+// if some engines are closed to its gateway that may be open to others.
+func (scn *line) note(now time.Time, svc *service, wai *waiter, constrained bool) {
+	if scn.isFull(wai) {
 		return
 	}
-	others := !bounded && (svc.said == 0 || !svc.hasAsked(now, wai.gateway))
+	anyGateway := !constrained && (svc.said == 0 || !svc.hasAsked(now, wai.gateway))
 	switch {
-	case others && wai.scope == "":
-		lin.full = true
-	case others:
-		if lin.fullIn == nil {
-			lin.fullIn = make(map[string]bool)
+	case anyGateway && wai.scope == "":
+		scn.full = true
+	case anyGateway:
+		if scn.fullIn == nil {
+			scn.fullIn = make(map[string]bool)
 		}
-		lin.fullIn[wai.scope] = true
+		scn.fullIn[wai.scope] = true
 	case wai.scope == "":
-		if lin.fullFor == nil {
-			lin.fullFor = make(map[request.Epoch]bool)
+		if scn.fullFor == nil {
+			scn.fullFor = make(map[request.Epoch]bool)
 		}
-		lin.fullFor[wai.gateway] = true
+		scn.fullFor[wai.gateway] = true
 	}
 }
--- a/scheduler/rate.go
+++ b/scheduler/rate.go
@@ -9,182 +9,185 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// An engine in need names the most requests a second that it takes from all hosts together, and
-// one that is cold bears no more than its operators say. Who decides keeps the sum: a token for
-// each grant, at the lower of the two rates, in this core's share of it. A core that decides for
-// nobody has no share, so that one that takes over begins with nothing saved up, whatever the
-// former one gave out in its last seconds.
+// An overloaded engine signals the number of requests per second that it accepts from all hosts
+// together, and a cold engine tolerates only the configured rate. The scheduler enforces the sum
+// with a token bucket: each grant takes a token, at the lower of the two rates times this core's
+// share. A core that schedules for no host has no share, so that a new coordinator starts with
+// an empty bucket, whatever the former one granted in its last seconds.
 
 const (
-	// minRate is what an engine is asked at the least, in requests a second, also one that
-	// takes nothing: only an answer tells that its rate has ended.
+	// minRate is the lowest rate of grants in requests per second, applied even to an engine that
+	// accepts none: only an answer shows that the limit has ended.
 	minRate = 0.5
-	// maxSaved is how long an engine's tokens are saved up, beside one request: requests come
-	// unevenly, and what isn't saved is lost to those who wait.
+	// maxSaved is the capacity of an engine's token bucket, as the time to fill it, in
+	// addition to one request. Requests arrive unevenly, and tokens that don't fit are lost to
+	// the waiting requests.
 	maxSaved = 500 * time.Millisecond
-	// coldSaved is the same for an engine that is cold: it bears half as many again as come in a
-	// second, and a grant may be used a quarter of a second later.
+	// coldSaved is the same for a cold engine. It tolerates half as many requests again as its
+	// rate within a second, and a grant may be used a quarter of a second later.
 	coldSaved = 200 * time.Millisecond
-	// askedAgain is after what time an engine that has named a rate is given a request although
-	// others would serve it better: only an answer tells that its rate has ended, and what is
-	// believed of it is to be a few seconds old at most.
+	// askedAgain is the period after which an engine with a rate limit is granted a request
+	// even if another engine would serve it better. Only an answer shows that the limit has
+	// ended, and the known state should be a few seconds old at most.
 	askedAgain = 2 * time.Second
-	// spentWindow is for how long grants are remembered for the dump, maxSpent how many.
+	// spentWindow is how long grants are kept for the dump, maxSpent how many are
+	// kept.
 	spentWindow = 4 * time.Second
 	maxSpent    = 128
 )
 
-// pacing keeps what an engine is granted to the rate that it has named, and to what it bears
+// rateLimiter limits the grants of an engine to its signaled rate, and to the configured rate
 // while it is cold.
 type pacing struct {
-	// named says that it has named a rate, perSecond, and last did at namedAt.
+	// hasRate is set if the engine has signaled a rate, perSecond, the last time at namedAt.
 	named     bool
 	perSecond float64
 	namedAt   time.Time
-	// coldUntil is until when it is cold, coldRate what it bears meanwhile, in requests a second.
+	// coldUntil is when the engine is warm, coldRate the rate that applies until then, in
+	// requests per second.
 	coldUntil time.Time
 	coldRate  float64
-	// share is this core's part of the rate; 0 while it decides for nobody.
+	// share is this core's share of the rate; 0 while it schedules for no host.
 	share float64
-	// tokens are what may be granted now, filled when they were last counted.
+	// tokens is the content of the bucket at the time filledAt.
 	tokens float64
 	filled time.Time
-	// spent are the last grants, the newest last, takenAt is when the last one was.
+	// grants are the recent grants, the newest last, and takenAt the time of the last one.
 	spent   []spending
 	takenAt time.Time
 }
 
-// spending is a grant that took a token.
+// rateGrant is a grant that took a token.
 type spending struct {
 	gateway request.Epoch
 	at      time.Time
 }
 
 // isCold reports whether the engine is cold.
-func (pac *pacing) isCold(now time.Time) bool {
-	return now.Before(pac.coldUntil)
+func (lim *pacing) isCold(now time.Time) bool {
+	return now.Before(lim.coldUntil)
 }
 
-// holds reports whether anything bounds what the engine is granted.
-func (pac *pacing) holds(now time.Time) bool {
-	return pac.named || pac.isCold(now)
+// isActive reports whether the grants of the engine are limited.
+func (lim *pacing) holds(now time.Time) bool {
+	return lim.named || lim.isCold(now)
 }
 
-// limit returns what the engine takes of all hosts, in requests a second.
-func (pac *pacing) limit(now time.Time) float64 {
+// limit returns the engine's limit for all hosts, in requests per second; infinite without one.
+func (lim *pacing) limit(now time.Time) float64 {
 	limit := math.Inf(1)
-	if pac.named {
-		limit = max(minRate, pac.perSecond)
+	if lim.named {
+		limit = max(minRate, lim.perSecond)
 	}
-	if pac.isCold(now) {
-		limit = min(limit, pac.coldRate)
+	if lim.isCold(now) {
+		limit = min(limit, lim.coldRate)
 	}
 	return limit
 }
 
-// rate returns this core's part of that.
-func (pac *pacing) rate(now time.Time) float64 {
-	if pac.share == 0 || !pac.holds(now) {
+// rate returns this core's share of the limit, in requests per second.
+func (lim *pacing) rate(now time.Time) float64 {
+	if lim.share == 0 || !lim.holds(now) {
 		return 0
 	}
-	return pac.share * pac.limit(now)
+	return lim.share * lim.limit(now)
 }
 
-func (pac *pacing) fill(now time.Time) {
-	rate := pac.rate(now)
-	if now.After(pac.filled) {
-		pac.tokens += now.Sub(pac.filled).Seconds() * rate
-		pac.filled = now
+func (lim *pacing) fill(now time.Time) {
+	rate := lim.rate(now)
+	if now.After(lim.filled) {
+		lim.tokens += now.Sub(lim.filled).Seconds() * rate
+		lim.filled = now
 	}
-	pac.tokens = min(pac.tokens, 1+rate*pac.saved(now).Seconds())
+	lim.tokens = min(lim.tokens, 1+rate*lim.saved(now).Seconds())
 }
 
-// saved returns for how long tokens are saved up.
-func (pac *pacing) saved(now time.Time) time.Duration {
-	if pac.isCold(now) {
+// burstTime returns the capacity of the bucket as the time to fill it.
+func (lim *pacing) saved(now time.Time) time.Duration {
+	if lim.isCold(now) {
 		return coldSaved
 	}
 	return maxSaved
 }
 
-// name takes the rate that the engine has named now.
-func (pac *pacing) name(now time.Time, perSecond float64) {
-	pac.fill(now)
-	pac.named, pac.perSecond, pac.namedAt = true, perSecond, now
+// setRate applies the rate that the engine signaled.
+func (lim *pacing) name(now time.Time, perSecond float64) {
+	lim.fill(now)
+	lim.named, lim.perSecond, lim.namedAt = true, perSecond, now
 }
 
-// chill takes the engine to be cold until a time.
-func (pac *pacing) chill(now, until time.Time, perSecond float64) {
-	pac.fill(now)
-	pac.coldUntil, pac.coldRate = until, perSecond
+// setCold marks the engine cold until a time, with the rate that applies until then.
+func (lim *pacing) chill(now, until time.Time, perSecond float64) {
+	lim.fill(now)
+	lim.coldUntil, lim.coldRate = until, perSecond
 }
 
-// divide takes this core's new share; one that had none has nothing saved up.
-func (pac *pacing) divide(now time.Time, share float64) {
-	pac.fill(now)
-	if pac.share == 0 || share == 0 {
-		pac.tokens = 0
+// setShare applies this core's new share. The bucket is emptied when the share was or becomes 0.
+func (lim *pacing) divide(now time.Time, share float64) {
+	lim.fill(now)
+	if lim.share == 0 || share == 0 {
+		lim.tokens = 0
 	}
-	pac.share = share
+	lim.share = share
 }
 
-// admits reports whether a request may be granted now.
-func (pac *pacing) admits(now time.Time) bool {
-	if pac == nil || !pac.holds(now) {
+// admits reports whether a request may be granted.
+func (lim *pacing) admits(now time.Time) bool {
+	if lim == nil || !lim.holds(now) {
 		return true
 	}
-	pac.fill(now)
-	return pac.tokens >= 1
+	lim.fill(now)
+	return lim.tokens >= 1
 }
 
-// overdue reports whether the engine has named a rate and wasn't asked for a while whether that
-// holds on.
-func (pac *pacing) overdue(now time.Time) bool {
-	if pac == nil || !pac.named {
+// needsCheck reports whether the engine has signaled a rate but was granted no request lately
+// that would show whether the rate still applies.
+func (lim *pacing) overdue(now time.Time) bool {
+	if lim == nil || !lim.named {
 		return false
 	}
-	asked := pac.namedAt
-	if pac.takenAt.After(asked) {
-		asked = pac.takenAt
+	checked := lim.namedAt
+	if lim.takenAt.After(checked) {
+		checked = lim.takenAt
 	}
-	return now.Sub(asked) >= askedAgain
+	return now.Sub(checked) >= askedAgain
 }
 
-// take spends a token.
-func (pac *pacing) take(now time.Time, gateway request.Epoch) {
-	pac.tokens--
-	pac.takenAt = now
-	pac.forgetSpent(now)
-	if len(pac.spent) == maxSpent {
-		pac.spent = pac.spent[1:]
+// take takes a token for a grant.
+func (lim *pacing) take(now time.Time, gateway request.Epoch) {
+	lim.tokens--
+	lim.takenAt = now
+	lim.forgetSpent(now)
+	if len(lim.spent) == maxSpent {
+		lim.spent = lim.spent[1:]
 	}
-	pac.spent = append(pac.spent, spending{gateway: gateway, at: now})
+	lim.spent = append(lim.spent, spending{gateway: gateway, at: now})
 }
 
-// giveBack returns the token of a grant that wasn't sent.
-func (pac *pacing) giveBack(gateway request.Epoch) {
-	pac.tokens++
-	for idx, spe := range pac.spent {
-		if spe.gateway == gateway {
-			pac.spent = append(pac.spent[:idx:idx], pac.spent[idx+1:]...)
+// refund returns the token of a grant whose request wasn't sent.
+func (lim *pacing) giveBack(gateway request.Epoch) {
+	lim.tokens++
+	for idx, grt := range lim.spent {
+		if grt.gateway == gateway {
+			lim.spent = append(lim.spent[:idx:idx], lim.spent[idx+1:]...)
 			return
 		}
 	}
 }
 
-func (pac *pacing) forgetSpent(now time.Time) {
-	for len(pac.spent) > 0 && now.Sub(pac.spent[0].at) >= spentWindow {
-		pac.spent = pac.spent[1:]
+func (lim *pacing) forgetSpent(now time.Time) {
+	for len(lim.spent) > 0 && now.Sub(lim.spent[0].at) >= spentWindow {
+		lim.spent = lim.spent[1:]
 	}
 }
 
-// spentLately returns how many grants took a token of late; no more than are remembered.
-func (pac *pacing) spentLately(now time.Time) int {
-	pac.forgetSpent(now)
-	return len(pac.spent)
+// spentLately returns the number of recent grants, up to the number that is kept.
+func (lim *pacing) spentLately(now time.Time) int {
+	lim.forgetSpent(now)
+	return len(lim.spent)
 }
 
-// rateShare returns this core's part of what engines take from all hosts.
+// rateShare returns this core's share of the engines' rate limits.
 func (cor *Core) rateShare() float64 {
 	if cor.elsewhere {
 		return 0
@@ -192,14 +195,14 @@
 	return 1 / cor.parts
 }
 
-// limitRate takes the rate that an engine has named. What it was granted before counts for
-// all that it could have saved up.
+// limitRate applies a signaled rate. A new limiter starts with an empty bucket, as if the
+// requests granted before had used up the burst.
 func (cor *Core) limitRate(now time.Time, ene *engine, lim fleet.RateLimit) {
 	ene.rateEnded = false
 	cor.pace(now, ene).name(now, lim.PerSecond)
 }
 
-// pace returns the engine's pacing, a new one where it has none.
+// limiterOf returns the engine's rate limiter, creating it if necessary.
 func (cor *Core) pace(now time.Time, ene *engine) *pacing {
 	if ene.pacing == nil {
 		ene.pacing = &pacing{share: cor.rateShare(), filled: now}
@@ -208,7 +211,8 @@
 	return ene.pacing
 }
 
-// unlimit ends an engine's rate. Its entry may have gone before the answer came that shows it.
+// clearRate ends an engine's signaled rate limit. The engine may have been deregistered before
+// the answer that shows this arrived.
 func (cor *Core) unlimit(now time.Time, ene *engine) {
 	if ene.pacing == nil || !ene.pacing.named {
 		return
@@ -217,7 +221,7 @@
 	cor.dropPacing(now, ene)
 }
 
-// dropPacing forgets the engine's pacing if nothing bounds what it is granted any more.
+// dropPacing removes the engine's rate limiter if no limit is in force.
 func (cor *Core) dropPacing(now time.Time, ene *engine) {
 	if ene.pacing == nil || ene.pacing.holds(now) {
 		return
@@ -228,8 +232,8 @@
 	}
 }
 
-// grantRate returns what a gateway is told of the engine's rate with a grant: of its end by
-// one gateway's answer the others hear so.
+// grantRate returns the state of the engine's rate limit for a grant. Other gateways learn this
+// way that the answer to one gateway has ended the limit.
 func (ene *engine) grantRate() reservation.GrantRate {
 	switch {
 	case ene.pacing != nil && ene.pacing.named:
@@ -241,7 +245,7 @@
 	}
 }
 
-// shareRates divides the rates anew.
+// shareRates applies this core's current share to all rate limiters.
 func (cor *Core) shareRates(now time.Time) {
 	for _, ene := range cor.engines {
 		if ene.pacing != nil {
@@ -250,27 +254,27 @@
 	}
 }
 
-// noteUnlimited takes an answer: had it named a rate, its gateway would have told that first.
-// So it ends one that was named before its request was granted. Of a run that another core
-// granted it isn't known when it was answered.
+// noteUnlimited records an answer without a rate limit; with one, the gateway would have sent a
+// notice first. It ends a limit that was signaled before the run was granted. Runs granted by
+// another core are ignored, since it isn't known when they were answered.
 func (cor *Core) noteUnlimited(now time.Time, rnn *run) {
-	pac := rnn.engine.pacing
-	if pac != nil && !rnn.inherited && rnn.given.After(pac.namedAt) {
+	lim := rnn.engine.pacing
+	if lim != nil && !rnn.inherited && rnn.given.After(lim.namedAt) {
 		cor.unlimit(now, rnn.engine)
 	}
 }
 
-// allowance is what those who wait for a service may hope for while all of its engines that
-// are in use have named a rate, or are cold.
+// allowance is the number of grants available to a service's waiting requests while all its
+// engines in use have signaled a rate or are cold.
 type allowance struct {
-	// holds is false where some engine has named none.
+	// limited is false if some engine has no limit.
 	holds bool
-	// tokens are those of all engines now, perSecond what comes of them.
+	// tokens is the sum of the engines' tokens, perSecond the sum of their rates.
 	tokens    float64
 	perSecond float64
 }
 
-// allowance returns what the service's engines take as they are now.
+// allowance returns the current allowance of the service's engines.
 func (svc *service) allowance(now time.Time) allowance {
 	var alw allowance
 	if svc.paced == 0 {
@@ -291,11 +295,12 @@
 	return alw
 }
 
-// refuseSpent refuses a request at once that can't be granted before its time is up, since
-// those before it get all that the engines take, and reports whether it did.
+// refuseSpent refuses a request at once if the allowance won't reach it before its maximum
+// wait ends, and reports whether it did. The requests ahead of it in the queue use the allowance
+// first.
 func (cor *Core) refuseSpent(now time.Time, svc *service, wai *waiter, alw allowance, ahead int) bool {
-	lapsed := wai.paced && !now.Before(wai.until)
-	if !alw.holds || !lapsed && alw.reaches(ahead, wai.until.Sub(now)) {
+	expired := wai.paced && !now.Before(wai.until)
+	if !alw.holds || !expired && alw.reaches(ahead, wai.until.Sub(now)) {
 		return false
 	}
 	cor.giveBack(wai.reserve.Account, cor.costOf(wai.reserve))
@@ -305,14 +310,16 @@
 	return true
 }
 
-// reaches reports whether a request behind so many others may be granted within a time. Parts
-// of a token at several engines count for whole ones, so that nobody is refused who needn't be.
+// suffices reports whether a request behind so many others may be granted within a time.
+// Fractions of tokens at several engines are added up, so that no request is refused that could
+// be granted.
 func (alw allowance) reaches(ahead int, left time.Duration) bool {
 	return alw.tokens+alw.perSecond*left.Seconds() >= float64(ahead+1)
 }
 
-// returnAfter returns when a caller that was refused for want of allowance comes back: as the
-// line moves, one after another. Who would come too late for its time takes no place.
+// returnAfter returns when the client of a request refused for lack of allowance should retry:
+// one after another at the rate of the allowance. A client whose turn would come too late gets
+// the usual retry delay and takes no turn.
 func (svc *service) returnAfter(now time.Time, wai *waiter, alw allowance) time.Duration {
 	step := time.Duration(float64(time.Second) / alw.perSecond)
 	next := now.Add(time.Duration(float64(len(svc.waiting)) * float64(step)))
