--- a/entry/age.go
+++ b/entry/age.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// maxPatiences bounds the callers' patiences remembered of a route. Those of
-	// first tries are the same again and again; those of later tries pass through.
+	// maxPatiences bounds the distinct client timeouts remembered for a route. Timeouts of first
+	// attempts recur, whereas those of retries vary and are evicted.
 	maxPatiences = 64
-	// usualTries is how often a patience was told before it counts as that of a first
-	// try: three later tries seldom come in the same millisecond.
+	// usualTries is how often a timeout must be seen before it counts as that of a first attempt:
+	// three retries seldom fall into the same millisecond.
 	usualTries = 3
-	// usualShare is how many times as often the most frequent one may have been told:
-	// later tries gather at the times that callers wait for a host without power.
+	// usualShare is the largest ratio between the count of the most frequent timeout and that of
+	// another one that counts as a first attempt's. Timeouts of retries cluster too, since
+	// clients wait equally long for a host that has lost power.
 	usualShare = 20
-	// maxCounted is the count at which all of a route's are halved, so that a patience
-	// that is new becomes a usual one within some dozen tries.
+	// maxCounted is the count at which all counts of a route are halved, so that a new
+	// first-attempt timeout is recognized within some dozen attempts.
 	maxCounted = 1000
-	// maxAgedRoutes bounds the routes remembered; busy ones are learned in less than a
-	// second.
+	// maxAgedRoutes bounds the routes remembered; the timeouts of a busy route are learned in
+	// less than a second.
 	maxAgedRoutes = 1024
 )
 
-// ages tells how long callers had waited before they sent a request: each of their
-// tries says what is left of the same patience, and a first try has it whole. So a
-// host knows of earlier tries although it may have seen none of them, since callers
-// choose a host anew each time and hosts are lost.
+// waitEstimator estimates how long clients had been waiting when they sent a request. Each
+// attempt carries the remainder of the same client timeout, and a first attempt carries all of
+// it. This makes earlier attempts known to a host that has seen none of them: clients choose a
+// host anew for each attempt, and hosts can be lost.
 type ages struct {
 	mutex  sync.Mutex
 	routes *simplelru.LRU[string, *patiences]
 }
 
-// patiences counts how often each patience was told, by those told last.
+// timeoutCounts counts how often each client timeout was seen; the least recently seen are
+// evicted.
 type patiences = simplelru.LRU[time.Duration, int]
 
 func newAges() *ages {
@@ -44,53 +46,53 @@
 	return &ages{routes: routes}
 }
 
-// note takes in the patience that a request tells, and returns how much of it had
-// passed before; 0 where that isn't known.
-func (age *ages) note(route string, told time.Duration) time.Duration {
-	if told <= 0 {
+// observe records the timeout that a request carries and returns how long its client had been
+// waiting; 0 if that is not known.
+func (est *ages) note(route string, timeout time.Duration) time.Duration {
+	if timeout <= 0 {
 		return 0
 	}
-	age.mutex.Lock()
-	defer age.mutex.Unlock()
-	pat, known := age.routes.Get(route)
+	est.mutex.Lock()
+	defer est.mutex.Unlock()
+	counts, known := est.routes.Get(route)
 	if !known {
-		pat, _ = simplelru.NewLRU[time.Duration, int](maxPatiences, nil)
-		age.routes.Add(route, pat)
+		counts, _ = simplelru.NewLRU[time.Duration, int](maxPatiences, nil)
+		est.routes.Add(route, counts)
 	}
-	count, _ := pat.Get(told)
-	pat.Add(told, count+1)
+	count, _ := counts.Get(timeout)
+	counts.Add(timeout, count+1)
 	if count+1 > maxCounted {
-		halve(pat)
+		halve(counts)
 	}
-	return usualAbove(pat, told) - told
+	return usualAbove(counts, timeout) - timeout
 }
 
-// halve has what was told lately count for more.
-func halve(pat *patiences) {
-	for _, value := range pat.Keys() {
-		count, _ := pat.Peek(value)
-		pat.Add(value, count/2)
+// halveCounts halves all counts, so that recent timeouts count for more.
+func halve(counts *patiences) {
+	for _, value := range counts.Keys() {
+		count, _ := counts.Peek(value)
+		counts.Add(value, count/2)
 	}
 }
 
-// usualAbove returns the shortest usual patience that isn't below the one told, or
-// that one itself.
-func usualAbove(pat *patiences, told time.Duration) time.Duration {
-	values := pat.Keys()
+// usualAbove returns the shortest first-attempt timeout that is not below the one given, or that
+// one itself if there is none.
+func usualAbove(counts *patiences, timeout time.Duration) time.Duration {
+	values := counts.Keys()
 	most := 0
 	for _, value := range values {
-		count, _ := pat.Peek(value)
+		count, _ := counts.Peek(value)
 		most = max(most, count)
 	}
 	least := max(usualTries, most/usualShare)
-	usual := time.Duration(math.MaxInt64)
+	shortest := time.Duration(math.MaxInt64)
 	for _, value := range values {
-		if count, _ := pat.Peek(value); count >= least && value >= told {
-			usual = min(usual, value)
+		if count, _ := counts.Peek(value); count >= least && value >= timeout {
+			shortest = min(shortest, value)
 		}
 	}
-	if usual == math.MaxInt64 {
-		return told
+	if shortest == math.MaxInt64 {
+		return timeout
 	}
-	return usual
+	return shortest
 }
--- a/entry/barred.go
+++ b/entry/barred.go
@@ -11,87 +11,91 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// tellNotice tells the own scheduler, the one that decides and the one that would next.
+// tellNotice reports an engine's signal to the host's own scheduler, the coordinator and its next
+// candidates.
 func (des *desk) tellNotice(not fleet.Notice) {
 	des.mutex.Lock()
 	defer des.mutex.Unlock()
 	des.tellDeciders(reservation.EngineNotice{Notice: not})
 }
 
-// tellNotices tells a host that decides, or would next, all that engines have said to this
-// one; the mutex is held.
+// tellNotices sends all current engine signals to a host with which a session was opened; the
+// mutex is held.
 func (des *desk) tellNotices(to fleet.Member) {
 	for _, not := range des.host.notices.current() {
 		des.tell(to.Epoch, reservation.EngineNotice{Notice: not})
 	}
 }
 
-// BarredError reports a request that isn't sent since its engine wants nothing from this
-// host.
+// BarredError reports a request that is not sent because one of its engine's signals blocks it
+// for this host.
 type BarredError struct {
 	Notice fleet.Notice
 }
 
-// Error names the engine and what it said.
+// Error names the engine and the signal.
 func (ber *BarredError) Error() string {
-	return "engine " + ber.Notice.Run.String() + " wants nothing from this host: " + ber.Notice.Word.String()
+	return "engine " + ber.Notice.Run.String() + " is blocked for this host by its signal " + ber.Notice.Word.String()
 }
 
-// barred returns a *BarredError for an engine that wants nothing from this host. Those who
-// decide are told again: one of them granted it.
+// checkBlocked returns a *BarredError for an engine that is blocked for this host. It reports the
+// signal again, since a scheduler has granted the engine regardless.
 func (hos *Host) barred(run fleet.EngineID) error {
-	word := hos.notices.bar(run)
-	if word == nil {
+	sgn := hos.notices.bar(run)
+	if sgn == nil {
 		return nil
 	}
-	not := fleet.Notice{Run: run, Word: word}
+	not := fleet.Notice{Run: run, Word: sgn}
 	hos.desk.tellNotice(not)
 	return &BarredError{Notice: not}
 }
 
-// grant is what a request was granted its engine by.
+// grant is what a gateway keeps of a grant to check whether it may still be used.
 type grant struct {
-	// rate is what who decided knew of the engine's rate, when it was asked and had granted it.
+	// rate is what the scheduler knew of the engine's rate limit. It was asked at requestedAt,
+	// and its grant arrived at grantedAt.
 	rate reservation.GrantRate
-	// cold says that who decided knew the engine to be cold.
+	// cold is set if the scheduler knew that the engine was cold.
 	cold  bool
 	asked time.Time
 	at    time.Time
 }
 
-// grantHolds is for how long a grant within an engine's rate may be used: a connection takes
-// up to a second to be made, and what was granted in that second would come at once.
+// grantHolds is how long a grant within an engine's rate limit may be used. Opening a connection
+// takes up to a second, and without this bound all requests granted in that second could arrive
+// at once.
 const grantHolds = 500 * time.Millisecond
 
-// UnpacedError reports a request that isn't sent since its grant isn't within the rate that
-// its engine takes.
+// UnpacedError reports a request that is not sent because its grant is not within the rate limit
+// of its engine.
 type UnpacedError struct {
 	Run       fleet.EngineID
 	PerSecond float64
-	// Rate is what who decided knew of that, Age how long ago it was granted.
+	// Rate is what the scheduler knew of the limit when it granted the request, Age the time
+	// since then.
 	Rate reservation.GrantRate
 	Age  time.Duration
 }
 
-// Error names the engine, its rate and the grant's age.
+// Error names the engine, its rate limit and why the grant is not within it.
 func (uer *UnpacedError) Error() string {
-	why := "who decided didn't know of it"
+	why := "the scheduler did not know of the limit"
 	switch uer.Rate {
 	case reservation.GrantRatePaced:
 		why = "granted " + uer.Age.String() + " ago"
 	case reservation.GrantRateEnded:
-		why = "named again since who decided was asked"
+		why = "the engine repeated the limit after the reservation was sent"
 	case reservation.GrantRateUnknown:
 	}
-	return fmt.Sprintf("engine %s takes %g requests a second: %s", uer.Run, uer.PerSecond, why)
+	return fmt.Sprintf("rate limit of engine %s is %g requests/s: %s", uer.Run, uer.PerSecond, why)
 }
 
-// unpaced returns an *UnpacedError for an engine that has named a rate to this host, unless
-// the grant is within it, or who decided knew that it has ended since. Those who decide are
-// told again.
+// checkRate returns an *UnpacedError for an engine that has signaled a rate limit to this host,
+// unless the grant is within the limit or the scheduler knew that the limit had ended since. It
+// reports the limit again, since a scheduler has granted the engine regardless.
 func (hos *Host) unpaced(run fleet.EngineID, grt grant) error {
-	lim, holds := hos.notices.limit(run)
-	if !holds {
+	lim, limited := hos.notices.limit(run)
+	if !limited {
 		return nil
 	}
 	age := hos.clock.Since(grt.at)
@@ -106,9 +110,9 @@
 	return &UnpacedError{Run: run, PerSecond: lim.PerSecond, Rate: grt.rate, Age: age}
 }
 
-// maySend returns a *BarredError or an *UnpacedError for an engine that doesn't take a request
-// now, by its own word or since it is cold, and an *EvacuatedError where its failure domain is
-// being emptied.
+// maySend returns a *BarredError or an *UnpacedError for an engine that must not get the request
+// now because of its signals or because it is cold, and an *EvacuatedError if its failure domain
+// is being evacuated.
 func (hos *Host) maySend(eng fleet.Engine, grt grant) error {
 	if err := hos.barred(eng.ID); err != nil {
 		return err
@@ -125,10 +129,10 @@
 	return nil
 }
 
-// unwanted reports whether a request wasn't sent since its engine is to get none of it now.
+// blockedBeforeSend reports whether a request was not sent because its engine must not get it now.
 func unwanted(err error) bool {
-	var barred *BarredError
-	var unpaced *UnpacedError
+	var blocked *BarredError
+	var rateExceeded *UnpacedError
 	var evacuated *EvacuatedError
-	return errors.As(err, &barred) || errors.As(err, &unpaced) || errors.As(err, &evacuated)
+	return errors.As(err, &blocked) || errors.As(err, &rateExceeded) || errors.As(err, &evacuated)
 }
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -16,26 +16,28 @@
 )
 
 const (
-	// maxHeaderBytes bounds a request's head, a little above what operators allow.
+	// maxHeaderBytes bounds a request's header; it is slightly above the limit that operators
+	// set.
 	maxHeaderBytes = 32 << 10
-	// headerTimeout and idleTimeout bound a connection that sends nothing; callers
-	// take up connections that have rested for four fifths of what operators say.
+	// headerTimeout and idleTimeout bound a connection on which nothing is sent. Clients reuse
+	// connections that have been idle for up to four fifths of the time that operators set.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 30 * time.Second
-	// maxBodyBytes bounds a body while no configuration says how long it may be.
+	// maxBodyBytes bounds a body while the configuration sets no limit.
 	maxBodyBytes = 4 << 20
-	// answerMargin is how long before its deadline a request is ended, so that the
-	// caller has its final answer in time.
+	// answerMargin is how long before its deadline a request is ended, so that the client
+	// receives the final answer in time.
 	answerMargin = 15 * time.Millisecond
-	// notReadyRetry is when callers of a host that isn't ready come back, elsewhere.
+	// notReadyRetry is the Retry-After of a host that is not ready; clients then use another
+	// host.
 	notReadyRetry = 500 * time.Millisecond
-	// maxStaleRetry bounds when callers of a host with an old configuration come
-	// back: outages of the store last some seconds.
+	// maxStaleRetry bounds the Retry-After of a host with a stale configuration: outages of the
+	// store last some seconds.
 	maxStaleRetry = 4 * time.Second
 )
 
-// cause says why a request ended as it did; it stands in the log, in the
-// counters and in the body of an error.
+// cause says why a request ended. It appears in the log, in the counters and in the body of an
+// error.
 type cause string
 
 // The causes.
@@ -64,18 +66,18 @@
 	causeNoRegion   cause = "NoRegion"
 )
 
-// problem is a final answer of the host's own.
+// problem is a final answer that the host itself generates.
 type problem struct {
 	status int
 	cause  cause
-	// retryAfter is when to come back; 0 tells nothing.
+	// retryAfter is the value of Retry-After; 0 omits the header.
 	retryAfter time.Duration
 	detail     string
-	// sentBack says that a grant was sent back, after which another one may be had.
+	// grantReturned is set if a grant was returned unused; a new reservation may succeed.
 	sentBack bool
 }
 
-// exchange is one request on its way through this host.
+// exchange is one request and its answer, as this host handles it.
 type exchange struct {
 	host    *Host
 	writer  http.ResponseWriter
@@ -83,37 +85,38 @@
 	route   route.Route
 	service string
 	account route.Account
-	// regions are those in which the request may be served; none for all.
+	// regions are those in which the request may be served; empty for all.
 	regions []string
 	rank    int
 	started time.Time
-	// deadline is when the request must have its final answer.
+	// deadline is when the client must have the final answer.
 	deadline time.Time
-	// version is the configuration that the request was admitted by.
+	// version is that of the configuration by which the request was admitted.
 	version uint64
 	age     time.Duration
-	// callerAge is how long the caller had waited before, since its first try.
+	// callerAge is how long the client had been waiting since its first attempt.
 	callerAge time.Duration
-	// digest is that of the request, set once its body is read.
+	// digest identifies the request; it is set once the body has been read.
 	digest call.Digest
 
-	// What the attempts have come to so far.
+	// The fields below are the state of the attempts so far.
 	attempts int
 	exclude  []string
-	// again says that the last grant wasn't used.
+	// lastGrantUnused is set if the last grant was not used.
 	again bool
-	// sentBack counts the grants that couldn't be used, since their engines wanted nothing.
+	// returnedGrants counts the grants that were returned unused because their engines were blocked for
+	// this host.
 	sentBack   int
 	mayHaveRun bool
 	headSent   bool
 	lastEvent  int64
 	events     int
-	// lastHeard is when the caller was last sent an event.
+	// lastHeard is when the last event was sent to the client.
 	lastHeard time.Time
-	// longestPause is the longest time between two events that the caller was sent.
+	// longestPause is the longest time between two events sent to the client.
 	longestPause time.Duration
 	engine       string
-	// grant is the last one, of that engine.
+	// grant is the last grant; it is for engine.
 	grant      grant
 	decidedBy  string
 	waited     time.Duration
@@ -142,21 +145,21 @@
 	exc.run(ctx)
 }
 
-// admit reads the request and finds its route and its client account.
+// admit reads the request and determines its route and its client account.
 func (exc *exchange) admit(htr *http.Request) *problem {
 	hos := exc.host
 	req, err := platform.DecodeRequest(htr)
 	exc.request = req
 	exc.age = hos.age(exc.started)
-	bel := hos.belief.Load()
-	if bel.table == nil {
+	snp := hos.belief.Load()
+	if snp.table == nil {
 		return &problem{status: http.StatusServiceUnavailable, cause: causeNotReady, retryAfter: notReadyRetry, detail: "no configuration yet"}
 	}
-	exc.version = bel.table.Version()
+	exc.version = snp.table.Version()
 	if err != nil {
 		return &problem{status: http.StatusBadRequest, cause: causeBadRequest, detail: err.Error()}
 	}
-	rou, found := bel.table.Match(req.Host, req.Path)
+	rou, found := snp.table.Match(req.Host, req.Path)
 	if !hos.trusted(exc.started) && (!found || !rou.Public) {
 		return &problem{status: http.StatusServiceUnavailable, cause: causeNotReady, retryAfter: exc.staleRetry(), detail: "the configuration isn't known to be current"}
 	}
@@ -165,7 +168,7 @@
 	}
 	exc.route = rou
 	exc.service = rou.Pick(pointOf(req.ID))
-	if pro := exc.authenticate(bel.table); pro != nil {
+	if pro := exc.authenticate(snp.table); pro != nil {
 		return pro
 	}
 	sco := rou.Scope(exc.account)
@@ -177,7 +180,7 @@
 	if exc.account.Rank != nil {
 		exc.rank = *exc.account.Rank
 	}
-	if pro := exc.readBody(htr, bel.table); pro != nil {
+	if pro := exc.readBody(htr, snp.table); pro != nil {
 		return pro
 	}
 	exc.digest = exc.request.Digest(exc.account.Name)
@@ -186,8 +189,9 @@
 	return nil
 }
 
-// staleRetry tells callers to come back soon, to another host, unless the store
-// is away for all: then the later the longer it has been.
+// staleRetry returns the Retry-After for a stale configuration. It is short, since another host
+// may be able to serve the request, unless all hosts have lost the store: then it grows with the
+// length of the outage, with jitter.
 func (exc *exchange) staleRetry() time.Duration {
 	if !exc.host.storeAway.Load() {
 		return notReadyRetry
@@ -196,10 +200,10 @@
 	return wait + time.Duration(float64(wait)*float64(pointOf(exc.request.ID)%1000)/1000)
 }
 
-// pointOf spreads requests over a route's shares.
+// pointOf hashes a request id, which distributes requests over a route's shares.
 func pointOf(id string) uint64 {
 	hash := fnv.New64a()
-	// A hash takes any bytes without an error.
+	// hash.Hash.Write never returns an error.
 	_, _ = hash.Write([]byte(id))
 	return hash.Sum64()
 }
@@ -216,8 +220,7 @@
 	return nil
 }
 
-// bodyTimeout bounds the reading of a body: callers on the same network send
-// theirs at once.
+// bodyTimeout bounds the reading of a body: clients on the same network send theirs at once.
 const bodyTimeout = 5 * time.Second
 
 func (exc *exchange) readBody(htr *http.Request, tab *route.Table) *problem {
@@ -228,7 +231,7 @@
 	if htr.ContentLength == 0 {
 		return nil
 	}
-	// A connection that can't take a deadline is read without one.
+	// A connection that does not support a read deadline is read without one.
 	controller := http.NewResponseController(exc.writer)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(exc.writer, htr.Body, limit))
@@ -244,7 +247,8 @@
 	return nil
 }
 
-// setDeadline takes the sooner of what the caller and the route allow.
+// setDeadline sets the earlier of the client's deadline and the route's timeout, less
+// answerMargin.
 func (exc *exchange) setDeadline() {
 	limit := exc.route.Timeout
 	if exc.request.Deadline > 0 {
@@ -253,18 +257,18 @@
 	exc.deadline = exc.started.Add(limit - answerMargin)
 }
 
-// remaining is the time left until the deadline.
+// remaining returns the time left until the deadline.
 func (exc *exchange) remaining() time.Duration {
 	return exc.host.clock.Until(exc.deadline)
 }
 
-// problemBody is the body of a final answer of the host's own.
+// problemBody is the JSON body of a problem.
 type problemBody struct {
 	Cause  cause
 	Detail string
 }
 
-// refuse gives the caller a final answer of the host's own.
+// sendProblem sends a problem to the client, or aborts the answer if its header has been sent.
 func (exc *exchange) refuse(pro problem) {
 	if exc.headSent {
 		exc.breakOff(pro.cause)
@@ -277,23 +281,22 @@
 	}
 	body, err := json.Marshal(problemBody{Cause: pro.cause, Detail: pro.detail})
 	if err != nil {
-		exc.host.log.Error().Err(err).Msg("answer not encoded")
+		exc.host.log.Error().Err(err).Msg("could not encode the body of an error response")
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	exc.writer.WriteHeader(pro.status)
-	// A caller that has left can't be told anything more.
+	// A write error means that the client has disconnected, so nothing can be reported to it.
 	_, _ = exc.writer.Write(body)
 	exc.logEnd(pro.status, pro.cause, pro.detail)
 }
 
-// breakOff ends an answer that has begun in such a way that it can't be taken
-// for a whole one.
+// breakOff aborts an answer that has begun, so that the client cannot take it for a complete one.
 func (exc *exchange) breakOff(cau cause) {
 	exc.logEnd(0, cau, "")
 	panic(http.ErrAbortHandler)
 }
 
-// logEnd writes the line of a request's end and counts it.
+// logEnd logs the end of a request and counts it.
 func (exc *exchange) logEnd(status int, cau cause, detail string) {
 	hos := exc.host
 	took := hos.clock.Since(exc.started)
@@ -324,7 +327,7 @@
 	evt.Msg("request")
 }
 
-// timeliness says whether an answer was in time, as far as this host sees.
+// timeliness says whether an answer was in time, as measured at this host.
 type timeliness string
 
 const (
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -7,31 +7,33 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// coldGrantHolds is for how long a grant of a cold engine may be used: a cold engine falls over
-// under what comes within a second, so less may come together than within a rate.
+// coldGrantHolds is how long a grant of a cold engine may be used. It is shorter than grantHolds
+// because a cold engine can be overloaded by the requests that arrive within one second.
 const coldGrantHolds = 250 * time.Millisecond
 
-// coldLeft returns for how much longer an engine is cold, by its entry or by its own word, and
-// how many requests a second it bears meanwhile; 0 where that is no matter.
+// coldLeft returns how much longer an engine is cold, by its entry or its own signal, and how
+// many requests per second it may get meanwhile. Both are 0 if the engine is not cold or its
+// service sets no rate for cold engines.
 func (hos *Host) coldLeft(eng fleet.Engine) (time.Duration, float64) {
 	now := hos.clock.Now()
-	bel := hos.belief.Load()
+	snp := hos.belief.Load()
 	left := hos.notices.coldFor(eng.ID)
-	if known, listed := bel.engine(eng.ID); listed {
+	if known, registered := snp.engine(eng.ID); registered {
 		left = max(left, known.ColdUntil.Sub(now))
 	}
-	if left <= 0 || bel.table == nil {
+	if left <= 0 || snp.table == nil {
 		return 0, 0
 	}
-	svc, _ := bel.table.Service(eng.Service)
+	svc, _ := snp.table.Service(eng.Service)
 	if svc.ColdRate <= 0 {
 		return 0, 0
 	}
 	return left, svc.ColdRate
 }
 
-// tooCold returns an *UnpacedError for a cold engine, unless who decided knew that it is and
-// granted it a moment ago. Else it is told so: it grants for all hosts.
+// checkCold returns an *UnpacedError for a cold engine, unless the scheduler knew that the engine
+// is cold and granted it within coldGrantHolds. It reports the engine as cold otherwise, since
+// the scheduler grants it for all hosts.
 func (hos *Host) tooCold(eng fleet.Engine, grt grant) error {
 	left, perSecond := hos.coldLeft(eng)
 	if left <= 0 {
@@ -42,9 +44,9 @@
 		return nil
 	}
 	hos.desk.tellNotice(fleet.Notice{Run: eng.ID, Word: fleet.Cold{Left: left}})
-	known := reservation.GrantRateUnknown
+	rate := reservation.GrantRateUnknown
 	if grt.cold {
-		known = reservation.GrantRatePaced
+		rate = reservation.GrantRatePaced
 	}
-	return &UnpacedError{Run: eng.ID, PerSecond: perSecond, Rate: known, Age: age}
+	return &UnpacedError{Run: eng.ID, PerSecond: perSecond, Rate: rate, Age: age}
 }
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -12,22 +12,21 @@
 	"lynxwell.dev/lynxwell/upstream"
 )
 
-// ending says whether an engine ended while it ran a request.
+// crashState says whether an engine crashed while it ran a request.
 type ending uint8
 
 const (
-	// endingNone is an attempt that tells nothing of that.
+	// endingNone: the attempt gives no sign of a crash.
 	endingNone ending = iota
-	// endingDoubted is one whose connection ended, without it being plain whether the
-	// engine did.
+	// endingDoubted: the connection ended, but whether the engine crashed is unconfirmed.
 	endingDoubted
-	// endingCrashed is one under which the engine ended, unplanned.
+	// endingCrashed: the engine crashed.
 	endingCrashed
 )
 
-// String returns the ending's name, for the log.
-func (end ending) String() string {
-	switch end {
+// String returns the state's name for the log.
+func (crs ending) String() string {
+	switch crs {
 	case endingCrashed:
 		return "Yes"
 	case endingDoubted:
@@ -39,16 +38,17 @@
 	}
 }
 
-// endingOf judges how an attempt ended. An engine that crashes closes its connections and
-// refuses new ones; a broken answer, a reset and a cut link leave it listening, or silent.
-// One that leaves as planned has said so, or has taken its entry away, before.
+// endingOf determines whether the engine crashed under an attempt. A crashed engine has closed
+// its connections and refuses new ones, whereas after a truncated answer, a reset or a network
+// failure it still listens or does not respond. An engine that stops as planned has signaled that
+// it is draining, or has been deregistered, before its connections end.
 func (exc *exchange) endingOf(ctx context.Context, eng fleet.Engine, att attempt) ending {
 	if att.outcome != outcomeLost || att.cause == causeCallerLeft || ctx.Err() != nil || !upstream.EndedByPeer(att.err) {
 		return endingNone
 	}
 	known, found := exc.host.belief.Load().engine(eng.ID)
-	_, leaves := exc.host.notices.bar(eng.ID).(fleet.Leaving)
-	if !found || known.Closed() || leaves {
+	_, draining := exc.host.notices.bar(eng.ID).(fleet.Leaving)
+	if !found || known.Closed() || draining {
 		return endingNone
 	}
 	if known.ID.Follows(eng.ID) {
@@ -60,8 +60,8 @@
 	return endingDoubted
 }
 
-// tellEnding tells those who decide, now or next, of an engine that ended under the
-// request, before its place is given back: they must not take it for an idle one.
+// tellEnding reports a crash, or an unconfirmed one, to the schedulers before the slot is
+// released, so that they don't take the engine for an idle one.
 func (exc *exchange) tellEnding(eng fleet.Engine, att attempt) {
 	if att.ending == endingNone {
 		return
@@ -76,8 +76,8 @@
 	})
 }
 
-// heldProblem returns the final answer to a request that is held: no status that promises
-// that it hasn't run, since it has, and when it is worth coming back, if ever.
+// heldProblem returns the final answer for a held request. Its status does not promise that the
+// request has not run, since it has, and retryAfter is 0 if retrying never helps.
 func heldProblem(ref reservation.Refuse) *problem {
 	detail := "the engines that ran this request ended, so it isn't run again; a changed request is another one"
 	if ref.RetryAfter > 0 {
@@ -86,57 +86,57 @@
 	return &problem{status: statusHeld, cause: causeHeld, retryAfter: ref.RetryAfter, detail: detail}
 }
 
-// engineEnded tells the own scheduler, the one that decides and the one that would next.
-// So what is known outlasts the loss of any of them.
-func (des *desk) engineEnded(msg reservation.EngineEnded) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	des.tellDeciders(msg)
+// engineEnded reports a crash to the host's own scheduler, the coordinator and its next
+// candidates, so that the information survives the loss of any of them.
+func (bro *desk) engineEnded(msg reservation.EngineEnded) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	bro.tellDeciders(msg)
 }
 
-// maxReports bounds the cases that another host is told of at once: a quarter of what
-// waits for one session at most.
+// maxReports bounds the cases that are sent to another host at once: at most a quarter of the
+// queue of one session.
 const maxReports = 128
 
-// tellCases tells the new coordinator what this host knows against requests; the mutex is
+// tellCases sends the quarantine cases that this host knows to a new coordinator; the mutex is
 // held.
-func (des *desk) tellCases(chosen request.Epoch) {
-	if chosen == des.host.epoch {
+func (bro *desk) tellCases(chosen request.Epoch) {
+	if chosen == bro.host.epoch {
 		return
 	}
-	for _, rep := range des.core.CaseReports(des.host.clock.Now(), quarantine.LevelWatched, maxReports) {
-		des.tell(chosen, reservation.CaseReport{Report: rep})
+	for _, rep := range bro.core.CaseReports(bro.host.clock.Now(), quarantine.LevelWatched, maxReports) {
+		bro.tell(chosen, reservation.CaseReport{Report: rep})
 	}
 }
 
-// tellCasesTo tells a gateway that has this host decide of the suspected and held requests;
-// the mutex is held.
-func (des *desk) tellCasesTo(inb *inbound) {
-	for _, rep := range des.core.CaseReports(des.host.clock.Now(), quarantine.LevelSuspected, maxReports) {
+// tellCasesTo sends the suspected and held requests to a gateway that uses this host as its
+// coordinator; the mutex is held.
+func (bro *desk) tellCasesTo(inb *inbound) {
+	for _, rep := range bro.core.CaseReports(bro.host.clock.Now(), quarantine.LevelSuspected, maxReports) {
 		inb.send(reservation.CaseReport{Report: rep})
 	}
 }
 
-// passChanges logs what has become of requests that end engines, and passes it on: to the
-// gateways that have this host decide, and to those who decide; the mutex is held.
-func (des *desk) passChanges() {
-	changes, sources := des.core.QuarantineChanges()
+// passChanges logs changes of the quarantine and sends them to the gateways that use this host as
+// their coordinator, to the coordinator and to its next candidates; the mutex is held.
+func (bro *desk) passChanges() {
+	changes, sources := bro.core.QuarantineChanges()
 	for _, cha := range changes {
-		des.logChange(cha)
-		des.passChange(cha)
+		bro.logChange(cha)
+		bro.passChange(cha)
 	}
 	for _, src := range sources {
-		des.logSource(src)
+		bro.logSource(src)
 	}
 	if len(changes) > 0 {
-		des.wakeHeld()
+		bro.wakeHeld()
 	}
 }
 
-func (des *desk) passChange(cha quarantine.Change) {
+func (bro *desk) passChange(cha quarantine.Change) {
 	msg := reservation.CaseReport{Report: cha.Report}
 	if cha.Spreads() {
-		for _, inb := range des.inbound {
+		for _, inb := range bro.inbound {
 			if inb.appointed {
 				inb.send(msg)
 			}
@@ -145,40 +145,41 @@
 	if cha.Heard || !cha.Report.Cleared && !cha.Spreads() {
 		return
 	}
-	// Also what is held against a request: who decides may have lost the store, and with it
-	// the sight of entries that go, which settles a doubt. Eight engines ended for three.
-	for epo := range des.links {
-		des.tell(epo, msg)
+	// Evidence against a request is sent too: a coordinator that has lost the store does not see
+	// engines deregister, which confirms a crash. Without this, eight engines crashed instead of
+	// three.
+	for epo := range bro.links {
+		bro.tell(epo, msg)
 	}
 }
 
-// logChange writes what has become of a request, and by which engines' ends. That a request
-// was part of one end is in the line of its attempt.
-func (des *desk) logChange(cha quarantine.Change) {
-	des.host.figures.count("Quarantine." + cha.Kind.String())
+// logChange logs the new state of a poison request and the engines that crashed under it. A
+// single crash is logged with its attempt only.
+func (bro *desk) logChange(cha quarantine.Change) {
+	bro.host.figures.count("Quarantine." + cha.Kind.String())
 	if cha.Kind == quarantine.KindWatched || len(cha.Case.Ends) < 2 && !cha.Case.Held {
 		return
 	}
 	var engines []string
-	alone := false
-	for _, end := range cha.Case.Ends {
-		engines = append(engines, end.Engine)
-		alone = end.Alone
+	exclusive := false
+	for _, crs := range cha.Case.Ends {
+		engines = append(engines, crs.Engine)
+		exclusive = crs.Alone
 	}
-	evt := des.host.log.Warn().Stringer("Digest", cha.Case.Digest).Stringer("Now", cha.Kind).Str("Service", cha.Case.Service).
-		Str("Account", cha.Case.Account).Str("Route", cha.Case.Route).Strs("Engines", engines).Bool("Alone", alone).Int("Trials", cha.Case.Trials)
+	evt := bro.host.log.Warn().Stringer("Digest", cha.Case.Digest).Stringer("Now", cha.Kind).Str("Service", cha.Case.Service).
+		Str("Account", cha.Case.Account).Str("Route", cha.Case.Route).Strs("Engines", engines).Bool("Alone", exclusive).Int("Trials", cha.Case.Trials)
 	if cha.Case.Held {
 		evt = evt.Bool("ForGood", cha.Case.Until.IsZero()).Dur("Left", cha.Report.Left)
 	}
-	evt.Msg("request that ends engines")
+	evt.Msg("quarantine state of a poison request changed")
 }
 
-func (des *desk) logSource(cha scheduler.SourceChange) {
+func (bro *desk) logSource(cha scheduler.SourceChange) {
 	name := "Quarantine.SourceTrusted"
 	if cha.Restricted {
 		name = "Quarantine.SourceRestricted"
 	}
-	des.host.figures.count(name)
-	des.host.log.Warn().Str("Service", cha.Source.Service).Str("Account", cha.Source.Account).Str("Route", cha.Source.Route).Bool("Restricted", cha.Restricted).
-		Msg("client account whose requests end engines")
+	bro.host.figures.count(name)
+	bro.host.log.Warn().Str("Service", cha.Source.Service).Str("Account", cha.Source.Account).Str("Route", cha.Source.Route).Bool("Restricted", cha.Restricted).
+		Msg("quarantine of a traffic source changed")
 }
--- a/entry/desk.go
+++ b/entry/desk.go
@@ -17,58 +17,62 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// tickInterval is how often time passes in the scheduler while requests wait.
+// tickInterval is how often the scheduler handles a Tick event while requests wait.
 const tickInterval = 5 * time.Millisecond
 
-// desk is where reservations are made: at the coordinator, which is one host's
-// scheduler for all hosts, or at this host's own while it reaches no other.
+// broker places reservations with the coordinator, which is one host's scheduler acting for all
+// hosts, or with this host's own scheduler while no other host is reachable.
 type desk struct {
 	host  *Host
 	mutex sync.Mutex
 	core  *scheduler.Core
-	// ticking is set while a tick is due.
+	// ticking is set while a tick is scheduled.
 	ticking bool
-	// roster is who shares the work, listed the same by the entries alone; changed wakes
-	// the sessions.
+	// membership is the set of hosts that share the work, with the restarts that this host has
+	// detected; registered is the same by the entries in the store alone. A send on
+	// candidatesChanged wakes maintenance of the sessions.
 	roster  roster
 	listed  roster
 	changed chan struct{}
-	// unreached are candidates to which no session could be opened lately.
+	// unreachableCandidates are the candidates with which the last attempt to open a session
+	// failed.
 	unreached map[request.Epoch]bool
-	// restarted are the hosts that have started again since their entries were written,
-	// by their names.
+	// restarts are the hosts that have restarted since their entries were written, by name.
 	restarted map[string]restart
-	// links are the sessions that stand, by their coordinator's epoch.
+	// links are the open sessions to coordinators, by the coordinator's epoch.
 	links map[request.Epoch]*link
-	// inbound are the gateways whose sessions this host's scheduler serves.
+	// inbound are the sessions of gateways with this host's scheduler, by session number.
 	inbound  map[uint64]*inbound
 	sessions uint64
-	// active is the coordinator; the host's own epoch stands for its own scheduler.
+	// active is the epoch of the coordinator; it is the host's own epoch while the host uses its
+	// own scheduler.
 	active request.Epoch
-	// steadyUntil is until when the coordinator stays while it is reached, whoever leads;
-	// electing is set while an election is due then.
+	// steadyUntil is the end of the coordinator's minimum term; until then a reachable
+	// coordinator stays, whichever host is the leader. electionScheduled is set while an election
+	// is scheduled for that time.
 	steadyUntil time.Time
 	electing    bool
-	// tickets are the reservations that wait for a decision; holds are the engines
-	// that requests have, as another coordinator is told of them.
+	// pending are the reservations that wait for a decision. activeGrants are the grants in use,
+	// in the form in which another coordinator adopts them.
 	tickets map[request.ID]*ticket
 	holds   map[request.ID]*reservation.Adopt
-	// spent is what this host's requests took from each account's limit, with the
-	// accounts of spentTable and the rates' parts by spentHosts.
+	// debts is what this host's requests still owe to each account's limit, by account name.
+	// spentTable and spentHosts are the configuration and the number of hosts that debts was last
+	// updated for.
 	spent      map[string]*spending
 	spentTable *route.Table
 	spentHosts int
-	// presence is which hosts this one reaches, toldAbsent those that it last told the
-	// others not to be there.
+	// presence tracks which hosts have a session with this one; toldAbsent is the list of
+	// unreachable hosts that this host last published.
 	presence *fleet.Presence
-	// toldLeader is the host that this one last told the others to lead.
+	// toldLeader is the leader that this host last published; 0 for none.
 	toldLeader request.Epoch
 	toldAbsent []request.Epoch
-	// absent are the hosts that the active coordinator doesn't reach.
+	// unreachableHosts are the registered hosts that the active coordinator does not reach.
 	absent atomic.Pointer[map[request.Epoch]bool]
-	// evacuations is what is known of failure domains that are being emptied.
+	// evacuations is the known state of failure domains that are being evacuated.
 	evacuations *evacuation.Board
-	// survey is what the hosts have recorded of the engines' speed.
+	// measurements are the hosts' stored measurements of the engines' speed.
 	survey pace.Survey
 }
 
@@ -77,7 +81,7 @@
 	member fleet.Member
 	queue  *peer.Queue
 	cancel context.CancelFunc
-	// leader is the host that the coordinator knows to lead; 0 for none.
+	// leader is the leader that the coordinator last reported; 0 for none.
 	leader request.Epoch
 }
 
@@ -87,31 +91,32 @@
 	name    string
 	queue   *peer.Queue
 	cancel  context.CancelFunc
-	// appointed says that it has this scheduler decide.
+	// appointed is set while the gateway uses this host as its coordinator.
 	appointed bool
 }
 
-// send passes a message on; a gateway that has fallen behind loses its session.
+// send queues a message for the gateway. A gateway that does not keep up with its queue loses its
+// session.
 func (inb *inbound) send(msg reservation.Message) {
 	if !inb.queue.Put(peer.Outgoing{Message: msg}) {
 		inb.cancel()
 	}
 }
 
-// ticket is a reservation that waits for a decision.
+// pendingReservation is a reservation that waits for a decision.
 type ticket struct {
 	reserve reservation.Reserve
-	// asked is the coordinator that was asked.
+	// coordinator is the epoch of the host that the reservation was last sent to.
 	asked    request.Epoch
 	decision chan decision
 }
 
-// decision is what a coordinator said.
+// decision is a coordinator's answer to a reservation.
 type decision struct {
 	// grant is set unless refusal is.
 	grant   *reservation.Grant
 	refusal *reservation.Refuse
-	// by is the coordinator.
+	// coordinator is the epoch of the host that decided.
 	by request.Epoch
 }
 
@@ -145,40 +150,41 @@
 	}
 }
 
-// handle brings the host's own scheduler an event.
-func (des *desk) handle(evt scheduler.Event) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	des.step(evt)
+// handle passes an event to the host's own scheduler.
+func (bro *desk) handle(evt scheduler.Event) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	bro.step(evt)
 }
 
-// step has the scheduler decide and passes on what it says; the mutex is held.
-func (des *desk) step(evt scheduler.Event) {
-	for _, snd := range des.core.Handle(des.host.clock.Now(), evt) {
-		des.deliver(snd)
+// handleLocked passes an event to the host's own scheduler and delivers the resulting messages; the mutex
+// is held.
+func (bro *desk) step(evt scheduler.Event) {
+	for _, snd := range bro.core.Handle(bro.host.clock.Now(), evt) {
+		bro.deliver(snd)
 	}
-	des.passChanges()
-	if !des.ticking && des.core.Waiting() {
-		des.ticking = true
-		time.AfterFunc(tickInterval, des.tick)
+	bro.passChanges()
+	if !bro.ticking && bro.core.Waiting() {
+		bro.ticking = true
+		time.AfterFunc(tickInterval, bro.tick)
 	}
 }
 
-func (des *desk) tick() {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	des.ticking = false
-	des.step(scheduler.Tick{})
+func (bro *desk) tick() {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	bro.ticking = false
+	bro.step(scheduler.Tick{})
 }
 
-// deliver passes a message of the own scheduler on.
-func (des *desk) deliver(snd scheduler.Send) {
-	des.logDecision(snd)
-	if snd.To == des.host.epoch {
-		des.decided(des.host.epoch, snd.Message)
+// deliver sends a message of the host's own scheduler to the gateway it is for.
+func (bro *desk) deliver(snd scheduler.Send) {
+	bro.logDecision(snd)
+	if snd.To == bro.host.epoch {
+		bro.decided(bro.host.epoch, snd.Message)
 		return
 	}
-	for _, inb := range des.inbound {
+	for _, inb := range bro.inbound {
 		if inb.gateway != snd.To {
 			continue
 		}
@@ -187,9 +193,9 @@
 	}
 }
 
-// logDecision writes what this host decided for a gateway, and by what.
-func (des *desk) logDecision(snd scheduler.Send) {
-	evt := des.host.log.Info()
+// logDecision logs a decision of this host's scheduler with the inputs it was based on.
+func (bro *desk) logDecision(snd scheduler.Send) {
+	evt := bro.host.log.Info()
 	switch msg := snd.Message.(type) {
 	case reservation.Grant:
 		evt = evt.Str("Request", msg.ID.Unique).Str("Engine", msg.Engine)
@@ -207,181 +213,184 @@
 		Int("Running", inp.Running).Dur("Unread", inp.Unread).Dur("Expected", inp.Expected).Msg("decision")
 }
 
-// decided takes a coordinator's decision; the mutex is held.
-func (des *desk) decided(by request.Epoch, msg reservation.Message) {
+// applyMessage applies a coordinator's message; the mutex is held.
+func (bro *desk) decided(by request.Epoch, msg reservation.Message) {
 	switch msg := msg.(type) {
 	case reservation.Grant:
-		tic := des.tickets[msg.ID]
-		if tic == nil || tic.asked != by {
-			// Nobody waits for it any more: the engine's place is given back.
-			des.tell(by, reservation.Release{ID: msg.ID, Engine: msg.Engine})
+		pen := bro.tickets[msg.ID]
+		if pen == nil || pen.asked != by {
+			// The reservation was withdrawn or sent to another coordinator, so the slot is
+			// released.
+			bro.tell(by, reservation.Release{ID: msg.ID, Engine: msg.Engine})
 			return
 		}
-		des.hold(tic, msg, by)
-		des.noteSpent(tic.reserve)
-		des.settle(tic, decision{grant: &msg, by: by})
+		bro.hold(pen, msg, by)
+		bro.noteSpent(pen.reserve)
+		bro.settle(pen, decision{grant: &msg, by: by})
 	case reservation.Refuse:
-		if tic := des.tickets[msg.ID]; tic != nil && tic.asked == by {
-			des.settle(tic, decision{refusal: &msg, by: by})
+		if pen := bro.tickets[msg.ID]; pen != nil && pen.asked == by {
+			bro.settle(pen, decision{refusal: &msg, by: by})
 		}
 	case reservation.Leader:
-		des.takeLeader(by, msg.Host)
+		bro.takeLeader(by, msg.Host)
 	case reservation.Absent:
-		des.takeAbsent(by, msg.Hosts)
+		bro.takeAbsent(by, msg.Hosts)
 	}
 }
 
-// hold remembers the engine that a request has, so that another coordinator can
-// be told of it.
-func (des *desk) hold(tic *ticket, gra reservation.Grant, by request.Epoch) {
+// recordGrant records the engine that a request was granted, so that the grant can be handed over
+// to another coordinator.
+func (bro *desk) hold(pen *ticket, gra reservation.Grant, by request.Epoch) {
 	ado := reservation.Adopt{
-		ID: gra.ID, Ballot: gra.Ballot, Engine: gra.Engine, Service: tic.reserve.Service,
-		Account: tic.reserve.Account, Cost: tic.reserve.Cost, Unread: true, PromptTokens: tic.reserve.PromptTokens,
-		Route: tic.reserve.Route, Digest: tic.reserve.Digest,
+		ID: gra.ID, Ballot: gra.Ballot, Engine: gra.Engine, Service: pen.reserve.Service,
+		Account: pen.reserve.Account, Cost: pen.reserve.Cost, Unread: true, PromptTokens: pen.reserve.PromptTokens,
+		Route: pen.reserve.Route, Digest: pen.reserve.Digest,
 	}
-	des.holds[gra.ID] = &ado
-	if by != des.host.epoch {
-		des.step(scheduler.GrantedElsewhere{Adopt: ado})
+	bro.holds[gra.ID] = &ado
+	if by != bro.host.epoch {
+		bro.step(scheduler.GrantedElsewhere{Adopt: ado})
 	}
 }
 
-func (des *desk) settle(tic *ticket, dec decision) {
-	delete(des.tickets, tic.reserve.ID)
-	tic.decision <- dec
+func (bro *desk) settle(pen *ticket, dec decision) {
+	delete(bro.tickets, pen.reserve.ID)
+	pen.decision <- dec
 }
 
-// tell sends a message to a coordinator; the mutex is held.
-func (des *desk) tell(to request.Epoch, msg reservation.Message) {
-	if to == des.host.epoch {
-		des.step(scheduler.Received{From: to, Message: msg})
+// send sends a message to a coordinator; the mutex is held.
+func (bro *desk) tell(to request.Epoch, msg reservation.Message) {
+	if to == bro.host.epoch {
+		bro.step(scheduler.Received{From: to, Message: msg})
 		return
 	}
-	lin := des.links[to]
+	lin := bro.links[to]
 	if lin != nil && !lin.queue.Put(peer.Outgoing{Message: msg}) {
 		lin.cancel()
 	}
 }
 
-// tellDeciders tells the own scheduler, the one that decides and the one that would next, so
-// that what is told outlasts the loss of any of them; the mutex is held.
-func (des *desk) tellDeciders(msg reservation.Message) {
-	for epo := range des.links {
-		des.tell(epo, msg)
+// tellDeciders sends a message to the host's own scheduler and over all links, that is to the
+// coordinator and its next candidates, so that the information survives the loss of any of them;
+// the mutex is held.
+func (bro *desk) tellDeciders(msg reservation.Message) {
+	for epo := range bro.links {
+		bro.tell(epo, msg)
 	}
-	des.tell(des.host.epoch, msg)
+	bro.tell(bro.host.epoch, msg)
 }
 
-// reserve asks the coordinator for an engine and waits for its decision, or for
-// the end of the context.
-func (des *desk) reserve(ctx context.Context, res reservation.Reserve) (decision, error) {
-	tic := &ticket{reserve: res, decision: make(chan decision, 1)}
-	des.mutex.Lock()
-	if ref, held := des.core.Held(des.host.clock.Now(), res); held {
-		// Whoever decides, also one that doesn't know of it yet.
-		des.mutex.Unlock()
-		return decision{refusal: &ref, by: des.host.epoch}, nil
+// reserve requests an engine from the coordinator. It returns the decision, or an error once the
+// context ends.
+func (bro *desk) reserve(ctx context.Context, res reservation.Reserve) (decision, error) {
+	pen := &ticket{reserve: res, decision: make(chan decision, 1)}
+	bro.mutex.Lock()
+	if ref, held := bro.core.Held(bro.host.clock.Now(), res); held {
+		// A held request is refused here even if the coordinator does not know of it yet.
+		bro.mutex.Unlock()
+		return decision{refusal: &ref, by: bro.host.epoch}, nil
 	}
-	des.tickets[res.ID] = tic
-	des.ask(tic)
-	des.mutex.Unlock()
+	bro.tickets[res.ID] = pen
+	bro.ask(pen)
+	bro.mutex.Unlock()
 	timer := time.NewTimer(decisionTimeout(res))
 	defer timer.Stop()
 	select {
-	case dec := <-tic.decision:
+	case dec := <-pen.decision:
 		return dec, nil
 	case <-timer.C:
-		return des.reserveAlone(ctx, tic)
+		return bro.reserveAlone(ctx, pen)
 	case <-ctx.Done():
-		return decision{}, des.abandon(ctx, tic)
+		return decision{}, bro.abandon(ctx, pen)
 	}
 }
 
-// decisionSlack is how much longer than a coordinator may keep a reservation its
-// answer may take: some round trips and a pause of its processor.
+// decisionSlack is how long after the time that a coordinator may keep a reservation the answer
+// may still arrive. It covers some round trips and a pause of the coordinator's processor.
 const decisionSlack = 150 * time.Millisecond
 
 func decisionTimeout(res reservation.Reserve) time.Duration {
 	return res.Aim/4 + decisionSlack
 }
 
-// reserveAlone asks the own scheduler where the coordinator stays silent.
-func (des *desk) reserveAlone(ctx context.Context, tic *ticket) (decision, error) {
-	des.mutex.Lock()
-	if tic.asked != des.host.epoch && des.tickets[tic.reserve.ID] == tic {
-		des.host.log.Warn().Str("Request", tic.reserve.ID.Unique).Stringer("Coordinator", tic.asked).Msg("coordinator silent, deciding alone")
-		des.tell(tic.asked, reservation.Withdraw{ID: tic.reserve.ID, Ballot: tic.reserve.Ballot})
-		des.askAt(tic, des.host.epoch)
+// reserveAlone uses the host's own scheduler after the coordinator has not answered in time.
+func (bro *desk) reserveAlone(ctx context.Context, pen *ticket) (decision, error) {
+	bro.mutex.Lock()
+	if pen.asked != bro.host.epoch && bro.tickets[pen.reserve.ID] == pen {
+		bro.host.log.Warn().Str("Request", pen.reserve.ID.Unique).Stringer("Coordinator", pen.asked).Msg("coordinator did not answer in time; using the host's own scheduler")
+		bro.tell(pen.asked, reservation.Withdraw{ID: pen.reserve.ID, Ballot: pen.reserve.Ballot})
+		bro.askAt(pen, bro.host.epoch)
 	}
-	des.mutex.Unlock()
+	bro.mutex.Unlock()
 	select {
-	case dec := <-tic.decision:
+	case dec := <-pen.decision:
 		return dec, nil
 	case <-ctx.Done():
-		return decision{}, des.abandon(ctx, tic)
+		return decision{}, bro.abandon(ctx, pen)
 	}
 }
 
-// abandon withdraws a reservation that nobody waits for any more.
-func (des *desk) abandon(ctx context.Context, tic *ticket) error {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if des.tickets[tic.reserve.ID] == tic {
-		delete(des.tickets, tic.reserve.ID)
-		des.tell(tic.asked, reservation.Withdraw{ID: tic.reserve.ID, Ballot: tic.reserve.Ballot})
+// withdraw withdraws a reservation whose context has ended, and releases a grant that has arrived
+// meanwhile.
+func (bro *desk) abandon(ctx context.Context, pen *ticket) error {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if bro.tickets[pen.reserve.ID] == pen {
+		delete(bro.tickets, pen.reserve.ID)
+		bro.tell(pen.asked, reservation.Withdraw{ID: pen.reserve.ID, Ballot: pen.reserve.Ballot})
 		return context.Cause(ctx)
 	}
-	if dec := <-tic.decision; dec.grant != nil {
-		des.finish(reservation.Release{ID: tic.reserve.ID, Engine: dec.grant.Engine})
+	if dec := <-pen.decision; dec.grant != nil {
+		bro.finish(reservation.Release{ID: pen.reserve.ID, Engine: dec.grant.Engine})
 	}
 	return context.Cause(ctx)
 }
 
-// ask asks the active coordinator; the mutex is held.
-func (des *desk) ask(tic *ticket) {
-	des.askAt(tic, des.active)
+// submit sends a reservation to the active coordinator; the mutex is held.
+func (bro *desk) ask(pen *ticket) {
+	bro.askAt(pen, bro.active)
 }
 
-func (des *desk) askAt(tic *ticket, at request.Epoch) {
-	tic.asked = at
-	des.tell(at, tic.reserve)
+func (bro *desk) askAt(pen *ticket, at request.Epoch) {
+	pen.asked = at
+	bro.tell(at, pen.reserve)
 }
 
-// moveHold notes that a request went to another run of its engine than was granted.
-func (des *desk) moveHold(id request.ID, run fleet.EngineID) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if hol := des.holds[id]; hol != nil {
-		hol.Engine = run.String()
+// moveHold records that a request was sent to another run of its engine than the one granted.
+func (bro *desk) moveHold(id request.ID, run fleet.EngineID) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if gra := bro.holds[id]; gra != nil {
+		gra.Engine = run.String()
 	}
 }
 
-// progress says that the first of an answer has come.
-func (des *desk) progress(pro reservation.Progress) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if hol := des.holds[pro.ID]; hol != nil {
-		hol.Unread = false
+// progress reports the first token or event of an answer.
+func (bro *desk) progress(pro reservation.Progress) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if gra := bro.holds[pro.ID]; gra != nil {
+		gra.Unread = false
 	}
-	des.tellBoth(pro)
+	bro.tellBoth(pro)
 }
 
-// release gives an engine's place back.
-func (des *desk) release(rel reservation.Release) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	des.finish(rel)
+// release releases the slot of an engine.
+func (bro *desk) release(rel reservation.Release) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	bro.finish(rel)
 }
 
-func (des *desk) finish(rel reservation.Release) {
-	delete(des.holds, rel.ID)
-	des.tellBoth(rel)
+func (bro *desk) finish(rel reservation.Release) {
+	delete(bro.holds, rel.ID)
+	bro.tellBoth(rel)
 }
 
-// tellBoth tells the coordinator and the own scheduler, which must know the own
-// runs in case it has to decide alone.
-func (des *desk) tellBoth(msg reservation.Message) {
-	if des.active != des.host.epoch {
-		des.tell(des.active, msg)
+// tellBoth sends a message to the coordinator and to the host's own scheduler, which must know
+// the host's own runs in case it becomes the coordinator.
+func (bro *desk) tellBoth(msg reservation.Message) {
+	if bro.active != bro.host.epoch {
+		bro.tell(bro.active, msg)
 	}
-	des.tell(des.host.epoch, msg)
+	bro.tell(bro.host.epoch, msg)
 }
--- a/entry/elect.go
+++ b/entry/elect.go
@@ -11,130 +11,132 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// steadyTime is for how long, at least, a host that was chosen decides, and at most twice
-// as long, while it is reached: long enough for the words of who leads, which take a few
-// milliseconds, to have come to rest, and drawn by each host so that no two change in
-// step. Without it they chase one another round hosts that have started at once, without end.
+// steadyTime is the minimum term of a newly chosen coordinator while it is reachable. The actual
+// term is drawn from one to two times this, so that no two hosts change in step. It is long
+// enough for the reports of who is the leader, which take a few milliseconds, to converge.
+// Without it, hosts that have started at the same time can keep changing their coordinators in
+// response to one another without end.
 const steadyTime = 100 * time.Millisecond
 
-// elect makes the host that is to decide the coordinator; the mutex is held.
-// Reservations that wait go to the new one.
-func (des *desk) elect() {
-	now := des.host.clock.Now()
-	chosen := des.choose()
-	if chosen != des.active && des.staysSteady(now) {
-		des.electLater(now)
-		chosen = des.active
+// elect makes the chosen host the coordinator and moves pending reservations to it; the mutex is
+// held.
+func (bro *desk) elect() {
+	now := bro.host.clock.Now()
+	chosen := bro.choose()
+	if chosen != bro.active && bro.staysSteady(now) {
+		bro.electLater(now)
+		chosen = bro.active
 	}
-	des.share(chosen)
-	if chosen == des.active {
+	bro.share(chosen)
+	if chosen == bro.active {
 		return
 	}
-	des.steadyUntil = now.Add(steadyTime + rand.N(steadyTime))
-	des.host.log.Info().Stringer("Coordinator", chosen).Stringer("Former", des.active).
-		Bool("Own", chosen == des.host.epoch).Int("Hosts", len(des.roster.members)).Int("Waiting", len(des.tickets)).Msg("coordinator changed")
-	former := des.active
-	des.active = chosen
-	des.absent.Store(nil)
-	des.takeAbsent(des.host.epoch, des.toldAbsent)
-	des.appoint(former, chosen)
-	des.tellSpent(chosen)
-	des.moveHolds(former, chosen)
-	for id, tic := range des.tickets {
-		if tic.asked == chosen {
+	bro.steadyUntil = now.Add(steadyTime + rand.N(steadyTime))
+	bro.host.log.Info().Stringer("Coordinator", chosen).Stringer("Former", bro.active).
+		Bool("Own", chosen == bro.host.epoch).Int("Hosts", len(bro.roster.members)).Int("Waiting", len(bro.tickets)).Msg("coordinator changed")
+	old := bro.active
+	bro.active = chosen
+	bro.absent.Store(nil)
+	bro.takeAbsent(bro.host.epoch, bro.toldAbsent)
+	bro.appoint(old, chosen)
+	bro.tellSpent(chosen)
+	bro.moveHolds(old, chosen)
+	for id, pen := range bro.tickets {
+		if pen.asked == chosen {
 			continue
 		}
-		des.tell(former, reservation.Withdraw{ID: id, Ballot: tic.reserve.Ballot})
-		des.ask(tic)
+		bro.tell(old, reservation.Withdraw{ID: id, Ballot: pen.reserve.Ballot})
+		bro.ask(pen)
 	}
 }
 
-// staysSteady reports whether the coordinator stays for now, whoever leads: it was chosen
-// lately, and is reached and a member still. A host that decides alone never waits for
-// one that decides for others.
-func (des *desk) staysSteady(now time.Time) bool {
-	return des.active != des.host.epoch && now.Before(des.steadyUntil) && des.reaches(des.active) && des.isMember(des.active)
+// staysSteady reports whether the coordinator stays for now, whichever host is the leader: it is
+// within its minimum term, reachable and still a member. A host that is its own coordinator
+// switches to another one without delay.
+func (bro *desk) staysSteady(now time.Time) bool {
+	return bro.active != bro.host.epoch && now.Before(bro.steadyUntil) && bro.reaches(bro.active) && bro.isMember(bro.active)
 }
 
-func (des *desk) isMember(epo request.Epoch) bool {
-	return slices.ContainsFunc(des.roster.members, func(mem fleet.Member) bool { return mem.Epoch == epo })
+func (bro *desk) isMember(epo request.Epoch) bool {
+	return slices.ContainsFunc(bro.roster.members, func(mem fleet.Member) bool { return mem.Epoch == epo })
 }
 
-// electLater elects again when the coordinator has been steady; the mutex is held.
-func (des *desk) electLater(now time.Time) {
-	if des.electing {
+// electLater schedules an election for the end of the coordinator's minimum term; the mutex is
+// held.
+func (bro *desk) electLater(now time.Time) {
+	if bro.electing {
 		return
 	}
-	des.electing = true
-	time.AfterFunc(des.steadyUntil.Sub(now), func() {
-		des.mutex.Lock()
-		defer des.mutex.Unlock()
-		des.electing = false
-		des.elect()
-		des.tellLeader()
+	bro.electing = true
+	time.AfterFunc(bro.steadyUntil.Sub(now), func() {
+		bro.mutex.Lock()
+		defer bro.mutex.Unlock()
+		bro.electing = false
+		bro.elect()
+		bro.tellLeader()
 	})
 }
 
-// appoint tells both coordinators which of them decides for this host. Without it a
-// coordinator could go only by who asks, and after seconds without traffic would take all
-// hosts for lost and keep to its own part of the limits alone.
-func (des *desk) appoint(former, chosen request.Epoch) {
-	if former != des.host.epoch {
-		des.tell(former, reservation.Appoint{})
+// appoint notifies the old and the new coordinator which of them this host uses. Without this a
+// coordinator could only count the hosts that send it reservations; after seconds without traffic
+// it would take all hosts for lost and enforce only its own share of the limits.
+func (bro *desk) appoint(old, chosen request.Epoch) {
+	if old != bro.host.epoch {
+		bro.tell(old, reservation.Appoint{})
 	}
-	if chosen != des.host.epoch {
-		des.tell(chosen, reservation.Appoint{Decides: true})
+	if chosen != bro.host.epoch {
+		bro.tell(chosen, reservation.Appoint{Decides: true})
 	}
 }
 
-// moveHolds tells the new coordinator of the engines that requests have, and the
-// former one that it counts them no more: it may decide again later, and would take
-// the engines to be full. The own scheduler knows the own requests at all times.
-func (des *desk) moveHolds(former, chosen request.Epoch) {
-	for _, hol := range des.holds {
-		if chosen != des.host.epoch {
-			des.tell(chosen, *hol)
+// moveHolds sends the grants in use to the new coordinator and releases them at the old one,
+// which would otherwise take the engines to be full if it became the coordinator again. The
+// host's own scheduler always knows the host's own grants.
+func (bro *desk) moveHolds(old, chosen request.Epoch) {
+	for _, gra := range bro.holds {
+		if chosen != bro.host.epoch {
+			bro.tell(chosen, *gra)
 		}
-		if former != des.host.epoch {
-			des.tell(former, reservation.Release{ID: hol.ID, Ballot: hol.Ballot, Engine: hol.Engine, Dispatched: true})
+		if old != bro.host.epoch {
+			bro.tell(old, reservation.Release{ID: gra.ID, Ballot: gra.Ballot, Engine: gra.Engine, Dispatched: true})
 		}
 	}
 }
 
-// appointed notes whether a gateway has this host decide; the mutex is held.
-func (des *desk) appointed(inb *inbound, decides bool) {
+// setAppointed records whether a gateway uses this host as its coordinator; the mutex is held.
+func (bro *desk) appointed(inb *inbound, decides bool) {
 	inb.appointed = decides
-	if decides && len(des.toldAbsent) > 0 {
-		des.tellAbsentTo(inb)
+	if decides && len(bro.toldAbsent) > 0 {
+		bro.tellAbsentTo(inb)
 	}
 	if decides {
-		des.tellCasesTo(inb)
+		bro.tellCasesTo(inb)
 	}
-	des.share(des.active)
-	des.tellLeader()
+	bro.share(bro.active)
+	bro.tellLeader()
 }
 
-// outsideParts leaves a host without an entry next to nothing of the limits.
+// outsideParts is the limit divisor of a host that is not registered; it leaves such a host
+// almost nothing of the limits.
 const outsideParts = 1000
 
-// share tells the own scheduler which part of the limits is its own: that of the
-// hosts it decides for. Two groups of hosts that have lost each other then don't
-// serve more together than one.
-func (des *desk) share(chosen request.Epoch) {
+// updateShare sets the share of the limits that the host's own scheduler enforces: that of the
+// hosts it coordinates. Two groups of hosts that cannot reach each other then don't serve more in
+// total than the limits allow.
+func (bro *desk) share(chosen request.Epoch) {
 	served := 1
-	elsewhere := chosen != des.host.epoch && des.served() == 1
-	if chosen == des.host.epoch {
-		served = des.served()
+	byAnother := chosen != bro.host.epoch && bro.served() == 1
+	if chosen == bro.host.epoch {
+		served = bro.served()
 	}
-	parts := limitParts(len(des.roster.members), served)
-	if des.roster.outside && len(des.roster.candidates) > 0 {
-		parts = outsideParts
+	divisor := limitParts(len(bro.roster.members), served)
+	if bro.roster.outside && len(bro.roster.candidates) > 0 {
+		divisor = outsideParts
 	}
-	des.step(scheduler.ShareChanged{Parts: parts, Hosts: len(des.roster.members), Elsewhere: elsewhere})
+	bro.step(scheduler.ShareChanged{Parts: divisor, Hosts: len(bro.roster.members), Elsewhere: byAnother})
 }
 
-// limitParts returns into how many parts the limits are divided where each part
-// decides for so many of the hosts.
+// limitParts returns the limit divisor of a scheduler that coordinates the given number of hosts.
 func limitParts(hosts, served int) float64 {
 	return max(1, float64(hosts)/float64(max(1, served)))
 }
--- a/entry/leader.go
+++ b/entry/leader.go
@@ -7,90 +7,91 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// A host leads while it decides for more than half of all hosts. Whoever reaches it, or
-// reaches one that does, has it decide, whichever hosts come first in the order: when a
-// host that was lost or cut off comes back, nothing changes. Each change has all hosts
-// tell what they run, to a coordinator that has learned nothing yet, and costs callers.
-// Where none leads, as after the loss of all, the first in the order is chosen, and soon
-// leads.
+// The leader is a host that coordinates more than half of all hosts. A host that can reach the
+// leader uses it as its coordinator, regardless of the order of the candidates and even if it
+// knows of the leader only from another host's report. So nothing changes when a host that was
+// lost or disconnected returns. A change of the coordinator is expensive: all hosts report their
+// running requests to a host that has no state yet, and clients are affected. Without a leader,
+// as after the loss of all hosts, the first reachable candidate is chosen and soon becomes the
+// leader.
 
-// choose returns the host that is to decide for this one: the one that leads, or the
-// first candidate that is reached.
-func (des *desk) choose() request.Epoch {
-	if leader := des.leader(); leader != 0 {
+// chooseCoordinator returns the host to use as the coordinator: the leader, or the first reachable
+// candidate.
+func (bro *desk) choose() request.Epoch {
+	if leader := bro.leader(); leader != 0 {
 		return leader
 	}
-	for _, mem := range des.candidates() {
-		if des.reaches(mem.Epoch) {
+	for _, mem := range bro.candidates() {
+		if bro.reaches(mem.Epoch) {
 			return mem.Epoch
 		}
 	}
-	return des.host.epoch
+	return bro.host.epoch
 }
 
-// reaches reports whether a host can be asked to decide.
-func (des *desk) reaches(epo request.Epoch) bool {
-	return epo == des.host.epoch || des.links[epo] != nil
+// isReachable reports whether this host can send reservations to a host.
+func (bro *desk) reaches(epo request.Epoch) bool {
+	return epo == bro.host.epoch || bro.links[epo] != nil
 }
 
-// leader returns the host that leads and can be asked, as far as this one knows; 0 for
-// none.
-func (des *desk) leader() request.Epoch {
-	for _, epo := range des.leaders() {
-		if des.reaches(epo) {
+// reachableLeader returns the leader that this host knows and can reach; 0 for none.
+func (bro *desk) leader() request.Epoch {
+	for _, epo := range bro.leaders() {
+		if bro.reaches(epo) {
 			return epo
 		}
 	}
 	return 0
 }
 
-// leaders returns the hosts that lead by the word of those that are reached: more than
-// one only while hosts have lost one another. They may have to be reached first.
-func (des *desk) leaders() []request.Epoch {
-	var told []request.Epoch
-	if des.leads() {
-		told = append(told, des.host.epoch)
+// knownLeaders returns the hosts that this host or its links report as leaders, reachable or not.
+// There is more than one only while groups of hosts cannot reach each other.
+func (bro *desk) leaders() []request.Epoch {
+	var reported []request.Epoch
+	if bro.leads() {
+		reported = append(reported, bro.host.epoch)
 	}
-	for _, lin := range des.links {
+	for _, lin := range bro.links {
 		if lin.leader != 0 {
-			told = append(told, lin.leader)
+			reported = append(reported, lin.leader)
 		}
 	}
-	if len(told) == 0 {
+	if len(reported) == 0 {
 		return nil
 	}
 	var found []request.Epoch
-	for _, mem := range des.roster.candidates {
-		if slices.Contains(told, mem.Epoch) {
+	for _, mem := range bro.roster.candidates {
+		if slices.Contains(reported, mem.Epoch) {
 			found = append(found, mem.Epoch)
 		}
 	}
 	return found
 }
 
-// leads reports whether this host decides for more than half of all.
-func (des *desk) leads() bool {
-	served := des.served()
-	return served > 1 && 2*served > len(des.roster.members)
+// isLeader reports whether this host coordinates more than half of all hosts.
+func (bro *desk) leads() bool {
+	served := bro.served()
+	return served > 1 && 2*served > len(bro.roster.members)
 }
 
-// inCharge reports whether this host decides for all, as far as it knows; the mutex is
+// inCharge reports whether this host coordinates all hosts, as far as it knows; the mutex is
 // held.
-func (des *desk) inCharge() bool {
-	return des.active == des.host.epoch && !des.roster.outside && (des.leads() || len(des.roster.members) == 1)
+func (bro *desk) inCharge() bool {
+	return bro.active == bro.host.epoch && !bro.roster.outside && (bro.leads() || len(bro.roster.members) == 1)
 }
 
-// coordinates reports whether this host decides for all.
-func (des *desk) coordinates() bool {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	return des.inCharge()
+// coordinates reports whether this host coordinates all hosts, as far as it knows.
+func (bro *desk) coordinates() bool {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	return bro.inCharge()
 }
 
-// served returns how many hosts have this one decide, itself among them.
-func (des *desk) served() int {
+// servedHosts returns the number of hosts that use this one as their coordinator, including
+// itself.
+func (bro *desk) served() int {
 	served := 1
-	for _, inb := range des.inbound {
+	for _, inb := range bro.inbound {
 		if inb.appointed {
 			served++
 		}
@@ -98,31 +99,31 @@
 	return served
 }
 
-// tellLeader tells those who may have this host decide who leads, if that has changed;
-// the mutex is held.
-func (des *desk) tellLeader() {
-	leader := des.leader()
-	if leader == des.toldLeader {
+// tellLeader sends the leader to all gateways with a session if it has changed; the mutex is
+// held.
+func (bro *desk) tellLeader() {
+	leader := bro.leader()
+	if leader == bro.toldLeader {
 		return
 	}
-	des.toldLeader = leader
-	for _, inb := range des.inbound {
-		des.tellLeaderTo(inb)
+	bro.toldLeader = leader
+	for _, inb := range bro.inbound {
+		bro.tellLeaderTo(inb)
 	}
 }
 
-func (des *desk) tellLeaderTo(inb *inbound) {
-	inb.send(reservation.Leader{Host: des.toldLeader})
+func (bro *desk) tellLeaderTo(inb *inbound) {
+	inb.send(reservation.Leader{Host: bro.toldLeader})
 }
 
-// takeLeader takes a coordinator's word of who leads; the mutex is held.
-func (des *desk) takeLeader(by, leader request.Epoch) {
-	lin := des.links[by]
+// takeLeader applies a coordinator's report of the leader; the mutex is held.
+func (bro *desk) takeLeader(by, leader request.Epoch) {
+	lin := bro.links[by]
 	if lin == nil || lin.leader == leader {
 		return
 	}
 	lin.leader = leader
-	des.elect()
-	des.tellLeader()
-	des.wake()
+	bro.elect()
+	bro.tellLeader()
+	bro.wake()
 }
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -10,72 +10,73 @@
 )
 
 const (
-	// presenceInterval is how often a coordinator looks which hosts are absent: a part of
-	// the 0.3 s after which a host that was lost is, and one message to each host at most.
+	// presenceInterval is how often a coordinator checks which hosts are unreachable: a fraction
+	// of the 0.3 s after which a lost host counts as unreachable. It limits the messages to one
+	// per host and interval.
 	presenceInterval = 100 * time.Millisecond
-	// idlePresence is the same for hosts that nobody may have decide, nearly all.
+	// idlePresence is the interval for hosts without sessions from gateways, which is nearly all
+	// of them.
 	idlePresence = time.Second
 )
 
-// keepPresence has a coordinator tell all hosts that it decides for which ones are
-// absent, whenever that changes.
-func (des *desk) keepPresence(ctx context.Context) error {
+// keepPresence publishes the unreachable hosts, whenever they change, to the gateways that use
+// this host as their coordinator.
+func (bro *desk) keepPresence(ctx context.Context) error {
 	timer := time.NewTimer(idlePresence)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-			timer.Reset(des.tellAbsent(des.host.clock.Now()))
+			timer.Reset(bro.tellAbsent(bro.host.clock.Now()))
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// tellAbsent tells all hosts which ones are absent if that has changed, and returns
-// when to look again.
-func (des *desk) tellAbsent(now time.Time) time.Duration {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if len(des.inbound)+len(des.toldAbsent) == 0 {
+// tellAbsent publishes the unreachable hosts if they have changed, and returns the time until the
+// next check.
+func (bro *desk) tellAbsent(now time.Time) time.Duration {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if len(bro.inbound)+len(bro.toldAbsent) == 0 {
 		return idlePresence
 	}
-	absent := des.presence.Absent(now)
-	if slices.Equal(absent, des.toldAbsent) {
+	unreachable := bro.presence.Absent(now)
+	if slices.Equal(unreachable, bro.toldAbsent) {
 		return presenceInterval
 	}
-	if des.active == des.host.epoch {
-		des.host.log.Info().Int("Absent", len(absent)).Int("Former", len(des.toldAbsent)).Int("Hosts", len(des.roster.members)).Msg("hosts absent")
+	if bro.active == bro.host.epoch {
+		bro.host.log.Info().Int("Absent", len(unreachable)).Int("Former", len(bro.toldAbsent)).Int("Hosts", len(bro.roster.members)).Msg("unreachable hosts changed")
 	}
-	des.toldAbsent = absent
-	for _, inb := range des.inbound {
+	bro.toldAbsent = unreachable
+	for _, inb := range bro.inbound {
 		if inb.appointed {
-			des.tellAbsentTo(inb)
+			bro.tellAbsentTo(inb)
 		}
 	}
-	des.takeAbsent(des.host.epoch, absent)
+	bro.takeAbsent(bro.host.epoch, unreachable)
 	return presenceInterval
 }
 
-func (des *desk) tellAbsentTo(inb *inbound) {
-	inb.send(reservation.Absent{Hosts: des.toldAbsent})
+func (bro *desk) tellAbsentTo(inb *inbound) {
+	inb.send(reservation.Absent{Hosts: bro.toldAbsent})
 }
 
-// takeAbsent takes the word of the coordinator that decides for this host; the mutex
-// is held.
-func (des *desk) takeAbsent(by request.Epoch, hosts []request.Epoch) {
-	if by != des.active {
+// takeAbsent applies a report of unreachable hosts if it is the coordinator's; the mutex is held.
+func (bro *desk) takeAbsent(by request.Epoch, hosts []request.Epoch) {
+	if by != bro.active {
 		return
 	}
-	absent := make(map[request.Epoch]bool, len(hosts))
+	unreachable := make(map[request.Epoch]bool, len(hosts))
 	for _, epo := range hosts {
-		absent[epo] = true
+		unreachable[epo] = true
 	}
-	des.absent.Store(&absent)
+	bro.absent.Store(&unreachable)
 }
 
-// isAbsent reports whether the coordinator takes a host with an entry for lost.
-func (des *desk) isAbsent(epo request.Epoch) bool {
-	absent := des.absent.Load()
-	return absent != nil && (*absent)[epo]
+// isAbsent reports whether the coordinator takes a registered host to be unreachable.
+func (bro *desk) isAbsent(epo request.Epoch) bool {
+	unreachable := bro.absent.Load()
+	return unreachable != nil && (*unreachable)[epo]
 }
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -14,26 +14,27 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-// sendBack notes that a grant isn't used, and why.
+// sendBack records that a grant is returned unused, and why.
 func (exc *exchange) sendBack(err error) {
 	exc.again = true
 	exc.sentBack++
 	exc.host.figures.count("GrantsSentBack")
 	evt := exc.host.log.Info().Str("Request", exc.request.ID).Str("Engine", exc.engine).Str("DecidedBy", exc.decidedBy)
 	evt = evt.AnErr("Because", err)
-	var barred *BarredError
-	if errors.As(err, &barred) {
-		evt = evt.Stringer("Says", barred.Notice.Word)
-		if pau, isPause := barred.Notice.Word.(fleet.Pause); isPause {
-			evt = evt.Dur("For", pau.Left)
+	var blocked *BarredError
+	if errors.As(err, &blocked) {
+		evt = evt.Stringer("Says", blocked.Notice.Word)
+		if bac, isBackoff := blocked.Notice.Word.(fleet.Pause); isBackoff {
+			evt = evt.Dur("For", bac.Left)
 		}
 	}
 	evt.Msg("grant sent back")
 }
 
-// reserve gets an engine for the next attempt, or says why there is none. One that
-// the coordinator doesn't know to be gone yet is passed over; of one that wants nothing from
-// this host the coordinator has been told.
+// reserve obtains an engine for the next attempt, or returns the final answer. A granted engine
+// that is deregistered is excluded from the next reservation, since the coordinator may not know
+// of that yet. For an engine that is blocked for this host no exclusion is needed: its signal has
+// been reported to the coordinator.
 func (exc *exchange) reserve(ctx context.Context) (fleet.Engine, *problem) {
 	gone := 0
 	for gone < maxUnsent && exc.sentBack <= maxSentBack {
@@ -46,7 +47,7 @@
 			gone++
 			exc.again = true
 			exc.host.log.Info().Str("Request", exc.request.ID).Str("Engine", exc.engine).Str("DecidedBy", exc.decidedBy).
-				Msg("granted engine is gone, asking again")
+				Msg("granted engine is deregistered; reserving again")
 			exc.exclude = append(exc.exclude, exc.engine)
 		default:
 			return eng, pro
@@ -55,13 +56,13 @@
 	return fleet.Engine{}, exc.notRun(causeNoEngine, "the engines granted can't be used")
 }
 
-// notRun returns the final answer of a request that this attempt didn't run.
+// notRun returns the final answer for a request that this attempt did not run.
 func (exc *exchange) notRun(cau cause, detail string) *problem {
 	return exc.unlessRun(&problem{status: http.StatusServiceUnavailable, cause: cau, retryAfter: notReadyRetry, detail: detail})
 }
 
-// unlessRun takes the promise out of a refusal where an attempt may have run: only
-// what certainly hasn't run may be refused as such.
+// unlessRun changes the status of a refusal if an earlier attempt may have run: only a request
+// that has certainly not run may be refused with a status that says so.
 func (exc *exchange) unlessRun(pro *problem) *problem {
 	if exc.mayHaveRun {
 		pro.status, pro.retryAfter = http.StatusBadGateway, 0
@@ -71,7 +72,7 @@
 
 func (exc *exchange) reserveOnce(ctx context.Context) (fleet.Engine, *problem) {
 	hos := exc.host
-	asked, askedAt := time.Now(), hos.clock.Now()
+	start, requestedAt := time.Now(), hos.clock.Now()
 	res := reservation.Reserve{
 		ID:      request.ID{Prefix: request.Prefix{Epoch: hos.epoch}, Unique: exc.request.ID},
 		Service: exc.service, Rank: exc.rank, Urgency: max(0, exc.route.Rank), Account: exc.account.Name,
@@ -85,7 +86,7 @@
 		res.PromptTokens = 0
 	}
 	dec, err := hos.desk.reserve(ctx, res)
-	exc.waited += time.Since(asked)
+	exc.waited += time.Since(start)
 	if err != nil {
 		return fleet.Engine{}, exc.ended(err)
 	}
@@ -93,17 +94,18 @@
 	if dec.refusal != nil {
 		return fleet.Engine{}, exc.refusal(*dec.refusal)
 	}
-	exc.grant = grant{rate: dec.grant.Rate, cold: dec.grant.Cold, asked: askedAt, at: hos.clock.Now()}
+	exc.grant = grant{rate: dec.grant.Rate, cold: dec.grant.Cold, asked: requestedAt, at: hos.clock.Now()}
 	return exc.granted(dec.grant.Engine, res.ID)
 }
 
-// allows reports whether the request may be served at an engine, by its region.
+// regionAllowed reports whether the engine's region is one in which the request may be served.
 func (exc *exchange) allows(eng fleet.Engine) bool {
 	return len(exc.regions) == 0 || slices.Contains(exc.regions, exc.host.set.Regions[eng.Domain])
 }
 
-// answerTokens returns the caller's guess of the answer's length, by which it is
-// predicted when its slot falls free; of one that has begun the rest isn't known.
+// answerTokens returns the client's estimate of the answer's length, from which the scheduler
+// predicts when the slot becomes free. It returns 0 for a resumed stream, whose remaining length
+// is unknown.
 func (exc *exchange) answerTokens() int {
 	if max(exc.request.LastEvent, exc.lastEvent) > 0 {
 		return 0
@@ -112,17 +114,17 @@
 }
 
 const (
-	// minPatience, aimPatience and pausePatience are how long callers of a stream
-	// wait for its next event before they leave: the longest of a time, of so many
-	// aims and of so many pauses in time. The platform's callers behave so.
+	// Clients of a stream disconnect if no event arrives for the longest of minPatience,
+	// aimPatience times the route's latency target, and pausePatience times its target for the
+	// pause between events. These values match the behavior of the platform's clients.
 	minPatience   = 2 * time.Second
 	aimPatience   = 4
 	pausePatience = 8
 )
 
-// aim returns within what time the next attempt's answer is still of use. For the
-// first one that is the route's aim. A repeat is too late for it as a rule, but
-// its caller waits on: a stream that has begun is lost unless it goes on.
+// latencyTarget returns the time within which the next attempt's answer is still useful. For the first
+// attempt that is what is left of the route's latency target. A retry usually misses the target,
+// but its client keeps waiting, and a stream that has begun is lost unless it continues.
 func (exc *exchange) aim(now time.Time) time.Duration {
 	if exc.attempts == 0 {
 		return exc.route.Aim - now.Sub(exc.started)
@@ -131,32 +133,33 @@
 	if exc.route.Kind != route.KindStreaming {
 		return left
 	}
-	heard := exc.started
-	if exc.lastHeard.After(heard) {
-		heard = exc.lastHeard
+	lastEventAt := exc.started
+	if exc.lastHeard.After(lastEventAt) {
+		lastEventAt = exc.lastHeard
 	}
-	patience := max(minPatience, aimPatience*exc.route.Aim, pausePatience*exc.route.PauseAim)
-	return min(left, patience-now.Sub(heard))
+	timeout := max(minPatience, aimPatience*exc.route.Aim, pausePatience*exc.route.PauseAim)
+	return min(left, timeout-now.Sub(lastEventAt))
 }
 
-// granted checks once more what may have changed while the request waited.
+// checkGrant rechecks, after the wait for the decision, the conditions that may have changed
+// meanwhile.
 func (exc *exchange) granted(name string, id request.ID) (fleet.Engine, *problem) {
 	hos := exc.host
 	exc.engine = name
-	bel := hos.belief.Load()
+	snp := hos.belief.Load()
 	var pro *problem
 	run := fleet.ParseEngineID(name)
-	eng, known := bel.engine(run)
+	eng, known := snp.engine(run)
 	switch {
 	case !exc.route.Public && !hos.trusted(hos.clock.Now()):
 		pro = exc.notRun(causeNotReady, "configuration became too old")
 	case !known || eng.Draining:
-		// The coordinator may have lost the store, and not know yet.
+		// The coordinator may have lost its connection to the store and not know of this yet.
 		pro = exc.notRun(causeEngineGone, "engine is gone or leaves")
 	case !exc.allows(eng):
 		pro = exc.notRun(causeEngineGone, "engine is in a region where the request may not be served")
 	case exc.account.Name != "":
-		if _, holds := bel.table.Account(exc.request.Key); !holds {
+		if _, valid := snp.table.Account(exc.request.Key); !valid {
 			pro = &problem{status: http.StatusUnauthorized, cause: causeUnknownKey, detail: "the key was taken away"}
 		}
 	}
@@ -178,7 +181,7 @@
 	return fleet.Engine{}, pro
 }
 
-// refusal returns the final answer to a coordinator's refusal.
+// refusalProblem returns the final answer for a coordinator's refusal.
 func (exc *exchange) refusal(ref reservation.Refuse) *problem {
 	pro := &problem{status: http.StatusServiceUnavailable, cause: causeOverload, retryAfter: ref.RetryAfter, detail: "no engine has room in time"}
 	switch ref.Reason {
@@ -200,7 +203,8 @@
 	return exc.unlessRun(pro)
 }
 
-// ended returns the final answer when the time or the caller is gone.
+// contextProblem returns the final answer after the deadline has passed or the client has
+// disconnected.
 func (exc *exchange) ended(err error) *problem {
 	pro := &problem{status: http.StatusServiceUnavailable, cause: causeDeadline, detail: err.Error()}
 	if !errors.Is(err, context.DeadlineExceeded) {
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -13,38 +13,41 @@
 )
 
 const (
-	// coordinators is how many hosts a gateway keeps a session with: the one that
-	// decides and the one that would next.
+	// coordinatorSessions is how many reachable hosts a gateway keeps a session with: the
+	// coordinator and the host that would replace it.
 	coordinators = 2
-	// maxCandidates bounds how many hosts are tried beside them: the hosts that a failure
-	// domain's largest are lost with at once, of six, and two more.
+	// maxCandidates bounds how many hosts a gateway tries to keep sessions with, including
+	// unreachable ones: the hosts of the largest failure domain of a fleet of six, which may be
+	// lost at once, and two more.
 	maxCandidates = 5
 )
 
-// roster is who shares the work.
+// membership is the set of hosts that share the work.
 type roster struct {
-	// members are all hosts, candidates those that may coordinate, in their order.
+	// members are all hosts; candidates are those that may be the coordinator, in order of
+	// preference.
 	members    []fleet.Member
 	candidates []fleet.Member
-	// outside says that this host's own entry is gone while others have theirs:
-	// they count without it, so it has no part of the limits of its own.
+	// unregistered is set while this host's own entry is missing and other hosts have theirs: the
+	// others divide the limits without it, so it has no share of its own.
 	outside bool
 }
 
-// restart is what a host's own answer told beyond its entry.
+// restart is a restart that was detected from a host's answer before its entry changed.
 type restart struct {
-	// former is the epoch of the entry, now the one that the host answered with. A later
-	// entry goes before it, whichever is higher: clocks are set back too.
+	// entryEpoch is the epoch in the host's entry, answeredEpoch the one that the host answered
+	// with. Any later entry replaces the restart, whichever epoch is higher, since a clock may
+	// have been set back.
 	former request.Epoch
 	now    request.Epoch
 }
 
-// restarted returns the roster with the epochs of hosts that are known to have
-// started again since their entries were written.
-func (ros roster) restarted(restarts map[string]restart) roster {
-	ros.members = withRestarts(ros.members, restarts)
-	ros.candidates = withRestarts(ros.candidates, restarts)
-	return ros
+// applyRestarts returns the membership with the new epochs of hosts that have restarted since
+// their entries were written.
+func (mbs roster) restarted(restarts map[string]restart) roster {
+	mbs.members = withRestarts(mbs.members, restarts)
+	mbs.candidates = withRestarts(mbs.candidates, restarts)
+	return mbs
 }
 
 func withRestarts(members []fleet.Member, restarts map[string]restart) []fleet.Member {
@@ -60,83 +63,86 @@
 	return members
 }
 
-// changeMembers takes a new roster.
-func (des *desk) changeMembers(ros roster) {
-	des.mutex.Lock()
-	des.setRoster(ros)
-	des.mutex.Unlock()
-	des.wake()
+// changeMembers applies a new membership and adjusts the sessions.
+func (bro *desk) changeMembers(mbs roster) {
+	bro.mutex.Lock()
+	bro.setRoster(mbs)
+	bro.mutex.Unlock()
+	bro.wake()
 }
 
-// setRoster takes a new roster; the mutex is held.
-func (des *desk) setRoster(ros roster) {
-	now := des.host.clock.Now()
-	des.listed, des.roster = ros, ros.restarted(des.restarted)
-	des.presence.SetMembers(now, des.roster.members)
-	des.forgetUnreached()
-	des.changeSpending(now)
-	des.elect()
-	des.tellLeader()
+// setRoster applies a new membership; the mutex is held.
+func (bro *desk) setRoster(mbs roster) {
+	now := bro.host.clock.Now()
+	bro.listed, bro.roster = mbs, mbs.restarted(bro.restarted)
+	bro.presence.SetMembers(now, bro.roster.members)
+	bro.forgetUnreached()
+	bro.changeSpending(now)
+	bro.elect()
+	bro.tellLeader()
 }
 
-// candidates returns the hosts that may coordinate, in order: the first that aren't
-// known to be lost, those before them, in case they are back, and whoever leads. Entries
-// outlast lost hosts, and who waited for them to lapse would decide alone for as long.
-func (des *desk) candidates() []fleet.Member {
+// candidates returns the hosts to keep sessions with, in order: the first that are not known to
+// be unreachable, those before them in case they have returned, and the known leaders.
+// Unreachable hosts are skipped because their entries remain until their leases expire; a host
+// that waited for this would use its own scheduler for as long.
+func (bro *desk) candidates() []fleet.Member {
 	var found []fleet.Member
 	reachable := 0
-	leaders := des.leaders()
-	for _, mem := range des.roster.candidates {
-		wanted := reachable < coordinators && len(found) < maxCandidates
-		if !wanted && !slices.Contains(leaders, mem.Epoch) {
+	leaders := bro.leaders()
+	for _, mem := range bro.roster.candidates {
+		within := reachable < coordinators && len(found) < maxCandidates
+		if !within && !slices.Contains(leaders, mem.Epoch) {
 			continue
 		}
 		found = append(found, mem)
-		if !des.unreached[mem.Epoch] {
+		if !bro.unreached[mem.Epoch] {
 			reachable++
 		}
 	}
 	return found
 }
 
-// forgetUnreached forgets what was noted of hosts that have no entry any more.
-func (des *desk) forgetUnreached() {
-	maps.DeleteFunc(des.unreached, func(epo request.Epoch, _ bool) bool {
-		return !slices.ContainsFunc(des.roster.members, func(mem fleet.Member) bool { return mem.Epoch == epo })
+// forgetUnreached drops the records of hosts that are no longer registered.
+func (bro *desk) forgetUnreached() {
+	maps.DeleteFunc(bro.unreached, func(epo request.Epoch, _ bool) bool {
+		return !slices.ContainsFunc(bro.roster.members, func(mem fleet.Member) bool { return mem.Epoch == epo })
 	})
-	maps.DeleteFunc(des.restarted, func(name string, _ restart) bool {
-		return !slices.ContainsFunc(des.roster.members, func(mem fleet.Member) bool { return mem.Name == name })
+	maps.DeleteFunc(bro.restarted, func(name string, _ restart) bool {
+		return !slices.ContainsFunc(bro.roster.members, func(mem fleet.Member) bool { return mem.Name == name })
 	})
 }
 
-// noteRestart takes another epoch from a host that answers with it: it has started
-// again, and its former entry is still there. After the loss of all hosts their first
-// coordinator is found so before its new entry is read. It reports whether that is so.
-func (des *desk) noteRestart(mem fleet.Member, err error) bool {
+// noteRestart records the epoch that a host answered with if it differs from the one in its
+// entry: the host has restarted and its old entry has not been replaced yet. After the loss of
+// all hosts this finds their first coordinator before its new entry has been read. It reports
+// whether the host has restarted.
+func (bro *desk) noteRestart(mem fleet.Member, err error) bool {
 	var other *peer.EpochError
 	if !errors.As(err, &other) {
 		return false
 	}
-	des.mutex.Lock()
-	for _, read := range des.listed.members {
-		if read.Name == mem.Name {
-			des.restarted[mem.Name] = restart{former: read.Epoch, now: other.Got}
+	bro.mutex.Lock()
+	for _, entry := range bro.listed.members {
+		if entry.Name == mem.Name {
+			bro.restarted[mem.Name] = restart{former: entry.Epoch, now: other.Got}
 		}
 	}
-	des.setRoster(des.listed)
-	des.mutex.Unlock()
-	des.wake()
-	des.host.log.Info().Str("Member", mem.Name).Stringer("MemberEpoch", other.Got).Stringer("Former", mem.Epoch).Msg("host has started again")
+	bro.setRoster(bro.listed)
+	bro.mutex.Unlock()
+	bro.wake()
+	bro.host.log.Info().Str("Member", mem.Name).Stringer("MemberEpoch", other.Got).Stringer("Former", mem.Epoch).Msg("host has restarted; using its new epoch")
 	return true
 }
 
-// noteUnreached goes on to the next candidates where a session couldn't be opened.
-func (des *desk) noteUnreached(mem fleet.Member, lasted time.Duration) {
+// noteUnreached records that a session could not be opened, so that the next candidates are
+// tried.
+func (bro *desk) noteUnreached(mem fleet.Member, lasted time.Duration) {
 	if lasted > dialTimeout+maxRedial {
 		return
 	}
-	des.mutex.Lock()
-	des.unreached[mem.Epoch] = true
-	des.mutex.Unlock()
-	des.wake()
+	bro.mutex.Lock()
+	bro.unreached[mem.Epoch] = true
+	bro.mutex.Unlock()
+	bro.wake()
 }
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -15,45 +15,46 @@
 )
 
 const (
-	// minRedial and maxRedial bound the pause before a lost session is tried again.
+	// minRedial and maxRedial bound the delay before a lost session is opened again.
 	minRedial = 50 * time.Millisecond
 	maxRedial = 500 * time.Millisecond
 )
 
-// keepSessions keeps a session with each candidate until the context ends.
-func (des *desk) keepSessions(ctx context.Context) error {
-	if !des.host.keyed() {
+// keepSessions maintains a session with each candidate until the context ends.
+func (bro *desk) keepSessions(ctx context.Context) error {
+	if !bro.host.keyed() {
 		select {
-		case <-des.host.secrets.known:
+		case <-bro.host.secrets.known:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	ends := make(chan request.Epoch)
+	ended := make(chan request.Epoch)
 	running := make(map[request.Epoch]context.CancelFunc)
 	for {
-		des.adjustSessions(ctx, running, ends)
+		bro.adjustSessions(ctx, running, ended)
 		select {
-		case <-des.changed:
-		case epo := <-ends:
+		case <-bro.changed:
+		case epo := <-ended:
 			delete(running, epo)
 		case <-ctx.Done():
 			for len(running) > 0 {
-				delete(running, <-ends)
+				delete(running, <-ended)
 			}
 			return ctx.Err()
 		}
 	}
 }
 
-// adjustSessions starts a keeper for each new candidate and ends those of others.
-func (des *desk) adjustSessions(ctx context.Context, running map[request.Epoch]context.CancelFunc, ends chan<- request.Epoch) {
-	des.mutex.Lock()
-	candidates := des.candidates()
-	des.mutex.Unlock()
+// adjustSessions starts maintaining sessions with new candidates and closes those with hosts that
+// are no longer candidates.
+func (bro *desk) adjustSessions(ctx context.Context, running map[request.Epoch]context.CancelFunc, ended chan<- request.Epoch) {
+	bro.mutex.Lock()
+	candidates := bro.candidates()
+	bro.mutex.Unlock()
 	wanted := make(map[request.Epoch]bool, len(candidates))
 	for _, mem := range candidates {
-		wanted[mem.Epoch] = mem.Epoch != des.host.epoch
+		wanted[mem.Epoch] = mem.Epoch != bro.host.epoch
 	}
 	for epo, cancel := range running {
 		if !wanted[epo] {
@@ -64,101 +65,102 @@
 		if !wanted[mem.Epoch] || running[mem.Epoch] != nil {
 			continue
 		}
-		keeping, cancel := context.WithCancel(ctx)
+		sessionCtx, cancel := context.WithCancel(ctx)
 		running[mem.Epoch] = cancel
 		go func() {
-			des.keepSession(keeping, mem)
-			ends <- mem.Epoch
+			bro.keepSession(sessionCtx, mem)
+			ended <- mem.Epoch
 		}()
 	}
 }
 
-// keepSession opens a session with the host again and again.
-func (des *desk) keepSession(ctx context.Context, mem fleet.Member) {
+// keepSession opens a session with the host, and opens it again with exponential backoff and
+// jitter whenever it is lost.
+func (bro *desk) keepSession(ctx context.Context, mem fleet.Member) {
 	wait := minRedial
 	for ctx.Err() == nil {
 		start := time.Now()
-		err := des.runSession(ctx, mem)
+		err := bro.runSession(ctx, mem)
 		if ctx.Err() != nil {
 			return
 		}
 		if time.Since(start) > maxRedial {
 			wait = minRedial
 		}
-		des.host.log.Info().Err(err).Str("Member", mem.Name).Stringer("MemberEpoch", mem.Epoch).Msg("session lost")
-		if des.noteRestart(mem, err) {
+		bro.host.log.Info().Err(err).Str("Member", mem.Name).Stringer("MemberEpoch", mem.Epoch).Msg("session lost")
+		if bro.noteRestart(mem, err) {
 			return
 		}
-		des.noteUnreached(mem, time.Since(start))
+		bro.noteUnreached(mem, time.Since(start))
 		task.Sleep(ctx, wait/2+rand.N(wait))
 		wait = min(maxRedial, 2*wait)
 	}
 }
 
-// wake has the sessions adjusted to the candidates.
-func (des *desk) wake() {
+// wakeSessions triggers an adjustment of the sessions to the current candidates.
+func (bro *desk) wake() {
 	select {
-	case des.changed <- struct{}{}:
+	case bro.changed <- struct{}{}:
 	default:
 	}
 }
 
-// dialTimeout bounds the opening of a session: a host that is cut off says nothing.
+// dialTimeout bounds the opening of a session: an unreachable host may not respond at all.
 const dialTimeout = 700 * time.Millisecond
 
 // runSession runs one session until it is lost.
-func (des *desk) runSession(ctx context.Context, mem fleet.Member) error {
+func (bro *desk) runSession(ctx context.Context, mem fleet.Member) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	opening := time.AfterFunc(dialTimeout, cancel)
 	lin := &link{member: mem, queue: peer.NewQueue(), cancel: cancel}
 	to := view.Member{Name: mem.Name, Epoch: mem.Epoch, Domain: mem.Domain, PeerAddress: mem.PeerAddress}
-	err := des.host.peers.Session(ctx, to, lin.queue,
+	err := bro.host.peers.Session(ctx, to, lin.queue,
 		func() {
 			if opening.Stop() {
-				des.linkUp(lin)
+				bro.linkUp(lin)
 			}
 		},
 		func(rec peer.Received) {
 			if rec.Message != nil {
-				des.linkMessage(lin, rec.Message)
+				bro.linkMessage(lin, rec.Message)
 			}
 		},
 	)
-	des.linkLost(lin)
+	bro.linkLost(lin)
 	return err
 }
 
-func (des *desk) linkUp(lin *link) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	des.host.log.Info().Str("Member", lin.member.Name).Stringer("MemberEpoch", lin.member.Epoch).Msg("session up")
-	des.links[lin.member.Epoch] = lin
-	delete(des.unreached, lin.member.Epoch)
-	des.tellCases(lin.member.Epoch)
-	des.tellNotices(lin.member)
-	des.tellEmptyingTo(lin.member.Epoch)
-	des.elect()
-	des.tellLeader()
+func (bro *desk) linkUp(lin *link) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	bro.host.log.Info().Str("Member", lin.member.Name).Stringer("MemberEpoch", lin.member.Epoch).Msg("session up")
+	bro.links[lin.member.Epoch] = lin
+	delete(bro.unreached, lin.member.Epoch)
+	bro.tellCases(lin.member.Epoch)
+	bro.tellNotices(lin.member)
+	bro.tellEmptyingTo(lin.member.Epoch)
+	bro.elect()
+	bro.tellLeader()
 }
 
-func (des *desk) linkMessage(lin *link, msg reservation.Message) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if des.links[lin.member.Epoch] == lin {
-		des.decided(lin.member.Epoch, msg)
+func (bro *desk) linkMessage(lin *link, msg reservation.Message) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if bro.links[lin.member.Epoch] == lin {
+		bro.decided(lin.member.Epoch, msg)
 	}
 }
 
-func (des *desk) linkLost(lin *link) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if des.links[lin.member.Epoch] != lin {
+func (bro *desk) linkLost(lin *link) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if bro.links[lin.member.Epoch] != lin {
 		return
 	}
-	delete(des.links, lin.member.Epoch)
-	des.elect()
-	des.tellLeader()
+	delete(bro.links, lin.member.Epoch)
+	bro.elect()
+	bro.tellLeader()
 }
 
 // Header implements peer.Sessions.
@@ -167,66 +169,66 @@
 }
 
 // Header implements peer.Sessions.
-func (des *desk) Header() peer.Header {
-	return des.host.Header()
+func (bro *desk) Header() peer.Header {
+	return bro.host.Header()
 }
 
 // SessionUp implements peer.Sessions.
-func (des *desk) SessionUp(from peer.Header, que *peer.Queue, cancel context.CancelFunc) uint64 {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	for num, inb := range des.inbound {
+func (bro *desk) SessionUp(from peer.Header, que *peer.Queue, cancel context.CancelFunc) uint64 {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	for num, inb := range bro.inbound {
 		if inb.gateway == from.Epoch {
 			inb.cancel()
-			des.dropInbound(num)
+			bro.dropInbound(num)
 		}
 	}
-	des.sessions++
-	des.presence.Reached(from.Epoch)
+	bro.sessions++
+	bro.presence.Reached(from.Epoch)
 	inb := &inbound{gateway: from.Epoch, name: from.Name, queue: que, cancel: cancel}
-	des.inbound[des.sessions] = inb
-	if des.toldLeader != 0 {
-		des.tellLeaderTo(inb)
+	bro.inbound[bro.sessions] = inb
+	if bro.toldLeader != 0 {
+		bro.tellLeaderTo(inb)
 	}
-	des.share(des.active)
-	return des.sessions
+	bro.share(bro.active)
+	return bro.sessions
 }
 
 // SessionMessage implements peer.Sessions.
-func (des *desk) SessionMessage(session uint64, rec peer.Received) {
+func (bro *desk) SessionMessage(session uint64, rec peer.Received) {
 	if rec.Message == nil {
 		return
 	}
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if inb := des.inbound[session]; inb != nil {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if inb := bro.inbound[session]; inb != nil {
 		if app, isAppoint := rec.Message.(reservation.Appoint); isAppoint {
-			des.appointed(inb, app.Decides)
+			bro.appointed(inb, app.Decides)
 			return
 		}
-		if emp, isEmptying := rec.Message.(reservation.Emptying); isEmptying {
-			des.takeEmptying(inb.gateway, emp)
+		if evc, isEvacuating := rec.Message.(reservation.Emptying); isEvacuating {
+			bro.takeEmptying(inb.gateway, evc)
 			return
 		}
-		des.step(scheduler.Received{From: inb.gateway, Message: rec.Message})
+		bro.step(scheduler.Received{From: inb.gateway, Message: rec.Message})
 	}
 }
 
 // SessionLost implements peer.Sessions.
-func (des *desk) SessionLost(session uint64) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if des.inbound[session] != nil {
-		des.dropInbound(session)
-		des.share(des.active)
-		des.tellLeader()
+func (bro *desk) SessionLost(session uint64) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if bro.inbound[session] != nil {
+		bro.dropInbound(session)
+		bro.share(bro.active)
+		bro.tellLeader()
 	}
 }
 
-func (des *desk) dropInbound(session uint64) {
-	inb := des.inbound[session]
-	delete(des.inbound, session)
-	des.presence.Lost(des.host.clock.Now(), inb.gateway)
-	des.evacuations.Forget(inb.gateway)
-	des.step(scheduler.GatewayLost{Gateway: inb.gateway})
+func (bro *desk) dropInbound(session uint64) {
+	inb := bro.inbound[session]
+	delete(bro.inbound, session)
+	bro.presence.Lost(bro.host.clock.Now(), inb.gateway)
+	bro.evacuations.Forget(inb.gateway)
+	bro.step(scheduler.GatewayLost{Gateway: inb.gateway})
 }
--- a/entry/spending.go
+++ b/entry/spending.go
@@ -10,45 +10,46 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-// spending is what this host's requests still owe an account's limit: what they
-// cost, less the host's equal part of the rate since.
+// accountDebt is what this host's requests still owe to an account's limit: their cost, less what
+// the host's equal share of the rate has repaid since.
 type spending struct {
 	debt float64
-	// start is what all hosts together owe that know of no spending yet, and unpaid
-	// what is left of it; both are told by this host's part.
+	// startDebt is the debt of all hosts together while no spending is known, and startDebtLeft
+	// is what is left of it. This host reports its share of both.
 	start  float64
 	unpaid float64
-	// rate is that of all hosts, a second.
+	// rate is that of all hosts together, in cost units per second.
 	rate  float64
 	hosts int
 	at    time.Time
 }
 
-// settle lets time pass: the rate pays what was owed at the start first.
-func (spe *spending) settle(now time.Time) {
-	if !now.After(spe.at) {
+// settle applies the repayment up to now; the start debt is repaid first.
+func (adb *spending) settle(now time.Time) {
+	if !now.After(adb.at) {
 		return
 	}
-	paid := spe.rate * now.Sub(spe.at).Seconds()
-	spe.at = now
-	old := min(spe.unpaid, paid)
-	spe.unpaid -= old
-	spe.debt = max(0, spe.debt-spe.part(paid-old))
+	paid := adb.rate * now.Sub(adb.at).Seconds()
+	adb.at = now
+	repaid := min(adb.unpaid, paid)
+	adb.unpaid -= repaid
+	adb.debt = max(0, adb.debt-adb.part(paid-repaid))
 }
 
-// part returns this host's part of what is all hosts'.
-func (spe *spending) part(whole float64) float64 {
-	return whole / float64(max(1, spe.hosts))
+// hostShare returns this host's share of an amount that belongs to all hosts.
+func (adb *spending) part(whole float64) float64 {
+	return whole / float64(max(1, adb.hosts))
 }
 
-// told returns what a coordinator is told; burst is all hosts'.
-func (spe *spending) told(account string, burst float64) reservation.Spent {
-	return reservation.Spent{Account: account, Debt: spe.debt - spe.part(spe.start-spe.unpaid), Share: spe.part(burst - spe.start)}
+// message returns the message that reports the debt to a coordinator; burst is that of all hosts
+// together.
+func (adb *spending) told(account string, burst float64) reservation.Spent {
+	return reservation.Spent{Account: account, Debt: adb.debt - adb.part(adb.start-adb.unpaid), Share: adb.part(burst - adb.start)}
 }
 
 // limitedAccounts returns the accounts that have a limit.
-func (des *desk) limitedAccounts() []route.Account {
-	tab := des.host.belief.Load().table
+func (bro *desk) limitedAccounts() []route.Account {
+	tab := bro.host.belief.Load().table
 	if tab == nil {
 		return nil
 	}
@@ -61,72 +62,72 @@
 	return limited
 }
 
-// changeSpending takes the accounts and the hosts as they are now; the mutex is
-// held. It is called at each change of the store, most of which are of engines.
-func (des *desk) changeSpending(now time.Time) {
-	hosts := max(1, len(des.roster.members))
-	tab := des.host.belief.Load().table
-	if tab == des.spentTable && hosts == des.spentHosts {
+// changeSpending updates the debts to the current accounts and hosts; the mutex is held. It is
+// called at each change of the store and returns early if neither has changed, since most changes
+// concern engines.
+func (bro *desk) changeSpending(now time.Time) {
+	hosts := max(1, len(bro.roster.members))
+	tab := bro.host.belief.Load().table
+	if tab == bro.spentTable && hosts == bro.spentHosts {
 		return
 	}
-	des.spentTable, des.spentHosts = tab, hosts
-	cfg := schedulerConfig(des.host)
-	var again []reservation.Spent
-	for _, acc := range des.limitedAccounts() {
-		spe := des.spent[acc.Name]
-		if spe == nil {
+	bro.spentTable, bro.spentHosts = tab, hosts
+	cfg := schedulerConfig(bro.host)
+	var reports []reservation.Spent
+	for _, acc := range bro.limitedAccounts() {
+		adb := bro.spent[acc.Name]
+		if adb == nil {
 			start := cfg.StartDebt(acc)
-			spe = &spending{start: start, unpaid: start, hosts: hosts, at: now}
-			des.spent[acc.Name] = spe
+			adb = &spending{start: start, unpaid: start, hosts: hosts, at: now}
+			bro.spent[acc.Name] = adb
 		}
-		spe.settle(now)
-		spe.rate = acc.Rate
-		changed := spe.hosts != hosts
-		spe.hosts = hosts
-		if changed && spe.unpaid > 0 && des.active != des.host.epoch {
-			again = append(again, spe.told(acc.Name, cfg.Burst(acc)))
+		adb.settle(now)
+		adb.rate = acc.Rate
+		changed := adb.hosts != hosts
+		adb.hosts = hosts
+		if changed && adb.unpaid > 0 && bro.active != bro.host.epoch {
+			reports = append(reports, adb.told(acc.Name, cfg.Burst(acc)))
 		}
 	}
-	for _, spt := range mostOwed(again) {
-		des.tell(des.active, spt)
+	for _, spt := range mostOwed(reports) {
+		bro.tell(bro.active, spt)
 	}
 }
 
-// noteSpent remembers what a grant took from its account; the mutex is held.
-func (des *desk) noteSpent(res reservation.Reserve) {
-	spe := des.spent[res.Account]
-	if spe == nil || res.Attempt > 0 {
+// noteSpent adds the cost of a grant to the debt of its account; the mutex is held.
+func (bro *desk) noteSpent(res reservation.Reserve) {
+	adb := bro.spent[res.Account]
+	if adb == nil || res.Attempt > 0 {
 		return
 	}
-	spe.settle(des.host.clock.Now())
-	spe.debt += res.Cost
+	adb.settle(bro.host.clock.Now())
+	adb.debt += res.Cost
 }
 
-// maxTold bounds the accounts that a new coordinator is told of: a quarter of what
-// waits for one session at most. Of the others it takes this host to have used its
-// part, which the rate gives back soon.
+// maxTold bounds the accounts that are reported to a new coordinator: at most a quarter of the
+// queue of one session. For the others the coordinator assumes that this host has used up its
+// share, which the rate soon restores.
 const maxTold = 128
 
-// tellSpent tells the new coordinator what this host owes, of the accounts that it
-// owes most; the mutex is held.
-func (des *desk) tellSpent(chosen request.Epoch) {
-	now := des.host.clock.Now()
-	cfg := schedulerConfig(des.host)
-	var told []reservation.Spent
-	for _, acc := range des.limitedAccounts() {
-		spe := des.spent[acc.Name]
-		if spe == nil {
+// tellSpent reports the largest debts of this host to the new coordinator; the mutex is held.
+func (bro *desk) tellSpent(chosen request.Epoch) {
+	now := bro.host.clock.Now()
+	cfg := schedulerConfig(bro.host)
+	var reports []reservation.Spent
+	for _, acc := range bro.limitedAccounts() {
+		adb := bro.spent[acc.Name]
+		if adb == nil {
 			continue
 		}
-		spe.settle(now)
-		told = append(told, spe.told(acc.Name, cfg.Burst(acc)))
+		adb.settle(now)
+		reports = append(reports, adb.told(acc.Name, cfg.Burst(acc)))
 	}
-	for _, spt := range mostOwed(told) {
-		des.tell(chosen, spt)
+	for _, spt := range mostOwed(reports) {
+		bro.tell(chosen, spt)
 	}
 }
 
-// mostOwed returns the largest debts, as many as a coordinator is told of.
+// mostOwed returns the largest debts, at most maxTold.
 func mostOwed(debts []reservation.Spent) []reservation.Spent {
 	if len(debts) <= maxTold {
 		return debts
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -13,7 +13,7 @@
 	"lynxwell.dev/lynxwell/upstream"
 )
 
-// stream passes the events of an answer on as they come.
+// forwardStream forwards the events of an answer as they arrive.
 func (exc *exchange) stream(ctx context.Context, att attempt, ans *upstream.Answer) attempt {
 	if !ans.Head.Signed {
 		att.outcome, att.cause = outcomeLost, causeBadAnswer
@@ -48,7 +48,7 @@
 	}
 }
 
-// noteEvent counts an event, and tells the coordinator of the first.
+// noteEvent counts an event and reports the first one to the coordinator.
 func (exc *exchange) noteEvent(att *attempt, evt upstream.Event) {
 	att.release.DecodeTokens++
 	exc.events++
@@ -70,7 +70,7 @@
 	exc.host.desk.progress(reservation.Progress{ID: att.release.ID, FirstToken: att.release.FirstToken})
 }
 
-// sendHead passes the head of the first engine that answered on, once.
+// sendHead forwards the header of the first engine that answered, once.
 func (exc *exchange) sendHead(ans *upstream.Answer) {
 	if exc.headSent {
 		return
