--- a/entry/age.go
+++ b/entry/age.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxPatiences bounds the distinct client timeouts remembered for a route. Timeouts of first
-	// attempts recur, whereas those of retries vary and are evicted.
+	// maxPatiences bounds the distinct client timeouts remembered for a route. Timeouts of
+	// first attempts recur, whereas those of retries vary and are evicted.
 	maxPatiences = 64
-	// usualTries is how often a timeout must be seen before it counts as that of a first attempt:
-	// three retries seldom fall into the same millisecond.
+	// usualTries is how often a timeout must be seen before it counts as that of a first
+	// attempt: three retries seldom fall into the same millisecond.
 	usualTries = 3
-	// usualShare is the largest ratio between the count of the most frequent timeout and that of
-	// another one that counts as a first attempt's. Timeouts of retries cluster too, since
-	// clients wait equally long for a host that has lost power.
+	// usualShare is the largest ratio between the count of the most frequent timeout
+	// and that of another one that counts as a first attempt's. Timeouts of retries cluster too,
+	// since clients wait equally long for a host that has lost power.
 	usualShare = 20
 	// maxCounted is the count at which all counts of a route are halved, so that a new
 	// first-attempt timeout is recognized within some dozen attempts.
@@ -75,8 +75,8 @@
 	}
 }
 
-// usualAbove returns the shortest first-attempt timeout that is not below the one given, or that
-// one itself if there is none.
+// usualAbove returns the shortest first-attempt timeout that is not below the one
+// given, or that one itself if there is none.
 func usualAbove(counts *patiences, timeout time.Duration) time.Duration {
 	values := counts.Keys()
 	most := 0
--- a/entry/barred.go
+++ b/entry/barred.go
@@ -11,19 +11,19 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// tellNotice reports an engine's signal to the host's own scheduler, the coordinator and its next
-// candidates.
-func (des *desk) tellNotice(not fleet.Notice) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	des.tellDeciders(reservation.EngineNotice{Notice: not})
+// tellNotice reports an engine's signal to the host's own scheduler, the coordinator and its
+// next candidates.
+func (bro *desk) tellNotice(not fleet.Notice) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	bro.tellDeciders(reservation.EngineNotice{Notice: not})
 }
 
 // tellNotices sends all current engine signals to a host with which a session was opened; the
 // mutex is held.
-func (des *desk) tellNotices(to fleet.Member) {
-	for _, not := range des.host.notices.current() {
-		des.tell(to.Epoch, reservation.EngineNotice{Notice: not})
+func (bro *desk) tellNotices(to fleet.Member) {
+	for _, not := range bro.host.notices.current() {
+		bro.tell(to.Epoch, reservation.EngineNotice{Notice: not})
 	}
 }
 
@@ -38,8 +38,8 @@
 	return "engine " + ber.Notice.Run.String() + " is blocked for this host by its signal " + ber.Notice.Word.String()
 }
 
-// checkBlocked returns a *BarredError for an engine that is blocked for this host. It reports the
-// signal again, since a scheduler has granted the engine regardless.
+// checkBlocked returns a *BarredError for an engine that is blocked for this host. It reports
+// the signal again, since a scheduler has granted the engine regardless.
 func (hos *Host) barred(run fleet.EngineID) error {
 	sgn := hos.notices.bar(run)
 	if sgn == nil {
@@ -61,13 +61,13 @@
 	at    time.Time
 }
 
-// grantHolds is how long a grant within an engine's rate limit may be used. Opening a connection
-// takes up to a second, and without this bound all requests granted in that second could arrive
-// at once.
+// grantHolds is how long a grant within an engine's rate limit may be used. Opening a
+// connection takes up to a second, and without this bound all requests granted in that second
+// could arrive at once.
 const grantHolds = 500 * time.Millisecond
 
-// UnpacedError reports a request that is not sent because its grant is not within the rate limit
-// of its engine.
+// UnpacedError reports a request that is not sent because its grant is not within the rate
+// limit of its engine.
 type UnpacedError struct {
 	Run       fleet.EngineID
 	PerSecond float64
@@ -78,21 +78,21 @@
 }
 
 // Error names the engine, its rate limit and why the grant is not within it.
-func (uer *UnpacedError) Error() string {
+func (ree *UnpacedError) Error() string {
 	why := "the scheduler did not know of the limit"
-	switch uer.Rate {
+	switch ree.Rate {
 	case reservation.GrantRatePaced:
-		why = "granted " + uer.Age.String() + " ago"
+		why = "granted " + ree.Age.String() + " ago"
 	case reservation.GrantRateEnded:
 		why = "the engine repeated the limit after the reservation was sent"
 	case reservation.GrantRateUnknown:
 	}
-	return fmt.Sprintf("rate limit of engine %s is %g requests/s: %s", uer.Run, uer.PerSecond, why)
+	return fmt.Sprintf("rate limit of engine %s is %g requests/s: %s", ree.Run, ree.PerSecond, why)
 }
 
-// checkRate returns an *UnpacedError for an engine that has signaled a rate limit to this host,
-// unless the grant is within the limit or the scheduler knew that the limit had ended since. It
-// reports the limit again, since a scheduler has granted the engine regardless.
+// checkRate returns a *UnpacedError for an engine that has signaled a rate limit to this
+// host, unless the grant is within the limit or the scheduler knew that the limit had ended
+// since. It reports the limit again, since a scheduler has granted the engine regardless.
 func (hos *Host) unpaced(run fleet.EngineID, grt grant) error {
 	lim, limited := hos.notices.limit(run)
 	if !limited {
@@ -110,9 +110,9 @@
 	return &UnpacedError{Run: run, PerSecond: lim.PerSecond, Rate: grt.rate, Age: age}
 }
 
-// maySend returns a *BarredError or an *UnpacedError for an engine that must not get the request
-// now because of its signals or because it is cold, and an *EvacuatedError if its failure domain
-// is being evacuated.
+// maySend returns a *BarredError or a *UnpacedError for an engine that must not get the
+// request now because of its signals or because it is cold, and an *EvacuatedError if its failure
+// domain is being evacuated.
 func (hos *Host) maySend(eng fleet.Engine, grt grant) error {
 	if err := hos.barred(eng.ID); err != nil {
 		return err
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// blockedBeforeSend reports whether a request was not sent because its engine must not get it now.
+// blockedBeforeSend reports whether a request was not sent because its engine must not get it
+// now.
 func unwanted(err error) bool {
 	var blocked *BarredError
 	var rateExceeded *UnpacedError
--- a/entry/belief.go
+++ b/entry/belief.go
@@ -69,8 +69,8 @@
 // isFresh reports whether requests with keys may be decided by the snapshot. If revocation is
 // strict, the snapshot's age is limited. Otherwise it is enough that the snapshot was confirmed
 // once: during an outage of the store the newest known configuration serves clients better than
-// none, a request for an engine that no longer exists is rejected by its id, and the hosts enforce
-// limits among themselves.
+// none, a request for an engine that no longer exists is rejected by its id, and the hosts
+// enforce limits among themselves.
 func (hos *Host) trusted(now time.Time) bool {
 	if hos.confirmed.Load() == neverConfirmed {
 		return false
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -104,8 +104,8 @@
 	exclude  []string
 	// lastGrantUnused is set if the last grant was not used.
 	again bool
-	// returnedGrants counts the grants that were returned unused because their engines were blocked for
-	// this host.
+	// returnedGrants counts the grants that were returned unused because their engines were
+	// blocked for this host.
 	sentBack   int
 	mayHaveRun bool
 	headSent   bool
@@ -189,9 +189,9 @@
 	return nil
 }
 
-// staleRetry returns the Retry-After for a stale configuration. It is short, since another host
-// may be able to serve the request, unless all hosts have lost the store: then it grows with the
-// length of the outage, with jitter.
+// staleRetry returns the Retry-After for a stale configuration. It is short, since another
+// host may be able to serve the request, unless all hosts have lost the store: then it grows with
+// the length of the outage, with jitter.
 func (exc *exchange) staleRetry() time.Duration {
 	if !exc.host.storeAway.Load() {
 		return notReadyRetry
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -7,12 +7,13 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// coldGrantHolds is how long a grant of a cold engine may be used. It is shorter than grantHolds
-// because a cold engine can be overloaded by the requests that arrive within one second.
+// coldGrantHolds is how long a grant of a cold engine may be used. It is shorter than
+// grantHolds because a cold engine can be overloaded by the requests that arrive within one
+// second.
 const coldGrantHolds = 250 * time.Millisecond
 
-// coldLeft returns how much longer an engine is cold, by its entry or its own signal, and how
-// many requests per second it may get meanwhile. Both are 0 if the engine is not cold or its
+// coldLeft returns how much longer an engine is cold, by its entry or its own signal, and
+// how many requests per second it may get meanwhile. Both are 0 if the engine is not cold or its
 // service sets no rate for cold engines.
 func (hos *Host) coldLeft(eng fleet.Engine) (time.Duration, float64) {
 	now := hos.clock.Now()
@@ -31,9 +32,9 @@
 	return left, svc.ColdRate
 }
 
-// checkCold returns an *UnpacedError for a cold engine, unless the scheduler knew that the engine
-// is cold and granted it within coldGrantHolds. It reports the engine as cold otherwise, since
-// the scheduler grants it for all hosts.
+// checkCold returns a *UnpacedError for a cold engine, unless the scheduler knew that the
+// engine is cold and granted it within coldGrantHolds. It reports the engine as cold otherwise,
+// since the scheduler grants it for all hosts.
 func (hos *Host) tooCold(eng fleet.Engine, grt grant) error {
 	left, perSecond := hos.coldLeft(eng)
 	if left <= 0 {
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -16,11 +16,11 @@
 type ending uint8
 
 const (
-	// endingNone: the attempt gives no sign of a crash.
+	// endingNone means that the attempt gives no sign of a crash.
 	endingNone ending = iota
-	// endingDoubted: the connection ended, but whether the engine crashed is unconfirmed.
+	// endingDoubted means that the connection ended, but a crash of the engine is unconfirmed.
 	endingDoubted
-	// endingCrashed: the engine crashed.
+	// endingCrashed means that the engine crashed.
 	endingCrashed
 )
 
@@ -109,16 +109,17 @@
 	}
 }
 
-// tellCasesTo sends the suspected and held requests to a gateway that uses this host as its
-// coordinator; the mutex is held.
+// tellCasesTo sends the suspected and held requests to a gateway that uses this host as
+// its coordinator; the mutex is held.
 func (bro *desk) tellCasesTo(inb *inbound) {
 	for _, rep := range bro.core.CaseReports(bro.host.clock.Now(), quarantine.LevelSuspected, maxReports) {
 		inb.send(reservation.CaseReport{Report: rep})
 	}
 }
 
-// passChanges logs changes of the quarantine and sends them to the gateways that use this host as
-// their coordinator, to the coordinator and to its next candidates; the mutex is held.
+// passChanges logs changes of the quarantine and sends them to the gateways that use
+// this host as their coordinator, to the coordinator and to its next candidates; the mutex is
+// held.
 func (bro *desk) passChanges() {
 	changes, sources := bro.core.QuarantineChanges()
 	for _, cha := range changes {
@@ -153,8 +154,8 @@
 	}
 }
 
-// logChange logs the new state of a poison request and the engines that crashed under it. A
-// single crash is logged with its attempt only.
+// logChange logs the new state of a poison request and the engines that crashed under
+// it. A single crash is logged with its attempt only.
 func (bro *desk) logChange(cha quarantine.Change) {
 	bro.host.figures.count("Quarantine." + cha.Kind.String())
 	if cha.Kind == quarantine.KindWatched || len(cha.Case.Ends) < 2 && !cha.Case.Held {
--- a/entry/desk.go
+++ b/entry/desk.go
@@ -29,7 +29,7 @@
 	// ticking is set while a tick is scheduled.
 	ticking bool
 	// membership is the set of hosts that share the work, with the restarts that this host has
-	// detected; registered is the same by the entries in the store alone. A send on
+	// detected; registeredMembership is the same by the entries in the store alone. A send on
 	// candidatesChanged wakes maintenance of the sessions.
 	roster  roster
 	listed  roster
@@ -62,8 +62,8 @@
 	spent      map[string]*spending
 	spentTable *route.Table
 	spentHosts int
-	// presence tracks which hosts have a session with this one; toldAbsent is the list of
-	// unreachable hosts that this host last published.
+	// presence tracks which hosts have a session with this one; toldAbsent is the list
+	// of unreachable hosts that this host last published.
 	presence *fleet.Presence
 	// toldLeader is the leader that this host last published; 0 for none.
 	toldLeader request.Epoch
@@ -157,8 +157,8 @@
 	bro.step(evt)
 }
 
-// handleLocked passes an event to the host's own scheduler and delivers the resulting messages; the mutex
-// is held.
+// handleLocked passes an event to the host's own scheduler and delivers the resulting messages;
+// the mutex is held.
 func (bro *desk) step(evt scheduler.Event) {
 	for _, snd := range bro.core.Handle(bro.host.clock.Now(), evt) {
 		bro.deliver(snd)
@@ -364,7 +364,7 @@
 	}
 }
 
-// progress reports the first token or event of an answer.
+// progress reports that the first token of an answer has arrived.
 func (bro *desk) progress(pro reservation.Progress) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
@@ -386,8 +386,8 @@
 	bro.tellBoth(rel)
 }
 
-// tellBoth sends a message to the coordinator and to the host's own scheduler, which must know
-// the host's own runs in case it becomes the coordinator.
+// tellBoth sends a message to the coordinator and to the host's own scheduler, which
+// must know the host's own runs in case it becomes the coordinator.
 func (bro *desk) tellBoth(msg reservation.Message) {
 	if bro.active != bro.host.epoch {
 		bro.tell(bro.active, msg)
--- a/entry/elect.go
+++ b/entry/elect.go
@@ -11,9 +11,9 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// steadyTime is the minimum term of a newly chosen coordinator while it is reachable. The actual
-// term is drawn from one to two times this, so that no two hosts change in step. It is long
-// enough for the reports of who is the leader, which take a few milliseconds, to converge.
+// steadyTime is the minimum term of a newly chosen coordinator while it is reachable. The
+// actual term is drawn from one to two times this, so that no two hosts change in step. It is
+// long enough for the reports of the leader, which take a few milliseconds, to converge.
 // Without it, hosts that have started at the same time can keep changing their coordinators in
 // response to one another without end.
 const steadyTime = 100 * time.Millisecond
@@ -50,8 +50,8 @@
 	}
 }
 
-// staysSteady reports whether the coordinator stays for now, whichever host is the leader: it is
-// within its minimum term, reachable and still a member. A host that is its own coordinator
+// staysSteady reports whether the coordinator stays for now, whichever host is the leader: it
+// is within its minimum term, reachable and still a member. A host that is its own coordinator
 // switches to another one without delay.
 func (bro *desk) staysSteady(now time.Time) bool {
 	return bro.active != bro.host.epoch && now.Before(bro.steadyUntil) && bro.reaches(bro.active) && bro.isMember(bro.active)
@@ -61,8 +61,8 @@
 	return slices.ContainsFunc(bro.roster.members, func(mem fleet.Member) bool { return mem.Epoch == epo })
 }
 
-// electLater schedules an election for the end of the coordinator's minimum term; the mutex is
-// held.
+// electLater schedules an election for the end of the coordinator's minimum term; the mutex
+// is held.
 func (bro *desk) electLater(now time.Time) {
 	if bro.electing {
 		return
@@ -116,8 +116,8 @@
 	bro.tellLeader()
 }
 
-// outsideParts is the limit divisor of a host that is not registered; it leaves such a host
-// almost nothing of the limits.
+// outsideParts is the limit divisor of a host that is not registered; it leaves such a
+// host almost nothing of the limits.
 const outsideParts = 1000
 
 // updateShare sets the share of the limits that the host's own scheduler enforces: that of the
@@ -136,7 +136,8 @@
 	bro.step(scheduler.ShareChanged{Parts: divisor, Hosts: len(bro.roster.members), Elsewhere: byAnother})
 }
 
-// limitParts returns the limit divisor of a scheduler that coordinates the given number of hosts.
+// limitParts returns the limit divisor of a scheduler that coordinates the given number of
+// hosts.
 func limitParts(hosts, served int) float64 {
 	return max(1, float64(hosts)/float64(max(1, served)))
 }
--- a/entry/leader.go
+++ b/entry/leader.go
@@ -15,8 +15,8 @@
 // as after the loss of all hosts, the first reachable candidate is chosen and soon becomes the
 // leader.
 
-// chooseCoordinator returns the host to use as the coordinator: the leader, or the first reachable
-// candidate.
+// chooseCoordinator returns the host to use as the coordinator: the leader, or the first
+// reachable candidate.
 func (bro *desk) choose() request.Epoch {
 	if leader := bro.leader(); leader != 0 {
 		return leader
@@ -74,8 +74,8 @@
 	return served > 1 && 2*served > len(bro.roster.members)
 }
 
-// inCharge reports whether this host coordinates all hosts, as far as it knows; the mutex is
-// held.
+// inCharge reports whether this host coordinates all hosts, as far as it knows; the
+// mutex is held.
 func (bro *desk) inCharge() bool {
 	return bro.active == bro.host.epoch && !bro.roster.outside && (bro.leads() || len(bro.roster.members) == 1)
 }
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -14,13 +14,13 @@
 	// of the 0.3 s after which a lost host counts as unreachable. It limits the messages to one
 	// per host and interval.
 	presenceInterval = 100 * time.Millisecond
-	// idlePresence is the interval for hosts without sessions from gateways, which is nearly all
-	// of them.
+	// idlePresence is the interval for hosts without sessions from gateways, which is
+	// nearly all of them.
 	idlePresence = time.Second
 )
 
-// keepPresence publishes the unreachable hosts, whenever they change, to the gateways that use
-// this host as their coordinator.
+// keepPresence publishes the unreachable hosts, whenever they change, to the gateways that
+// use this host as their coordinator.
 func (bro *desk) keepPresence(ctx context.Context) error {
 	timer := time.NewTimer(idlePresence)
 	defer timer.Stop()
@@ -34,8 +34,8 @@
 	}
 }
 
-// tellAbsent publishes the unreachable hosts if they have changed, and returns the time until the
-// next check.
+// tellAbsent publishes the unreachable hosts if they have changed, and returns the time
+// until the next check.
 func (bro *desk) tellAbsent(now time.Time) time.Duration {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
@@ -63,7 +63,8 @@
 	inb.send(reservation.Absent{Hosts: bro.toldAbsent})
 }
 
-// takeAbsent applies a report of unreachable hosts if it is the coordinator's; the mutex is held.
+// takeAbsent applies a report of unreachable hosts if it is the coordinator's; the mutex is
+// held.
 func (bro *desk) takeAbsent(by request.Epoch, hosts []request.Epoch) {
 	if by != bro.active {
 		return
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -36,15 +36,15 @@
 // of that yet. For an engine that is blocked for this host no exclusion is needed: its signal has
 // been reported to the coordinator.
 func (exc *exchange) reserve(ctx context.Context) (fleet.Engine, *problem) {
-	gone := 0
-	for gone < maxUnsent && exc.sentBack <= maxSentBack {
+	unavailable := 0
+	for unavailable < maxUnsent && exc.sentBack <= maxSentBack {
 		eng, pro := exc.reserveOnce(ctx)
 		switch {
 		case pro == nil:
 			return eng, nil
 		case pro.sentBack:
 		case pro.cause == causeEngineGone:
-			gone++
+			unavailable++
 			exc.again = true
 			exc.host.log.Info().Str("Request", exc.request.ID).Str("Engine", exc.engine).Str("DecidedBy", exc.decidedBy).
 				Msg("granted engine is deregistered; reserving again")
@@ -61,8 +61,8 @@
 	return exc.unlessRun(&problem{status: http.StatusServiceUnavailable, cause: cau, retryAfter: notReadyRetry, detail: detail})
 }
 
-// unlessRun changes the status of a refusal if an earlier attempt may have run: only a request
-// that has certainly not run may be refused with a status that says so.
+// unlessRun changes the status of a refusal if an earlier attempt may have run: only a
+// request that has certainly not run may be refused with a status that says so.
 func (exc *exchange) unlessRun(pro *problem) *problem {
 	if exc.mayHaveRun {
 		pro.status, pro.retryAfter = http.StatusBadGateway, 0
@@ -103,9 +103,9 @@
 	return len(exc.regions) == 0 || slices.Contains(exc.regions, exc.host.set.Regions[eng.Domain])
 }
 
-// answerTokens returns the client's estimate of the answer's length, from which the scheduler
-// predicts when the slot becomes free. It returns 0 for a resumed stream, whose remaining length
-// is unknown.
+// answerTokens returns the client's estimate of the answer's length, from which the
+// scheduler predicts when the slot becomes free. It returns 0 for a resumed stream, whose
+// remaining length is unknown.
 func (exc *exchange) answerTokens() int {
 	if max(exc.request.LastEvent, exc.lastEvent) > 0 {
 		return 0
@@ -115,16 +115,17 @@
 
 const (
 	// Clients of a stream disconnect if no event arrives for the longest of minPatience,
-	// aimPatience times the route's latency target, and pausePatience times its target for the
-	// pause between events. These values match the behavior of the platform's clients.
+	// aimPatience times the route's latency target, and pausePatience times its
+	// target for the pause between events. These values match the behavior of the platform's
+	// clients.
 	minPatience   = 2 * time.Second
 	aimPatience   = 4
 	pausePatience = 8
 )
 
-// latencyTarget returns the time within which the next attempt's answer is still useful. For the first
-// attempt that is what is left of the route's latency target. A retry usually misses the target,
-// but its client keeps waiting, and a stream that has begun is lost unless it continues.
+// latencyTarget returns the time within which the next attempt's answer is still useful. For the
+// first attempt that is what is left of the route's latency target. A retry usually misses the
+// target, but its client keeps waiting, and a stream that has begun is lost unless it continues.
 func (exc *exchange) aim(now time.Time) time.Duration {
 	if exc.attempts == 0 {
 		return exc.route.Aim - now.Sub(exc.started)
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -35,7 +35,7 @@
 
 // restart is a restart that was detected from a host's answer before its entry changed.
 type restart struct {
-	// entryEpoch is the epoch in the host's entry, answeredEpoch the one that the host answered
+	// entryEpoch is the epoch in the host's entry, currentEpoch the one that the host answered
 	// with. Any later entry replaces the restart, whichever epoch is higher, since a clock may
 	// have been set back.
 	former request.Epoch
@@ -84,7 +84,7 @@
 
 // candidates returns the hosts to keep sessions with, in order: the first that are not known to
 // be unreachable, those before them in case they have returned, and the known leaders.
-// Unreachable hosts are skipped because their entries remain until their leases expire; a host
+// Unreachable hosts don't count because their entries remain until their leases expire; a host
 // that waited for this would use its own scheduler for as long.
 func (bro *desk) candidates() []fleet.Member {
 	var found []fleet.Member
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// adjustSessions starts maintaining sessions with new candidates and closes those with hosts that
-// are no longer candidates.
+// adjustSessions starts maintaining sessions with new candidates and closes those with hosts
+// that are no longer candidates.
 func (bro *desk) adjustSessions(ctx context.Context, running map[request.Epoch]context.CancelFunc, ended chan<- request.Epoch) {
 	bro.mutex.Lock()
 	candidates := bro.candidates()
--- a/entry/spending.go
+++ b/entry/spending.go
@@ -104,9 +104,9 @@
 	adb.debt += res.Cost
 }
 
-// maxTold bounds the accounts that are reported to a new coordinator: at most a quarter of the
-// queue of one session. For the others the coordinator assumes that this host has used up its
-// share, which the rate soon restores.
+// maxTold bounds the accounts that are reported to a new coordinator: at most a quarter
+// of the queue of one session. For the others the coordinator assumes that this host has used up
+// its share, which the rate soon restores.
 const maxTold = 128
 
 // tellSpent reports the largest debts of this host to the new coordinator; the mutex is held.
