--- a/entry/desk.go
+++ b/entry/desk.go
@@ -30,7 +30,7 @@
 	ticking bool
 	// membership is the set of hosts that share the work, with the restarts that this host has
 	// detected; registeredMembership is the same by the entries in the store alone. A send on
-	// candidatesChanged wakes maintenance of the sessions.
+	// candidatesChanged triggers an adjustment of the sessions.
 	roster  roster
 	listed  roster
 	changed chan struct{}
