--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,5 @@
-// Package entry is one host's process as the users' platform runs it: it takes
-// callers' requests, tells them which addresses to use, and shares the engines
-// with the other hosts.
+// Package entry runs one host of the deployment: it serves clients' requests, answers which
+// host addresses clients should use, and shares the engines with the other hosts.
 //
 // # Usage
 //
@@ -10,9 +9,9 @@
 //	err = hos.Drain(ctx) // a planned stop
 //	hos.Stop()
 //
-// What a host believes comes from the store (the observer), which engine serves
-// which request is decided by one host's scheduler for all (the desk), and each
-// request is dispatched, streamed and repeated by the host that took it.
+// The store watcher keeps a snapshot of the configuration, engines and hosts in the store. The
+// broker obtains an engine for each request from the scheduler of one host, the coordinator, which
+// decides for all hosts. The host that received a request dispatches, streams and retries it.
 package entry
 
 import (
@@ -36,24 +35,24 @@
 	"lynxwell.dev/lynxwell/upstream"
 )
 
-// Config holds what a Host is made from.
+// Config holds the settings and dependencies of a Host.
 type Config struct {
 	Settings settings.Entry
 	Log      zerolog.Logger
 	Store    store.Store
-	// LinesDropped tells how many lines of the log were dropped since their reader
-	// was too slow; nil for none.
+	// LinesDropped returns how many log lines were dropped because their reader was too slow; nil
+	// if none ever are.
 	LinesDropped func() int64
-	// SettingsFile is read again at each hangup and when it changes; empty for
-	// settings that never change.
+	// SettingsFile is read again on each hangup signal and when it changes; empty if the settings
+	// never change.
 	SettingsFile string
-	// Clock are the clocks that the host goes by; nil for the operating system's.
+	// Clock provides the clocks of the host; nil for the operating system's.
 	Clock clock.Source
-	// Hangups brings the signals that ask for it; nil for none.
+	// Hangups delivers the signals that reload the settings file; nil for none.
 	Hangups <-chan os.Signal
 }
 
-// Host is one process of the system.
+// Host is one process of the deployment that serves clients' requests.
 type Host struct {
 	cfg     Config
 	set     settings.Entry
@@ -64,61 +63,62 @@
 	ages    *ages
 	desk    *desk
 	mirror  *mirror
-	// clock tells by what time rights last and lapse.
+	// clock is the time by which leases and other time-limited rights expire. It counts
+	// suspensions.
 	clock    *clock.Clock
 	upstream *upstream.Client
 	notices  *notices
-	// evacuations keeps requests from failure domains that are being emptied.
+	// evacuations keeps requests out of failure domains that are being evacuated.
 	evacuations *evacuations
 	peers       *peer.Client
 	tasks       *task.Group
 	servers     []*http.Server
 
-	// belief is what requests are decided by.
+	// snapshot holds the configuration, engines and hosts that requests are decided by.
 	belief atomic.Pointer[belief]
-	// confirmed is when the store last showed that the belief is current, in
-	// nanoseconds of this process's steady clock.
+	// confirmed is when the store last showed that the snapshot is current, in nanoseconds after
+	// started.
 	confirmed atomic.Int64
 	started   time.Time
-	// storeAway is set while the store is lost to other hosts too.
+	// storeAway is set while the store is unreachable for other hosts too.
 	storeAway atomic.Bool
-	// secrets keeps what proves this host to others.
+	// secrets holds the secrets by which this host authenticates itself to other hosts.
 	secrets *secrets
-	// rolloutNews wakes the keeper of roll-outs.
+	// rolloutNews wakes keepRollouts.
 	rolloutNews chan struct{}
-	// evacuationNews wakes the keeper of evacuations.
+	// evacuationNews wakes keepEvacuations.
 	evacuationNews chan struct{}
-	// woken brings the length of a suspension.
+	// resumed delivers the length of a suspension to keepAwake.
 	woken chan time.Duration
-	// heldNews wakes the keeper of held requests; heldRevision is the store's of what lies
-	// there, 0 for nothing.
+	// heldNews wakes keepHeld. heldRevision is the store's revision of the held requests; 0 if the
+	// store has none.
 	heldNews     chan struct{}
 	heldRevision atomic.Uint64
-	// leaseDoubt wakes the keeper of the lease.
+	// leaseDoubt makes keepLease renew the lease soon.
 	leaseDoubt chan struct{}
-	// entryBroken is set when another writer's value lies where the host's own entry
-	// should, until it is written again.
+	// entryBroken is set when another writer has overwritten the host's own entry with an unusable
+	// value, until the entry is written again.
 	entryBroken atomic.Bool
-	// listed is closed at the first reading of the store.
+	// storeRead is closed after the first update from the store was applied.
 	listed  chan struct{}
 	listing sync.Once
-	// wanted is closed when a caller first waits for the host to be ready.
+	// clientWaiting is closed when the first client waits for the host to become ready.
 	wanted  chan struct{}
 	wanting sync.Once
-	// begun is closed once the host knows a configuration that is current.
+	// configured is closed once the host has a current configuration.
 	begun     chan struct{}
 	beginning sync.Once
-	// bounds are those of the newest settings.
+	// bounds are those of the newest valid settings.
 	bounds   atomic.Pointer[settings.Bounds]
 	draining atomic.Bool
-	// leaving is closed when the host starts to leave.
+	// drainStarted is closed when a planned stop starts.
 	leaving chan struct{}
 	cancel  context.CancelFunc
-	// done is closed when every goroutine has ended.
+	// done is closed when all goroutines have ended.
 	done chan struct{}
 }
 
-// New returns a host; Start has it work.
+// New returns a host that is not running yet; Start runs it.
 func New(cfg Config) (*Host, error) {
 	if cfg.LinesDropped == nil {
 		cfg.LinesDropped = func() int64 { return 0 }
@@ -162,12 +162,12 @@
 	return hos, nil
 }
 
-// peerTiming has a lost host noticed well before callers give up: its sessions
-// are busy, and a heartbeat missed three times is no chance.
+// peerTiming detects a lost host well before clients give up: sessions are busy, and three missed
+// heartbeats in a row are no coincidence.
 var peerTiming = peer.Timing{Heartbeat: 200 * time.Millisecond, Timeout: 700 * time.Millisecond}
 
-// security returns how hosts know one another: by the key of their settings or, without
-// one, by the secret that lies in the store.
+// security returns how hosts authenticate one another: by the key in their settings or, without
+// one, by the secrets in the store.
 func (hos *Host) security() peer.Security {
 	if hos.keyed() {
 		return peer.Security{Key: hos.set.PeerKey}
@@ -175,7 +175,7 @@
 	return peer.Security{TLS: hos.secrets.keeper.TLS()}
 }
 
-// member returns the host's own entry.
+// member returns the host's own entry in the store.
 func (hos *Host) member() fleet.Member {
 	return fleet.Member{
 		Name: hos.set.Name, Epoch: hos.epoch, Domain: hos.set.Domain,
@@ -183,19 +183,19 @@
 	}
 }
 
-// startGrace is for how long after its start a host lets requests wait for the
-// first configuration: a small host among many that start at once has it after
-// half a second, and callers go elsewhere after a second without a sign.
+// startGrace is how long after its start a host lets requests wait for the first configuration. A
+// small host among many that start at once has it after half a second, and clients try another
+// host after one second without an answer.
 const startGrace = 800 * time.Millisecond
 
-// noteBegun lets those go on who wait for the first configuration.
+// noteBegun releases the requests that wait in awaitBegun, once the host is ready.
 func (hos *Host) noteBegun() {
 	if ready, _ := hos.ready(hos.clock.Now()); ready {
 		hos.beginning.Do(func() { close(hos.begun) })
 	}
 }
 
-// awaitBegun waits until the host can serve, in the first moments after its start.
+// awaitBegun waits until the host is ready, within startGrace of its start.
 func (hos *Host) awaitBegun(ctx context.Context) {
 	hos.wanting.Do(func() { close(hos.wanted) })
 	left := startGrace - hos.clock.Since(hos.started)
@@ -212,7 +212,7 @@
 	}
 }
 
-// awaitWanted waits for others to enter, or for a first caller.
+// awaitWanted waits firstPause for other hosts to register, or until a client waits for the host.
 func (hos *Host) awaitWanted(ctx context.Context) {
 	timer := time.NewTimer(firstPause)
 	defer timer.Stop()
@@ -223,13 +223,13 @@
 	}
 }
 
-// Done is closed when the host has stopped.
+// Done returns a channel that is closed when the host has stopped.
 func (hos *Host) Done() <-chan struct{} {
 	return hos.done
 }
 
-// Start listens on the host's addresses and starts its goroutines. They end with
-// Stop, not with the context, which bounds the start alone.
+// Start listens on the host's addresses and starts its goroutines. They run until Stop is called;
+// the context bounds the start only.
 func (hos *Host) Start(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	hos.cancel = cancel
@@ -259,11 +259,11 @@
 	return nil
 }
 
-// Stop ends the host at once: requests in flight are cut.
+// Stop stops the host immediately and cuts requests in flight.
 func (hos *Host) Stop() {
 	hos.cancel()
 	for _, srv := range hos.servers {
-		// The listeners are closed; what else fails has no consequence.
+		// The listeners are closed; other errors have no consequence.
 		_ = srv.Close()
 	}
 	<-hos.done
@@ -273,16 +273,17 @@
 }
 
 const (
-	// houseInterval is how often old connections are closed and held removals end.
+	// houseInterval is how often keepHouse runs.
 	houseInterval = 500 * time.Millisecond
-	// acceptAfterStop is how long a leaving host still takes requests: callers
-	// keep an answer with addresses three times its time at most.
+	// acceptAfterStop is how long a draining host still accepts requests: clients cache an answer
+	// with addresses for at most three times keepAddresses.
 	acceptAfterStop = 3 * keepAddresses
-	// stopMargin is what is left of the grace for the end itself.
+	// stopMargin is the part of the grace period that is reserved for the shutdown itself.
 	stopMargin = 500 * time.Millisecond
 )
 
-// keepHouse closes connections to engines that are gone or idle for long.
+// keepHouse regularly closes connections to engines that are gone or that have been idle for long,
+// and drops expired notices.
 func (hos *Host) keepHouse(ctx context.Context) error {
 	tick := time.NewTicker(houseInterval)
 	defer tick.Stop()
@@ -297,7 +298,8 @@
 	}
 }
 
-// engineRuns tells which runs of engines are known to be there.
+// engineRuns returns a function that reports whether an endpoint is a known engine that has not
+// been replaced by a later run.
 func (hos *Host) engineRuns() func(upstream.Endpoint) bool {
 	engines := hos.belief.Load().engines
 	return func(end upstream.Endpoint) bool {
@@ -306,9 +308,8 @@
 	}
 }
 
-// Drain makes a planned stop: the host leaves the directory at once, takes
-// requests while callers may still be sent to it, and returns when the last one
-// has its answer or the grace is over.
+// Drain makes a planned stop: the host deregisters immediately, accepts requests while clients may
+// still be sent to it, and returns when the last request is answered or the grace period is over.
 func (hos *Host) Drain(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, hos.bounds.Load().Grace()-stopMargin)
 	defer cancel()
@@ -323,7 +324,7 @@
 	}
 	err := hos.servers[0].Shutdown(ctx)
 	if err != nil {
-		hos.log.Warn().Err(err).Msg("planned stop cuts requests")
+		hos.log.Warn().Err(err).Msg("planned stop: grace period over, requests in flight are cancelled")
 	}
 	return err
 }
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -8,25 +8,26 @@
 	"lynxwell.dev/lynxwell/upstream"
 )
 
-// What an engine says of itself in an answer is taken at the answer's head, before anything
-// of it is passed on, and kept to by this host itself, whoever decides and whatever the
-// store says: those who decide may not have heard it, and the store may be away.
+// The signals in an engine's answer are applied when the head of the answer arrives, before any of
+// it is passed on. This host enforces them by itself, regardless of the scheduler and of the store:
+// the scheduler may not have received them, and the store may be unreachable.
 
-// noticePause is how often, at most, a line tells of a run's pauses and rates, and one that
-// a word can't be read, for all: a thousand such answers a second must not push other lines
-// out of the log.
+// noticePause is the least time between two log lines about the backoff, rate or cold signals of
+// one engine run, and between two about invalid signals of all engines: a thousand such answers a
+// second must not push other lines out of the log.
 const noticePause = time.Second
 
-// notices are what engines have said of themselves in their answers to this host.
+// notices holds the signals that engines have sent in their answers to this host.
 type notices struct {
 	host  *Host
 	mutex sync.Mutex
 	heard *fleet.Notices
-	// loggedAt is when a line last told of a run's pause or rate, unreadableAt when one told
-	// of a word that can't be read.
+	// loggedAt is when a backoff, rate or cold signal of a run was last logged; unreadableAt is
+	// when
+	// an invalid signal was last logged.
 	loggedAt     map[fleet.EngineID]time.Time
 	unreadableAt time.Time
-	// unknown are the words that nobody reads.
+	// unknown records the headers of answers that are not recognized.
 	unknown *unknownHeaders
 }
 
@@ -34,7 +35,7 @@
 	return &notices{host: hos, heard: fleet.NewNotices(), loggedAt: make(map[fleet.EngineID]time.Time), unknown: newUnknownHeaders(hos)}
 }
 
-// take notes what the head of an answer says of its engine, and tells those who decide.
+// apply records the signals in the head of an answer and reports them to the schedulers.
 func (ntc *notices) take(hrd upstream.Heard) {
 	ntc.unknown.take(hrd)
 	if hrd.Head.UnreadBackoff != "" || hrd.Head.UnreadRate != "" || hrd.Head.UnreadCold != "" {
@@ -42,28 +43,28 @@
 	}
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
-	words := ntc.words(hrd)
-	news := make([]bool, len(words))
-	for num, not := range words {
-		former, known := ntc.heard.Limit(hrd.Engine)
-		news[num] = ntc.heard.Take(now, not)
-		if news[num] && !ntc.quiet(now, not) {
-			ntc.log(now, hrd, not.Word, former, known)
+	signals := ntc.words(hrd)
+	updated := make([]bool, len(signals))
+	for num, not := range signals {
+		prev, known := ntc.heard.Limit(hrd.Engine)
+		updated[num] = ntc.heard.Take(now, not)
+		if updated[num] && !ntc.quiet(now, not) {
+			ntc.log(now, hrd, not.Word, prev, known)
 		}
 	}
 	ntc.mutex.Unlock()
-	for num, not := range words {
+	for num, not := range signals {
 		ntc.host.figures.count("EngineNotices." + not.Word.String())
-		if news[num] || isToldAgain(not.Word) {
+		if updated[num] || isToldAgain(not.Word) {
 			ntc.host.desk.tellNotice(not)
 		}
 	}
 }
 
-// isToldAgain reports whether who decides hears a word each time: when a pause or a rate was
-// last named tells which answers came after it.
-func isToldAgain(word fleet.Word) bool {
-	switch word.(type) {
+// isToldAgain reports whether a signal is reported to the schedulers each time it arrives: the time
+// of the latest backoff, rate or cold signal determines which answers came after it.
+func isToldAgain(signal fleet.Word) bool {
+	switch signal.(type) {
 	case fleet.Pause, fleet.RateLimit, fleet.Cold:
 		return true
 	default:
@@ -71,10 +72,10 @@
 	}
 }
 
-// words returns what an answer says of the engine that it was asked of; the mutex is held. An
-// answer that names another engine, or turns the request away as meant for another one without
-// a name, is that other one's word. One that belongs to another request still came from this
-// engine, but from when isn't known.
+// signals returns the signals in an answer about the engine that the request was sent to; the mutex
+// must be held. If the answer names another engine, or rejects the request as misdirected without
+// naming an engine, its signals are that other engine's and are not used. An answer to another
+// request still came from this engine, but its time is unknown.
 func (ntc *notices) words(hrd upstream.Heard) []fleet.Notice {
 	head := hrd.Head
 	switch {
@@ -83,32 +84,32 @@
 	case head.Instance != "" && head.Instance != hrd.Engine.Name, head.Misdirected && head.Instance == "":
 		return nil
 	}
-	var all []fleet.Notice
+	var nots []fleet.Notice
 	if head.Draining {
-		all = append(all, fleet.Notice{Run: hrd.Engine, Word: fleet.Leaving{}})
+		nots = append(nots, fleet.Notice{Run: hrd.Engine, Word: fleet.Leaving{}})
 	}
 	if head.Backoff > 0 {
-		all = append(all, fleet.Notice{Run: hrd.Engine, Word: fleet.Pause{Left: head.Backoff}})
+		nots = append(nots, fleet.Notice{Run: hrd.Engine, Word: fleet.Pause{Left: head.Backoff}})
 	}
 	if head.Cold > 0 {
-		all = append(all, fleet.Notice{Run: hrd.Engine, Word: fleet.Cold{Left: head.Cold}})
+		nots = append(nots, fleet.Notice{Run: hrd.Engine, Word: fleet.Cold{Left: head.Cold}})
 	}
-	if word := ntc.limitIn(hrd); word != nil {
-		all = append(all, fleet.Notice{Run: hrd.Engine, Word: word})
+	if signal := ntc.limitIn(hrd); signal != nil {
+		nots = append(nots, fleet.Notice{Run: hrd.Engine, Word: signal})
 	}
-	return all
+	return nots
 }
 
-// limitIn returns what an answer says of the rate that its engine takes; nil for nothing. A
-// rate that can't be read leaves the one that was named before, which is named again so that
-// nobody takes this answer for one without.
+// limitIn returns the rate signal in an answer, or nil. An invalid rate leaves the previous rate
+// limit in force, and that one is returned again, so that the answer doesn't count as one without a
+// rate.
 func (ntc *notices) limitIn(hrd upstream.Heard) fleet.Word {
 	switch {
 	case hrd.Head.HasRate:
 		return fleet.RateLimit{PerSecond: hrd.Head.Rate}
 	case hrd.Head.UnreadRate != "":
-		if former, holds := ntc.heard.Limit(hrd.Engine); holds {
-			return former.RateLimit
+		if prev, holds := ntc.heard.Limit(hrd.Engine); holds {
+			return prev.RateLimit
 		}
 		return nil
 	case !hrd.Stray && ntc.heard.EndsLimit(hrd.Engine, hrd.Sent):
@@ -118,8 +119,9 @@
 	}
 }
 
-// quiet reports whether a line told of the run a moment ago, and notes that one does now; the
-// mutex is held. A leave is told once, at once.
+// logThrottled reports whether a signal of the run was logged within noticePause, and otherwise
+// records that one is logged now; the mutex must be held. Draining and replacement are always
+// logged.
 func (ntc *notices) quiet(now time.Time, not fleet.Notice) bool {
 	switch not.Word.(type) {
 	case fleet.Leaving, fleet.Replaced:
@@ -132,27 +134,27 @@
 	return false
 }
 
-// log writes what is news, with what the engine's entry says meanwhile; the mutex is held.
-func (ntc *notices) log(now time.Time, hrd upstream.Heard, word fleet.Word, former fleet.NamedLimit, limited bool) {
+// log logs a new signal together with the engine's entry in the snapshot; the mutex must be held.
+func (ntc *notices) log(now time.Time, hrd upstream.Heard, signal fleet.Word, prev fleet.NamedLimit, limited bool) {
 	known, listed := ntc.host.belief.Load().engine(hrd.Engine)
-	evt := ntc.host.log.Info().Stringer("Engine", hrd.Engine).Stringer("Address", hrd.Address).Stringer("Says", word).Str("AnswerTo", hrd.Head.ID).
+	evt := ntc.host.log.Info().Stringer("Engine", hrd.Engine).Stringer("Address", hrd.Address).Stringer("Says", signal).Str("AnswerTo", hrd.Head.ID).
 		Bool("Listed", listed).Bool("EntryDraining", known.Draining).Uint64("EntrySequence", known.Sequence).Dur("Age", ntc.host.age(now))
-	switch wrd := word.(type) {
+	switch sig := signal.(type) {
 	case fleet.Pause:
-		evt = evt.Dur("For", wrd.Left)
+		evt = evt.Dur("For", sig.Left)
 	case fleet.RateLimit:
-		evt = evt.Float64("PerSecond", wrd.PerSecond)
+		evt = evt.Float64("PerSecond", sig.PerSecond)
 	case fleet.Cold:
-		evt = evt.Dur("For", wrd.Left)
+		evt = evt.Dur("For", sig.Left)
 	}
 	if limited {
-		evt = evt.Float64("FormerPerSecond", former.PerSecond).Dur("FormerAge", now.Sub(former.At))
+		evt = evt.Float64("FormerPerSecond", prev.PerSecond).Dur("FormerAge", now.Sub(prev.At))
 	}
 	evt.Msg("engine says of itself")
 }
 
-// noteUnread logs a word that can't be read. Without the pause that it asks for an engine is
-// judged by its health alone; the rate that it named before holds on.
+// noteUnread logs and counts an invalid signal. An invalid backoff has no effect, so the engine is
+// judged by its health alone; the rate limit that was named before an invalid rate stays in force.
 func (ntc *notices) noteUnread(hrd upstream.Heard) {
 	ntc.host.figures.count("EngineNotices.Unread")
 	now := ntc.host.clock.Now()
@@ -172,10 +174,10 @@
 	if hrd.Head.UnreadCold != "" {
 		evt = evt.Str("Cold", hrd.Head.UnreadCold)
 	}
-	evt.Msg("what an engine says of itself is not taken as it stands")
+	evt.Msg("engine signal in an answer is invalid, ignored or adjusted")
 }
 
-// bar returns what an engine said that keeps this host from sending to it; nil for nothing.
+// blockingSignal returns the signal that forbids this host to send to an engine, or nil.
 func (ntc *notices) bar(run fleet.EngineID) fleet.Word {
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
@@ -183,7 +185,7 @@
 	return ntc.heard.Bar(now, run)
 }
 
-// coldFor returns for how much longer an engine is cold by its own word to this host.
+// coldFor returns how much longer an engine is cold according to its own signals to this host.
 func (ntc *notices) coldFor(run fleet.EngineID) time.Duration {
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
@@ -191,15 +193,15 @@
 	return ntc.heard.ColdFor(now, run)
 }
 
-// limit returns the rate that an engine has named to this host, and whether it holds.
+// limit returns the rate limit that an engine has named to this host, and whether there is one.
 func (ntc *notices) limit(run fleet.EngineID) (fleet.NamedLimit, bool) {
 	ntc.mutex.Lock()
 	defer ntc.mutex.Unlock()
 	return ntc.heard.Limit(run)
 }
 
-// endLimit ends a rate that another host's answer has shown to be over, unless it was named
-// since who decided was asked.
+// endLimit ends a rate limit that the scheduler reported to be over, learned from an answer to
+// another host, unless the engine has named it again since the scheduler was asked.
 func (ntc *notices) endLimit(run fleet.EngineID, asked time.Time) {
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
@@ -207,12 +209,12 @@
 	if !ntc.heard.EndsLimit(run, asked) {
 		return
 	}
-	former, _ := ntc.heard.Limit(run)
+	prev, _ := ntc.heard.Limit(run)
 	ntc.heard.Take(now, fleet.Notice{Run: run, Word: fleet.Unlimited{}})
-	ntc.host.log.Info().Stringer("Engine", run).Float64("FormerPerSecond", former.PerSecond).Dur("FormerAge", now.Sub(former.At)).Msg("rate of an engine has ended, as who decides knows")
+	ntc.host.log.Info().Stringer("Engine", run).Float64("FormerPerSecond", prev.PerSecond).Dur("FormerAge", now.Sub(prev.At)).Msg("engine rate limit ended, as reported by the scheduler")
 }
 
-// current returns all that holds now.
+// current returns all notices in force.
 func (ntc *notices) current() []fleet.Notice {
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
@@ -220,12 +222,12 @@
 	return ntc.heard.Current(now)
 }
 
-// forget drops what has lapsed, and what was said by runs that are gone.
-func (ntc *notices) forget(bel *belief) {
+// prune drops expired notices and those of engine runs that are no longer registered.
+func (ntc *notices) forget(snp *belief) {
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
 	defer ntc.mutex.Unlock()
-	ntc.heard.Forget(now, bel.lists)
+	ntc.heard.Forget(now, snp.lists)
 	for run, at := range ntc.loggedAt {
 		if now.Sub(at) >= noticePause {
 			delete(ntc.loggedAt, run)
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -16,73 +16,73 @@
 )
 
 const (
-	// gatherPause is how long changes are let come together after some have come:
-	// each answer is a call, and a bound of seconds leaves room for it.
+	// gatherPause is how long further changes are collected after some have arrived: each answer is
+	// a call, and a bound of seconds on their delay leaves room for it.
 	gatherPause = 100 * time.Millisecond
-	// startGather is the same in a host's first moments, which startSettles bounds:
-	// hosts that start together decide alone until they know one another, which costs
-	// more than the calls that a longer pause saves.
+	// startGather is the same shortly after the host's start, for startSettles: hosts that start
+	// together decide alone until they know one another, which costs more than the calls that a
+	// longer pause saves.
 	startGather  = 50 * time.Millisecond
 	startSettles = 1500 * time.Millisecond
-	// minRetry and maxRetry bound the pause before the store is asked again: each
-	// call counts against its rate, and a configuration must be in force soon.
+	// minRetry and maxRetry bound the backoff before the store is called again: each call counts
+	// against its rate limit, and a configuration must be in force soon.
 	minRetry = 50 * time.Millisecond
 	maxRetry = 200 * time.Millisecond
-	// peerInterval is how often other hosts are asked meanwhile: engines that leave
-	// must get nothing new after two seconds.
+	// peerInterval is how often other hosts are asked meanwhile: draining engines must get no new
+	// requests after two seconds.
 	peerInterval = 400 * time.Millisecond
-	// maxRateRetry bounds it where the store's rate is used up.
+	// maxRateRetry bounds the backoff where the store's rate limit is exhausted.
 	maxRateRetry = 2 * time.Second
-	// lapseHold is for how long after an outage of the store entries that lapsed
-	// meanwhile are kept: their owners are back within about two seconds.
+	// lapseHold is how long after an outage of the store entries that expired in it are kept: their
+	// owners register again within about two seconds.
 	lapseHold = 2200 * time.Millisecond
-	// peersGap is for how long other hosts may have nothing new to tell although the store
-	// serves them: what they know is as old as their watch, where nothing changes.
+	// peersGap is how long other hosts may pass on nothing current although the store serves them:
+	// where nothing changes, their copies are as old as their watches.
 	peersGap = watchWait
 )
 
-// observer follows the store and makes the host's belief of it.
+// storeWatcher reads the store and maintains the host's snapshot of it.
 type observer struct {
 	host      *Host
 	directory *fleet.Directory
 	table     *route.Table
 	revision  store.Revision
-	// whole is set while everything must be read anew.
+	// needsFullRead is set while all keys must be read again.
 	whole bool
-	// refused are the keys whose values can't be used.
+	// invalidValues records the keys whose values can't be used.
 	refused *refusals
-	// unread are the keys and fields that nobody reads.
+	// unrecognized records the keys and configuration fields that are not recognized.
 	unread *unread
-	// rollouts is what the store holds of roll-outs.
+	// rollouts is the stored state of roll-outs.
 	rollouts rollouts
-	// evacuations is what the store holds of failure domains that are being emptied, by their
-	// names, evacuationsChanged is set until that is in force. reopened are those whose order
-	// was taken back since, unknownDomains the orders that were named for what they are.
+	// evacuations is the stored state of evacuations by failure domain. evacuationsChanged is set
+	// until it is published. reopened are the domains whose order was withdrawn since, and
+	// unknownDomains the orders that were logged because their domain is unknown.
 	evacuations        map[string]evacuation.Standing
 	evacuationsChanged bool
 	reopened           []string
 	unknownDomains     map[evacuation.Order]bool
-	// changed is what the update that is being taken changes of the hosts.
+	// hostChanges collects what the update that is being applied changes in the list of hosts.
 	changed changeList
-	// paused says that a host that found no other has waited for some.
+	// waitedForHosts is set once a host that found no other host has waited for some.
 	paused bool
-	// readers chooses the host of the failure domain that reads for all.
+	// relays chooses the host of the failure domain through which the store is read.
 	readers *readers
-	// nextPeer goes round the hosts that are asked while the store is lost.
+	// nextPeer is the index of the host that was last asked while the store is unreachable.
 	nextPeer int
-	// met is the epoch of the host of the own failure domain that has answered.
+	// probedRelay is the epoch of the host of the own failure domain that answered a first call.
 	met request.Epoch
-	// direct is until when the store is read itself.
+	// directUntil is until when the store is read directly.
 	direct time.Time
-	// nextProbe is when a lost store is asked again by a host that follows another.
+	// nextProbe is when a host that reads through another one probes an unreachable store again.
 	nextProbe time.Time
-	// lostAt is when the store was first not reached; zero while it is.
+	// lostAt is since when the store has been unreachable; zero while it is reachable.
 	lostAt time.Time
-	// peersKnow is since when other hosts, asked in its place, have known what it holds, and
-	// peersTold when one last did.
+	// peersKnow is since when other hosts, asked in place of the store, have had its current
+	// content, and peersTold when one of them last passed it on.
 	peersKnow time.Time
 	peersTold time.Time
-	// cause is why it was last not reached.
+	// lastError is the last error of a call to the store.
 	cause error
 	pause time.Duration
 }
@@ -95,89 +95,89 @@
 	}
 }
 
-// observe follows the store until the context ends.
+// watchStore reads the store until the context ends.
 func (hos *Host) observe(ctx context.Context) error {
-	obs := newObserver(hos)
+	wat := newObserver(hos)
 	for ctx.Err() == nil {
-		upd, err := obs.read(ctx)
+		upd, err := wat.read(ctx)
 		if err != nil {
-			obs.lost(ctx, err)
+			wat.lost(ctx, err)
 			continue
 		}
-		obs.regained()
-		obs.apply(upd)
+		wat.regained()
+		wat.apply(upd)
 		if len(upd.changes.Changes) > 0 && !upd.whole {
-			task.Sleep(ctx, obs.gather(obs.host.clock.Now()))
+			task.Sleep(ctx, wat.gather(wat.host.clock.Now()))
 		}
 	}
 	return ctx.Err()
 }
 
-// gather returns how long changes are let come together.
-func (obs *observer) gather(now time.Time) time.Duration {
-	if now.Sub(obs.host.started) < startSettles {
+// batchDelay returns how long further changes are collected.
+func (wat *observer) gather(now time.Time) time.Duration {
+	if now.Sub(wat.host.started) < startSettles {
 		return startGather
 	}
 	return gatherPause
 }
 
-// apply takes an update.
-func (obs *observer) apply(upd update) {
-	obs.whole = false
+// apply applies an update and publishes the resulting snapshot.
+func (wat *observer) apply(upd update) {
+	wat.whole = false
 	if upd.whole {
-		obs.replace(upd.values, upd.changes.Revision)
-		obs.host.mirror.replace(upd.values, max(obs.revision, upd.changes.Revision), upd.confirmed)
+		wat.replace(upd.values, upd.changes.Revision)
+		wat.host.mirror.replace(upd.values, max(wat.revision, upd.changes.Revision), upd.confirmed)
 	} else {
-		obs.changed = changeList{}
+		wat.changed = changeList{}
 		for _, cha := range upd.changes.Changes {
-			obs.take(cha)
+			wat.take(cha)
 		}
-		obs.changed.log(obs.host.log, upd.changes.Revision)
-		obs.host.mirror.apply(upd.changes, upd.confirmed)
+		wat.changed.log(wat.host.log, upd.changes.Revision)
+		wat.host.mirror.apply(upd.changes, upd.confirmed)
 	}
-	obs.revision = max(obs.revision, upd.changes.Revision)
-	settled := obs.directory.Settle(obs.host.clock.Now())
-	obs.host.confirm(upd.confirmed)
+	wat.revision = max(wat.revision, upd.changes.Revision)
+	settled := wat.directory.Settle(wat.host.clock.Now())
+	wat.host.confirm(upd.confirmed)
 	if upd.whole || len(upd.changes.Changes) > 0 || settled {
-		obs.publish()
+		wat.publish()
 	}
-	obs.host.listing.Do(func() { close(obs.host.listed) })
-	obs.host.noteBegun()
+	wat.host.listing.Do(func() { close(wat.host.listed) })
+	wat.host.noteBegun()
 }
 
-// lost notes that the store wasn't reached, and waits before the next call.
-func (obs *observer) lost(ctx context.Context, err error) {
+// storeFailed records that a call to the store failed, and waits before the next call.
+func (wat *observer) lost(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	now := obs.host.clock.Now()
-	if obs.lostAt.IsZero() {
-		obs.lostAt = now
-		obs.pause = minRetry
-		obs.host.log.Warn().Err(err).Uint64("Revision", uint64(obs.revision)).Msg("store lost")
+	now := wat.host.clock.Now()
+	if wat.lostAt.IsZero() {
+		wat.lostAt = now
+		wat.pause = minRetry
+		wat.host.log.Warn().Err(err).Uint64("Revision", uint64(wat.revision)).Msg("store lost")
 	}
-	obs.cause = err
-	obs.host.figures.storeFailures.Inc(1)
-	if !obs.servesOthers(now) {
-		obs.directory.Hold(now.Add(lapseHold))
+	wat.cause = err
+	wat.host.figures.storeFailures.Inc(1)
+	if !wat.servesOthers(now) {
+		wat.directory.Hold(now.Add(lapseHold))
 	}
 	limit := maxRetry
 	var rate *store.RateError
 	if errors.As(err, &rate) {
-		// Those who share the rate must come back later, and not all at once.
-		obs.pause = max(obs.pause, rate.RetryAfter)
+		// The hosts that share the rate limit must come back later, and not all at once.
+		wat.pause = max(wat.pause, rate.RetryAfter)
 		limit = maxRateRetry
 	}
-	obs.liveOnPeers(ctx, now.Add(obs.pause/2+rand.N(obs.pause)))
-	obs.pause = min(limit, 2*obs.pause)
+	wat.liveOnPeers(ctx, now.Add(wat.pause/2+rand.N(wat.pause)))
+	wat.pause = min(limit, 2*wat.pause)
 }
 
-// liveOnPeers asks other hosts until the store is asked again. That may take long
-// where its rate is used up, and engines that leave must be known before.
-func (obs *observer) liveOnPeers(ctx context.Context, until time.Time) {
+// liveOnPeers reads from other hosts until the next call to the store. That may take long while the
+// store's rate limit is exhausted, and draining engines must be known before then.
+func (wat *observer) liveOnPeers(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil {
-		obs.askPeers(ctx)
-		left := obs.host.clock.Until(until)
+		wat.askPeers(ctx)
+		left := wat.host.clock.Until(until)
 		task.Sleep(ctx, min(left, peerInterval))
 		if left <= peerInterval {
 			return
@@ -185,28 +185,29 @@
 	}
 }
 
-// regained notes that the store was reached.
-func (obs *observer) regained() {
-	if obs.lostAt.IsZero() {
+// storeRecovered records that the store was reached again.
+func (wat *observer) regained() {
+	if wat.lostAt.IsZero() {
 		return
 	}
-	now := obs.host.clock.Now()
-	obs.host.log.Info().Dur("After", now.Sub(obs.lostAt)).Uint64("Revision", uint64(obs.revision)).Msg("store regained")
-	obs.lostAt = time.Time{}
-	obs.nextProbe = time.Time{}
-	// A fleet that regains the store at once goes back to following soon.
-	obs.direct = now.Add(startDirect)
-	obs.host.storeAway.Store(false)
-	obs.host.doubtLease()
-	if !obs.servesOthers(now) {
-		obs.directory.Hold(now.Add(lapseHold))
+	now := wat.host.clock.Now()
+	wat.host.log.Info().Dur("After", now.Sub(wat.lostAt)).Uint64("Revision", uint64(wat.revision)).Msg("store regained")
+	wat.lostAt = time.Time{}
+	wat.nextProbe = time.Time{}
+	// A fleet that reaches the store again all at once soon returns to reading through other hosts.
+	wat.direct = now.Add(startDirect)
+	wat.host.storeAway.Store(false)
+	wat.host.doubtLease()
+	if !wat.servesOthers(now) {
+		wat.directory.Hold(now.Add(lapseHold))
 	}
-	obs.peersTold = time.Time{}
+	wat.peersTold = time.Time{}
 }
 
-// servesOthers reports whether the store certainly serves other hosts while this one has
-// lost it. Entries lapse in an outage although their owners live, and are kept for that;
-// where only this host is cut off, what is gone has left, and mustn't get requests. Others know of an outage within followAge, which is less than lapseHold.
-func (obs *observer) servesOthers(now time.Time) bool {
-	return now.Sub(obs.peersTold) <= peersGap && now.Sub(obs.peersKnow) > lapseHold
+// servesOthers reports whether the store certainly serves other hosts while this host can't reach
+// it. In an outage entries expire although their owners live, so expired entries are held. Where
+// only this host is cut off, a removed entry is of an engine or host that has stopped, which must
+// get no requests. Other hosts notice an outage within followAge, which is less than lapseHold.
+func (wat *observer) servesOthers(now time.Time) bool {
+	return now.Sub(wat.peersTold) <= peersGap && now.Sub(wat.peersKnow) > lapseHold
 }
--- a/entry/source.go
+++ b/entry/source.go
@@ -16,332 +16,331 @@
 )
 
 const (
-	// watchWait is how long a watch waits for a change: its answer confirms the
-	// configuration's age, and a silent store is noticed by its lack.
+	// watchWait is how long a watch waits for a change. Each answer confirms the age of the
+	// configuration, and a missing answer shows that the store doesn't respond.
 	watchWait = 1400 * time.Millisecond
-	// followedWait is that of a host through which others read: their knowledge is
-	// older than its own by what they wait.
+	// followedWait is the same on a host that other hosts read through: their copies are older than
+	// its own by the time that they wait.
 	followedWait = 800 * time.Millisecond
-	// followWait is how long a host waits for another to pass changes on.
+	// followWait is how long a host waits for another host to pass on changes.
 	followWait = 700 * time.Millisecond
-	// followSlack is how much longer than its wait the answer may take.
+	// followSlack is how much longer than the requested wait the answer may take.
 	followSlack = 300 * time.Millisecond
-	// probeWait is that of the calls that find out whether a lost store is back.
+	// probeWait is the wait of calls that check whether an unreachable store responds again.
 	probeWait = time.Millisecond
-	// peersAsked is how many other hosts are asked each time the store fails.
+	// peersAsked bounds how many other hosts are asked each time the store fails.
 	peersAsked = 3
-	// meetTimeout bounds the first question to a host that is to be followed: entries
-	// outlive lost hosts by some seconds, and one without power would hold up a host
-	// that starts for a second. An answer takes some milliseconds, and tens from a
-	// busy processor.
+	// meetTimeout bounds the first call to a host before reading through it. Entries outlive lost
+	// hosts by some seconds, and one without power would delay a starting host by a second. An
+	// answer takes some milliseconds, and tens of milliseconds from a busy processor.
 	meetTimeout = 200 * time.Millisecond
-	// followAge is the age of another host's knowledge from which the store is
-	// asked directly: its own watch must be late by then.
+	// followAge is the age of another host's copy from which the store is read directly: that
+	// host's own watch must be overdue by then.
 	followAge = 1900 * time.Millisecond
-	// directFor is how long a host reads the store itself after the one that it
-	// followed failed it.
+	// directFor is how long a host reads the store directly after reading through another host
+	// failed.
 	directFor = 2 * time.Second
-	// startDirect is the same in a host's first moments and once a lost store is back:
-	// the one to follow is seldom ready then and soon is, and a whole fleet that reads by
-	// itself meanwhile is most of a day's calls.
+	// startDirect is the same shortly after the host's start and after the store has recovered: the
+	// other host is seldom ready at that moment but soon is, and a whole fleet that reads directly
+	// meanwhile makes most of a day's calls.
 	startDirect = 300 * time.Millisecond
-	// followRetry is the pause before a host that has nothing to pass on yet is asked
-	// again, and followPatience for how long that goes on: hosts that start together do
-	// so within some tenths of a second, and one whose reader was lost notices it within
-	// a few milliseconds of its mates.
+	// followRetry is the pause before a host that has nothing to pass on yet is asked again, and
+	// followPatience bounds how long that is repeated: hosts that start together become ready
+	// within some tenths of a second, and a host that loses the one it reads through notices it
+	// within a few milliseconds of its domain peers.
 	followRetry    = 40 * time.Millisecond
 	followPatience = 400 * time.Millisecond
-	// firstPause is for how long a host that finds no other at all lets others enter, as
-	// long as no caller asks: a fleet that starts for the first time has none yet, but one
-	// whose entries have lapsed in an outage has.
+	// firstPause is how long a host that finds no other host waits for others to register, as long
+	// as no client waits: the entries of a fleet that starts for the first time don't exist yet,
+	// nor
+	// do those of a fleet whose leases expired in an outage.
 	firstPause = 400 * time.Millisecond
-	// followerProbe is how often, on average, a host that follows another asks a lost
-	// store itself, in case only the other has lost it.
+	// followerProbe is the average interval at which a host that reads through another one probes
+	// an unreachable store itself, in case only the other host can't reach it.
 	followerProbe = time.Second
 )
 
-// update is what a reading of the store, or of another host, brought.
+// update is the result of one read of the store, directly or through another host.
 type update struct {
-	// whole has the values replace all that was known before.
+	// complete makes values replace all that was known before.
 	whole   bool
 	values  []store.Value
 	changes store.Changes
-	// confirmed is when the store certainly was as told.
+	// confirmed is a time at which the store certainly had these values.
 	confirmed time.Time
-	// from is the host that passed it on; empty for the store itself.
+	// from is the name of the host that passed the update on; empty for the store itself.
 	from string
 }
 
-// read gets the next update: from the host of the own failure domain that reads
-// the store for all, or from the store.
-func (obs *observer) read(ctx context.Context) (update, error) {
-	if obs.whole && obs.revision == 0 {
-		return obs.listStale(ctx)
+// nextUpdate returns the next update, through the host of the own failure domain that reads the
+// store for its domain peers, or from the store.
+func (wat *observer) read(ctx context.Context) (update, error) {
+	if wat.whole && wat.revision == 0 {
+		return wat.listStale(ctx)
 	}
-	if obs.findsNobody() {
-		obs.paused = true
-		obs.host.awaitWanted(ctx)
-		return obs.listStale(ctx)
+	if wat.findsNobody() {
+		wat.paused = true
+		wat.host.awaitWanted(ctx)
+		return wat.listStale(ctx)
 	}
-	patient := obs.host.clock.Now().Add(followPatience)
+	deadline := wat.host.clock.Now().Add(followPatience)
 	for {
-		mem, found := obs.followed(obs.host.clock.Now())
-		obs.host.mirror.setRelayed(found)
-		if !found && obs.rests(obs.host.clock.Now()) {
-			return update{}, obs.cause
+		mem, found := wat.followed(wat.host.clock.Now())
+		wat.host.mirror.setRelayed(found)
+		if !found && wat.rests(wat.host.clock.Now()) {
+			return update{}, wat.cause
 		}
 		if !found {
-			return obs.readStore(ctx)
+			return wat.readStore(ctx)
 		}
-		upd, err := obs.followMember(ctx, mem)
+		upd, err := wat.followMember(ctx, mem)
 		if err == nil || ctx.Err() != nil {
 			return upd, err
 		}
-		if isNotReady(err) && obs.host.clock.Now().Before(patient) {
+		if isNotReady(err) && wat.host.clock.Now().Before(deadline) {
 			task.Sleep(ctx, followRetry)
 			continue
 		}
-		if obs.lostAt.IsZero() {
-			obs.host.log.Info().Err(err).Str("Member", mem.Name).Msg("the host followed failed")
+		if wat.lostAt.IsZero() {
+			wat.host.log.Info().Err(err).Str("Member", mem.Name).Msg("reading the store through another host failed")
 		}
-		now := obs.host.clock.Now()
-		obs.met = 0
-		obs.readers.fail(now, mem)
-		if _, another := obs.followed(now); another {
+		now := wat.host.clock.Now()
+		wat.met = 0
+		wat.readers.fail(now, mem)
+		if _, another := wat.followed(now); another {
 			continue
 		}
-		return obs.readAlone(ctx, now, err)
+		return wat.readAlone(ctx, now, err)
 	}
 }
 
-// findsNobody reports whether this host found no other when it started, and hasn't
-// waited for others yet.
-func (obs *observer) findsNobody() bool {
-	return !obs.paused && obs.host.confirmed.Load() == neverConfirmed && len(obs.directory.Members()) <= 1
+// findsNobody reports whether this host found no other host at its start and hasn't waited for
+// others yet.
+func (wat *observer) findsNobody() bool {
+	return !wat.paused && wat.host.confirmed.Load() == neverConfirmed && len(wat.directory.Members()) <= 1
 }
 
-// readAlone reads the store where no host could be followed, for a while where this
-// host isn't one that reads for others.
-func (obs *observer) readAlone(ctx context.Context, now time.Time, cause error) (update, error) {
-	if obs.rests(now) {
+// readAlone reads the store directly when reading through other hosts failed. Unless this host is
+// itself the one that reads for its domain peers, it continues to do so for directTime.
+func (wat *observer) readAlone(ctx context.Context, now time.Time, cause error) (update, error) {
+	if wat.rests(now) {
 		return update{}, cause
 	}
-	if !obs.readers.reads(now, obs.mates()) {
-		obs.direct = now.Add(obs.directTime())
+	if !wat.readers.reads(now, wat.mates()) {
+		wat.direct = now.Add(wat.directTime())
 	}
-	obs.host.mirror.setRelayed(false)
-	return obs.readStore(ctx)
+	wat.host.mirror.setRelayed(false)
+	return wat.readStore(ctx)
 }
 
-// rests reports whether this host leaves the asking of a lost store to the first of
-// its failure domain for now.
-func (obs *observer) rests(now time.Time) bool {
-	mates := obs.mates()
-	if obs.lostAt.IsZero() || len(mates) < followers || mates[0].Epoch == obs.host.epoch {
+// defersStoreProbe reports whether this host currently leaves the probing of an unreachable store
+// to the first host of its failure domain.
+func (wat *observer) rests(now time.Time) bool {
+	peers := wat.mates()
+	if wat.lostAt.IsZero() || len(peers) < followers || peers[0].Epoch == wat.host.epoch {
 		return false
 	}
-	return !obs.storeDue(now)
+	return !wat.storeDue(now)
 }
 
-// isNotReady reports whether a host answered that it has nothing to pass on yet, and
-// soon may.
+// isNotReady reports whether a host answered that it has nothing to pass on yet; it soon may.
 func isNotReady(err error) bool {
 	var unready *peer.UnreadyError
 	var behind *BehindMirrorError
 	return errors.As(err, &unready) || errors.As(err, &behind)
 }
 
-// directTime returns how long the store is read directly after the host followed
-// failed this one.
-func (obs *observer) directTime() time.Duration {
-	if obs.host.clock.Since(obs.host.started) < startSettles {
+// directTime returns how long the store is read directly after reading through another host failed.
+func (wat *observer) directTime() time.Duration {
+	if wat.host.clock.Since(wat.host.started) < startSettles {
 		return startDirect
 	}
 	return directFor
 }
 
-// followMember reads through a host of the own failure domain, which must have
-// answered a short question before it is waited for.
-func (obs *observer) followMember(ctx context.Context, mem fleet.Member) (update, error) {
-	if obs.met == mem.Epoch {
-		return obs.follow(ctx, mem, followWait)
+// followMember reads through a host of the own failure domain. The host must have answered a short
+// call before a long wait is spent on it.
+func (wat *observer) followMember(ctx context.Context, mem fleet.Member) (update, error) {
+	if wat.met == mem.Epoch {
+		return wat.follow(ctx, mem, followWait)
 	}
-	meeting, cancel := context.WithTimeout(ctx, meetTimeout)
+	probeCtx, cancel := context.WithTimeout(ctx, meetTimeout)
 	defer cancel()
-	upd, err := obs.follow(meeting, mem, probeWait)
+	upd, err := wat.follow(probeCtx, mem, probeWait)
 	if err == nil {
-		obs.met = mem.Epoch
+		wat.met = mem.Epoch
 	}
 	return upd, err
 }
 
-// readStore gets the next update from the store.
-func (obs *observer) readStore(ctx context.Context) (update, error) {
-	if obs.whole {
-		return obs.list(ctx)
+// readStore returns the next update from the store.
+func (wat *observer) readStore(ctx context.Context) (update, error) {
+	if wat.whole {
+		return wat.list(ctx)
 	}
-	return obs.watch(ctx)
+	return wat.watch(ctx)
 }
 
-// storeDue reports whether a host that follows another asks a lost store now; it does
-// so seldom.
-func (obs *observer) storeDue(now time.Time) bool {
-	if now.Before(obs.nextProbe) {
+// storeDue reports whether a host that reads through another one is to probe an unreachable store
+// now, and if so schedules the next probe.
+func (wat *observer) storeDue(now time.Time) bool {
+	if now.Before(wat.nextProbe) {
 		return false
 	}
-	obs.nextProbe = now.Add(followerProbe/2 + rand.N(followerProbe))
+	wat.nextProbe = now.Add(followerProbe/2 + rand.N(followerProbe))
 	return true
 }
 
-// followed returns the host to read through, if there is one. A host that finds others
-// when it starts has callers too, and doesn't wait until one of those is ready, which may
+// chooseRelay returns the host to read through, if there is one. A host that finds other hosts at
+// its start also has clients, so it doesn't wait for one of them to become ready: that host may
 // have started just after it.
-func (obs *observer) followed(now time.Time) (fleet.Member, bool) {
-	if obs.host.confirmed.Load() == neverConfirmed && !obs.paused || !obs.host.knowsPeers() {
+func (wat *observer) followed(now time.Time) (fleet.Member, bool) {
+	if wat.host.confirmed.Load() == neverConfirmed && !wat.paused || !wat.host.knowsPeers() {
 		return fleet.Member{}, false
 	}
-	if obs.lostAt.IsZero() && now.Before(obs.direct) {
+	if wat.lostAt.IsZero() && now.Before(wat.direct) {
 		return fleet.Member{}, false
 	}
-	return obs.readers.choose(now, obs.mates())
+	return wat.readers.choose(now, wat.mates())
 }
 
-// mates returns the hosts of the own failure domain, but for those known to be lost.
-func (obs *observer) mates() []fleet.Member {
-	var mates []fleet.Member
-	for _, mem := range obs.directory.Members() {
-		if mem.Domain == obs.host.set.Domain && !obs.host.desk.isAbsent(mem.Epoch) {
-			mates = append(mates, mem)
+// domainPeers returns the hosts of the own failure domain, this host included, except those known
+// to be unreachable.
+func (wat *observer) mates() []fleet.Member {
+	var peers []fleet.Member
+	for _, mem := range wat.directory.Members() {
+		if mem.Domain == wat.host.set.Domain && !wat.host.desk.isAbsent(mem.Epoch) {
+			peers = append(peers, mem)
 		}
 	}
-	return mates
+	return peers
 }
 
-// StaleMirrorError reports a host that passes on what is too old.
+// StaleMirrorError reports a host whose copy of the store is too old to use.
 type StaleMirrorError struct {
 	Member string
 	Age    time.Duration
 }
 
-// Error names the host and the age.
+// Error names the host and the age of its copy.
 func (sme *StaleMirrorError) Error() string {
-	return "what " + sme.Member + " knows of the store is " + sme.Age.String() + " old"
+	return "copy of the store on host " + sme.Member + " is too old: age " + sme.Age.String()
 }
 
-// BehindMirrorError reports a host that knows less of the store than the one that asks
-// it: one that reads for others was slower to start than they.
+// BehindMirrorError reports a host whose copy of the store is older than that of the host that asks
+// it, such as one that started more slowly than the hosts that read through it.
 type BehindMirrorError struct {
 	Member string
-	// Revision is how far the host is, Known how far the one is that asks.
+	// Revision is that of the host's copy, Known that of the host that asks.
 	Revision store.Revision
 	Known    store.Revision
 }
 
 // Error names the host and both revisions.
 func (bme *BehindMirrorError) Error() string {
-	return fmt.Sprintf("what %s knows of the store ends at revision %d, before %d", bme.Member, bme.Revision, bme.Known)
+	return fmt.Sprintf("copy of the store on host %s is behind: at revision %d, want at least %d", bme.Member, bme.Revision, bme.Known)
 }
 
-// askPeers reads through any other host while the store is lost to this one. It
-// notes whether the store is away for others too.
-func (obs *observer) askPeers(ctx context.Context) {
-	members := obs.directory.Members()
-	away := false
+// askPeers reads through any other host while this host can't reach the store. It records whether
+// the store is unreachable for other hosts too.
+func (wat *observer) askPeers(ctx context.Context) {
+	members := wat.directory.Members()
+	unavailable := false
 	for range min(peersAsked, len(members)) {
-		obs.nextPeer++
-		mem := members[obs.nextPeer%len(members)]
-		if mem.Epoch == obs.host.epoch {
+		wat.nextPeer++
+		mem := members[wat.nextPeer%len(members)]
+		if mem.Epoch == wat.host.epoch {
 			continue
 		}
-		upd, err := obs.follow(ctx, mem, probeWait)
+		upd, err := wat.follow(ctx, mem, probeWait)
 		if err == nil {
-			obs.apply(upd)
-			obs.notePeersKnow()
-			away = false
+			wat.apply(upd)
+			wat.notePeersKnow()
+			unavailable = false
 			break
 		}
 		var stale *StaleMirrorError
-		away = away || errors.As(err, &stale)
+		unavailable = unavailable || errors.As(err, &stale)
 	}
-	obs.host.storeAway.Store(away)
+	wat.host.storeAway.Store(unavailable)
 }
 
-// notePeersKnow notes that another host has told what the store holds now.
-func (obs *observer) notePeersKnow() {
-	now := obs.host.clock.Now()
-	if now.Sub(obs.peersTold) > peersGap {
-		obs.peersKnow = now
+// notePeersKnow records that another host has passed on the current content of the store.
+func (wat *observer) notePeersKnow() {
+	now := wat.host.clock.Now()
+	if now.Sub(wat.peersTold) > peersGap {
+		wat.peersKnow = now
 	}
-	obs.peersTold = now
+	wat.peersTold = now
 }
 
-// follow reads through another host.
-func (obs *observer) follow(ctx context.Context, mem fleet.Member, wait time.Duration) (update, error) {
+// readFromHost reads the store through another host.
+func (wat *observer) follow(ctx context.Context, mem fleet.Member, wait time.Duration) (update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+followSlack)
 	defer cancel()
-	after := obs.revision
-	if obs.whole {
+	after := wat.revision
+	if wat.whole {
 		after = 0
 	}
-	asked := obs.host.clock.Now()
-	fol, err := obs.host.peers.Follow(ctx, mem.PeerAddress, after, wait)
+	asked := wat.host.clock.Now()
+	reply, err := wat.host.peers.Follow(ctx, mem.PeerAddress, after, wait)
 	if err != nil {
 		return update{}, err
 	}
-	upd := update{whole: fol.Whole, changes: fol.Changes, confirmed: asked.Add(fol.Confirmed), from: mem.Name}
-	if age := obs.host.clock.Since(upd.confirmed); age > followAge {
+	upd := update{whole: reply.Whole, changes: reply.Changes, confirmed: asked.Add(reply.Confirmed), from: mem.Name}
+	if age := wat.host.clock.Since(upd.confirmed); age > followAge {
 		return update{}, &StaleMirrorError{Member: mem.Name, Age: age}
 	}
-	if upd.changes.Revision < obs.revision {
-		// What it lacks must not be taken back.
-		return update{}, &BehindMirrorError{Member: mem.Name, Revision: upd.changes.Revision, Known: obs.revision}
+	if upd.changes.Revision < wat.revision {
+		// An older copy must not undo changes that this host has applied.
+		return update{}, &BehindMirrorError{Member: mem.Name, Revision: upd.changes.Revision, Known: wat.revision}
 	}
-	if fol.Whole {
-		for _, cha := range fol.Changes.Changes {
+	if reply.Whole {
+		for _, cha := range reply.Changes.Changes {
 			upd.values = append(upd.values, cha.Value)
 		}
 	}
 	return upd, nil
 }
 
-// listStale reads everything from the store as of some seconds ago, at a start: that
-// counts against no rate however many hosts start at once, and confirms nothing. What
-// follows, a watch or another host's word, brings what has changed since.
-func (obs *observer) listStale(ctx context.Context) (update, error) {
-	values, rev, err := obs.host.store.ListStale(ctx, platform.Prefix)
+// listStale reads all keys from the store as of some seconds ago, at a start. Such a read counts
+// against no rate limit, however many hosts start at once, and confirms nothing. The watch or read
+// through another host that follows brings the changes since.
+func (wat *observer) listStale(ctx context.Context) (update, error) {
+	values, rev, err := wat.host.store.ListStale(ctx, platform.Prefix)
 	if err != nil {
 		return update{}, err
 	}
 	return update{whole: true, values: values, changes: store.Changes{Revision: rev}}, nil
 }
 
-// list reads everything from the store.
-func (obs *observer) list(ctx context.Context) (update, error) {
-	confirmed := obs.host.clock.Now()
-	values, rev, err := obs.host.store.List(ctx, platform.Prefix)
+// list reads all keys from the store.
+func (wat *observer) list(ctx context.Context) (update, error) {
+	confirmed := wat.host.clock.Now()
+	values, rev, err := wat.host.store.List(ctx, platform.Prefix)
 	if err != nil {
 		return update{}, err
 	}
 	return update{whole: true, values: values, changes: store.Changes{Revision: rev}, confirmed: confirmed}, nil
 }
 
-// watch waits for changes at the store. Where it has forgotten its history,
-// everything is read.
-func (obs *observer) watch(ctx context.Context) (update, error) {
+// watch waits for changes in the store. If the store has compacted the history needed, it reads all
+// keys.
+func (wat *observer) watch(ctx context.Context) (update, error) {
 	wait := watchWait
-	if !obs.lostAt.IsZero() || obs.host.confirmed.Load() == neverConfirmed {
-		// A watch that waits would tell only at its end that the store is there.
+	if !wat.lostAt.IsZero() || wat.host.confirmed.Load() == neverConfirmed {
+		// A longer watch would show only at its end that the store responds.
 		wait = probeWait
-	} else if obs.readers.reads(obs.host.clock.Now(), obs.mates()) {
+	} else if wat.readers.reads(wat.host.clock.Now(), wat.mates()) {
 		wait = followedWait
 	}
-	asked := obs.host.clock.Now()
-	changes, err := obs.host.store.Watch(ctx, platform.Prefix, obs.revision, wait)
-	var gone *store.CompactedError
-	if errors.As(err, &gone) {
-		obs.host.log.Info().Err(err).Msg("the store forgot its history, reading all")
-		obs.whole = true
-		return obs.list(ctx)
+	asked := wat.host.clock.Now()
+	changes, err := wat.host.store.Watch(ctx, platform.Prefix, wat.revision, wait)
+	var compacted *store.CompactedError
+	if errors.As(err, &compacted) {
+		wat.host.log.Info().Err(err).Msg("store compacted its history, reading all keys")
+		wat.whole = true
+		return wat.list(ctx)
 	}
 	return update{changes: changes, confirmed: asked}, err
 }
--- a/entry/take.go
+++ b/entry/take.go
@@ -9,183 +9,182 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// replace takes a whole reading of a revision.
-func (obs *observer) replace(values []store.Value, rev store.Revision) {
+// replace applies a complete read of the store at a revision.
+func (wat *observer) replace(values []store.Value, rev store.Revision) {
 	var engines []fleet.Engine
 	var members []fleet.Member
-	var refused []string
-	obs.loseRing()
-	obs.loseHeld()
-	obs.replaceEvacuations(values, rev)
+	var invalid []string
+	wat.loseRing()
+	wat.loseHeld()
+	wat.replaceEvacuations(values, rev)
 	for _, val := range values {
 		switch kind, name := platform.KindOf(val.Key); kind {
 		case platform.KeyConfiguration:
-			obs.takeConfiguration(val)
+			wat.takeConfiguration(val)
 		case platform.KeyEngine:
-			if eng, usable := obs.decodeEngine(val); usable {
+			if eng, usable := wat.decodeEngine(val); usable {
 				engines = append(engines, eng)
 			} else {
-				refused = append(refused, name)
+				invalid = append(invalid, name)
 			}
 		case platform.KeyMember:
-			if mem, usable := obs.decodeMember(val); usable {
+			if mem, usable := wat.decodeMember(val); usable {
 				members = append(members, mem)
 			}
 		case platform.KeySurvey:
-			obs.takeSurvey(val)
+			wat.takeSurvey(val)
 		case platform.KeyRing:
-			obs.takeRing(val)
+			wat.takeRing(val)
 		case platform.KeyOrder:
-			obs.takeOrder(val)
+			wat.takeOrder(val)
 		case platform.KeyRolloutState:
-			obs.takeRolloutState(name, val)
+			wat.takeRolloutState(name, val)
 		case platform.KeyLedger:
-			obs.takeLedger(name, val)
+			wat.takeLedger(name, val)
 		case platform.KeyHolds:
-			obs.takeHeld(val)
+			wat.takeHeld(val)
 		case platform.KeyEvacuation:
-			obs.takeEvacuation(val)
+			wat.takeEvacuation(val)
 		case platform.KeyEvacuationState:
-			obs.takeEvacuationState(name, val)
+			wat.takeEvacuationState(name, val)
 		case platform.KeyOther:
-			obs.unread.takeKey(val)
+			wat.unread.takeKey(val)
 		}
 	}
-	obs.directory.Replace(obs.host.clock.Now(), engines, members)
-	for _, name := range refused {
-		obs.directory.DropEngine(name)
+	wat.directory.Replace(wat.host.clock.Now(), engines, members)
+	for _, name := range invalid {
+		wat.directory.DropEngine(name)
 	}
-	if obs.directory.Missing(obs.host.set.Name) {
-		obs.host.doubtLease()
+	if wat.directory.Missing(wat.host.set.Name) {
+		wat.host.doubtLease()
 	}
 }
 
-// decodeEngine reads an engine's entry; one that can't be used names no engine, and
-// whoever stood there is lost.
-func (obs *observer) decodeEngine(val store.Value) (fleet.Engine, bool) {
+// decodeEngine decodes an engine's entry. If it is invalid, the engine that was registered there is
+// dropped.
+func (wat *observer) decodeEngine(val store.Value) (fleet.Engine, bool) {
 	eng, err := platform.DecodeEngine(val)
-	return eng, obs.refused.usable(val, err, "engine entry names no engine to use")
+	return eng, wat.refused.usable(val, err, "engine entry names no engine to use")
 }
 
-// decodeMember reads a host's entry. Where this host's own can't be read by others, it
-// is written again.
-func (obs *observer) decodeMember(val store.Value) (fleet.Member, bool) {
+// decodeMember decodes a host's entry. If this host's own entry is invalid, it is written again.
+func (wat *observer) decodeMember(val store.Value) (fleet.Member, bool) {
 	mem, err := platform.DecodeMember(val)
-	usable := obs.refused.usable(val, err, "host entry names no host to use")
-	if !usable && val.Key == platform.MemberKey(obs.host.set.Name) {
-		obs.host.entryBroken.Store(true)
-		obs.host.doubtLease()
+	usable := wat.refused.usable(val, err, "host entry invalid, host not used")
+	if !usable && val.Key == platform.MemberKey(wat.host.set.Name) {
+		wat.host.entryBroken.Store(true)
+		wat.host.doubtLease()
 	}
 	return mem, usable
 }
 
-// take takes one change.
-func (obs *observer) take(cha store.Change) {
+// applyChange applies one change of the store.
+func (wat *observer) take(cha store.Change) {
 	if cha.Deleted {
-		obs.takeDeleted(cha)
+		wat.takeDeleted(cha)
 		return
 	}
 	switch kind, name := platform.KindOf(cha.Key); kind {
 	case platform.KeyConfiguration:
-		obs.takeConfiguration(cha.Value)
+		wat.takeConfiguration(cha.Value)
 	case platform.KeySurvey:
-		obs.takeSurvey(cha.Value)
+		wat.takeSurvey(cha.Value)
 	case platform.KeyEngine:
-		if eng, usable := obs.decodeEngine(cha.Value); usable {
-			obs.noteEngine(eng, cha.Revision)
+		if eng, usable := wat.decodeEngine(cha.Value); usable {
+			wat.noteEngine(eng, cha.Revision)
 		} else {
-			obs.directory.DropEngine(name)
+			wat.directory.DropEngine(name)
 		}
 	case platform.KeyMember:
-		if mem, usable := obs.decodeMember(cha.Value); usable {
-			obs.changed.entered = append(obs.changed.entered, name)
-			obs.directory.SetMember(mem)
+		if mem, usable := wat.decodeMember(cha.Value); usable {
+			wat.changed.entered = append(wat.changed.entered, name)
+			wat.directory.SetMember(mem)
 		} else {
-			obs.removeMember(name)
+			wat.removeMember(name)
 		}
 	case platform.KeyRing:
-		obs.takeRing(cha.Value)
+		wat.takeRing(cha.Value)
 	case platform.KeyOrder:
-		obs.takeOrder(cha.Value)
+		wat.takeOrder(cha.Value)
 	case platform.KeyRolloutState:
-		obs.takeRolloutState(name, cha.Value)
+		wat.takeRolloutState(name, cha.Value)
 	case platform.KeyLedger:
-		obs.takeLedger(name, cha.Value)
+		wat.takeLedger(name, cha.Value)
 	case platform.KeyHolds:
-		obs.takeHeld(cha.Value)
+		wat.takeHeld(cha.Value)
 	case platform.KeyEvacuation:
-		obs.takeEvacuation(cha.Value)
+		wat.takeEvacuation(cha.Value)
 	case platform.KeyEvacuationState:
-		obs.takeEvacuationState(name, cha.Value)
+		wat.takeEvacuationState(name, cha.Value)
 	case platform.KeyOther:
-		obs.unread.takeKey(cha.Value)
+		wat.unread.takeKey(cha.Value)
 	}
 }
 
-// takeDeleted takes a key's removal. A configuration, a survey and a roll-out stay in
-// force without theirs.
-func (obs *observer) takeDeleted(cha store.Change) {
-	obs.refused.accept(cha.Key)
+// takeDeleted applies the deletion of a key. A configuration, the measurements and a roll-out stay
+// in force after their keys are deleted.
+func (wat *observer) takeDeleted(cha store.Change) {
+	wat.refused.accept(cha.Key)
 	switch kind, name := platform.KindOf(cha.Key); kind {
 	case platform.KeyEngine:
-		obs.host.log.Info().Str("Engine", name).Uint64("Revision", uint64(cha.Revision)).Msg("engine gone")
-		obs.directory.RemoveEngine(obs.host.clock.Now(), name)
+		wat.host.log.Info().Str("Engine", name).Uint64("Revision", uint64(cha.Revision)).Msg("engine deregistered")
+		wat.directory.RemoveEngine(wat.host.clock.Now(), name)
 	case platform.KeyMember:
-		obs.removeMember(name)
-		if name == obs.host.set.Name {
-			obs.host.doubtLease()
+		wat.removeMember(name)
+		if name == wat.host.set.Name {
+			wat.host.doubtLease()
 		}
 	case platform.KeyRolloutState:
-		obs.rollouts.set(name, func(std *rollout.Standing) { std.State, std.StateVersion, std.StateRevision = 0, "", 0 })
+		wat.rollouts.set(name, func(std *rollout.Standing) { std.State, std.StateVersion, std.StateRevision = 0, "", 0 })
 	case platform.KeyLedger:
-		obs.rollouts.set(name, func(std *rollout.Standing) { std.Ledger, std.LedgerRevision = rollout.Ledger{}, 0 })
+		wat.rollouts.set(name, func(std *rollout.Standing) { std.Ledger, std.LedgerRevision = rollout.Ledger{}, 0 })
 	case platform.KeyRing:
-		obs.loseRing()
+		wat.loseRing()
 	case platform.KeyHolds:
-		obs.loseHeld()
+		wat.loseHeld()
 	case platform.KeyEvacuation:
-		obs.endEvacuation(name, cha.Revision)
+		wat.endEvacuation(name, cha.Revision)
 	case platform.KeyEvacuationState:
-		obs.setEvacuation(name, func(std *evacuation.Standing) { std.Told = evacuation.Told{} })
+		wat.setEvacuation(name, func(std *evacuation.Standing) { std.Told = evacuation.Told{} })
 	case platform.KeyConfiguration, platform.KeySurvey, platform.KeyOrder, platform.KeyOther:
 	}
 }
 
-func (obs *observer) removeMember(name string) {
-	obs.changed.gone = append(obs.changed.gone, name)
-	obs.directory.RemoveMember(obs.host.clock.Now(), name)
+func (wat *observer) removeMember(name string) {
+	wat.changed.gone = append(wat.changed.gone, name)
+	wat.directory.RemoveMember(wat.host.clock.Now(), name)
 }
 
-func (obs *observer) noteEngine(eng fleet.Engine, rev store.Revision) {
-	newer := obs.directory.SetEngine(obs.host.clock.Now(), eng)
-	obs.host.log.Info().Stringer("Engine", eng.ID).Str("Service", eng.Service).Str("Version", eng.Version).Stringer("Address", eng.Address).Bool("Draining", eng.Draining).Dur("ColdFor", eng.ColdFor).
+func (wat *observer) noteEngine(eng fleet.Engine, rev store.Revision) {
+	newer := wat.directory.SetEngine(wat.host.clock.Now(), eng)
+	wat.host.log.Info().Stringer("Engine", eng.ID).Str("Service", eng.Service).Str("Version", eng.Version).Stringer("Address", eng.Address).Bool("Draining", eng.Draining).Dur("ColdFor", eng.ColdFor).
 		Uint64("Sequence", eng.Sequence).Bool("Newer", newer).Uint64("Revision", uint64(rev)).Msg("engine entry")
 }
 
-// takeConfiguration puts a newer configuration in force; one that can't be used
-// is passed over whole, and the last good one stays.
-func (obs *observer) takeConfiguration(val store.Value) {
+// takeConfiguration puts a newer configuration in force. An invalid one is refused as a whole, and
+// the last valid one stays in force.
+func (wat *observer) takeConfiguration(val store.Value) {
 	con, err := platform.DecodeConfiguration(val.Data)
 	if err != nil {
-		obs.refused.refuse(val, err, "configuration refused, the last good one stays")
+		wat.refused.refuse(val, err, "configuration refused, keeping the last valid one")
 		return
 	}
-	if obs.table != nil && con.Version <= obs.table.Version() {
+	if wat.table != nil && con.Version <= wat.table.Version() {
 		return
 	}
 	tab, err := route.NewTable(con)
 	if err != nil {
-		obs.refused.refuse(val, err, "configuration refused, the last good one stays")
+		wat.refused.refuse(val, err, "configuration refused, keeping the last valid one")
 		return
 	}
-	obs.refused.accept(val.Key)
-	obs.unread.takeConfiguration(val)
-	obs.table = tab
-	obs.checkRegions(tab, val)
+	wat.refused.accept(val.Key)
+	wat.unread.takeConfiguration(val)
+	wat.table = tab
+	wat.checkRegions(tab, val)
 	for _, acc := range con.Accounts {
-		obs.host.log.Debug().Str("Account", acc.Name).Float64("Rate", acc.Rate).Float64("Burst", acc.Burst).Bool("ByTokens", acc.ByTokens).
+		wat.host.log.Debug().Str("Account", acc.Name).Float64("Rate", acc.Rate).Float64("Burst", acc.Burst).Bool("ByTokens", acc.ByTokens).
 			Interface("Rank", acc.Rank).Int("Keys", len(acc.Keys)).Uint64("Version", con.Version).Msg("client account")
 	}
-	obs.host.log.Info().Uint64("Version", con.Version).Uint64("Revision", uint64(val.Revision)).
+	wat.host.log.Info().Uint64("Version", con.Version).Uint64("Revision", uint64(val.Revision)).
 		Int("Routes", len(con.Routes)).Int("Accounts", len(con.Accounts)).Msg("configuration in force")
 }
