--- a/entry/changes.go
+++ b/entry/changes.go
@@ -6,17 +6,18 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// maxNamed bounds the names in the line of an update: after a loss of all hosts each
-// host of hundreds reads hundreds of entries, and a line each would be the whole log.
+// maxNamed bounds the names in the log line of an update: after a loss of all hosts each of
+// hundreds
+// of hosts reads hundreds of entries, and with a line for each these would fill the log.
 const maxNamed = 12
 
-// changeList is what one update changed of the hosts, for one line of the log.
+// memberChanges collects the hosts that one update registered or deregistered, for one log line.
 type changeList struct {
 	entered []string
 	gone    []string
 }
 
-// log writes the line, if there is anything to tell.
+// log writes the line, if any host changed.
 func (chl *changeList) log(log zerolog.Logger, rev store.Revision) {
 	if len(chl.entered)+len(chl.gone) == 0 {
 		return
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -10,11 +10,12 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-// keepAddresses is how long callers may keep an answer with addresses; some keep
-// it three times as long, which a planned stop waits for.
+// keepAddresses is how long clients may cache an answer with addresses. Some cache it three times
+// as
+// long, which a planned stop allows for.
 const keepAddresses = time.Second
 
-// plainTimeout bounds the reading of a question that has no body.
+// plainTimeout bounds the reading of the headers of a request without a body.
 const plainTimeout = 3 * time.Second
 
 func plainServer(handler http.Handler) *http.Server {
@@ -44,7 +45,7 @@
 		hos.awaitBegun(req.Context())
 		addresses := hos.addresses(hos.clock.Now(), platform.DecodeAddressesQuery(req))
 		if len(addresses) == 0 {
-			http.Error(wri, "no host takes requests", http.StatusServiceUnavailable)
+			http.Error(wri, "no host accepts requests", http.StatusServiceUnavailable)
 			return
 		}
 		data, err := platform.EncodeAddresses(addresses, keepAddresses)
@@ -53,32 +54,32 @@
 			return
 		}
 		wri.Header().Set("Content-Type", "application/json")
-		// A caller that has left can't be told anything more.
+		// An error means that the client has disconnected; there is no one left to report it to.
 		_, _ = wri.Write(data)
 	})
 }
 
-// addresses returns where a caller is sent: to the hosts of its region, or of those that may
-// hold its requests, that have an entry, but for those that the coordinator doesn't reach. A
-// host that leaves, or whose knowledge is too old to act on, names only others: they may know
-// better, and an old answer serves callers better than none.
+// addresses returns the addresses of the hosts that a client may use: the registered hosts of its
+// region, or of those regions that may hold its requests, except hosts that the coordinator can't
+// reach. A host that is draining, or whose snapshot is too old to act on, returns only other hosts:
+// their snapshots may be newer, and an old answer is better for clients than none.
 func (hos *Host) addresses(now time.Time, query platform.AddressesQuery) []netip.AddrPort {
-	bel := hos.belief.Load()
-	if bel.table == nil {
+	snp := hos.belief.Load()
+	if snp.table == nil {
 		return nil
 	}
-	takes := !hos.draining.Load() && hos.trusted(now)
+	accepts := !hos.draining.Load() && hos.trusted(now)
 	byRegion := make(map[string][]netip.AddrPort)
 	var all []netip.AddrPort
-	for _, mem := range bel.members {
-		if mem.Epoch == hos.epoch && !takes || hos.desk.isAbsent(mem.Epoch) {
+	for _, mem := range snp.members {
+		if mem.Epoch == hos.epoch && !accepts || hos.desk.isAbsent(mem.Epoch) {
 			continue
 		}
 		region := hos.set.Regions[mem.Domain]
 		byRegion[region] = append(byRegion[region], mem.CallerAddress)
 		all = append(all, mem.CallerAddress)
 	}
-	sco := bel.table.HostRegions(query.Host)
+	sco := snp.table.HostRegions(query.Host)
 	for _, regions := range regionsInOrder(sco, query.Region) {
 		if found := inRegions(byRegion, regions); len(found) > 0 {
 			return found
@@ -90,9 +91,9 @@
 	return all
 }
 
-// regionsInOrder returns the regions whose hosts a caller is to use, the best first: its own
-// where requests to the host name may be held there, then the others where they may be. Its own
-// comes last where they may not: no other host holds what that one does.
+// regionsInOrder returns the regions whose hosts a client is to use, the best first: its own if it
+// may hold requests to the host name, then the others that may. If its own may not, it comes last,
+// since hosts in no other region hold what its hosts do.
 func regionsInOrder(sco route.Scope, own string) [][]string {
 	if !sco.Bounded || slices.Contains(sco.Regions, own) {
 		return [][]string{{own}, sco.Regions}
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -10,94 +10,95 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// PathDump is where the metrics address answers with the host's state.
+// PathDump is the path on the metrics address that returns the host's state.
 const PathDump = "/dump"
 
 // Dump is the state of a host.
 type Dump struct {
 	Host  string
 	Epoch string
-	// Ready says why the host takes no requests; empty where it does.
+	// NotReady is why the host accepts no requests; empty if it does.
 	NotReady string
-	// Version is the configuration in force, Age how long ago it was last known
-	// to be current.
+	// Version is that of the configuration in force, Age how long ago the snapshot was last
+	// confirmed to be current.
 	Version uint64
 	Age     string
 	Members []fleet.Member
 	Engines []fleet.Engine
-	// Notices are what engines have said of themselves to this host, and holds.
+	// Notices are the engine signals that this host received and that are in force.
 	Notices []NoticeDump `json:",omitempty"`
-	// Coordinator is the epoch of the host that decides; Own says that it is this one.
+	// Coordinator is the epoch of the host whose scheduler decides; Own is set if it is this host.
 	Coordinator string
 	Own         bool
-	// Sessions are the coordinators that are reached, Gateways the hosts that this
-	// one's scheduler serves.
+	// Sessions are the coordinators that this host has sessions with, Gateways the hosts that this
+	// host's scheduler serves.
 	Sessions []string
 	Gateways []string
-	// Waiting and Held count the host's own requests.
+	// Waiting and Held count the host's own requests: those that wait for a decision, and those
+	// that have an engine.
 	Waiting   int
 	Held      int
 	Tasks     []string
 	Scheduler scheduler.Dump
-	// Evacuations are the failure domains that are being emptied.
+	// Evacuations are the failure domains that are being evacuated.
 	Evacuations []evacuation.Dump `json:",omitempty"`
 }
 
-// NoticeDump is what an engine has said of itself to this host.
+// NoticeDump is an engine signal that this host received.
 type NoticeDump struct {
 	Engine fleet.EngineID
 	Says   string
-	// Left is for how much longer a wish for a pause holds.
+	// Left is how much longer a requested backoff lasts.
 	Left string `json:",omitempty"`
-	// PerSecond is the rate that it takes; nil where it names none.
+	// PerSecond is the rate limit that the engine named; nil if there is none.
 	PerSecond *float64 `json:",omitempty"`
 }
 
 // Dump returns the host's state.
 func (hos *Host) Dump() Dump {
 	now := hos.clock.Now()
-	bel := hos.belief.Load()
-	_, why := hos.ready(now)
+	snp := hos.belief.Load()
+	_, reason := hos.ready(now)
 	dum := Dump{
-		Host: hos.set.Name, Epoch: hos.epoch.String(), NotReady: why, Age: hos.age(now).String(),
-		Members: bel.members, Tasks: hos.tasks.Names(),
+		Host: hos.set.Name, Epoch: hos.epoch.String(), NotReady: reason, Age: hos.age(now).String(),
+		Members: snp.members, Tasks: hos.tasks.Names(),
 	}
-	if bel.table != nil {
-		dum.Version = bel.table.Version()
+	if snp.table != nil {
+		dum.Version = snp.table.Version()
 	}
-	for _, eng := range bel.engines {
+	for _, eng := range snp.engines {
 		dum.Engines = append(dum.Engines, eng)
 	}
 	for _, not := range hos.notices.current() {
-		one := NoticeDump{Engine: not.Run, Says: not.Word.String()}
-		switch wrd := not.Word.(type) {
+		nod := NoticeDump{Engine: not.Run, Says: not.Word.String()}
+		switch sig := not.Word.(type) {
 		case fleet.Pause:
-			one.Left = wrd.Left.String()
+			nod.Left = sig.Left.String()
 		case fleet.RateLimit:
-			one.PerSecond = &wrd.PerSecond
+			nod.PerSecond = &sig.PerSecond
 		}
-		dum.Notices = append(dum.Notices, one)
+		dum.Notices = append(dum.Notices, nod)
 	}
 	hos.desk.dump(now, &dum)
 	return dum
 }
 
-func (des *desk) dump(now time.Time, dum *Dump) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	dum.Coordinator, dum.Own = des.active.String(), des.active == des.host.epoch
-	for _, lin := range des.links {
+func (bro *desk) dump(now time.Time, dum *Dump) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	dum.Coordinator, dum.Own = bro.active.String(), bro.active == bro.host.epoch
+	for _, lin := range bro.links {
 		dum.Sessions = append(dum.Sessions, lin.member.Name)
 	}
-	for _, inb := range des.inbound {
+	for _, inb := range bro.inbound {
 		dum.Gateways = append(dum.Gateways, inb.name)
 	}
-	dum.Waiting, dum.Held = len(des.tickets), len(des.holds)
-	dum.Scheduler = des.core.Dump(now)
-	if des.inCharge() {
-		des.evacuations.SetHosts(des.senders())
+	dum.Waiting, dum.Held = len(bro.tickets), len(bro.holds)
+	dum.Scheduler = bro.core.Dump(now)
+	if bro.inCharge() {
+		bro.evacuations.SetHosts(bro.senders())
 	}
-	dum.Evacuations = des.evacuations.Dump(des.core.RunningIn)
+	dum.Evacuations = bro.evacuations.Dump(bro.core.RunningIn)
 }
 
 func (hos *Host) serveDump(wri http.ResponseWriter, _ *http.Request) {
@@ -107,6 +108,6 @@
 		return
 	}
 	wri.Header().Set("Content-Type", "application/json")
-	// A reader that has left can't be told anything more.
+	// An error means that the client has disconnected; there is no one left to report it to.
 	_, _ = wri.Write(data)
 }
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -17,31 +17,33 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// Operators order failure domains to be emptied by the store. Each host keeps to what it knows
-// of that by itself, right before it sends a request, whoever granted it; it tells those who
-// decide, so that they grant it nothing there and know when all hosts keep to it.
+// Operators order the evacuation of a failure domain through the store. Each host enforces the
+// orders that it knows of by itself, immediately before it sends a request, regardless of which
+// host
+// granted it. It reports the enforced orders to the schedulers, which then grant it no engine in
+// these domains and know when all hosts enforce an order.
 
 const (
-	// evacuationInterval is how often the host that decides for all looks whether an order is
-	// carried out; idleEvacuation is the same for all others, any of which may be next.
+	// evacuationInterval is how often the coordinator checks the progress of evacuations;
+	// idleEvacuation is the same on all other hosts, any of which may become the coordinator.
 	evacuationInterval = 100 * time.Millisecond
 	idleEvacuation     = time.Second
-	// evacuationTimeout bounds the telling of how far an order is.
+	// evacuationTimeout bounds the writing of an evacuation's state.
 	evacuationTimeout = time.Second
 )
 
-// EvacuatedError reports a request that isn't sent since its engine's failure domain is being
-// emptied.
+// EvacuatedError reports a request that is not sent because the engine's failure domain is being
+// evacuated.
 type EvacuatedError struct {
 	Order evacuation.Order
 }
 
 // Error names the failure domain.
 func (eer *EvacuatedError) Error() string {
-	return "failure domain " + eer.Order.Domain + " is being emptied"
+	return "failure domain " + eer.Order.Domain + " is being evacuated"
 }
 
-// evacuations keeps this host's requests from failure domains that are being emptied.
+// evacuations keeps this host's requests out of failure domains that are being evacuated.
 type evacuations struct {
 	host  *Host
 	mutex sync.Mutex
@@ -52,8 +54,8 @@
 	return &evacuations{host: hos, gate: evacuation.NewGate()}
 }
 
-// enter returns an *EvacuatedError for a domain that is being emptied. Else the request may be
-// written, and leave is to be called when it is.
+// beginSend returns an *EvacuatedError if the domain is being evacuated. Otherwise the request may
+// be written, and endSend must be called once it is.
 func (eva *evacuations) enter(domain string) error {
 	eva.mutex.Lock()
 	defer eva.mutex.Unlock()
@@ -66,14 +68,14 @@
 
 func (eva *evacuations) leave(domain string) {
 	eva.mutex.Lock()
-	keeps := eva.gate.Leave(domain)
+	enforced := eva.gate.Leave(domain)
 	eva.mutex.Unlock()
-	if keeps {
+	if enforced {
 		eva.host.desk.tellEmptying()
 	}
 }
 
-// set takes the orders that are given now.
+// setOrders replaces the orders that are in force.
 func (eva *evacuations) set(orders []evacuation.Order) {
 	eva.mutex.Lock()
 	changed := eva.gate.Set(orders)
@@ -83,153 +85,153 @@
 	}
 }
 
-// kept returns the orders that this host keeps to.
+// enforced returns the orders that this host enforces.
 func (eva *evacuations) kept() []evacuation.Order {
 	eva.mutex.Lock()
 	defer eva.mutex.Unlock()
 	return eva.gate.Kept()
 }
 
-// tellEmptying tells those who decide, now or next, to which orders this host keeps.
-func (des *desk) tellEmptying() {
-	msg := reservation.Emptying{Orders: des.host.evacuations.kept()}
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	for epo := range des.links {
-		des.tell(epo, msg)
+// tellEmptying reports the orders that this host enforces to the schedulers that decide for it, or
+// would next.
+func (bro *desk) tellEmptying() {
+	msg := reservation.Emptying{Orders: bro.host.evacuations.kept()}
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	for epo := range bro.links {
+		bro.tell(epo, msg)
 	}
-	des.takeEmptying(des.host.epoch, msg)
+	bro.takeEmptying(bro.host.epoch, msg)
 }
 
-// tellEmptyingTo tells a host that decides, or would next; the mutex is held.
-func (des *desk) tellEmptyingTo(epo request.Epoch) {
-	if kept := des.host.evacuations.kept(); len(kept) > 0 {
-		des.tell(epo, reservation.Emptying{Orders: kept})
+// tellEmptyingTo reports the enforced orders to one host; the mutex must be held.
+func (bro *desk) tellEmptyingTo(epo request.Epoch) {
+	if enforced := bro.host.evacuations.kept(); len(enforced) > 0 {
+		bro.tell(epo, reservation.Emptying{Orders: enforced})
 	}
 }
 
-// takeEmptying takes a host's word of the orders that it keeps to; the mutex is held.
-func (des *desk) takeEmptying(from request.Epoch, msg reservation.Emptying) {
-	des.evacuations.Take(from, msg.Orders)
+// takeEmptying applies the orders that a host reported to enforce; the mutex must be held.
+func (bro *desk) takeEmptying(from request.Epoch, msg reservation.Emptying) {
+	bro.evacuations.Take(from, msg.Orders)
 	domains := make([]string, 0, len(msg.Orders))
 	for _, ord := range msg.Orders {
 		domains = append(domains, ord.Domain)
 	}
-	des.step(scheduler.DomainsClosed{Gateway: from, Domains: domains})
+	bro.step(scheduler.DomainsClosed{Gateway: from, Domains: domains})
 }
 
-// setEvacuation changes what the store holds of a failure domain; one of which it holds
-// nothing more is forgotten.
-func (obs *observer) setEvacuation(domain string, change func(*evacuation.Standing)) {
-	std := obs.evacuations[domain]
-	std.Order.Domain = domain
-	change(&std)
-	obs.evacuations[domain] = std
-	if std.Order.Revision == 0 && std.Told.Revision == 0 {
-		delete(obs.evacuations, domain)
+// setEvacuation changes the stored state of a failure domain. A domain of which the store holds
+// nothing more is removed.
+func (wat *observer) setEvacuation(domain string, change func(*evacuation.Standing)) {
+	sst := wat.evacuations[domain]
+	sst.Order.Domain = domain
+	change(&sst)
+	wat.evacuations[domain] = sst
+	if sst.Order.Revision == 0 && sst.Told.Revision == 0 {
+		delete(wat.evacuations, domain)
 	}
-	obs.evacuationsChanged = true
+	wat.evacuationsChanged = true
 }
 
-// takeEvacuation takes an operator's order to empty a failure domain.
-func (obs *observer) takeEvacuation(val store.Value) {
+// takeEvacuation applies an operator's order to evacuate a failure domain.
+func (wat *observer) takeEvacuation(val store.Value) {
 	ord, err := platform.DecodeEvacuation(val)
-	obs.refused.usable(val, err, "evacuation with a value that can't be read")
+	wat.refused.usable(val, err, "evacuation with a value that can't be read")
 	if ord.Domain == "" {
 		return
 	}
-	obs.host.log.Info().Str("Domain", ord.Domain).Uint64("Revision", ord.Revision).Dur("Age", obs.host.age(obs.host.clock.Now())).Msg("evacuation ordered")
-	obs.setEvacuation(ord.Domain, func(std *evacuation.Standing) { std.Order = ord })
+	wat.host.log.Info().Str("Domain", ord.Domain).Uint64("Revision", ord.Revision).Dur("Age", wat.host.age(wat.host.clock.Now())).Msg("evacuation ordered")
+	wat.setEvacuation(ord.Domain, func(sst *evacuation.Standing) { sst.Order = ord })
 }
 
-// endEvacuation notes that an order is taken back.
-func (obs *observer) endEvacuation(domain string, rev store.Revision) {
-	if obs.evacuations[domain].Order.Revision == 0 {
+// endEvacuation records that an order was withdrawn.
+func (wat *observer) endEvacuation(domain string, rev store.Revision) {
+	if wat.evacuations[domain].Order.Revision == 0 {
 		return
 	}
-	obs.host.log.Info().Str("Domain", domain).Uint64("Revision", uint64(rev)).Dur("Age", obs.host.age(obs.host.clock.Now())).Msg("evacuation taken back")
-	obs.setEvacuation(domain, func(std *evacuation.Standing) { std.Order.Revision = 0 })
-	obs.reopened = append(obs.reopened, domain)
+	wat.host.log.Info().Str("Domain", domain).Uint64("Revision", uint64(rev)).Dur("Age", wat.host.age(wat.host.clock.Now())).Msg("evacuation order withdrawn")
+	wat.setEvacuation(domain, func(sst *evacuation.Standing) { sst.Order.Revision = 0 })
+	wat.reopened = append(wat.reopened, domain)
 }
 
-// takeEvacuationState takes what was told of an order.
-func (obs *observer) takeEvacuationState(domain string, val store.Value) {
-	told, err := platform.DecodeEvacuationState(val)
-	// The revision of a state that can't be read counts all the same: the next one is told in
-	// its place.
-	obs.refused.usable(val, err, "evacuation state passed over")
-	obs.setEvacuation(domain, func(std *evacuation.Standing) { std.Told = told })
+// takeEvacuationState applies the published state of an order.
+func (wat *observer) takeEvacuationState(domain string, val store.Value) {
+	published, err := platform.DecodeEvacuationState(val)
+	// The revision of an invalid state is needed all the same: the next state is written in its
+	// place.
+	wat.refused.usable(val, err, "stored evacuation state invalid, ignored")
+	wat.setEvacuation(domain, func(sst *evacuation.Standing) { sst.Told = published })
 }
 
-// replaceEvacuations begins a whole reading: orders that it lacks are taken back.
-func (obs *observer) replaceEvacuations(values []store.Value, rev store.Revision) {
+// replaceEvacuations prepares a complete read: orders that it lacks are withdrawn.
+func (wat *observer) replaceEvacuations(values []store.Value, rev store.Revision) {
 	given := make(map[string]bool)
 	for _, val := range values {
 		if kind, name := platform.KindOf(val.Key); kind == platform.KeyEvacuation {
 			given[name] = true
 		}
 	}
-	for _, domain := range slices.Sorted(maps.Keys(obs.evacuations)) {
+	for _, domain := range slices.Sorted(maps.Keys(wat.evacuations)) {
 		if !given[domain] {
-			obs.endEvacuation(domain, rev)
+			wat.endEvacuation(domain, rev)
 		}
-		obs.setEvacuation(domain, func(std *evacuation.Standing) { std.Told = evacuation.Told{} })
+		wat.setEvacuation(domain, func(sst *evacuation.Standing) { sst.Told = evacuation.Told{} })
 	}
 }
 
-// publishEvacuations puts the orders in force, before anything else that an update brought:
-// whoever is to send a request looks at them last.
-func (obs *observer) publishEvacuations(now time.Time, tab *route.Table) {
-	if !obs.evacuationsChanged {
+// publishEvacuations puts the orders in force, before anything else of an update: they are the last
+// check before a request is sent.
+func (wat *observer) publishEvacuations(now time.Time, tab *route.Table) {
+	if !wat.evacuationsChanged {
 		return
 	}
-	obs.evacuationsChanged = false
-	for _, domain := range obs.reopened {
-		// Its engines had nothing to do. They may be cold, and tell so later than they are used.
-		obs.directory.Chill(now, domain, coldFor(tab))
+	wat.evacuationsChanged = false
+	for _, domain := range wat.reopened {
+		// Its engines had no requests. They may be cold, and report that only after they are used.
+		wat.directory.Chill(now, domain, coldFor(tab))
 	}
-	obs.reopened = nil
+	wat.reopened = nil
 	var orders []evacuation.Order
-	standings := slices.Collect(maps.Values(obs.evacuations))
-	for _, std := range standings {
-		if std.Order.Revision > 0 {
-			orders = append(orders, std.Order)
-			obs.checkDomain(std.Order)
+	states := slices.Collect(maps.Values(wat.evacuations))
+	for _, sst := range states {
+		if sst.Order.Revision > 0 {
+			orders = append(orders, sst.Order)
+			wat.checkDomain(sst.Order)
 		}
 	}
-	obs.host.evacuations.set(orders)
-	obs.host.desk.setEvacuations(standings)
+	wat.host.evacuations.set(orders)
+	wat.host.desk.setEvacuations(states)
 	select {
-	case obs.host.evacuationNews <- struct{}{}:
+	case wat.host.evacuationNews <- struct{}{}:
 	default:
 	}
 }
 
-// checkDomain names an order for a failure domain in which there is nothing: it may be meant
-// for another one. It holds all the same, for engines that are still to come.
-func (obs *observer) checkDomain(ord evacuation.Order) {
-	known := slices.ContainsFunc(obs.directory.Engines(), func(eng fleet.Engine) bool { return eng.Domain == ord.Domain }) ||
-		slices.ContainsFunc(obs.directory.Members(), func(mem fleet.Member) bool { return mem.Domain == ord.Domain })
-	if known || obs.unknownDomains[ord] {
+// checkDomain logs an order for a failure domain without engines and hosts: another domain may be
+// meant. The order is in force all the same, for engines that register later.
+func (wat *observer) checkDomain(ord evacuation.Order) {
+	known := slices.ContainsFunc(wat.directory.Engines(), func(eng fleet.Engine) bool { return eng.Domain == ord.Domain }) ||
+		slices.ContainsFunc(wat.directory.Members(), func(mem fleet.Member) bool { return mem.Domain == ord.Domain })
+	if known || wat.unknownDomains[ord] {
 		return
 	}
-	obs.unknownDomains[ord] = true
-	obs.host.figures.count("EvacuationsOfUnknownDomains")
-	obs.host.log.Warn().Str("Domain", ord.Domain).Uint64("Revision", ord.Revision).Msg("evacuation of a failure domain without engines and hosts")
+	wat.unknownDomains[ord] = true
+	wat.host.figures.count("EvacuationsOfUnknownDomains")
+	wat.host.log.Warn().Str("Domain", ord.Domain).Uint64("Revision", ord.Revision).Msg("evacuation of a failure domain without engines and hosts")
 }
 
-// markEmptied marks the engines whose failure domain is being emptied.
-func (obs *observer) markEmptied(engines []fleet.Engine) {
-	if len(obs.evacuations) == 0 {
+// markEmptied marks the engines whose failure domain is being evacuated.
+func (wat *observer) markEmptied(engines []fleet.Engine) {
+	if len(wat.evacuations) == 0 {
 		return
 	}
 	for idx, eng := range engines {
-		engines[idx].Emptied = obs.evacuations[eng.Domain].Order.Revision > 0
+		engines[idx].Emptied = wat.evacuations[eng.Domain].Order.Revision > 0
 	}
 }
 
-// coldFor returns a function that returns for how long engines of a service are cold after
-// their start.
+// coldFor returns a function that returns how long engines of a service are cold after their start.
 func coldFor(tab *route.Table) func(service string) time.Duration {
 	return func(service string) time.Duration {
 		if tab == nil {
@@ -240,65 +242,67 @@
 	}
 }
 
-// setEvacuations takes what the store holds.
-func (des *desk) setEvacuations(standings []evacuation.Standing) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	des.evacuations.SetStandings(standings)
+// setEvacuations replaces the stored state of all evacuations.
+func (bro *desk) setEvacuations(states []evacuation.Standing) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	bro.evacuations.SetStandings(states)
 }
 
-// evacuationWrites returns what this host is to tell of orders, if it decides for all, and when
-// to look again; 0 for not before there is news.
-func (des *desk) evacuationWrites(now time.Time) ([]evacuation.Write, time.Duration) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if !des.evacuations.Open() {
+// evacuationWrites returns the states that this host is to publish if it is the coordinator, and
+// how
+// long to wait before the next call; 0 to wait for an update.
+func (bro *desk) evacuationWrites(now time.Time) ([]evacuation.Write, time.Duration) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if !bro.evacuations.Open() {
 		return nil, 0
 	}
-	if !des.inCharge() {
+	if !bro.inCharge() {
 		return nil, idleEvacuation
 	}
-	des.evacuations.SetHosts(des.senders())
-	return des.evacuations.Writes(now, des.core.RunningIn), evacuationInterval
+	bro.evacuations.SetHosts(bro.senders())
+	return bro.evacuations.Writes(now, bro.core.RunningIn), evacuationInterval
 }
 
-// senders returns the hosts that may send requests to engines: those with an entry, and those
-// without that have a session all the same.
-func (des *desk) senders() []request.Epoch {
+// senders returns the hosts that may send requests to engines: those that are registered, and those
+// that are not but have a session.
+func (bro *desk) senders() []request.Epoch {
 	var senders []request.Epoch
-	for _, mem := range des.roster.members {
+	for _, mem := range bro.roster.members {
 		senders = append(senders, mem.Epoch)
 	}
-	for _, inb := range des.inbound {
+	for _, inb := range bro.inbound {
 		senders = append(senders, inb.gateway)
 	}
-	return append(senders, des.host.epoch)
+	return append(senders, bro.host.epoch)
 }
 
-// keepEvacuations tells operators how far orders are while this host decides for all.
+// keepEvacuations publishes the progress of evacuations while this host is the coordinator.
 func (hos *Host) keepEvacuations(ctx context.Context) error {
-	look := time.NewTimer(0)
-	defer look.Stop()
-	look.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	timer.Stop()
 	for {
 		select {
 		case <-hos.evacuationNews:
-		case <-look.C:
+		case <-timer.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		writes, again := hos.desk.evacuationWrites(hos.clock.Now())
+		writes, wait := hos.desk.evacuationWrites(hos.clock.Now())
 		for _, wri := range writes {
 			hos.writeEvacuation(ctx, wri)
 		}
-		if again > 0 {
-			look.Reset(again)
+		if wait > 0 {
+			timer.Reset(wait)
 		}
 	}
 }
 
-// writeEvacuation tells how far an order is under the condition of what was told before. One
-// that isn't answered may have been done; what the store holds is read, and decides.
+// writeEvacuation publishes the state of an order, on condition that the previous state is
+// unchanged.
+// A write without an answer may have been made; the state that is read from the store next decides.
 func (hos *Host) writeEvacuation(ctx context.Context, wri evacuation.Write) {
 	ctx, cancel := context.WithTimeout(ctx, evacuationTimeout)
 	defer cancel()
@@ -314,8 +318,8 @@
 	evt := hos.log.Info().Str("Domain", wri.Domain).Uint64("Order", wri.Order).Stringer("State", wri.State).Bool("TakenBack", wri.Delete).
 		Uint64("Expected", wri.Expect).Uint64("Revision", uint64(rev))
 	if err != nil {
-		evt.Err(err).Msg("evacuation not told")
+		evt.Err(err).Msg("writing the evacuation state failed")
 		return
 	}
-	evt.Msg("evacuation told")
+	evt.Msg("evacuation state written")
 }
--- a/entry/figures.go
+++ b/entry/figures.go
@@ -10,22 +10,22 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// figures are the host's counters and histograms.
+// hostMetrics holds the host's counters, gauges and histograms.
 type figures struct {
 	registry      metrics.Registry
 	dialed        metrics.Counter
 	storeFailures metrics.Counter
-	// refused counts values of the store that can't be used.
+	// refused counts invalid values in the store.
 	refused metrics.Counter
-	// peersRefused counts hosts that didn't prove to be of this deployment.
+	// peersRefused counts peers that failed to authenticate as hosts of this deployment.
 	peersRefused metrics.Counter
-	// version, engines and members tell what the host believes.
+	// version, engines and members describe the host's snapshot.
 	version metrics.Gauge
 	engines metrics.Gauge
 	members metrics.Gauge
 }
 
-// The reservoir of a histogram: its size, and how much it prefers what is new.
+// The reservoir of a histogram: its size, and the weight of recent values.
 const (
 	sampleSize  = 512
 	sampleAlpha = 0.015
@@ -33,28 +33,28 @@
 
 func newFigures(linesDropped func() int64) *figures {
 	reg := metrics.NewRegistry()
-	fig := &figures{
+	hme := &figures{
 		registry: reg, dialed: metrics.NewCounter(), storeFailures: metrics.NewCounter(), refused: metrics.NewCounter(), peersRefused: metrics.NewCounter(),
 		version: metrics.NewGauge(), engines: metrics.NewGauge(), members: metrics.NewGauge(),
 	}
-	for name, figure := range map[string]any{
-		"EngineConnections": fig.dialed, "StoreFailures": fig.storeFailures, "StoreValuesRefused": fig.refused, "PeersRefused": fig.peersRefused, "LogLinesDropped": metrics.NewFunctionalGauge(linesDropped),
-		"ConfigurationVersion": fig.version, "EnginesReady": fig.engines, "Members": fig.members,
+	for name, metric := range map[string]any{
+		"EngineConnections": hme.dialed, "StoreFailures": hme.storeFailures, "StoreValuesRefused": hme.refused, "PeersRefused": hme.peersRefused, "LogLinesDropped": metrics.NewFunctionalGauge(linesDropped),
+		"ConfigurationVersion": hme.version, "EnginesReady": hme.engines, "Members": hme.members,
 	} {
-		// A fresh registry holds no such name yet.
-		_ = reg.Register(name, figure)
+		// A new registry holds no such name yet.
+		_ = reg.Register(name, metric)
 	}
-	return fig
+	return hme
 }
 
-// count adds one to a counter, which is made at its first use.
-func (fig *figures) count(name string) {
-	metrics.GetOrRegisterCounter(name, fig.registry).Inc(1)
+// count increments a counter, which is created on first use.
+func (hme *figures) count(name string) {
+	metrics.GetOrRegisterCounter(name, hme.registry).Inc(1)
 }
 
-// observe adds a time to a histogram of microseconds.
-func (fig *figures) observe(name string, took time.Duration) {
-	his, known := fig.registry.GetOrRegister(name, func() metrics.Histogram {
+// observe adds a duration to a histogram of microseconds, which is created on first use.
+func (hme *figures) observe(name string, took time.Duration) {
+	his, known := hme.registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	}).(metrics.Histogram)
 	if known {
@@ -62,16 +62,16 @@
 	}
 }
 
-// quantiles are those shown of a histogram.
+// quantiles are the ones written of each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// text returns all figures and the calls to the store by kind, one a line, sorted.
-func (fig *figures) text(calls map[string]uint64) []byte {
+// text returns all metrics and the calls to the store by kind, one per line, sorted.
+func (hme *figures) text(calls map[string]uint64) []byte {
 	var lines []string
 	for kind, count := range calls {
 		lines = append(lines, fmt.Sprintf("StoreCalls.%s %d", kind, count))
 	}
-	fig.registry.Each(func(name string, value any) {
+	hme.registry.Each(func(name string, value any) {
 		switch val := value.(type) {
 		case metrics.Counter:
 			lines = append(lines, fmt.Sprintf("%s %d", name, val.Count()))
@@ -105,7 +105,7 @@
 			return
 		}
 		wri.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		// A reader that has left can't be told anything more.
+		// An error means that the client has disconnected; there is no one left to report it to.
 		_, _ = wri.Write(hos.figures.text(hos.store.Counts()))
 	})
 }
--- a/entry/held.go
+++ b/entry/held.go
@@ -14,49 +14,51 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// Held requests lie in the store, so that they outlast the loss of all hosts: without it
-// each such request would end three more engines after each. The host that decides for all
-// writes them when one is newly held, which costs a calm day nothing; until then, and while
-// the store is away, each host knows them by the others' word.
+// Held requests are stored, so that they outlast the loss of all hosts: otherwise each such request
+// would crash three more engines after each loss. The coordinator writes them when a request is
+// newly held, so a calm day costs no calls. Until then, and while the store is unreachable, each
+// host
+// learns them from the reports of the others.
 
 const (
-	// PathFree is where the metrics address takes a request's digest by POST, to let it go.
+	// PathFree is the path on the metrics address that frees a held request: POST with its digest.
 	PathFree = "/held/free"
-	// queryDigest names the digest there.
+	// queryDigest is the query parameter that holds the digest.
 	queryDigest = "digest"
-	// statusHeld is the status of a held request: it has run, and no promise is made.
+	// statusHeld is the status of a held request's answer: the request has run, and the status must
+	// not promise that it hasn't.
 	statusHeld = http.StatusBadGateway
-	// heldTimeout bounds the writing of held requests, and heldRetry is after what time one
-	// that failed is made again.
+	// heldTimeout bounds the writing of held requests; heldRetry is the time after which a write is
+	// checked or repeated.
 	heldTimeout = time.Second
 	heldRetry   = time.Second
 )
 
-// takeHeld takes the held requests that lie in the store.
-func (obs *observer) takeHeld(val store.Value) {
+// takeHeld applies the held requests in the store.
+func (wat *observer) takeHeld(val store.Value) {
 	holds, err := platform.DecodeHolds(val)
-	obs.host.heldRevision.Store(uint64(val.Revision))
-	if !obs.refused.usable(val, err, "held requests passed over, those known stay") {
+	wat.host.heldRevision.Store(uint64(val.Revision))
+	if !wat.refused.usable(val, err, "stored held requests invalid, keeping the known ones") {
 		return
 	}
-	obs.host.desk.handle(scheduler.HeldRead{Holds: holds})
+	wat.host.desk.handle(scheduler.HeldRead{Holds: holds})
 }
 
-// loseHeld notes that no held requests lie in the store. Those that are known stay: another
-// writer may have taken the key away.
-func (obs *observer) loseHeld() {
-	obs.host.heldRevision.Store(0)
+// loseHeld records that the store holds no held requests. Those that are known stay held: another
+// writer may have deleted the key.
+func (wat *observer) loseHeld() {
+	wat.host.heldRevision.Store(0)
 }
 
-// wakeHeld has the held requests written if they differ from the store's.
-func (des *desk) wakeHeld() {
+// wakeHeld makes keepHeld write the held requests if they differ from the stored ones.
+func (bro *desk) wakeHeld() {
 	select {
-	case des.host.heldNews <- struct{}{}:
+	case bro.host.heldNews <- struct{}{}:
 	default:
 	}
 }
 
-// keepHeld writes the held requests to the store while this host decides for all.
+// keepHeld writes the held requests to the store while this host is the coordinator.
 func (hos *Host) keepHeld(ctx context.Context) error {
 	retry := time.NewTimer(0)
 	defer retry.Stop()
@@ -74,18 +76,18 @@
 	}
 }
 
-// writeHeld writes the held requests if they differ from the store's, and reports whether
-// that is to be looked at again.
+// writeHeld writes the held requests if they differ from the stored ones, and reports whether that
+// must be checked again.
 func (hos *Host) writeHeld(ctx context.Context) bool {
 	hos.desk.mutex.Lock()
 	holds, differ := hos.desk.core.HoldsToStore()
-	inCharge := hos.desk.inCharge()
+	coordinates := hos.desk.inCharge()
 	hos.desk.mutex.Unlock()
 	if !differ {
 		return false
 	}
-	if !inCharge {
-		// Whoever is in charge knows them too; this host may be next.
+	if !coordinates {
+		// The coordinator knows them too; this host may be the next coordinator.
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
@@ -97,44 +99,45 @@
 		rev, err = hos.store.Put(ctx, store.Write{Key: platform.HoldsKey(), Data: data, Expect: expect})
 	}
 	if err != nil {
-		hos.log.Warn().Err(err).Int("Held", len(holds)).Uint64("Expected", uint64(expect)).Msg("held requests not written")
+		hos.log.Warn().Err(err).Int("Held", len(holds)).Uint64("Expected", uint64(expect)).Msg("writing held requests failed")
 		return true
 	}
 	hos.log.Info().Int("Held", len(holds)).Uint64("Revision", uint64(rev)).Msg("held requests written")
 	return true
 }
 
-// UnknownDigestError reports a request that isn't held and never ended an engine.
+// UnknownDigestError reports a request that is not held and has never crashed an engine.
 type UnknownDigestError struct {
 	Digest call.Digest
 }
 
 // Error names the digest.
 func (ude *UnknownDigestError) Error() string {
-	return "nothing is known against a request with digest " + ude.Digest.String()
+	return "request with digest " + ude.Digest.String() + " is not held and has crashed no engine"
 }
 
-// Free lets a request go, here and by word to the hosts that decide, which tell the others
-// and the store. It returns an *UnknownDigestError where nothing was known against it.
+// Free frees a held request, here and at the hosts that decide, which pass it on to the other hosts
+// and to the store. It returns an *UnknownDigestError if the request is not held and has never
+// crashed an engine.
 func (hos *Host) Free(dig call.Digest) error {
 	hos.desk.mutex.Lock()
 	defer hos.desk.mutex.Unlock()
 	if !hos.desk.core.KnowsCase(dig) {
 		return &UnknownDigestError{Digest: dig}
 	}
-	hos.log.Info().Stringer("Digest", dig).Msg("operator frees a request")
+	hos.log.Info().Stringer("Digest", dig).Msg("operator freed a request")
 	hos.desk.step(scheduler.RequestFreed{Digest: dig})
 	return nil
 }
 
 func (hos *Host) serveFree(wri http.ResponseWriter, req *http.Request) {
 	if req.Method != http.MethodPost {
-		http.Error(wri, "want POST", http.StatusMethodNotAllowed)
+		http.Error(wri, "want method POST", http.StatusMethodNotAllowed)
 		return
 	}
 	dig, err := call.ParseDigest(req.URL.Query().Get(queryDigest))
 	if err == nil && dig == (call.Digest{}) {
-		err = errors.New(queryDigest + ": want a digest")
+		err = errors.New(queryDigest + ": want the digest of a request")
 	}
 	if err != nil {
 		http.Error(wri, err.Error(), http.StatusBadRequest)
@@ -146,6 +149,6 @@
 		return
 	}
 	wri.Header().Set("Content-Type", "application/json")
-	// A reader that has left can't be told anything more.
+	// An error means that the client has disconnected; there is no one left to report it to.
 	_ = json.NewEncoder(wri).Encode(struct{ Freed call.Digest }{Freed: dig})
 }
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -12,33 +12,37 @@
 )
 
 const (
-	// minRenew and maxRenew bound how often a lease is renewed. In a small fleet a lost
-	// host's entry lapses within seconds. In a large one it takes half a minute at most:
-	// callers aren't sent there for so long, since the coordinator sees its session end;
-	// what lapses is the entry of a host that never comes back.
+	// minRenew and maxRenew bound how often a lease is renewed. In a small fleet a lost host's
+	// entry
+	// expires within seconds, in a large one within half a minute. No clients are sent to the host
+	// for
+	// that long, since the coordinator notices the end of its session; what expires is the entry of
+	// a
+	// host that never comes back.
 	minRenew = time.Second
 	maxRenew = 10 * time.Second
-	// renewalsToLapse is how many renewals must fail before the entry goes.
+	// renewalsToLapse is how many renewals must fail before the entry expires.
 	renewalsToLapse = 3
-	// awaitSize bounds how long a host that starts waits to learn of the fleet before it
-	// enters: a first reading takes some milliseconds.
+	// awaitSize bounds how long a starting host waits for its first read of the store before it
+	// registers, so that it knows the size of the fleet: a first read takes some milliseconds.
 	awaitSize = 150 * time.Millisecond
-	// fleetRenewals is how many renewals a second all hosts make together: with hundreds of
-	// hosts they would be most calls of a calm day.
+	// fleetRenewals is how many renewals a second all hosts make together: with hundreds of hosts
+	// they would otherwise be most calls of a calm day.
 	fleetRenewals = 30
-	// minLeaseRetry and maxLeaseRetry bound the pause after a call that failed: the
-	// first soon, since the lease runs on, the later ones seldom, since a store that
-	// is lost or over its rate isn't helped by a whole fleet that calls on. The
-	// observer tells when the store is back.
+	// minLeaseRetry and maxLeaseRetry bound the backoff after a failed call. The first retry is
+	// soon,
+	// since the lease continues to run out; later ones are rare, since a whole fleet that continues
+	// to call doesn't help a store that is unreachable or over its rate limit. The store watcher
+	// reports when the store is reachable again.
 	minLeaseRetry = 400 * time.Millisecond
 	maxLeaseRetry = 2 * time.Second
-	// enterSpread is the time over which hosts come back to a store that is back.
+	// enterSpread is the jitter of hosts that return to a store that is reachable again.
 	enterSpread = 300 * time.Millisecond
 	// leaveTimeout bounds the removal of the entry at a planned stop.
 	leaveTimeout = 2 * time.Second
 )
 
-// keepLease keeps the host's own entry in the store until it leaves.
+// keepLease keeps the host registered in the store until a planned stop.
 func (hos *Host) keepLease(ctx context.Context) error {
 	var lease store.LeaseID
 	var pause, ttl time.Duration
@@ -53,13 +57,13 @@
 			err = hos.store.RenewLease(ctx, lease)
 		}
 		wait := renewInterval(hosts)
-		var lapsed *store.LeaseError
+		var expired *store.LeaseError
 		switch {
-		case errors.As(err, &lapsed):
-			hos.log.Warn().Err(err).Msg("lease lapsed")
+		case errors.As(err, &expired):
+			hos.log.Warn().Err(err).Msg("lease expired")
 			lease, wait = 0, 0
 		case err != nil:
-			hos.log.Debug().Err(err).Msg("lease not renewed")
+			hos.log.Debug().Err(err).Msg("renewing the lease or registering the host failed")
 			pause = min(maxLeaseRetry, max(minLeaseRetry, 2*pause))
 			wait = pause/2 + rand.N(pause)
 		default:
@@ -76,13 +80,14 @@
 	return nil
 }
 
-// renewInterval returns how often each of so many hosts renews its lease.
+// renewInterval returns how often each host of a fleet of that size renews its lease.
 func renewInterval(hosts int) time.Duration {
 	return min(maxRenew, max(minRenew, time.Second*time.Duration(hosts)/fleetRenewals))
 }
 
-// leaseTime returns after what time without a renewal the entry of one of so many hosts
-// goes. A host that knows of no other yet takes the longest: hundreds may be starting.
+// leaseTime returns after what time without a renewal the entry of a host expires in a fleet of
+// that
+// size. A host that knows no other host yet takes the longest: hundreds may be starting.
 func leaseTime(hosts int) time.Duration {
 	if hosts <= 1 {
 		return renewalsToLapse * maxRenew
@@ -90,18 +95,19 @@
 	return renewalsToLapse * renewInterval(hosts)
 }
 
-// misfits reports whether a lease's time is so far from the one wanted that another is
+// misfits reports whether a lease's duration differs so much from the wanted one that a new lease
+// is
 // worth its two calls.
 func misfits(ttl, wanted time.Duration) bool {
 	return ttl > 2*wanted || wanted > 2*ttl
 }
 
-// settled reports whether hosts that started with this one have entered too.
+// pastStartup reports whether hosts that started together with this one have had time to register.
 func (hos *Host) settled() bool {
 	return hos.clock.Since(hos.started) > startSettles
 }
 
-// awaitListed waits for the first reading of the store.
+// awaitListed waits for the first read of the store, at most awaitSize.
 func (hos *Host) awaitListed(ctx context.Context) {
 	timer := time.NewTimer(awaitSize)
 	defer timer.Stop()
@@ -113,18 +119,18 @@
 	}
 }
 
-// waitForLease waits until the lease is due, or may have lapsed. It reports whether
-// the host stays.
+// waitForLease waits until the lease is due for renewal, or may have expired. It reports false once
+// the host stops.
 func (hos *Host) waitForLease(ctx context.Context, wait time.Duration) bool {
-	back := hos.leaseDoubt
+	wake := hos.leaseDoubt
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
 			return true
-		case <-back:
-			back = nil
+		case <-wake:
+			wake = nil
 			timer.Reset(min(wait, rand.N(enterSpread)))
 		case <-hos.leaving:
 			return false
@@ -134,8 +140,8 @@
 	}
 }
 
-// doubtLease has the lease renewed soon: after the store was lost, and where the
-// host's own entry is gone.
+// doubtLease makes keepLease renew the lease soon: after the store was unreachable, after a
+// suspension, and when the host's own entry is missing or invalid.
 func (hos *Host) doubtLease() {
 	select {
 	case hos.leaseDoubt <- struct{}{}:
@@ -143,8 +149,8 @@
 	}
 }
 
-// enter takes a lease and writes the host's entry under it. A write whose answer
-// is lost is made again under a new lease; the former one lapses by itself.
+// register takes a lease and writes the host's entry under it. A write whose answer is lost is
+// repeated under a new lease; the previous lease expires by itself.
 func (hos *Host) enter(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 	lease, err := hos.store.GrantLease(ctx, ttl)
 	if err != nil {
@@ -158,11 +164,11 @@
 	if err != nil {
 		return 0, err
 	}
-	hos.log.Info().Uint64("Lease", uint64(lease)).Dur("LeaseTime", ttl).Uint64("Revision", uint64(rev)).Msg("host entered")
+	hos.log.Info().Uint64("Lease", uint64(lease)).Dur("LeaseTime", ttl).Uint64("Revision", uint64(rev)).Msg("host registered")
 	return lease, nil
 }
 
-// leave takes the host's entry away.
+// deregister removes the host's entry by revoking its lease.
 func (hos *Host) leave(ctx context.Context, lease store.LeaseID) {
 	if lease == 0 {
 		return
@@ -170,9 +176,9 @@
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := hos.store.RevokeLease(ctx, lease); err != nil {
-		// The entry goes when its lease lapses.
-		hos.log.Warn().Err(err).Msg("host entry not taken away")
+		// The entry is removed when its lease expires.
+		hos.log.Warn().Err(err).Msg("revoking the lease failed, the host entry stays until the lease expires")
 		return
 	}
-	hos.log.Info().Uint64("Lease", uint64(lease)).Msg("host left")
+	hos.log.Info().Uint64("Lease", uint64(lease)).Msg("host deregistered")
 }
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -5,51 +5,51 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// publish makes what the observer knows the host's belief.
-func (obs *observer) publish() {
-	obs.publishEvacuations(obs.host.clock.Now(), obs.table)
-	engines := obs.directory.Engines()
-	obs.markEmptied(engines)
-	bel := &belief{table: obs.table, engines: make(map[string]fleet.Engine, len(engines)), members: obs.directory.Members()}
+// publish makes the state of the store watcher the host's snapshot and passes on the changes.
+func (wat *observer) publish() {
+	wat.publishEvacuations(wat.host.clock.Now(), wat.table)
+	engines := wat.directory.Engines()
+	wat.markEmptied(engines)
+	snp := &belief{table: wat.table, engines: make(map[string]fleet.Engine, len(engines)), members: wat.directory.Members()}
 	for _, eng := range engines {
-		bel.engines[eng.ID.Name] = eng
+		snp.engines[eng.ID.Name] = eng
 	}
-	obs.gauge(bel)
-	former := obs.host.belief.Swap(bel)
-	obs.endFormerRuns(former, engines)
-	if bel.table != nil && former.table != bel.table {
-		obs.host.desk.handle(scheduler.ConfigurationChanged{Table: bel.table})
+	wat.gauge(snp)
+	prev := wat.host.belief.Swap(snp)
+	wat.endFormerRuns(prev, engines)
+	if snp.table != nil && prev.table != snp.table {
+		wat.host.desk.handle(scheduler.ConfigurationChanged{Table: snp.table})
 	}
-	obs.publishRollouts()
-	obs.host.desk.handle(scheduler.EnginesChanged{Engines: engines})
-	ros := roster{members: bel.members, candidates: bel.members, outside: obs.directory.Missing(obs.host.set.Name)}
+	wat.publishRollouts()
+	wat.host.desk.handle(scheduler.EnginesChanged{Engines: engines})
+	ros := roster{members: snp.members, candidates: snp.members, outside: wat.directory.Missing(wat.host.set.Name)}
 	if ros.outside {
-		ros.candidates = obs.directory.Current()
+		ros.candidates = wat.directory.Current()
 	}
-	obs.host.desk.changeMembers(ros)
+	wat.host.desk.changeMembers(ros)
 }
 
-// endFormerRuns ends what still waits for engines that have started again.
-func (obs *observer) endFormerRuns(former *belief, engines []fleet.Engine) {
+// endFormerRuns ends all calls that still wait for engines that have been restarted.
+func (wat *observer) endFormerRuns(prev *belief, engines []fleet.Engine) {
 	for _, eng := range engines {
-		if known, found := former.engines[eng.ID.Name]; eng.ID.Born.IsZero() || found && known.ID == eng.ID {
+		if known, found := prev.engines[eng.ID.Name]; eng.ID.Born.IsZero() || found && known.ID == eng.ID {
 			continue
 		}
-		obs.host.upstream.EndFormer(eng.ID)
+		wat.host.upstream.EndFormer(eng.ID)
 	}
 }
 
-// gauge tells what the host believes.
-func (obs *observer) gauge(bel *belief) {
+// updateGauges updates the metrics of the snapshot.
+func (wat *observer) gauge(snp *belief) {
 	ready := int64(0)
-	for _, eng := range bel.engines {
+	for _, eng := range snp.engines {
 		if !eng.Closed() {
 			ready++
 		}
 	}
-	obs.host.figures.engines.Update(ready)
-	obs.host.figures.members.Update(int64(len(bel.members)))
-	if bel.table != nil {
-		obs.host.figures.version.Update(int64(bel.table.Version()))
+	wat.host.figures.engines.Update(ready)
+	wat.host.figures.members.Update(int64(len(snp.members)))
+	if snp.table != nil {
+		wat.host.figures.version.Update(int64(snp.table.Version()))
 	}
 }
--- a/entry/refused.go
+++ b/entry/refused.go
@@ -7,16 +7,16 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// maxRefused bounds the keys whose refusal is remembered; what is refused beyond them is
-// counted and not logged, so that a writer of many bad values can't fill the log.
+// maxRefused bounds the keys whose invalid values are remembered. Further ones are counted but not
+// logged, so that a writer of many invalid values can't fill the log.
 const maxRefused = 256
 
-// refusals are the keys of the store whose values can't be used. Each is logged when it
-// goes bad, and not again until it was good in between.
+// invalidValues records the keys of the store whose values are invalid. Each is logged when its
+// value becomes invalid, and not again for the same reason until the key was valid in between.
 type refusals struct {
 	log     zerolog.Logger
 	counter metrics.Counter
-	// reasons are by key.
+	// reasons maps a key to why its value is invalid.
 	reasons map[string]string
 }
 
@@ -24,32 +24,32 @@
 	return &refusals{log: log, counter: counter, reasons: make(map[string]string)}
 }
 
-// usable reports whether a value could be read, and notes either: consequence says what
-// the host does where it couldn't.
-func (ref *refusals) usable(val store.Value, err error, consequence string) bool {
+// checkValue reports whether a value could be decoded and records the result. The consequence is
+// logged: what the host does if the value is invalid.
+func (inv *refusals) usable(val store.Value, err error, consequence string) bool {
 	if err != nil {
-		ref.refuse(val, err, consequence)
+		inv.refuse(val, err, consequence)
 		return false
 	}
-	ref.accept(val.Key)
+	inv.accept(val.Key)
 	return true
 }
 
-// refuse notes a value that can't be used; consequence says what the host does instead.
-func (ref *refusals) refuse(val store.Value, err error, consequence string) {
-	ref.counter.Inc(1)
+// recordInvalid records an invalid value. The consequence is logged: what the host does instead.
+func (inv *refusals) refuse(val store.Value, err error, consequence string) {
+	inv.counter.Inc(1)
 	reason := err.Error()
-	if former, known := ref.reasons[val.Key]; known && former == reason {
+	if prev, known := inv.reasons[val.Key]; known && prev == reason {
 		return
 	}
-	if _, known := ref.reasons[val.Key]; !known && len(ref.reasons) >= maxRefused {
+	if _, known := inv.reasons[val.Key]; !known && len(inv.reasons) >= maxRefused {
 		return
 	}
-	ref.reasons[val.Key] = reason
-	ref.log.Error().Err(err).Str("Key", val.Key).Uint64("Revision", uint64(val.Revision)).Msg(consequence)
+	inv.reasons[val.Key] = reason
+	inv.log.Error().Err(err).Str("Key", val.Key).Uint64("Revision", uint64(val.Revision)).Msg(consequence)
 }
 
-// accept notes that a key holds a value that can be used, or nothing any more.
-func (ref *refusals) accept(key string) {
-	delete(ref.reasons, key)
+// recordValid records that a key holds a valid value, or was deleted.
+func (inv *refusals) accept(key string) {
+	delete(inv.reasons, key)
 }
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -8,40 +8,40 @@
 	"lynxwell.dev/lynxwell/settings"
 )
 
-// settingsInterval is how often the settings file is looked at: a change need not
-// come with a signal, and nothing in it is more urgent than a few seconds.
+// settingsInterval is how often the settings file is checked: a change need not come with a signal,
+// and no setting is more urgent than a few seconds.
 const settingsInterval = 2 * time.Second
 
-// Reload reads the settings file again; settings that can't be used are refused
-// whole, and the last good ones stay.
-func (hos *Host) Reload(why string) {
+// Reload reads the settings file again. Invalid settings are refused as a whole, and the last valid
+// ones stay in force.
+func (hos *Host) Reload(reason string) {
 	set, err := settings.LoadEntry(hos.cfg.SettingsFile)
 	if err != nil {
-		hos.log.Error().Err(err).Str("Why", why).Msg("settings refused, the last good ones stay")
+		hos.log.Error().Err(err).Str("Why", reason).Msg("settings refused, keeping the last valid ones")
 		return
 	}
-	former := hos.bounds.Swap(&set.Bounds)
-	changed := *former != set.Bounds
-	hos.log.Info().Str("Why", why).Bool("Changed", changed).Interface("Bounds", set.Bounds).Msg("settings reloaded")
+	prev := hos.bounds.Swap(&set.Bounds)
+	changed := *prev != set.Bounds
+	hos.log.Info().Str("Why", reason).Bool("Changed", changed).Interface("Bounds", set.Bounds).Msg("settings reloaded")
 }
 
-// followSettings reloads the settings when the file has changed.
+// followSettings reloads the settings when the file has changed, and on each hangup signal.
 func (hos *Host) followSettings(ctx context.Context) error {
 	if hos.cfg.SettingsFile == "" {
 		return nil
 	}
 	tick := time.NewTicker(settingsInterval)
 	defer tick.Stop()
-	seen := hos.settingsTime()
+	modified := hos.settingsTime()
 	for {
 		select {
 		case <-tick.C:
-			if at := hos.settingsTime(); !at.Equal(seen) {
-				seen = at
+			if now := hos.settingsTime(); !now.Equal(modified) {
+				modified = now
 				hos.Reload("file changed")
 			}
 		case <-hos.cfg.Hangups:
-			seen = hos.settingsTime()
+			modified = hos.settingsTime()
 			hos.Reload("signal")
 		case <-ctx.Done():
 			return ctx.Err()
@@ -49,8 +49,9 @@
 	}
 }
 
-// settingsTime returns when the file was written; zero where it can't be read,
-// which a reload then reports.
+// settingsTime returns when the file was last modified; zero if it can't be read, which a reload
+// then
+// reports.
 func (hos *Host) settingsTime() time.Time {
 	info, err := os.Stat(hos.cfg.SettingsFile)
 	if err != nil {
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// rolloutInterval is how often the coordinator decides on roll-outs while there are
-	// any: a part of the second in which a version that turned bad does harm.
+	// rolloutInterval is how often the coordinator decides on roll-outs while there are any: a
+	// fraction of the second within which a version that became faulty does harm.
 	rolloutInterval = 100 * time.Millisecond
 	// rolloutTimeout bounds the writing of a ledger or a state.
 	rolloutTimeout = time.Second
 )
 
-// rollouts is what the store holds of roll-outs, by service.
+// rollouts is the stored state of roll-outs, by service.
 type rollouts struct {
 	standings map[string]rollout.Standing
-	// changed is set until the scheduler was told.
+	// changed is set until the scheduler has been informed.
 	changed bool
 }
 
@@ -31,97 +31,100 @@
 	if rls.standings == nil {
 		rls.standings = make(map[string]rollout.Standing)
 	}
-	std := rls.standings[service]
-	change(&std)
-	rls.standings[service] = std
+	sst := rls.standings[service]
+	change(&sst)
+	rls.standings[service] = sst
 	rls.changed = true
 }
 
-// ordered returns the roll-outs that were ordered, by service.
+// ordered returns the roll-outs that were ordered, sorted by service.
 func (rls *rollouts) ordered() []rollout.Standing {
 	var ordered []rollout.Standing
 	for _, name := range slices.Sorted(maps.Keys(rls.standings)) {
-		if std := rls.standings[name]; std.Order.Revision > 0 {
-			ordered = append(ordered, std)
+		if sst := rls.standings[name]; sst.Order.Revision > 0 {
+			ordered = append(ordered, sst)
 		}
 	}
 	return ordered
 }
 
-// takeOrder takes an operator's order. One that can't be read is never followed, and the
-// former one goes on.
-func (obs *observer) takeOrder(val store.Value) {
+// takeOrder applies an operator's order. An invalid one is ignored, and the previous one stays in
+// force.
+func (wat *observer) takeOrder(val store.Value) {
 	ord, err := platform.DecodeOrder(val)
-	if !obs.refused.usable(val, err, "roll-out order refused, the former one stays") {
+	if !wat.refused.usable(val, err, "roll-out order refused, keeping the previous one") {
 		return
 	}
-	if ord.Revision <= obs.rollouts.standings[ord.Service].Order.Revision {
+	if ord.Revision <= wat.rollouts.standings[ord.Service].Order.Revision {
 		return
 	}
-	if tab := obs.table; tab != nil {
+	if tab := wat.table; tab != nil {
 		if _, known := tab.Service(ord.Service); !known {
-			obs.host.log.Warn().Str("Service", ord.Service).Uint64("Revision", ord.Revision).Msg("roll-out of a service that isn't configured")
+			wat.host.log.Warn().Str("Service", ord.Service).Uint64("Revision", ord.Revision).Msg("roll-out of a service that isn't configured")
 		}
 	}
-	obs.host.log.Info().Str("Service", ord.Service).Str("Version", ord.Version).Dur("Period", ord.Period).Uint64("Revision", ord.Revision).Msg("roll-out ordered")
-	obs.rollouts.set(ord.Service, func(std *rollout.Standing) { std.Order = ord })
+	wat.host.log.Info().Str("Service", ord.Service).Str("Version", ord.Version).Dur("Period", ord.Period).Uint64("Revision", ord.Revision).Msg("roll-out ordered")
+	wat.rollouts.set(ord.Service, func(sst *rollout.Standing) { sst.Order = ord })
 }
 
-// takeRolloutState takes what was told of a roll-out.
-func (obs *observer) takeRolloutState(name string, val store.Value) {
+// takeRolloutState applies the published state of a roll-out.
+func (wat *observer) takeRolloutState(name string, val store.Value) {
 	sta, version, err := platform.DecodeRolloutState(val)
-	// The revision of a state that can't be read counts all the same: the next one is told
-	// in its place. So does a ledger's.
-	obs.refused.usable(val, err, "roll-out state passed over")
-	obs.rollouts.set(name, func(std *rollout.Standing) {
-		std.State, std.StateVersion, std.StateRevision = sta, version, uint64(val.Revision)
+	// The revision of an invalid state is needed all the same: the next state is written in its
+	// place.
+	// So is a ledger's.
+	wat.refused.usable(val, err, "stored roll-out state invalid, ignored")
+	wat.rollouts.set(name, func(sst *rollout.Standing) {
+		sst.State, sst.StateVersion, sst.StateRevision = sta, version, uint64(val.Revision)
 	})
 }
 
-// takeLedger takes what hosts keep of a roll-out.
-func (obs *observer) takeLedger(name string, val store.Value) {
+// takeLedger applies the shared ledger of a roll-out.
+func (wat *observer) takeLedger(name string, val store.Value) {
 	led, err := platform.DecodeLedger(val)
-	obs.refused.usable(val, err, "roll-out ledger passed over")
-	obs.rollouts.set(name, func(std *rollout.Standing) { std.Ledger, std.LedgerRevision = led, uint64(val.Revision) })
+	wat.refused.usable(val, err, "stored roll-out ledger invalid, ignored")
+	wat.rollouts.set(name, func(sst *rollout.Standing) { sst.Ledger, sst.LedgerRevision = led, uint64(val.Revision) })
 }
 
-// publishRollouts tells the own scheduler what has changed of roll-outs.
-func (obs *observer) publishRollouts() {
-	if !obs.rollouts.changed {
+// publishRollouts passes changes of roll-outs to this host's scheduler.
+func (wat *observer) publishRollouts() {
+	if !wat.rollouts.changed {
 		return
 	}
-	obs.rollouts.changed = false
-	ordered := obs.rollouts.ordered()
+	wat.rollouts.changed = false
+	ordered := wat.rollouts.ordered()
 	if len(ordered) == 0 {
 		return
 	}
-	obs.host.desk.handle(scheduler.RolloutsChanged{Standings: ordered})
+	wat.host.desk.handle(scheduler.RolloutsChanged{Standings: ordered})
 	select {
-	case obs.host.rolloutNews <- struct{}{}:
+	case wat.host.rolloutNews <- struct{}{}:
 	default:
 	}
 }
 
-// rolloutWrites has the own scheduler decide on roll-outs if this host decides for all,
-// and returns what is to be written. Others leave the new versions alone.
-func (des *desk) rolloutWrites(now time.Time) ([]rollout.Write, bool) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if !des.core.RolloutsOpen() {
+// rolloutWrites makes this host's scheduler decide on roll-outs if this host is the coordinator,
+// and
+// returns what is to be written. Other hosts use no new versions. It also reports whether any
+// roll-out is unfinished.
+func (bro *desk) rolloutWrites(now time.Time) ([]rollout.Write, bool) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if !bro.core.RolloutsOpen() {
 		return nil, false
 	}
-	if !des.inCharge() {
+	if !bro.inCharge() {
 		return nil, true
 	}
-	writes := des.core.RolloutWrites(now)
-	// What was decided may let requests go that wait.
-	des.step(scheduler.Tick{})
+	writes := bro.core.RolloutWrites(now)
+	// The decisions may allow waiting requests to be dispatched.
+	bro.step(scheduler.Tick{})
 	return writes, true
 }
 
-// keepRollouts decides on roll-outs while there are any.
+// keepRollouts decides on roll-outs while any are unfinished.
 func (hos *Host) keepRollouts(ctx context.Context) error {
-	ends := make(chan struct{})
+	written := make(chan struct{})
 	writing := 0
 	tick := time.NewTicker(rolloutInterval)
 	defer tick.Stop()
@@ -139,22 +142,22 @@
 				writing++
 				go func() {
 					hos.writeRollout(ctx, wri)
-					ends <- struct{}{}
+					written <- struct{}{}
 				}()
 			}
-		case <-ends:
+		case <-written:
 			writing--
 		case <-ctx.Done():
 			for ; writing > 0; writing-- {
-				<-ends
+				<-written
 			}
 			return ctx.Err()
 		}
 	}
 }
 
-// writeRollout writes a ledger or a state under the condition of its revision. One that
-// isn't answered may have been done; what the store holds is read, and decides.
+// writeRollout writes a ledger or a state on condition of its revision. A write without an answer
+// may have been made; what is read from the store next decides.
 func (hos *Host) writeRollout(ctx context.Context, wri rollout.Write) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
@@ -170,10 +173,10 @@
 		evt = evt.Stringer("State", wri.State).Str("Version", wri.Version).Str("Reason", wri.Reason)
 	}
 	if err != nil {
-		evt.Err(err).Msg("roll-out not written")
+		evt.Err(err).Msg("writing the roll-out state or ledger failed")
 		return
 	}
-	evt.Msg("roll-out written")
+	evt.Msg("roll-out state or ledger written")
 	hos.desk.handle(scheduler.RolloutRecorded{Write: wri, Revision: uint64(rev)})
 }
 
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// secretSpread is the time over which hosts that find no secret make one: the first
-	// one's is read by the others within a tenth of a second, and each try is a call.
+	// secretSpread is the jitter of hosts that find no secret before they make one: the other hosts
+	// read the first one within a tenth of a second, and each attempt is a call.
 	secretSpread = 600 * time.Millisecond
-	// secretRetry is after what time a host that still knows none tries again.
+	// secretRetry is the average time after which a host without any secret tries again.
 	secretRetry = time.Second
-	// secretInterval is how often the host that decides looks whether the secret is to be
-	// renewed, or has been taken out of the store.
+	// secretInterval is how often the coordinator checks whether the secrets are due for renewal,
+	// or
+	// were removed from the store.
 	secretInterval = 10 * time.Second
-	// secretTimeout bounds the writing of a ring.
+	// secretTimeout bounds the writing of a key ring.
 	secretTimeout = time.Second
-	// refusedPause is the least time between two lines about hosts that were refused: a
-	// stranger may try as often as it likes.
+	// refusedPause is the least time between two log lines about refused peers: an unauthenticated
+	// peer may try as often as it likes.
 	refusedPause = time.Second
 )
 
-// secrets keeps the deployment's secret, unless the settings hold a key.
+// secrets holds the deployment's secrets, unless the settings hold a key.
 type secrets struct {
 	keeper *credential.Keeper
 	// known is closed once a secret is known.
@@ -39,56 +40,57 @@
 	knowing sync.Once
 
 	mutex sync.Mutex
-	// revision is the store's of the ring; 0 while none lies there. broken says that what
-	// lies there can't be used.
+	// revision is the store's revision of the key ring; 0 while there is none. broken is set while
+	// the stored ring is invalid.
 	revision store.Revision
 	broken   bool
-	// toldAt is when a refused host was last logged, untold how many were since.
+	// toldAt is when a refused peer was last logged; untold counts those refused since.
 	toldAt time.Time
 	untold int
 }
 
 func newSecrets(hos *Host) *secrets {
-	scr := &secrets{known: make(chan struct{})}
-	scr.keeper = credential.NewKeeper(credential.Config{Refused: func(err error) { hos.refusePeer(time.Now(), err) }})
-	return scr
+	sec := &secrets{known: make(chan struct{})}
+	sec.keeper = credential.NewKeeper(credential.Config{Refused: func(err error) { hos.refusePeer(time.Now(), err) }})
+	return sec
 }
 
-// refusePeer counts a host that didn't prove to be one of the deployment, and says so in
-// bounds.
+// refusePeer counts a peer that failed to authenticate as a host of the deployment, and logs it at
+// most once every refusedPause.
 func (hos *Host) refusePeer(now time.Time, err error) {
 	hos.figures.peersRefused.Inc(1)
-	scr := hos.secrets
-	scr.mutex.Lock()
-	defer scr.mutex.Unlock()
-	if now.Sub(scr.toldAt) < refusedPause {
-		scr.untold++
+	sec := hos.secrets
+	sec.mutex.Lock()
+	defer sec.mutex.Unlock()
+	if now.Sub(sec.toldAt) < refusedPause {
+		sec.untold++
 		return
 	}
-	hos.log.Warn().Err(err).Int("More", scr.untold).Msg("host refused")
-	scr.toldAt, scr.untold = now, 0
+	hos.log.Warn().Err(err).Int("More", sec.untold).Msg("unauthenticated peer refused")
+	sec.toldAt, sec.untold = now, 0
 }
 
-// keyed reports whether the settings hold a key, in place of the secret in the store.
+// keyed reports whether the settings hold a key, which replaces the secrets in the store.
 func (hos *Host) keyed() bool { return hos.set.PeerKey != "" }
 
-// handshakeComplaint begins what the library's server says of each handshake that fails.
+// handshakeComplaint is the prefix of the HTTP server's log line about each failed handshake.
 var handshakeComplaint = []byte("http: TLS handshake error")
 
-// serverErrors takes what the library's server for other hosts complains of into the log,
-// but for handshakes: any stranger can have as many of those fail as it likes, and whoever
-// shows another secret is counted by the keeper of the secrets.
+// serverErrors writes the error log of the HTTP server for peers to the host's log, except for
+// failed
+// handshakes: any unauthenticated peer can cause as many of them as it likes, and a peer that
+// presents another secret is counted by the keeper of the secrets.
 type serverErrors struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
 func (see serverErrors) Write(line []byte) (int, error) {
 	if !bytes.HasPrefix(line, handshakeComplaint) {
-		see.log.Error().Bytes("Detail", line).Msg("server for other hosts")
+		see.log.Error().Bytes("Detail", line).Msg("error in the server for peers")
 	}
 	return len(line), nil
 }
 
-// knowsPeers reports whether this host can prove to be one of the deployment.
+// knowsPeers reports whether this host can authenticate as one of the deployment.
 func (hos *Host) knowsPeers() bool {
 	if hos.keyed() {
 		return true
@@ -97,34 +99,34 @@
 	return known
 }
 
-// takeRing takes the secrets that lie in the store. Bad ones leave the former in force.
-func (obs *observer) takeRing(val store.Value) {
-	scr := obs.host.secrets
+// takeRing applies the secrets in the store. Invalid ones leave the previous ones in force.
+func (wat *observer) takeRing(val store.Value) {
+	sec := wat.host.secrets
 	rin, err := platform.DecodeRing(val)
 	if err == nil {
-		err = scr.keeper.Take(rin)
+		err = sec.keeper.Take(rin)
 	}
-	scr.mutex.Lock()
-	scr.revision, scr.broken = val.Revision, err != nil
-	scr.mutex.Unlock()
-	if !obs.refused.usable(val, err, "secrets refused, the former ones stay") {
+	sec.mutex.Lock()
+	sec.revision, sec.broken = val.Revision, err != nil
+	sec.mutex.Unlock()
+	if !wat.refused.usable(val, err, "secrets refused, keeping the previous ones") {
 		return
 	}
-	scr.knowing.Do(func() { close(scr.known) })
-	obs.host.log.Info().Uint64("Revision", uint64(val.Revision)).Bool("Next", len(rin.Next) > 0).Bool("Former", len(rin.Former) > 0).
+	sec.knowing.Do(func() { close(sec.known) })
+	wat.host.log.Info().Uint64("Revision", uint64(val.Revision)).Bool("Next", len(rin.Next) > 0).Bool("Former", len(rin.Former) > 0).
 		Time("Changed", rin.Changed).Msg("secrets in force")
 }
 
-// loseRing notes that no secrets lie in the store.
-func (obs *observer) loseRing() {
-	scr := obs.host.secrets
-	scr.mutex.Lock()
-	defer scr.mutex.Unlock()
-	scr.revision, scr.broken = 0, false
+// loseRing records that the store holds no secrets.
+func (wat *observer) loseRing() {
+	sec := wat.host.secrets
+	sec.mutex.Lock()
+	defer sec.mutex.Unlock()
+	sec.revision, sec.broken = 0, false
 }
 
-// keepSecret makes the deployment's secret where there is none, and renews it while this
-// host decides for all. A host without the store lives on the secrets that it knows.
+// keepSecret makes the deployment's secrets if there are none, and renews them while this host is
+// the coordinator. A host that can't reach the store continues with the secrets that it has.
 func (hos *Host) keepSecret(ctx context.Context) error {
 	if hos.keyed() {
 		<-ctx.Done()
@@ -152,15 +154,16 @@
 	}
 }
 
-// renewSecret writes what is due: a first secret, one that was taken out of the store, or
-// the next step of a renewal.
+// renewSecret writes what is due: the first secret, secrets that were removed from the store, or
+// the
+// next step of a renewal.
 func (hos *Host) renewSecret(ctx context.Context) {
 	now := time.Now()
-	scr := hos.secrets
-	scr.mutex.Lock()
-	revision, missing := scr.revision, scr.revision == 0 || scr.broken
-	scr.mutex.Unlock()
-	ring, known := scr.keeper.Ring()
+	sec := hos.secrets
+	sec.mutex.Lock()
+	revision, missing := sec.revision, sec.revision == 0 || sec.broken
+	sec.mutex.Unlock()
+	ring, known := sec.keeper.Ring()
 	var err error
 	due := false
 	switch {
@@ -173,7 +176,7 @@
 		ring, due, err = ring.Renewal(now, hos.bounds.Load().RenewSecret())
 	}
 	if err != nil {
-		hos.log.Error().Err(err).Msg("secrets not made")
+		hos.log.Error().Err(err).Msg("making new secrets failed")
 		return
 	}
 	if due {
@@ -181,8 +184,9 @@
 	}
 }
 
-// writeRing writes secrets under the condition of the key's revision. What came of it is
-// read from the store, by this host too.
+// writeRing writes secrets on condition of the key's revision. All hosts, this one included, read
+// the
+// result from the store.
 func (hos *Host) writeRing(ctx context.Context, ring credential.Ring, revision store.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, secretTimeout)
 	defer cancel()
@@ -194,9 +198,9 @@
 	var conflict *store.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		hos.log.Debug().Err(err).Msg("another host has written secrets")
+		hos.log.Debug().Err(err).Msg("another host wrote secrets first")
 	case err != nil:
-		hos.log.Warn().Err(err).Uint64("Expected", uint64(revision)).Msg("secrets not written")
+		hos.log.Warn().Err(err).Uint64("Expected", uint64(revision)).Msg("writing secrets failed")
 	default:
 		hos.log.Info().Uint64("Expected", uint64(revision)).Uint64("Revision", uint64(rev)).Bool("Next", len(ring.Next) > 0).Msg("secrets written")
 	}
--- a/entry/survey.go
+++ b/entry/survey.go
@@ -11,51 +11,51 @@
 )
 
 const (
-	// surveyInterval is how often the coordinator looks whether it has learned what
-	// isn't recorded: each record is a call, and a change that all hosts read.
+	// surveyInterval is how often the coordinator checks whether its measurements differ from the
+	// stored ones: each write is a call, and a change that all hosts read.
 	surveyInterval = 3 * time.Second
-	// surveyTimeout bounds the writing of a record.
+	// surveyTimeout bounds the writing of the measurements.
 	surveyTimeout = time.Second
 )
 
-// takeSurvey takes what the hosts have recorded of the engines' speed.
-func (obs *observer) takeSurvey(val store.Value) {
-	sur, err := platform.DecodeSurvey(val)
-	if !obs.refused.usable(val, err, "survey passed over") {
+// takeSurvey applies the stored measurements of the engines' speed.
+func (wat *observer) takeSurvey(val store.Value) {
+	mea, err := platform.DecodeSurvey(val)
+	if !wat.refused.usable(val, err, "stored measurements invalid, ignored") {
 		return
 	}
-	obs.host.desk.takeSurvey(sur)
+	wat.host.desk.takeSurvey(mea)
 }
 
-func (des *desk) takeSurvey(sur pace.Survey) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	des.survey = sur
-	des.step(scheduler.SurveyRead{Survey: sur})
+func (bro *desk) takeSurvey(mea pace.Survey) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	bro.survey = mea
+	bro.step(scheduler.SurveyRead{Survey: mea})
 }
 
-// news returns what the own scheduler has learned beyond the record, if it decides
-// for all hosts.
-func (des *desk) news() (pace.Survey, bool) {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	if des.active != des.host.epoch || des.roster.outside || len(des.roster.members) == 0 {
+// unrecordedMeasurements returns the measurements of this host's scheduler, and whether they differ
+// from the stored ones. It returns nothing unless this host is the coordinator.
+func (bro *desk) news() (pace.Survey, bool) {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	if bro.active != bro.host.epoch || bro.roster.outside || len(bro.roster.members) == 0 {
 		return pace.Survey{}, false
 	}
-	sur := des.core.Survey()
-	return sur, des.survey.Differs(sur)
+	mea := bro.core.Survey()
+	return mea, bro.survey.Differs(mea)
 }
 
-// keepSurvey records what this host has learned of the engines' speed while it
-// coordinates, so that hosts that start begin with it.
+// keepSurvey writes this host's measurements of the engines' speed to the store while it is the
+// coordinator, so that starting hosts begin with them.
 func (hos *Host) keepSurvey(ctx context.Context) error {
 	tick := time.NewTicker(surveyInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if sur, differs := hos.desk.news(); differs {
-				hos.record(ctx, sur)
+			if mea, differs := hos.desk.news(); differs {
+				hos.record(ctx, mea)
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -63,16 +63,16 @@
 	}
 }
 
-// record writes the survey. One that fails is written again if it still differs.
-func (hos *Host) record(ctx context.Context, sur pace.Survey) {
+// recordMeasurements writes the measurements. A write that fails is repeated if they still differ.
+func (hos *Host) record(ctx context.Context, mea pace.Survey) {
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
-	data, err := platform.EncodeSurvey(sur)
+	data, err := platform.EncodeSurvey(mea)
 	if err == nil {
 		_, err = hos.store.Put(ctx, store.Write{Key: platform.SurveyKey(), Data: data, Blind: true})
 	}
 	if err != nil {
-		hos.log.Warn().Err(err).Int("Bytes", len(data)).Msg("survey not recorded")
+		hos.log.Warn().Err(err).Int("Bytes", len(data)).Msg("writing the measurements failed")
 		return
 	}
 	hos.log.Info().Int("Bytes", len(data)).Msg("survey recorded")
--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -5,24 +5,28 @@
 	"time"
 )
 
-// A host that was suspended must not act on what has lapsed meanwhile: keys that were taken
-// away, deadlines, leases, its place among the hosts. All of these go by its clock, which
-// counts the time; what stood still with the host is put right here.
+// A host that was suspended must not act on what expired meanwhile: revoked keys, deadlines,
+// leases,
+// its place in the membership. All of these are checked against the host's clock, which counts the
+// time of the suspension. What stood still with the host is corrected here.
 
-// noteSuspended has the host doubt what others knew of it before it was suspended. Sessions
-// that were silent for so long have ended at the other end: until they are opened again
-// this host decides alone, with its own part of the limits.
+// noteSuspended records a suspension and wakes keepAwake. Sessions that were silent for so long
+// have
+// ended at the other side: until they are open again this host decides alone, with its own share of
+// the limits.
 func (hos *Host) noteSuspended(dur time.Duration) {
 	hos.figures.count("Suspensions")
 	hos.log.Warn().Dur("For", dur).Msg("host was suspended")
 	select {
 	case hos.woken <- dur:
 	default:
-		// The one before isn't dealt with yet, and does for both.
+		// The previous suspension isn't handled yet; its handling covers both.
 	}
 }
 
-// keepAwake puts right what a suspension left behind, until the context ends.
+// keepAwake renews the lease and, if needed, closes sessions after each suspension, until the
+// context
+// ends.
 func (hos *Host) keepAwake(ctx context.Context) error {
 	for {
 		select {
@@ -37,20 +41,20 @@
 	}
 }
 
-// noteClockFailed says that suspensions can't be noticed.
+// noteClockFailed reports that suspensions can't be detected.
 func (hos *Host) noteClockFailed(err error) {
 	hos.figures.count("ClockFailures")
-	hos.log.Error().Err(err).Msg("clock that counts suspensions can't be read, the steady one is used")
+	hos.log.Error().Err(err).Msg("clock that counts suspensions can't be read, using the monotonic clock")
 }
 
-// dropSessions ends all sessions with other hosts.
-func (des *desk) dropSessions() {
-	des.mutex.Lock()
-	defer des.mutex.Unlock()
-	for _, lin := range des.links {
+// dropSessions closes all sessions with other hosts.
+func (bro *desk) dropSessions() {
+	bro.mutex.Lock()
+	defer bro.mutex.Unlock()
+	for _, lin := range bro.links {
 		lin.cancel()
 	}
-	for _, inb := range des.inbound {
+	for _, inb := range bro.inbound {
 		inb.cancel()
 	}
 }
--- a/entry/unknown.go
+++ b/entry/unknown.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// maxUnknownNames bounds the headers that are counted by name, maxUnknownLines the lines:
-	// engines may make names up.
+	// maxUnknownNames bounds the header names that are counted separately, maxUnknownLines the log
+	// lines: engines may send any name.
 	maxUnknownNames = 32
 	maxUnknownLines = 128
-	// maxNameBytes bounds what is told of a name.
+	// maxNameBytes bounds the logged and counted part of a name.
 	maxNameBytes = 64
 )
 
-// boundedNames are names that others make up, no more than a few.
+// boundedNames is a bounded set of names that come from outside the process.
 type boundedNames struct {
 	names map[string]bool
 }
 
-// counted returns by which name something is counted.
+// metricName returns the name under which an occurrence of name is counted: the name itself, or
+// "Others" once there are too many names.
 func (bon *boundedNames) counted(name string) string {
 	name = name[:min(len(name), maxNameBytes)]
 	if !bon.names[name] && len(bon.names) >= maxUnknownNames {
@@ -33,8 +34,8 @@
 	return name
 }
 
-// unknownHeaders are the headers of engines' answers that this program doesn't know. A new
-// word of engines is seen by them on the day on which it first comes.
+// unrecognizedHeaders records the headers in engines' answers that are not recognized, so that
+// operators notice a new engine signal on the day on which it is first sent.
 type unknownHeaders struct {
 	host  *Host
 	mutex sync.Mutex
@@ -42,7 +43,7 @@
 	told  map[unknownHeader]bool
 }
 
-// unknownHeader is a header as the engines of a service first used it.
+// unrecognizedHeader is a header that engines of a service sent.
 type unknownHeader struct {
 	name    string
 	service string
@@ -52,30 +53,30 @@
 	return &unknownHeaders{host: hos, told: make(map[unknownHeader]bool)}
 }
 
-// take counts the headers of an answer that nobody reads, and tells of each once a service.
-func (unk *unknownHeaders) take(hrd upstream.Heard) {
+// record counts the unrecognized headers of an answer, and logs each once per service.
+func (unr *unknownHeaders) take(hrd upstream.Heard) {
 	for _, name := range hrd.Head.Unknown {
-		unk.host.figures.count("UnknownHeaders." + unk.counted(name))
-		unk.tell(hrd, name[:min(len(name), maxNameBytes)])
+		unr.host.figures.count("UnknownHeaders." + unr.counted(name))
+		unr.tell(hrd, name[:min(len(name), maxNameBytes)])
 	}
 }
 
-// counted returns by which name a header is counted.
-func (unk *unknownHeaders) counted(name string) string {
-	unk.mutex.Lock()
-	defer unk.mutex.Unlock()
-	return unk.names.counted(name)
+// metricName returns the name under which a header is counted.
+func (unr *unknownHeaders) counted(name string) string {
+	unr.mutex.Lock()
+	defer unr.mutex.Unlock()
+	return unr.names.counted(name)
 }
 
-func (unk *unknownHeaders) tell(hrd upstream.Heard, name string) {
-	eng, _ := unk.host.belief.Load().engine(hrd.Engine)
+func (unr *unknownHeaders) tell(hrd upstream.Heard, name string) {
+	eng, _ := unr.host.belief.Load().engine(hrd.Engine)
 	key := unknownHeader{name: name, service: eng.Service}
-	unk.mutex.Lock()
-	defer unk.mutex.Unlock()
-	if unk.told[key] || len(unk.told) >= maxUnknownLines {
+	unr.mutex.Lock()
+	defer unr.mutex.Unlock()
+	if unr.told[key] || len(unr.told) >= maxUnknownLines {
 		return
 	}
-	unk.told[key] = true
-	unk.host.log.Warn().Str("Header", name).Str("Service", eng.Service).Stringer("Engine", hrd.Engine).Str("AnswerTo", hrd.Head.ID).
-		Msg("engines' answers have a header that nobody reads")
+	unr.told[key] = true
+	unr.host.log.Warn().Str("Header", name).Str("Service", eng.Service).Stringer("Engine", hrd.Engine).Str("AnswerTo", hrd.Head.ID).
+		Msg("answers of engines have an unrecognized header")
 }
--- a/entry/unread.go
+++ b/entry/unread.go
@@ -8,8 +8,8 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// unread are the keys of the store and the fields of configurations that nobody reads. What
-// operators write there is seen by them on the day on which it first comes.
+// unrecognizedKeys records the keys of the store and the fields of configurations that are not
+// recognized, so that operators notice on the day on which they first write one.
 type unread struct {
 	host   *Host
 	names  boundedNames
@@ -21,7 +21,7 @@
 	return &unread{host: hos, told: make(map[string]bool)}
 }
 
-// takeKey counts a key that nobody reads by the keys like it, and tells of these once.
+// takeKey counts an unrecognized key by its family of keys, and logs each family once.
 func (unr *unread) takeKey(val store.Value) {
 	family := platform.KeyFamily(val.Key)
 	if family == "" {
@@ -35,8 +35,8 @@
 	unr.host.log.Warn().Str("Key", val.Key[:min(len(val.Key), maxNameBytes)]).Uint64("Revision", uint64(val.Revision)).Msg("a key of the store is read by nobody")
 }
 
-// takeConfiguration counts the fields of a configuration that this program doesn't know, and
-// tells of each once. Those that it knows and passes over are none.
+// takeConfiguration counts the unrecognized fields of a configuration, and logs each once. Fields
+// that are recognized but ignored are left out.
 func (unr *unread) takeConfiguration(val store.Value) {
 	unknown := platform.UnreadFields(val.Data)
 	for _, field := range slices.Sorted(maps.Keys(unknown)) {
