--- a/entry/changes.go
+++ b/entry/changes.go
@@ -7,8 +7,7 @@
 )
 
 // maxNamed bounds the names in the log line of an update: after a loss of all hosts each of
-// hundreds
-// of hosts reads hundreds of entries, and with a line for each these would fill the log.
+// hundreds of hosts reads hundreds of entries, and with a line for each these would fill the log.
 const maxNamed = 12
 
 // memberChanges collects the hosts that one update registered or deregistered, for one log line.
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -11,8 +11,7 @@
 )
 
 // keepAddresses is how long clients may cache an answer with addresses. Some cache it three times
-// as
-// long, which a planned stop allows for.
+// as long, which a planned stop allows for.
 const keepAddresses = time.Second
 
 // plainTimeout bounds the reading of the headers of a request without a body.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry runs one host of the deployment: it serves clients' requests, answers which
-// host addresses clients should use, and shares the engines with the other hosts.
+// Package entry runs one host of the deployment: it serves clients' requests, answers which host
+// addresses clients should use, and shares the engines with the other hosts.
 //
 // # Usage
 //
@@ -184,8 +184,8 @@
 }
 
 // startGrace is how long after its start a host lets requests wait for the first configuration. A
-// small host among many that start at once has it after half a second, and clients try another
-// host after one second without an answer.
+// small host among many that start at once has it after half a second, and clients try another host
+// after one second without an answer.
 const startGrace = 800 * time.Millisecond
 
 // noteBegun releases the requests that wait in awaitBegun, once the host is ready.
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -19,9 +19,8 @@
 
 // Operators order the evacuation of a failure domain through the store. Each host enforces the
 // orders that it knows of by itself, immediately before it sends a request, regardless of which
-// host
-// granted it. It reports the enforced orders to the schedulers, which then grant it no engine in
-// these domains and know when all hosts enforce an order.
+// host granted it. It reports the enforced orders to the schedulers, which then grant it no engine
+// in these domains and know when all hosts enforce an order.
 
 const (
 	// evacuationInterval is how often the coordinator checks the progress of evacuations;
@@ -250,8 +249,7 @@
 }
 
 // evacuationWrites returns the states that this host is to publish if it is the coordinator, and
-// how
-// long to wait before the next call; 0 to wait for an update.
+// how long to wait before the next call; 0 to wait for an update.
 func (bro *desk) evacuationWrites(now time.Time) ([]evacuation.Write, time.Duration) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
@@ -301,8 +299,8 @@
 }
 
 // writeEvacuation publishes the state of an order, on condition that the previous state is
-// unchanged.
-// A write without an answer may have been made; the state that is read from the store next decides.
+// unchanged. A write without an answer may have been made; the state that is read from the store
+// next decides.
 func (hos *Host) writeEvacuation(ctx context.Context, wri evacuation.Write) {
 	ctx, cancel := context.WithTimeout(ctx, evacuationTimeout)
 	defer cancel()
--- a/entry/held.go
+++ b/entry/held.go
@@ -17,8 +17,7 @@
 // Held requests are stored, so that they outlast the loss of all hosts: otherwise each such request
 // would crash three more engines after each loss. The coordinator writes them when a request is
 // newly held, so a calm day costs no calls. Until then, and while the store is unreachable, each
-// host
-// learns them from the reports of the others.
+// host learns them from the reports of the others.
 
 const (
 	// PathFree is the path on the metrics address that frees a held request: POST with its digest.
@@ -113,7 +112,7 @@
 
 // Error names the digest.
 func (ude *UnknownDigestError) Error() string {
-	return "request with digest " + ude.Digest.String() + " is not held and has crashed no engine"
+	return "no engine crash is known of a request with digest " + ude.Digest.String()
 }
 
 // Free frees a held request, here and at the hosts that decide, which pass it on to the other hosts
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -13,12 +13,9 @@
 
 const (
 	// minRenew and maxRenew bound how often a lease is renewed. In a small fleet a lost host's
-	// entry
-	// expires within seconds, in a large one within half a minute. No clients are sent to the host
-	// for
-	// that long, since the coordinator notices the end of its session; what expires is the entry of
-	// a
-	// host that never comes back.
+	// entry expires within seconds, in a large one within half a minute. No clients are sent to the
+	// host for that long, since the coordinator notices the end of its session; what expires is the
+	// entry of a host that never comes back.
 	minRenew = time.Second
 	maxRenew = 10 * time.Second
 	// renewalsToLapse is how many renewals must fail before the entry expires.
@@ -30,10 +27,9 @@
 	// they would otherwise be most calls of a calm day.
 	fleetRenewals = 30
 	// minLeaseRetry and maxLeaseRetry bound the backoff after a failed call. The first retry is
-	// soon,
-	// since the lease continues to run out; later ones are rare, since a whole fleet that continues
-	// to call doesn't help a store that is unreachable or over its rate limit. The store watcher
-	// reports when the store is reachable again.
+	// soon, since the lease continues to run out; later ones are rare, since a whole fleet that
+	// continues to call doesn't help a store that is unreachable or over its rate limit. The store
+	// watcher reports when the store is reachable again.
 	minLeaseRetry = 400 * time.Millisecond
 	maxLeaseRetry = 2 * time.Second
 	// enterSpread is the jitter of hosts that return to a store that is reachable again.
@@ -86,8 +82,7 @@
 }
 
 // leaseTime returns after what time without a renewal the entry of a host expires in a fleet of
-// that
-// size. A host that knows no other host yet takes the longest: hundreds may be starting.
+// that size. A host that knows no other host yet takes the longest: hundreds may be starting.
 func leaseTime(hosts int) time.Duration {
 	if hosts <= 1 {
 		return renewalsToLapse * maxRenew
@@ -96,8 +91,7 @@
 }
 
 // misfits reports whether a lease's duration differs so much from the wanted one that a new lease
-// is
-// worth its two calls.
+// is worth its two calls.
 func misfits(ttl, wanted time.Duration) bool {
 	return ttl > 2*wanted || wanted > 2*ttl
 }
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -23,8 +23,7 @@
 	mutex sync.Mutex
 	heard *fleet.Notices
 	// loggedAt is when a backoff, rate or cold signal of a run was last logged; unreadableAt is
-	// when
-	// an invalid signal was last logged.
+	// when an invalid signal was last logged.
 	loggedAt     map[fleet.EngineID]time.Time
 	unreadableAt time.Time
 	// unknown records the headers of answers that are not recognized.
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -20,9 +20,9 @@
 	readerPause = 2 * time.Second
 )
 
-// relayChooser chooses the host of its failure domain through which a host reads the store.
-// Without a second choice, each host would read the store by itself while the first choice is lost,
-// or is rejected by the store.
+// relayChooser chooses the host of its failure domain through which a host reads the store. Without
+// a second choice, each host would read the store by itself while the first choice is lost, or is
+// rejected by the store.
 type readers struct {
 	own request.Epoch
 	// skippedUntil is until when hosts that failed are skipped.
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -50,8 +50,7 @@
 }
 
 // settingsTime returns when the file was last modified; zero if it can't be read, which a reload
-// then
-// reports.
+// then reports.
 func (hos *Host) settingsTime() time.Time {
 	info, err := os.Stat(hos.cfg.SettingsFile)
 	if err != nil {
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -71,8 +71,7 @@
 func (wat *observer) takeRolloutState(name string, val store.Value) {
 	sta, version, err := platform.DecodeRolloutState(val)
 	// The revision of an invalid state is needed all the same: the next state is written in its
-	// place.
-	// So is a ledger's.
+	// place. So is a ledger's.
 	wat.refused.usable(val, err, "stored roll-out state invalid, ignored")
 	wat.rollouts.set(name, func(sst *rollout.Standing) {
 		sst.State, sst.StateVersion, sst.StateRevision = sta, version, uint64(val.Revision)
@@ -104,8 +103,7 @@
 }
 
 // rolloutWrites makes this host's scheduler decide on roll-outs if this host is the coordinator,
-// and
-// returns what is to be written. Other hosts use no new versions. It also reports whether any
+// and returns what is to be written. Other hosts use no new versions. It also reports whether any
 // roll-out is unfinished.
 func (bro *desk) rolloutWrites(now time.Time) ([]rollout.Write, bool) {
 	bro.mutex.Lock()
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -22,8 +22,7 @@
 	// secretRetry is the average time after which a host without any secret tries again.
 	secretRetry = time.Second
 	// secretInterval is how often the coordinator checks whether the secrets are due for renewal,
-	// or
-	// were removed from the store.
+	// or were removed from the store.
 	secretInterval = 10 * time.Second
 	// secretTimeout bounds the writing of a key ring.
 	secretTimeout = time.Second
@@ -77,9 +76,8 @@
 var handshakeComplaint = []byte("http: TLS handshake error")
 
 // serverErrors writes the error log of the HTTP server for peers to the host's log, except for
-// failed
-// handshakes: any unauthenticated peer can cause as many of them as it likes, and a peer that
-// presents another secret is counted by the keeper of the secrets.
+// failed handshakes: any unauthenticated peer can cause as many of them as it likes, and a peer
+// that presents another secret is counted by the keeper of the secrets.
 type serverErrors struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
@@ -155,8 +153,7 @@
 }
 
 // renewSecret writes what is due: the first secret, secrets that were removed from the store, or
-// the
-// next step of a renewal.
+// the next step of a renewal.
 func (hos *Host) renewSecret(ctx context.Context) {
 	now := time.Now()
 	sec := hos.secrets
@@ -185,8 +182,7 @@
 }
 
 // writeRing writes secrets on condition of the key's revision. All hosts, this one included, read
-// the
-// result from the store.
+// the result from the store.
 func (hos *Host) writeRing(ctx context.Context, ring credential.Ring, revision store.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, secretTimeout)
 	defer cancel()
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -35,8 +35,7 @@
 const metricsListener = "MetricsAddress"
 
 // liveness closes connections of clients and hosts that have gone silent: after that time the
-// client
-// of a stream has given up, and the engine would generate an answer that is not read.
+// client of a stream has given up, and the engine would generate an answer that is not read.
 var liveness = transport.Liveness{Limit: 2500 * time.Millisecond}
 
 func (hos *Host) serve(ctx context.Context) error {
--- a/entry/source.go
+++ b/entry/source.go
@@ -52,8 +52,7 @@
 	followPatience = 400 * time.Millisecond
 	// firstPause is how long a host that finds no other host waits for others to register, as long
 	// as no client waits: the entries of a fleet that starts for the first time don't exist yet,
-	// nor
-	// do those of a fleet whose leases expired in an outage.
+	// nor do those of a fleet whose leases expired in an outage.
 	firstPause = 400 * time.Millisecond
 	// followerProbe is the average interval at which a host that reads through another one probes
 	// an unreachable store itself, in case only the other host can't reach it.
@@ -224,7 +223,7 @@
 
 // Error names the host and the age of its copy.
 func (sme *StaleMirrorError) Error() string {
-	return "copy of the store on host " + sme.Member + " is too old: age " + sme.Age.String()
+	return "copy of the store on host " + sme.Member + " is " + sme.Age.String() + " old, too old to use"
 }
 
 // BehindMirrorError reports a host whose copy of the store is older than that of the host that asks
--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -6,14 +6,12 @@
 )
 
 // A host that was suspended must not act on what expired meanwhile: revoked keys, deadlines,
-// leases,
-// its place in the membership. All of these are checked against the host's clock, which counts the
-// time of the suspension. What stood still with the host is corrected here.
+// leases, its place in the membership. All of these are checked against the host's clock, which
+// counts the time of the suspension. What stood still with the host is corrected here.
 
 // noteSuspended records a suspension and wakes keepAwake. Sessions that were silent for so long
-// have
-// ended at the other side: until they are open again this host decides alone, with its own share of
-// the limits.
+// have ended at the other side: until they are open again this host decides alone, with its own
+// share of the limits.
 func (hos *Host) noteSuspended(dur time.Duration) {
 	hos.figures.count("Suspensions")
 	hos.log.Warn().Dur("For", dur).Msg("host was suspended")
@@ -25,8 +23,7 @@
 }
 
 // keepAwake renews the lease and, if needed, closes sessions after each suspension, until the
-// context
-// ends.
+// context ends.
 func (hos *Host) keepAwake(ctx context.Context) error {
 	for {
 		select {
