--- a/entry/changes.go
+++ b/entry/changes.go
@@ -17,12 +17,12 @@
 }
 
 // log writes the line, if any host changed.
-func (chl *changeList) log(log zerolog.Logger, rev store.Revision) {
-	if len(chl.entered)+len(chl.gone) == 0 {
+func (mch *changeList) log(log zerolog.Logger, rev store.Revision) {
+	if len(mch.entered)+len(mch.gone) == 0 {
 		return
 	}
-	log.Info().Int("Entered", len(chl.entered)).Strs("EnteredNames", named(chl.entered)).
-		Int("Gone", len(chl.gone)).Strs("GoneNames", named(chl.gone)).Uint64("Revision", uint64(rev)).Msg("hosts changed")
+	log.Info().Int("Entered", len(mch.entered)).Strs("EnteredNames", named(mch.entered)).
+		Int("Gone", len(mch.gone)).Strs("GoneNames", named(mch.gone)).Uint64("Revision", uint64(rev)).Msg("hosts changed")
 }
 
 func named(names []string) []string {
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -27,8 +27,8 @@
 			wri.WriteHeader(http.StatusNotFound)
 			return
 		}
-		if ready, why := hos.ready(hos.clock.Now()); !ready {
-			http.Error(wri, why, http.StatusServiceUnavailable)
+		if ready, reason := hos.ready(hos.clock.Now()); !ready {
+			http.Error(wri, reason, http.StatusServiceUnavailable)
 			return
 		}
 		wri.WriteHeader(http.StatusOK)
@@ -53,7 +53,7 @@
 			return
 		}
 		wri.Header().Set("Content-Type", "application/json")
-		// An error means that the client has disconnected; there is no one left to report it to.
+		// The write fails only if the client has disconnected; nothing more can be sent to it.
 		_, _ = wri.Write(data)
 	})
 }
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -108,6 +108,6 @@
 		return
 	}
 	wri.Header().Set("Content-Type", "application/json")
-	// An error means that the client has disconnected; there is no one left to report it to.
+	// The write fails only if the client has disconnected; nothing more can be sent to it.
 	_, _ = wri.Write(data)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -77,7 +77,7 @@
 	// snapshot holds the configuration, engines and hosts that requests are decided by.
 	belief atomic.Pointer[belief]
 	// confirmed is when the store last showed that the snapshot is current, in nanoseconds after
-	// started.
+	// started by the host's clock.
 	confirmed atomic.Int64
 	started   time.Time
 	// storeAway is set while the store is unreachable for other hosts too.
@@ -324,7 +324,7 @@
 	}
 	err := hos.servers[0].Shutdown(ctx)
 	if err != nil {
-		hos.log.Warn().Err(err).Msg("planned stop: grace period over, requests in flight are cancelled")
+		hos.log.Warn().Err(err).Msg("planned stop did not finish, cutting requests in flight")
 	}
 	return err
 }
--- a/entry/figures.go
+++ b/entry/figures.go
@@ -105,7 +105,7 @@
 			return
 		}
 		wri.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		// An error means that the client has disconnected; there is no one left to report it to.
+		// The write fails only if the client has disconnected; nothing more can be sent to it.
 		_, _ = wri.Write(hos.figures.text(hos.store.Counts()))
 	})
 }
--- a/entry/held.go
+++ b/entry/held.go
@@ -148,6 +148,6 @@
 		return
 	}
 	wri.Header().Set("Content-Type", "application/json")
-	// An error means that the client has disconnected; there is no one left to report it to.
+	// The write fails only if the client has disconnected; nothing more can be sent to it.
 	_ = json.NewEncoder(wri).Encode(struct{ Freed call.Digest }{Freed: dig})
 }
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -173,7 +173,7 @@
 	if hrd.Head.UnreadCold != "" {
 		evt = evt.Str("Cold", hrd.Head.UnreadCold)
 	}
-	evt.Msg("engine signal in an answer is invalid, ignored or adjusted")
+	evt.Msg("answer has an invalid engine signal, ignored or adjusted")
 }
 
 // blockingSignal returns the signal that forbids this host to send to an engine, or nil.
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -36,8 +36,8 @@
 	// lapseHold is how long after an outage of the store entries that expired in it are kept: their
 	// owners register again within about two seconds.
 	lapseHold = 2200 * time.Millisecond
-	// peersGap is how long other hosts may pass on nothing current although the store serves them:
-	// where nothing changes, their copies are as old as their watches.
+	// peersGap is the longest gap between two successful reads from other hosts in which the store
+	// is taken to serve them: where nothing changes, their copies are as old as their watches.
 	peersGap = watchWait
 )
 
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -81,9 +81,9 @@
 type serverErrors struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
-func (see serverErrors) Write(line []byte) (int, error) {
+func (sel serverErrors) Write(line []byte) (int, error) {
 	if !bytes.HasPrefix(line, handshakeComplaint) {
-		see.log.Error().Bytes("Detail", line).Msg("error in the server for peers")
+		sel.log.Error().Bytes("Detail", line).Msg("error in the server for peers")
 	}
 	return len(line), nil
 }
