--- a/entry/figures.go
+++ b/entry/figures.go
@@ -15,7 +15,7 @@
 	registry      metrics.Registry
 	dialed        metrics.Counter
 	storeFailures metrics.Counter
-	// refused counts invalid values in the store.
+	// invalidValues counts invalid values in the store.
 	refused metrics.Counter
 	// peersRefused counts peers that failed to authenticate as hosts of this deployment.
 	peersRefused metrics.Counter
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -41,7 +41,7 @@
 // keepLease keeps the host registered in the store until a planned stop.
 func (hos *Host) keepLease(ctx context.Context) error {
 	var lease store.LeaseID
-	var pause, ttl time.Duration
+	var backoff, ttl time.Duration
 	hos.awaitListed(ctx)
 	for {
 		var err error
@@ -60,10 +60,10 @@
 			lease, wait = 0, 0
 		case err != nil:
 			hos.log.Debug().Err(err).Msg("renewing the lease or registering the host failed")
-			pause = min(maxLeaseRetry, max(minLeaseRetry, 2*pause))
-			wait = pause/2 + rand.N(pause)
+			backoff = min(maxLeaseRetry, max(minLeaseRetry, 2*backoff))
+			wait = backoff/2 + rand.N(backoff)
 		default:
-			pause = 0
+			backoff = 0
 		}
 		if !hos.waitForLease(ctx, wait) {
 			break
@@ -90,8 +90,8 @@
 	return renewalsToLapse * renewInterval(hosts)
 }
 
-// misfits reports whether a lease's duration differs so much from the wanted one that a new lease
-// is worth its two calls.
+// needsNewLease reports whether a lease's duration differs so much from the wanted one that a new
+// lease is worth its two calls.
 func misfits(ttl, wanted time.Duration) bool {
 	return ttl > 2*wanted || wanted > 2*ttl
 }
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -26,7 +26,7 @@
 	// when an invalid signal was last logged.
 	loggedAt     map[fleet.EngineID]time.Time
 	unreadableAt time.Time
-	// unknown records the headers of answers that are not recognized.
+	// unrecognized records the headers of answers that are not recognized.
 	unknown *unknownHeaders
 }
 
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// followers is the least number of hosts in a failure domain for which one of them reads the
-	// store for all: with fewer hosts that saves too little.
+	// minRelayHosts is the least number of hosts in a failure domain for which one of them reads
+	// the store for all: with fewer hosts that saves too little.
 	followers = 3
 	// maxReaders is how many hosts of a failure domain are tried in turn as the one that reads for
 	// all, before each host reads by itself: the first may be lost, and the second rejected by the
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -69,7 +69,7 @@
 	sec.toldAt, sec.untold = now, 0
 }
 
-// keyed reports whether the settings hold a key, which replaces the secrets in the store.
+// hasPeerKey reports whether the settings hold a key, which replaces the secrets in the store.
 func (hos *Host) keyed() bool { return hos.set.PeerKey != "" }
 
 // handshakeComplaint is the prefix of the HTTP server's log line about each failed handshake.
--- a/entry/source.go
+++ b/entry/source.go
@@ -67,7 +67,7 @@
 	changes store.Changes
 	// confirmed is a time at which the store certainly had these values.
 	confirmed time.Time
-	// from is the name of the host that passed the update on; empty for the store itself.
+	// relay is the name of the host that passed the update on; empty for the store itself.
 	from string
 }
 
@@ -281,12 +281,12 @@
 	if wat.whole {
 		after = 0
 	}
-	asked := wat.host.clock.Now()
+	askedAt := wat.host.clock.Now()
 	reply, err := wat.host.peers.Follow(ctx, mem.PeerAddress, after, wait)
 	if err != nil {
 		return update{}, err
 	}
-	upd := update{whole: reply.Whole, changes: reply.Changes, confirmed: asked.Add(reply.Confirmed), from: mem.Name}
+	upd := update{whole: reply.Whole, changes: reply.Changes, confirmed: askedAt.Add(reply.Confirmed), from: mem.Name}
 	if age := wat.host.clock.Since(upd.confirmed); age > followAge {
 		return update{}, &StaleMirrorError{Member: mem.Name, Age: age}
 	}
@@ -333,7 +333,7 @@
 	} else if wat.readers.reads(wat.host.clock.Now(), wat.mates()) {
 		wait = followedWait
 	}
-	asked := wat.host.clock.Now()
+	askedAt := wat.host.clock.Now()
 	changes, err := wat.host.store.Watch(ctx, platform.Prefix, wat.revision, wait)
 	var compacted *store.CompactedError
 	if errors.As(err, &compacted) {
@@ -341,5 +341,5 @@
 		wat.whole = true
 		return wat.list(ctx)
 	}
-	return update{changes: changes, confirmed: asked}, err
+	return update{changes: changes, confirmed: askedAt}, err
 }
--- a/entry/take.go
+++ b/entry/take.go
@@ -161,7 +161,7 @@
 		Uint64("Sequence", eng.Sequence).Bool("Newer", newer).Uint64("Revision", uint64(rev)).Msg("engine entry")
 }
 
-// takeConfiguration puts a newer configuration in force. An invalid one is refused as a whole, and
+// applyConfiguration puts a newer configuration in force. An invalid one is refused as a whole, and
 // the last valid one stays in force.
 func (wat *observer) takeConfiguration(val store.Value) {
 	con, err := platform.DecodeConfiguration(val.Data)
--- a/entry/unread.go
+++ b/entry/unread.go
@@ -35,8 +35,8 @@
 	unr.host.log.Warn().Str("Key", val.Key[:min(len(val.Key), maxNameBytes)]).Uint64("Revision", uint64(val.Revision)).Msg("a key of the store is read by nobody")
 }
 
-// takeConfiguration counts the unrecognized fields of a configuration, and logs each once. Fields
-// that are recognized but ignored are left out.
+// recordFields counts the unrecognized fields of a configuration, and logs each once. Fields that
+// are recognized but ignored are left out.
 func (unr *unread) takeConfiguration(val store.Value) {
 	unknown := platform.UnreadFields(val.Data)
 	for _, field := range slices.Sorted(maps.Keys(unknown)) {
