--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -187,7 +187,8 @@
 	}
 	wat.evacuationsChanged = false
 	for _, domain := range wat.reopened {
-		// Its engines had no requests. They may be cold, and report that only after they are used.
+		// The domain's engines had no requests. They may be cold, and report that only after they
+		// are used.
 		wat.directory.Chill(now, domain, coldFor(tab))
 	}
 	wat.reopened = nil
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// minRenew and maxRenew bound how often a lease is renewed. In a small fleet a lost host's
-	// entry expires within seconds, in a large one within half a minute. No clients are sent to the
-	// host for that long, since the coordinator notices the end of its session; what expires is the
-	// entry of a host that never comes back.
+	// minRenew and maxRenew bound how often a lease is renewed. In a small fleet a lost host's entry
+	// expires within seconds, in a large one within half a minute. The coordinator stops clients
+	// from being sent to the host earlier, when its session ends; what expires is the entry of a
+	// host that never comes back.
 	minRenew = time.Second
 	maxRenew = 10 * time.Second
 	// renewalsToLapse is how many renewals must fail before the entry expires.
