--- a/entry/entry.go
+++ b/entry/entry.go
@@ -282,8 +282,8 @@
 	stopMargin = 500 * time.Millisecond
 )
 
-// keepHouse regularly closes connections to engines that are gone or that have been idle for long,
-// and drops expired notices.
+// keepHouse regularly closes connections to engines that were deregistered or replaced and those
+// that have been idle for long, and drops expired notices.
 func (hos *Host) keepHouse(ctx context.Context) error {
 	tick := time.NewTicker(houseInterval)
 	defer tick.Stop()
