--- a/entrytest/crash.go
+++ b/entrytest/crash.go
@@ -17,54 +17,56 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// CrashBody is in the body of each request under which the engines of a Crashing end.
+// CrashBody is contained in the body of each poison request: a request that crashes the
+// engine that runs it.
 const CrashBody = "ends whatever runs it"
 
-// CrashConfig says how engines end and come back.
+// CrashConfig holds the settings of Crashing.
 type CrashConfig struct {
 	Engines int
-	// Slots is how many requests each works on at a time, default 4.
+	// Slots is how many requests an engine runs at a time; 0 means 4.
 	Slots int
-	// Events is the length of a stream, Step the time between two events.
+	// Events is the number of events of a stream, Step the time between two events.
 	Events int
 	Step   time.Duration
-	// After is how long a request with CrashBody has run when its engine ends.
+	// After is how long a poison request runs until its engine crashes.
 	After time.Duration
-	// Lapse is after what time the entry of an engine that ended goes, and Back after what
-	// time another run is there.
+	// Lapse is the time from a crash until the engine's entry is deleted, Back the time
+	// from a crash until the engine's next run starts.
 	Lapse time.Duration
 	Back  time.Duration
-	// SameName has an engine start again under its name, with another start.
+	// SameName gives the next run the same name and another start time. Its entry isn't
+	// deleted then.
 	SameName bool
 }
 
-// Crashing are engines of the service Model that end when they run a request with
-// CrashBody: their connections end, nothing listens at their address, their entry stays
-// until it lapses, and some time later they are back.
+// Crashing is a group of engines of the service Model that crash when they run a poison
+// request. A crashed engine closes its connections and its listener, its entry stays until
+// it expires, and some time later another run starts.
 type Crashing struct {
 	sys *System
 	cfg CrashConfig
 
 	mutex sync.Mutex
-	// sites are the places at which engines run, one engine each at a time.
+	// sites are the addresses at which engines run, one engine each at a time.
 	sites    []*crashSite
 	arrivals []Arrival
-	ends     []time.Time
-	// innocents are the requests without CrashBody that an engine's end took.
-	innocents int
-	stopped   bool
+	crashes  []time.Time
+	// interrupted counts the requests without CrashBody that crashes interrupted.
+	interrupted int
+	stopped     bool
 }
 
-// Arrival is a request with CrashBody that reached an engine.
+// Arrival is a poison request that reached an engine.
 type Arrival struct {
 	ID     string
 	Engine string
 	At     time.Time
-	// Beside is how many other requests the engine ran.
+	// Beside is the number of other requests that the engine was running.
 	Beside int
 }
 
-// crashSite is where an engine runs again and again.
+// crashSite is an address at which the runs of one engine follow one another.
 type crashSite struct {
 	number  int
 	address string
@@ -73,10 +75,10 @@
 	server  *http.Server
 	engine  *upstreamtest.Engine
 	running int
-	ended   bool
+	crashed bool
 }
 
-// AddCrashing starts such engines and has them enter.
+// AddCrashing starts crashing engines and registers them in the store.
 func (sys *System) AddCrashing(cfg CrashConfig) *Crashing {
 	sys.t.Helper()
 	if cfg.Slots == 0 {
@@ -86,7 +88,7 @@
 	for num := range cfg.Engines {
 		sit := &crashSite{number: num, address: "127.0.0.1:0"}
 		cra.sites = append(cra.sites, sit)
-		cra.begin(sit)
+		cra.startRun(sit)
 	}
 	sys.t.Cleanup(cra.stop)
 	return cra
@@ -97,13 +99,13 @@
 	defer cra.mutex.Unlock()
 	cra.stopped = true
 	for _, sit := range cra.sites {
-		// What fails here has no consequence: the test is over.
+		// The test is over, so the error doesn't matter.
 		_ = sit.server.Close()
 	}
 }
 
-// begin starts the next run of a site's engine.
-func (cra *Crashing) begin(sit *crashSite) {
+// startRun starts the next run of a site's engine.
+func (cra *Crashing) startRun(sit *crashSite) {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	if cra.stopped {
@@ -122,26 +124,26 @@
 		sit.name = fmt.Sprintf("crash-%d-%d", sit.number, sit.run)
 	}
 	sit.engine = upstreamtest.NewEngine(upstreamtest.Config{ID: sit.name, Service: Model, Events: cra.cfg.Events, Step: cra.cfg.Step})
-	sit.ended, sit.running = false, 0
+	sit.crashed, sit.running = false, 0
 	srv := &http.Server{Handler: cra.handler(sit, sit.engine.Handler(), sit.run), ReadHeaderTimeout: time.Minute}
 	sit.server = srv
 	go func() {
-		// It ends by being closed.
+		// Serve returns when the server is closed.
 		_ = srv.Serve(lis)
 	}()
-	cra.enter(sit)
+	cra.register(sit)
 }
 
-func (cra *Crashing) enter(sit *crashSite) {
+func (cra *Crashing) register(sit *crashSite) {
 	sta := EngineState{Service: Model, Address: sit.address, Slots: cra.cfg.Slots}
 	if cra.cfg.SameName {
 		sta.Born = time.Now()
 	}
-	// The test may be over.
+	// The error is ignored, since the test may be over.
 	_, _ = cra.sys.Store.Put(context.Background(), store.Write{Key: EngineKey(sit.name), Data: EngineEntry(sta), Blind: true})
 }
 
-// handler serves a run of a site's engine.
+// handler returns the HTTP handler of one run of a site's engine.
 func (cra *Crashing) handler(sit *crashSite, engine http.Handler, run int) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		body, err := readBody(req)
@@ -149,24 +151,24 @@
 			return
 		}
 		if expected := req.Header.Get("Expect-Instance"); expected != sit.name || !strings.Contains(body, CrashBody) {
-			cra.count(sit, run, 1)
-			defer cra.count(sit, run, -1)
+			cra.addRunning(sit, run, 1)
+			defer cra.addRunning(sit, run, -1)
 			engine.ServeHTTP(wri, req)
 			return
 		}
-		cra.arrive(sit, req.Header.Get("Request-Id"))
+		cra.recordArrival(sit, req.Header.Get("Request-Id"))
 		timer := time.NewTimer(cra.cfg.After)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
-			cra.end(sit, run)
+			cra.crash(sit, run)
 		case <-req.Context().Done():
 		}
 		panic(http.ErrAbortHandler)
 	})
 }
 
-func (cra *Crashing) count(sit *crashSite, run, change int) {
+func (cra *Crashing) addRunning(sit *crashSite, run, change int) {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	if sit.run == run {
@@ -174,49 +176,49 @@
 	}
 }
 
-func (cra *Crashing) arrive(sit *crashSite, id string) {
+func (cra *Crashing) recordArrival(sit *crashSite, id string) {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	cra.arrivals = append(cra.arrivals, Arrival{ID: id, Engine: sit.name, At: time.Now(), Beside: sit.running})
 }
 
-// end ends a run of a site's engine, unless it has ended already.
-func (cra *Crashing) end(sit *crashSite, run int) {
+// crash ends a run of a site's engine, unless that run has ended already.
+func (cra *Crashing) crash(sit *crashSite, run int) {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
-	if sit.run != run || sit.ended || cra.stopped {
+	if sit.run != run || sit.crashed || cra.stopped {
 		return
 	}
-	sit.ended = true
-	cra.ends = append(cra.ends, time.Now())
-	cra.innocents += sit.running
-	// Its connections end with it.
+	sit.crashed = true
+	cra.crashes = append(cra.crashes, time.Now())
+	cra.interrupted += sit.running
+	// Close ends the open connections, too.
 	_ = sit.server.Close()
 	name := sit.name
 	if !cra.cfg.SameName {
 		time.AfterFunc(cra.cfg.Lapse, func() {
-			// The test may be over.
+			// The error is ignored, since the test may be over.
 			_, _ = cra.sys.Store.Put(context.Background(), store.Write{Key: EngineKey(name), Delete: true, Blind: true})
 		})
 	}
-	time.AfterFunc(cra.cfg.Back, func() { cra.begin(sit) })
+	time.AfterFunc(cra.cfg.Back, func() { cra.startRun(sit) })
 }
 
-// Arrivals returns the requests with CrashBody that reached engines, in order.
+// Arrivals returns the poison requests that reached engines, in order of arrival.
 func (cra *Crashing) Arrivals() []Arrival {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	return append([]Arrival(nil), cra.arrivals...)
 }
 
-// Ends returns when engines ended, in order.
+// Ends returns the times at which engines crashed, in order.
 func (cra *Crashing) Ends() []time.Time {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
-	return append([]time.Time(nil), cra.ends...)
+	return append([]time.Time(nil), cra.crashes...)
 }
 
-// Drain has an engine say that it leaves.
+// Drain marks an engine's entry as draining.
 func (cra *Crashing) Drain(engine string) {
 	cra.sys.t.Helper()
 	cra.mutex.Lock()
@@ -228,15 +230,15 @@
 	}
 }
 
-// UntilUp waits until so many engines run.
+// UntilUp waits until at least count engines run.
 func (cra *Crashing) UntilUp(count int) {
 	cra.sys.t.Helper()
-	cra.sys.Until("engines are back", func() bool {
+	cra.sys.Until("engines run again", func() bool {
 		cra.mutex.Lock()
 		defer cra.mutex.Unlock()
 		up := 0
 		for _, sit := range cra.sites {
-			if !sit.ended {
+			if !sit.crashed {
 				up++
 			}
 		}
@@ -244,19 +246,19 @@
 	})
 }
 
-// Innocents returns how many other requests the engines' ends took.
+// Innocents returns how many other requests were interrupted by crashes.
 func (cra *Crashing) Innocents() int {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
-	return cra.innocents
+	return cra.interrupted
 }
 
-// readBody reads a body, and leaves it to be read again.
+// readBody returns the request's body and lets it be read again.
 func readBody(req *http.Request) (string, error) {
 	body, err := io.ReadAll(req.Body)
 	req.Body = io.NopCloser(bytes.NewReader(body))
 	return string(body), err
 }
 
-// Count returns how many engines there are.
+// Count returns the number of engines.
 func (cra *Crashing) Count() int { return len(cra.sites) }
--- a/entrytest/entrytest.go
+++ b/entrytest/entrytest.go
@@ -1,5 +1,5 @@
-// Package entrytest runs hosts of the users' platform for tests: a stand-in of
-// its store, engines, and hosts, all in one process over loopback TCP.
+// Package entrytest runs hosts for tests: a fake of the platform's store, engines, and
+// hosts, all in one process over loopback TCP.
 //
 // # Usage
 //
@@ -41,43 +41,43 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// The services, the host name and the key of every system.
+// The services, the host name and the keys of every System.
 const (
-	// Model streams, Plain answers whole.
+	// Model is a service that streams its answers, Plain one that sends them as a whole.
 	Model = "model"
 	Plain = "plain"
-	// HostName is the one that the routes are for.
+	// HostName is the host name of all routes.
 	HostName = "menus.example"
-	// Key is held by the account named Account.
+	// Key is an API key of the client account Account.
 	Key     = "key-of-kitchen"
 	Account = "kitchen"
-	// PeerKey is the hosts' own.
+	// PeerKey is the key by which hosts authenticate one another.
 	PeerKey = "key between the hosts under test"
 )
 
-// waitLimit is how long anything may take to come about.
-const waitLimit = 10 * time.Second
+// waitTimeout is how long a test waits for a condition.
+const waitTimeout = 10 * time.Second
 
-// Config holds what a System is made from.
+// Config holds the settings of a System.
 type Config struct {
 	Hosts   int
 	Engines []*upstreamtest.Engine
-	// Bounds change the hosts' settings.
+	// Bounds override the hosts' settings.
 	Bounds settings.Bounds
 	// OneDomain puts all hosts into one failure domain.
 	OneDomain bool
-	// Regions are the regions of failure domains; nil for one region.
+	// Regions maps failure domains to regions; nil puts all hosts into one region.
 	Regions map[string]string
-	// StoredSecret has the hosts know one another by a secret in the store, and not by
-	// PeerKey.
+	// StoredSecret makes the hosts authenticate one another by a secret in the store
+	// instead of PeerKey.
 	StoredSecret bool
-	// Suspendable gives each host clocks of its own, which a test may suspend.
+	// Suspendable gives each host its own clocks, which a test may suspend.
 	Suspendable bool
-	// MetricsTaken has the address of the figures be taken already.
+	// MetricsTaken makes the metrics address of each host be in use already.
 	MetricsTaken bool
 }
 
-// System is a running system.
+// System is a running store with its engines and hosts.
 type System struct {
 	Store *platformtest.Memory
 	Hosts []*Host
@@ -89,32 +89,32 @@
 type Host struct {
 	*entry.Host
 	Settings settings.Entry
-	// cut has this host's calls to the store end without an answer.
-	cut atomic.Bool
-	// refused has the store refuse them by its rate.
-	refused atomic.Bool
-	// Clock are the host's clocks with Suspendable.
+	// storeCut makes the host's calls to the store fail without an answer.
+	storeCut atomic.Bool
+	// storeThrottled makes the store answer the host's calls with 429 Too Many Requests.
+	storeThrottled atomic.Bool
+	// Clock is the source of the host's clocks if Config.Suspendable is set.
 	Clock *clocktest.Source
 }
 
-// RefuseStore has the store refuse the host's calls by its rate, or serve them again.
+// RefuseStore sets whether the store rejects the host's calls by its rate limit.
 func (hos *Host) RefuseStore(refused bool) {
-	hos.refused.Store(refused)
+	hos.storeThrottled.Store(refused)
 }
 
-// CutStore cuts the host's own way to the store, or mends it.
+// CutStore sets whether the host's connection to the store is cut.
 func (hos *Host) CutStore(cut bool) {
-	hos.cut.Store(cut)
+	hos.storeCut.Store(cut)
 }
 
-// storeAddress returns where the host reaches the store.
-func (sys *System) storeAddress(hos *Host) netip.AddrPort {
+// startStoreProxy starts a proxy of the store for the host and returns its address.
+func (sys *System) startStoreProxy(hos *Host) netip.AddrPort {
 	handler := platformtest.NewServer(sys.Store).Handler()
 	front := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
-		if hos.cut.Load() {
+		if hos.storeCut.Load() {
 			panic(http.ErrAbortHandler)
 		}
-		if hos.refused.Load() {
+		if hos.storeThrottled.Load() {
 			wri.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
@@ -124,7 +124,7 @@
 	return netip.MustParseAddrPort(front.Listener.Addr().String())
 }
 
-// Log keeps what the hosts log.
+// Log collects the log output of all hosts.
 type Log struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
@@ -137,14 +137,14 @@
 	return log.text.Write(data)
 }
 
-// String returns all lines so far.
+// String returns all lines logged so far.
 func (log *Log) String() string {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	return log.text.String()
 }
 
-// Start starts everything; no configuration is in force yet.
+// Start starts the store, the engines and the hosts. No configuration is in force yet.
 func Start(t *testing.T, cfg Config) *System {
 	t.Helper()
 	sys := Prepare(t, cfg.Engines)
@@ -152,7 +152,7 @@
 	return sys
 }
 
-// Prepare starts the store and the engines, without any host.
+// Prepare starts the store and the engines, but no hosts.
 func Prepare(t *testing.T, engines []*upstreamtest.Engine) *System {
 	t.Helper()
 	sys := &System{Store: platformtest.NewMemory(platformtest.MemoryConfig{}), log: &Log{}, t: t}
@@ -165,16 +165,16 @@
 	return sys
 }
 
-// StartHosts starts the hosts of the configuration.
+// StartHosts starts cfg.Hosts more hosts.
 func (sys *System) StartHosts(cfg Config) {
 	sys.t.Helper()
 	for idx := range cfg.Hosts {
-		sys.start(idx, cfg)
+		sys.startHost(idx, cfg)
 	}
 }
 
-// EnterLost writes the entry of a host that is there no more, or hardly: all that
-// answers at its address is the mirror.
+// EnterLost registers a host that is lost or hardly answers: its address serves nothing
+// but the mirror.
 func (sys *System) EnterLost(name string, epoch request.Epoch, mir peer.Mirror) {
 	sys.t.Helper()
 	srv := peer.NewServer(peer.ServerConfig{Mirror: mir, Security: peer.Security{Key: PeerKey}}).HTTPServer()
@@ -182,7 +182,7 @@
 	lis, err := lic.Listen(sys.t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(sys.t, err)
 	go func() {
-		// It ends with the test, by being closed.
+		// Serve returns when the server is closed at the end of the test.
 		_ = srv.Serve(lis)
 	}()
 	sys.t.Cleanup(func() { _ = srv.Close() })
@@ -192,7 +192,7 @@
 	sys.put(platform.MemberKey(name), string(data))
 }
 
-// Remove takes an engine's entry away.
+// Remove deletes an engine's entry.
 func (sys *System) Remove(id string) {
 	sys.t.Helper()
 	_, err := sys.Store.Put(sys.t.Context(), store.Write{Key: EngineKey(id), Delete: true, Blind: true})
@@ -205,7 +205,7 @@
 	assert.NilError(sys.t, err)
 }
 
-func (sys *System) start(idx int, cfg Config) {
+func (sys *System) startHost(idx int, cfg Config) {
 	sys.t.Helper()
 	one := &Host{}
 	domain := fmt.Sprintf("d%d", idx)
@@ -227,7 +227,7 @@
 		Name: fmt.Sprintf("host-%d", idx), Domain: domain, Regions: cfg.Regions,
 		CallerAddress: embedded.NextAddress(), ReadyAddress: embedded.NextAddress(), DirectoryAddress: embedded.NextAddress(),
 		PeerAddress: embedded.NextAddress(), MetricsAddress: metrics,
-		StoreAddress: sys.storeAddress(one),
+		StoreAddress: sys.startStoreProxy(one),
 		PeerKey:      peerKey, Bounds: cfg.Bounds,
 	})
 	assert.NilError(sys.t, err)
@@ -249,38 +249,38 @@
 	sys.t.Cleanup(hos.Stop)
 }
 
-// Configure puts a configuration into the store.
+// Configure writes a configuration to the store.
 func (sys *System) Configure(con Configuration) {
 	sys.t.Helper()
 	sys.put(ConfigurationKey, con.JSON())
 }
 
-// ConfigureText puts any text into the configuration's place.
+// ConfigureText writes any text in place of the configuration.
 func (sys *System) ConfigureText(text string) {
 	sys.t.Helper()
 	sys.put(ConfigurationKey, text)
 }
 
-// UntilVersion waits until each host has a configuration in force.
+// UntilVersion waits until the configuration version is in force at each host.
 func (sys *System) UntilVersion(version uint64) {
 	sys.t.Helper()
-	sys.untilFigure(fmt.Sprintf("ConfigurationVersion %d\n", version))
+	sys.waitForMetric(fmt.Sprintf("ConfigurationVersion %d\n", version))
 }
 
-// UntilEngines waits until each host knows so many engines that take work.
+// UntilEngines waits until each host knows exactly count engines that are ready.
 func (sys *System) UntilEngines(count int) {
 	sys.t.Helper()
-	sys.untilFigure(fmt.Sprintf("EnginesReady %d\n", count))
+	sys.waitForMetric(fmt.Sprintf("EnginesReady %d\n", count))
 }
 
-func (sys *System) untilFigure(line string) {
+func (sys *System) waitForMetric(line string) {
 	sys.t.Helper()
 	for _, hos := range sys.Hosts {
 		sys.Until(line, func() bool { return strings.Contains(sys.Figures(hos), line) })
 	}
 }
 
-// UntilReady waits until each host takes requests and knows all others.
+// UntilReady waits until each host is ready and returns the addresses of all hosts.
 func (sys *System) UntilReady() {
 	sys.t.Helper()
 	for _, hos := range sys.Hosts {
@@ -290,18 +290,18 @@
 	}
 }
 
-// IsReady asks a host whether it takes requests.
+// IsReady reports whether a host's readiness check succeeds.
 func (sys *System) IsReady(hos *Host) bool {
 	return sys.get("http://"+hos.Settings.ReadyAddress.String()+"/ready").Status == http.StatusOK
 }
 
-// pollInterval is how often a condition is looked at.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 5 * time.Millisecond
 
-// Until waits for a condition.
+// Until waits until a condition holds and fails the test after waitTimeout.
 func (sys *System) Until(what string, holds func() bool) {
 	sys.t.Helper()
-	ctx, cancel := context.WithTimeout(sys.t.Context(), waitLimit)
+	ctx, cancel := context.WithTimeout(sys.t.Context(), waitTimeout)
 	defer cancel()
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -309,17 +309,17 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			sys.t.Fatalf("not within %s: %s", waitLimit, what)
+			sys.t.Fatalf("condition doesn't hold after %s: %s", waitTimeout, what)
 		}
 	}
 }
 
-// Addresses asks a host where callers are to go.
+// Addresses returns the addresses to which a host's directory sends clients.
 func (sys *System) Addresses(hos *Host) []string {
 	return sys.AddressesFor(hos, "r")
 }
 
-// AddressesFor asks a host where callers in a region are to go.
+// AddressesFor returns the addresses to which a host's directory sends clients of a region.
 func (sys *System) AddressesFor(hos *Host, region string) []string {
 	ans := sys.get("http://" + hos.Settings.DirectoryAddress.String() + "/resolve?name=" + HostName + "&region=" + region + "&zone=d0")
 	var body struct {
@@ -331,20 +331,21 @@
 	return body.Addresses
 }
 
-// Figures returns what a host tells on its metrics address.
+// Figures returns the text of a host's metrics.
 func (sys *System) Figures(hos *Host) string {
 	return sys.get("http://" + hos.Settings.MetricsAddress.String() + "/metrics").Body
 }
 
-// Dump returns a host's state.
+// Dump returns a host's state as JSON.
 func (sys *System) Dump(hos *Host) string {
 	return sys.get("http://" + hos.Settings.MetricsAddress.String() + entry.PathDump).Body
 }
 
-// Log returns what the hosts have logged.
+// Log returns what all hosts have logged so far.
 func (sys *System) Log() string { return sys.log.String() }
 
-// Request is what a caller sends; Path is by its route, as "/safe/1".
+// Request is a client request. The first element of Path selects the route, as in
+// "/safe/1".
 type Request struct {
 	ID     string
 	Path   string
@@ -353,16 +354,16 @@
 	Header map[string]string
 }
 
-// Answer is what the caller got.
+// Answer is the answer that the client received.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Err is set when the answer broke off.
+	// Err is set if the call failed or the answer was truncated.
 	Err error
 }
 
-// Send sends a request to a host, with Key where none is given.
+// Send sends a request to a host, with Key if the request has none.
 func (sys *System) Send(ctx context.Context, hos *Host, req Request) Answer {
 	sys.t.Helper()
 	method := http.MethodGet
@@ -380,17 +381,17 @@
 	for name, value := range req.Header {
 		htr.Header.Set(name, value)
 	}
-	return do(htr)
+	return roundTrip(htr)
 }
 
 func (sys *System) get(url string) Answer {
 	req, err := http.NewRequestWithContext(sys.t.Context(), http.MethodGet, url, http.NoBody)
 	assert.NilError(sys.t, err)
-	return do(req)
+	return roundTrip(req)
 }
 
-// do makes a call on a connection of its own.
-func do(req *http.Request) Answer {
+// roundTrip makes a call on a connection of its own.
+func roundTrip(req *http.Request) Answer {
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	rep, err := transport.RoundTrip(req)
--- a/entrytest/writes.go
+++ b/entrytest/writes.go
@@ -15,25 +15,25 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// EngineState is what an engine tells of itself.
+// EngineState is the content of an engine's entry in the store.
 type EngineState struct {
 	Service  string
 	Address  string
 	Slots    int
 	Draining bool
-	// Version is that of its software; empty stands for "v1".
+	// Version is the engine's software version; empty means "v1".
 	Version string
-	// Domain is its failure domain; empty stands for "d0".
+	// Domain is the engine's failure domain; empty means "d0".
 	Domain string
-	// Cold is for how much longer it is cold.
+	// Cold is how much longer the engine is cold.
 	Cold time.Duration
-	// Born is when the engine's run started; the zero time has it not told.
+	// Born is the start of the engine's run; the zero time leaves it out.
 	Born time.Time
-	// Sequence counts what the run tells, from 1 on.
+	// Sequence numbers the entries that one run writes, from 1 on.
 	Sequence uint64
 }
 
-// EngineEntry returns an engine's entry in the store as the engine writes it.
+// EngineEntry returns an engine's entry in the encoding that engines write.
 func EngineEntry(sta EngineState) []byte {
 	state := "ready"
 	if sta.Draining {
@@ -47,81 +47,81 @@
 		sta.Service, sta.Address, cmp.Or(sta.Domain, "d0"), cmp.Or(sta.Version, "v1"), sta.Slots, state, sta.Cold.Milliseconds(), max(1, sta.Sequence), born)
 }
 
-// EngineKey returns the key of an engine's entry.
+// EngineKey returns the store key of an engine's entry.
 func EngineKey(id string) string { return "servers/" + id }
 
-// ConfigurationKey is the key of the operators' configuration.
+// ConfigurationKey is the store key of the operators' configuration.
 const ConfigurationKey = "op/config"
 
-// Enter writes an engine's entry.
+// Enter registers an engine at an address.
 func (sys *System) Enter(eng *upstreamtest.Engine, address string, draining bool) {
 	sys.t.Helper()
 	sys.EnterState(eng.ID(), EngineState{Service: eng.Service(), Address: address, Slots: eng.Slots(), Draining: draining, Version: eng.Version(), Domain: eng.Domain()})
 }
 
-// EnterState writes what an engine tells of itself.
+// EnterState writes an engine's entry with the given state.
 func (sys *System) EnterState(id string, sta EngineState) {
 	sys.t.Helper()
 	sys.put(EngineKey(id), string(EngineEntry(sta)))
 }
 
-// Order asks for a roll-out, as operators do.
+// Order writes an operator's order of a roll-out.
 func (sys *System) Order(service, version string, period time.Duration) {
 	sys.t.Helper()
 	sys.put("op/rollout/"+service, fmt.Sprintf(`{"service":%q,"target_version":%q,"period_s":%g}`, service, version, period.Seconds()))
 }
 
-// RolloutState returns what operators read of a service's roll-out; empty for nothing.
+// RolloutState returns the published state of a service's roll-out; empty for none.
 func (sys *System) RolloutState(service string) (state, version string) {
 	sys.t.Helper()
 	val, err := sys.Store.Get(sys.t.Context(), "status/rollout/"+service)
 	assert.NilError(sys.t, err)
-	var told struct {
+	var published struct {
 		State   string `json:"state"`
 		Version string `json:"target_version"`
 	}
 	if len(val.Data) > 0 {
-		assert.NilError(sys.t, json.Unmarshal(val.Data, &told))
+		assert.NilError(sys.t, json.Unmarshal(val.Data, &published))
 	}
-	return told.State, told.Version
+	return published.State, published.Version
 }
 
-// Evacuate has a failure domain emptied, as operators do, with any value; TakeBack ends that.
+// Evacuate writes an operator's order to evacuate a failure domain, with any value.
 func (sys *System) Evacuate(domain, value string) {
 	sys.t.Helper()
 	assert.NilError(sys.t, sys.Store.Write(store.Write{Key: EvacuationKey(domain), Data: []byte(value), Blind: true}))
 }
 
-// TakeBack takes back an order to empty a failure domain.
+// TakeBack deletes the order to evacuate a failure domain.
 func (sys *System) TakeBack(domain string) {
 	sys.t.Helper()
 	assert.NilError(sys.t, sys.Store.Write(store.Write{Key: EvacuationKey(domain), Delete: true, Blind: true}))
 }
 
-// EvacuationKey returns the key of an order to empty a failure domain.
+// EvacuationKey returns the store key of an order to evacuate a failure domain.
 func EvacuationKey(domain string) string { return "op/evacuate/" + domain }
 
-// EvacuationStateKey returns the key of what operators read of it.
+// EvacuationStateKey returns the store key of the published state of an evacuation.
 func EvacuationStateKey(domain string) string { return "status/evacuate/" + domain }
 
-// EvacuationState is what operators read of an order to empty a failure domain.
+// EvacuationState is the published state of an evacuation.
 type EvacuationState struct {
 	State string `json:"state"`
 	Order uint64 `json:"revision"`
 }
 
-// EvacuationState returns what operators read of a failure domain; empty for nothing.
+// EvacuationState returns the published state of an evacuation; the zero value for none.
 func (sys *System) EvacuationState(domain string) EvacuationState {
 	sys.t.Helper()
 	val := sys.Store.Peek(EvacuationStateKey(domain))
-	var told EvacuationState
+	var published EvacuationState
 	if len(val.Data) > 0 {
-		assert.NilError(sys.t, json.Unmarshal(val.Data, &told))
+		assert.NilError(sys.t, json.Unmarshal(val.Data, &published))
 	}
-	return told
+	return published
 }
 
-// AddEngines starts engines and has them enter.
+// AddEngines starts engines and registers them in the store.
 func (sys *System) AddEngines(engines ...*upstreamtest.Engine) {
 	sys.t.Helper()
 	for _, eng := range engines {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Listen starts an engine that doesn't enter yet, and returns its address.
+// Listen starts an engine without registering it and returns its address.
 func (sys *System) Listen(eng *upstreamtest.Engine) string {
 	sys.t.Helper()
 	srv := httptest.NewServer(eng.Handler())
@@ -137,38 +137,38 @@
 	return srv.Listener.Addr().String()
 }
 
-// RemoveHost takes a host's entry away.
+// RemoveHost deletes a host's entry.
 func (sys *System) RemoveHost(name string) {
 	sys.t.Helper()
 	assert.NilError(sys.t, sys.Store.Write(store.Write{Key: platform.MemberKey(name), Delete: true, Blind: true}))
 }
 
-// Configuration is what a test puts in force; zero stands for the defaults.
+// Configuration holds what a test sets in the configuration; zero fields have defaults.
 type Configuration struct {
 	Version uint64
-	// Attempts is how many engines a request may be sent to, default 2.
+	// Attempts is to how many engines a request may be sent; 0 means 2.
 	Attempts int
-	// Timeout is how long a request may be held, default 5 s.
+	// Timeout is how long a request may be held; 0 means 5 s.
 	Timeout time.Duration
-	// Aim is within what time an answer is in time, default 2 s.
+	// Aim is the latency target of all routes; 0 means 2 s.
 	Aim time.Duration
-	// Keys are the account's keys, default Key alone.
+	// Keys are the API keys of the account; nil means Key alone.
 	Keys []string
-	// Rate and Burst limit the account by tokens; 0 is no limit.
+	// Rate (tokens a second) and Burst (tokens) limit the account; 0 means no limit.
 	Rate  float64
 	Burst float64
-	// NoRoutes leaves the routes out.
+	// NoRoutes omits all routes.
 	NoRoutes bool
-	// RouteRegions and AccountRegions are those in which requests may be served; nil for all.
+	// RouteRegions and AccountRegions are the regions that may serve requests; nil means all.
 	RouteRegions   []string
 	AccountRegions []string
-	// ColdFor is for how long engines are cold after their start, ColdRate what each bears
-	// meanwhile, in requests a second; 0 for engines that never are.
+	// ColdFor is how long engines are cold after their start, ColdRate the requests a second
+	// that each may get meanwhile; 0 means that engines are never cold.
 	ColdFor  time.Duration
 	ColdRate float64
 }
 
-// JSON returns the configuration as operators write it.
+// JSON returns the configuration in the encoding that operators write.
 func (con Configuration) JSON() string {
 	if con.Attempts == 0 {
 		con.Attempts = 2
@@ -191,7 +191,7 @@
 		{"public", "safe", Plain, `,"public":true`},
 	} {
 		if con.RouteRegions != nil {
-			rou.more += `,"allowed_regions":` + list(con.RouteRegions)
+			rou.more += `,"allowed_regions":` + jsonList(con.RouteRegions)
 		}
 		routes = append(routes, fmt.Sprintf(`{"name":%q,"hostname":%q,"path_prefix":"/%s/","kind":%q,"timeout_ms":%d,"target_latency_ms":%d,"priority":1,"service":%q,"max_attempts":%d%s}`,
 			rou.name, HostName, rou.name, rou.kind, con.Timeout.Milliseconds(), con.Aim.Milliseconds(), rou.service, con.Attempts, rou.more))
@@ -205,16 +205,16 @@
 	}
 	regions := ""
 	if con.AccountRegions != nil {
-		regions = `,"allowed_regions":` + list(con.AccountRegions)
+		regions = `,"allowed_regions":` + jsonList(con.AccountRegions)
 	}
 	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":%q,"health_path":"/health","max_conns":50,"engine":{"slots":4,"kv_capacity":100000,"stride":5}%s},{"name":%q,"max_conns":50%s}],`+
 		`"limits":{"max_header_bytes":16384,"max_body_bytes":1048576},"tenants":[{"name":%q,"api_keys":%s,"unit":"tokens","plain_tokens":10,"rate_per_s":%g,"burst":%g%s}]}`,
-		con.Version, strings.Join(routes, ","), Model, cold, Plain, cold, Account, list(con.Keys), con.Rate, con.Burst, regions)
+		con.Version, strings.Join(routes, ","), Model, cold, Plain, cold, Account, jsonList(con.Keys), con.Rate, con.Burst, regions)
 }
 
-// list returns texts as the wire has them.
-func list(texts []string) string {
-	// Texts can always be written so.
+// jsonList returns texts as a JSON array.
+func jsonList(texts []string) string {
+	// A slice of strings can always be encoded.
 	data, _ := json.Marshal(texts)
 	return string(data)
 }
