--- a/entry/age_test.go
+++ b/entry/age_test.go
@@ -60,8 +60,8 @@
 	assert.Equal(t, cws.note("r", 4*time.Second), time.Second)
 }
 
-// Whatever timeouts are reported, requests with a known usual timeout are never taken for
-// retries.
+// Whatever timeouts are reported, a request with the known usual timeout counts as a first
+// attempt.
 func TestFirstAttemptsHaveNoClientWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cws := newAges()
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -17,18 +17,18 @@
 // The coordinator may still grant an engine that this host knows to be deregistered. That
 // costs the request one more reservation and doesn't fail it.
 func TestGrantOfDeregisteredEngineIsSkipped(t *testing.T) {
-	gone := fleet.Engine{ID: fleet.EngineID{Name: "gone"}, Service: "plain", Slots: 4, Domain: "here"}
-	left := fleet.Engine{ID: fleet.EngineID{Name: "left"}, Service: "plain", Slots: 4, Domain: "there"}
+	deregistered := fleet.Engine{ID: fleet.EngineID{Name: "gone"}, Service: "plain", Slots: 4, Domain: "here"}
+	remaining := fleet.Engine{ID: fleet.EngineID{Name: "left"}, Service: "plain", Slots: 4, Domain: "there"}
 	for _, tst := range []struct {
 		name   string
 		known  []fleet.Engine
 		engine string
-	}{{"one is left", []fleet.Engine{left}, "left"}, {"none is left", nil, ""}} {
+	}{{"one is left", []fleet.Engine{remaining}, "left"}, {"none is left", nil, ""}} {
 		t.Run(tst.name, func(t *testing.T) {
 			hos, err := New(Config{Log: zerolog.Nop()})
 			assert.NilError(t, err)
 			hos.set.Domain = "here"
-			hos.desk.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{gone, left}})
+			hos.desk.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{deregistered, remaining}})
 			sna := &belief{engines: make(map[string]fleet.Engine)}
 			for _, eng := range tst.known {
 				sna.engines[eng.ID.Name] = eng
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -21,9 +21,10 @@
 // Guards against a poison request that moves from engine to engine: an engine crashed every
 // half second, 55 in all within three quarters of a minute, and each crash broke up to six
 // streams of other clients. The client of one request sent it again under a new ID after
-// each failure, to any host, and the request crashed whatever engine ran it. A crash counted
-// against the engine alone, and nothing that outlives a request recorded what it did to its
-// engine. In this test all 20 of 20 attempts reached engines.
+// each failure, to any host, and the request crashed whatever engine ran it, some 0.1 s after
+// it had arrived. A crash counted against the engine alone, and nothing that outlives a request
+// recorded what it did to its engine. Without such a record 20 of 20 attempts of this test
+// reach engines.
 func TestPoisonRequestIsHeld(t *testing.T) {
 	sys, cra := startWithCrashingEngines(t, 3, entrytest.CrashConfig{})
 	const tries = 20
@@ -171,7 +172,7 @@
 	assert.Assert(t, len(cra.Arrivals()) <= 3, len(cra.Arrivals()))
 }
 
-// Truncated, lost and failed answers of an engine that keeps running are no crash.
+// Truncated, lost and failed answers, or silence, of an engine that keeps running are no crash.
 func TestFaultsWithoutCrashHoldNothing(t *testing.T) {
 	engines := twoOfEach()
 	sys := start(t, 2, engines)
@@ -240,9 +241,9 @@
 // known.
 func TestConcurrentPoisonRequestsCrashFewEngines(t *testing.T) {
 	sys, cra := startWithCrashingEngines(t, 4, entrytest.CrashConfig{Step: 5 * time.Millisecond})
-	const callers = 4
-	ends := make(chan struct{}, callers)
-	for num := range callers {
+	const clients = 4
+	ends := make(chan struct{}, clients)
+	for num := range clients {
 		go func() {
 			defer func() { ends <- struct{}{} }()
 			for try := range 30 {
@@ -259,9 +260,9 @@
 			served++
 		}
 	}
-	for range callers {
+	for range clients {
 		<-ends
 	}
-	assert.Assert(t, len(cra.Ends()) <= 3+callers-1, len(cra.Ends()))
+	assert.Assert(t, len(cra.Ends()) <= 3+clients-1, len(cra.Ends()))
 	assert.Assert(t, served >= 30, "%d of 40 others were served", served)
 }
--- a/entry/elect_test.go
+++ b/entry/elect_test.go
@@ -12,7 +12,8 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// newElectionBroker returns the broker of a host that has just started as the last of three.
+// newElectionBroker returns the broker of a host that has just started as the last of three
+// candidates.
 func newElectionBroker(t *testing.T) *desk {
 	t.Helper()
 	hos, err := New(Config{Log: zerolog.Nop()})
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -246,11 +246,11 @@
 	sys := start(t, 1, []*upstreamtest.Engine{eng})
 	eng.Trouble(upstreamtest.Hang, 1)
 	ctx, cancel := context.WithCancel(t.Context())
-	gone := make(chan entrytest.Answer, 1)
-	go func() { gone <- sys.Send(ctx, sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/stream/"}) }()
+	answers := make(chan entrytest.Answer, 1)
+	go func() { answers <- sys.Send(ctx, sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/stream/"}) }()
 	sys.Until("the engine runs it", func() bool { return len(eng.Runs()) == 1 })
 	cancel()
-	assert.Assert(t, (<-gone).Err != nil)
+	assert.Assert(t, (<-answers).Err != nil)
 	sys.Until("the engine's request is cancelled", func() bool { return eng.Left() == 1 })
 }
 
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -46,11 +46,11 @@
 // it is closed. When the order is cancelled, the domain is used again and its published state
 // is deleted.
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
-	stays, evacuated := engineInDomain("d0", "stays"), engineInDomain(evacuatedDomain, "emptied")
-	sys := startWithLongRevocation(t, 3, []*upstreamtest.Engine{stays, evacuated})
+	remaining, evacuated := engineInDomain("d0", "stays"), engineInDomain(evacuatedDomain, "emptied")
+	sys := startWithLongRevocation(t, 3, []*upstreamtest.Engine{remaining, evacuated})
 	sys.Until("both engines serve", func() bool {
 		sendAll(t, sys, 0, 3)
-		return len(evacuated.Arrivals()) > 0 && len(stays.Arrivals()) > 0
+		return len(evacuated.Arrivals()) > 0 && len(remaining.Arrivals()) > 0
 	})
 	sys.Evacuate(evacuatedDomain, "{}")
 	sys.Until("the state is published", func() bool { return isPublished(sys) })
--- a/entry/lease_test.go
+++ b/entry/lease_test.go
@@ -47,11 +47,11 @@
 	wat := newObserver(hos)
 	wat.directory.SetMember(fleet.Member{Name: "self"})
 	wat.directory.SetMember(fleet.Member{Name: "other"})
-	gone := func(name string) store.Change {
+	deletion := func(name string) store.Change {
 		return store.Change{Value: store.Value{Key: platform.MemberKey(name)}, Deleted: true}
 	}
-	wat.take(gone("other"))
+	wat.take(deletion("other"))
 	assert.Equal(t, len(hos.leaseDoubt), 0)
-	wat.take(gone("self"))
+	wat.take(deletion("self"))
 	assert.Equal(t, len(hos.leaseDoubt), 1)
 }
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -50,13 +50,13 @@
 	return from
 }
 
-// Guards against requests to a draining engine: an engine got 27 requests in twelve seconds
-// after its first signal, two of them from a host that had passed on an answer with the signal
-// over two seconds before. The store was down, so the engine's entry reached no host. The
-// coordinator granted the idle engine as before, and the host sent the request there, on a
-// route that is served during an outage. Hosts used only the store's entry and ignored the
-// signals in an engine's answers. Then 120 of 120 requests of this test reach the engine,
-// 117 of them after its signal.
+// Guards against requests to a draining engine: a draining engine got 27 requests in twelve
+// seconds, two of them from a host that had passed on an answer with the signal over two
+// seconds before. The store was down, so the engine's entry reached no host. The coordinator
+// granted the idle engine as before, and the host sent the request there, on a route that is
+// served during an outage. Hosts used only the store's entry and ignored the signals in an
+// engine's answers. With that fault 120 of 120 requests of this test reach the engine, 117 of
+// them after its signal.
 func TestDrainingSignalStopsRequests(t *testing.T) {
 	engines := plainEngines(2)
 	sys := startWithLongRevocation(t, 3, engines)
@@ -76,13 +76,13 @@
 
 // Guards against requests to an engine during its backoff: a backend server asked two hosts for
 // a backoff of three seconds, and got seven requests from the one and four from the other
-// between half a second later and its end. Other servers of the service failed requests
-// at the same time, and the scheduler ejected them. With three of four engines ejected it uses
-// all of them again, and the server that rejects requests at once looks idle and is chosen
-// first. Hosts ignored the backoff in an engine's answers; an ejection is an estimate that is
-// given up where it would leave too few engines. Then 23 of 24 requests of this test reach the
-// server, 11 and 12 from the two hosts, most of them while three of four engines are ejected
-// and used nevertheless.
+// between half a second later and its end. Other servers of the service failed requests at the
+// same time, and the scheduler ejected them. With three of four engines ejected it uses all of
+// them again, and the server that rejects requests at once looks idle and is chosen first.
+// Hosts ignored the backoff in an engine's answers; an ejection is an estimate that is given up
+// where it would leave too few engines. With that fault 23 of 24 requests of this test reach
+// the server, 11 and 12 from the two hosts, most of them while three of four engines are
+// ejected and used nevertheless.
 func TestBackoffSignalStopsRequests(t *testing.T) {
 	engines := plainEngines(4)
 	sys := startWithLongRevocation(t, 2, engines)
--- a/entry/rates_test.go
+++ b/entry/rates_test.go
@@ -48,12 +48,12 @@
 }
 
 // Guards against requests beyond an engine's rate limit: two engines that had reported 1.5 and
-// 2.2 requests a second got 28 and 25 in four seconds, from two and from four hosts that had got
-// the limit, where 14 and 18 are allowed. They answered all of them in time. The coordinator
-// granted both engines as before, by their slots, pending prefills and health. Hosts ignored the
-// rate limit in an engine's answers; the adapter passed the unknown header on to the client and
-// logged nothing. Then 117 of 120 requests of this test reach the engine in half a second,
-// since it seems as good as the other one.
+// 2.2 requests a second got 28 and 25 in four seconds, from two and from four hosts that had
+// got the limit, where 14 and 18 are allowed. They answered all of them in time. The
+// coordinator granted both engines as before, by their slots, pending prefills and health.
+// Hosts ignored the rate limit in an engine's answers; the adapter passed the unknown header on
+// to the client and logged nothing. With that fault 117 of 120 requests of this test reach the
+// engine in half a second, since it seems as good as the other one.
 func TestEngineRateLimitIsRespected(t *testing.T) {
 	const perSecond = 1.5
 	engines := plainEngines(2)
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -37,8 +37,8 @@
 	end.handler.Store(&handler)
 }
 
-func (end *endpoint) state(eng *upstreamtest.Engine, born time.Time) entrytest.EngineState {
-	return entrytest.EngineState{Service: eng.Service(), Address: end.address, Slots: eng.Slots(), Born: born, Sequence: 1}
+func (end *endpoint) state(eng *upstreamtest.Engine, startTime time.Time) entrytest.EngineState {
+	return entrytest.EngineState{Service: eng.Service(), Address: end.address, Slots: eng.Slots(), Born: startTime, Sequence: 1}
 }
 
 // The requests of an engine that is lost and restarts under its ID end as soon as the restart
@@ -58,8 +58,8 @@
 			former, later := engine("e"), engine("e")
 			sys := start(t, 2, nil)
 			end := newEndpoint(t, former)
-			born := time.Now().Add(-time.Hour)
-			sys.EnterState("e", end.state(former, born))
+			startTime := time.Now().Add(-time.Hour)
+			sys.EnterState("e", end.state(former, startTime))
 			sys.UntilEngines(1)
 			former.Trouble(upstreamtest.Hang, 1)
 			taken := make(chan struct{})
@@ -125,10 +125,10 @@
 	former, later := plainEngine("p"), plainEngine("p")
 	sys := start(t, 1, nil)
 	end, formerEnd := newEndpoint(t, later), newEndpoint(t, former)
-	born := time.Now()
-	sys.EnterState("p", end.state(later, born))
+	startTime := time.Now()
+	sys.EnterState("p", end.state(later, startTime))
 	sys.UntilEngines(1)
-	stale := formerEnd.state(former, born.Add(-time.Minute))
+	stale := formerEnd.state(former, startTime.Add(-time.Minute))
 	stale.Draining, stale.Sequence = true, 90
 	sys.EnterState("p", stale)
 	// Once the next configuration is in force, the earlier writes have been read, too.
--- a/entry/steady_test.go
+++ b/entry/steady_test.go
@@ -95,14 +95,14 @@
 // open opens a session of a host with a candidate for coordinator.
 func (sim *simulation) open(hos, coo *Host) {
 	lin := &link{member: fleet.Member{Name: coo.set.Name, Epoch: coo.epoch}, queue: peer.NewQueue(), cancel: func() {}}
-	back := peer.NewQueue()
-	session := coo.desk.SessionUp(hos.Header(), back, func() {})
+	reverse := peer.NewQueue()
+	session := coo.desk.SessionUp(hos.Header(), reverse, func() {})
 	hos.desk.linkUp(lin)
 	sim.directions = append(sim.directions,
 		&direction{queue: lin.queue, deliver: func(out peer.Outgoing) {
 			coo.desk.SessionMessage(session, peer.Received{Message: out.Message})
 		}},
-		&direction{queue: back, deliver: func(out peer.Outgoing) { hos.desk.linkMessage(lin, out.Message) }},
+		&direction{queue: reverse, deliver: func(out peer.Outgoing) { hos.desk.linkMessage(lin, out.Message) }},
 	)
 }
 
