--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -126,8 +126,8 @@
 	sys.Until("the state is published", func() bool { return isPublished(sys) })
 }
 
-// The coordinator is lost, and an answer of the store, too. A published state stays published
-// and isn't published twice.
+// The store loses an answer, and then the coordinator is lost. A state that was published is
+// neither lost nor published again.
 func TestPublishedEvacuationSurvivesLossOfCoordinator(t *testing.T) {
 	sys := startWithLongRevocation(t, 3, []*upstreamtest.Engine{engineInDomain("d0", "stays"), engineInDomain(evacuatedDomain, "emptied")})
 	var first *entrytest.Host
--- a/entry/granted_test.go
+++ b/entry/granted_test.go
@@ -33,7 +33,8 @@
 }
 
 // The host and the coordinator may learn in either order that an engine has restarted. The
-// request goes to the later run, and another coordinator gets that run reported.
+// request goes to the later run, and the reservation that the host reports to another
+// coordinator names that run.
 func TestGrantOfOtherEngineRunUsesLaterRun(t *testing.T) {
 	former, later := fleet.NewEngineID("e", time.UnixMilli(1000)), fleet.NewEngineID("e", time.UnixMilli(2000))
 	for _, tst := range []struct {
--- a/entry/mirror_test.go
+++ b/entry/mirror_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// A host that alone can't reach the store follows the changes that its peers know.
+// A host that is cut off from the store gets changes from its peers.
 func TestHostCutOffFromStoreFollowsPeers(t *testing.T) {
 	sys := start(t, 2, twoOfEach())
 	sys.Hosts[0].CutStore(true)
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -30,7 +30,7 @@
 
 func healthy(*upstreamtest.Config) {}
 
-// traffic sends safe and unsafe requests to all hosts until its end function is called, and
+// traffic sends safe and unsafe requests to all hosts until its stop function is called, and
 // counts the requests that weren't served.
 type traffic struct {
 	sent, failed atomic.Int64
--- a/entry/secret_test.go
+++ b/entry/secret_test.go
@@ -99,9 +99,9 @@
 	first, _ := storedKeyRing(t, sys)
 	for round := range 4 {
 		_, before := storedKeyRing(t, sys)
-		var leader *entrytest.Host
-		sys.Until("one host coordinates", func() bool { leader = coordinator(sys); return leader != nil })
-		cut := hostsWithout(sys.Hosts, leader)[round%2]
+		var coord *entrytest.Host
+		sys.Until("one host coordinates", func() bool { coord = coordinator(sys); return coord != nil })
+		cut := hostsWithout(sys.Hosts, coord)[round%2]
 		cut.CutStore(true)
 		sys.Until("the next rotation step is stored", func() bool {
 			checkServed(t, sys, fmt.Sprint("r", round, time.Now().UnixNano(), "-"))
--- a/entry/suspension_test.go
+++ b/entry/suspension_test.go
@@ -22,8 +22,8 @@
 // Guards against a revoked key that is served after a suspension. A host may be suspended for
 // seconds, which the monotonic clock doesn't count. When it resumes, its snapshot of the store
 // looks fresh. A key that was revoked meanwhile would be served until the next answer of the
-// store, which takes any time if the host is cut off. Ages must therefore not be measured
-// by the monotonic clock alone.
+// store, which takes any time if the host is cut off. The age of a snapshot must therefore not be
+// measured by the monotonic clock alone.
 func TestKeyRevokedDuringSuspensionIsRejected(t *testing.T) {
 	engines := twoOfEach()
 	sys := startSuspendable(t, 1, engines)
@@ -79,7 +79,8 @@
 	}
 }
 
-// A suspended host must not relay its snapshot as fresher than it is, counting the suspension.
+// The age of a snapshot includes the time of a suspension, also for hosts that read the store
+// through the suspended host.
 func TestSuspendedHostRelaysNoStaleSnapshotAsFresh(t *testing.T) {
 	sys := startSuspendable(t, 2, twoOfEach())
 	for _, hos := range sys.Hosts {
@@ -94,8 +95,8 @@
 	}
 }
 
-// A hold counts the time of suspensions: it lasts beyond one that is shorter than the hold, and
-// ends when two together are longer.
+// A hold counts the time of suspensions. It is still in force after one that is shorter than the
+// hold, and ends after a second one.
 func TestHoldCountsSuspendedTime(t *testing.T) {
 	sys := entrytest.Start(t, entrytest.Config{Hosts: 1, Suspendable: true})
 	cra := sys.AddCrashing(entrytest.CrashConfig{Engines: 6, Events: streamEvents, After: 10 * time.Millisecond, Lapse: 50 * time.Millisecond, Back: 150 * time.Millisecond})
