--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,27 +1,26 @@
-// Package quarantine remembers which requests end the engines that run them, and decides
-// what may still be done with such a request: run it as usual, run it alone, or hold it
-// back.
+// Package quarantine tracks requests that crash the engines that run them, and decides how such a
+// request may run: as usual, exclusively on an engine, or not at all.
 //
 // # Usage
 //
 //	reg := quarantine.New(quarantine.Config{})
-//	reg.Ended(now, quarantine.Observation{Subject: sub, Engine: "e1"}) // an engine ended while it ran it
-//	reg.Answered(now, sub.Digest)                                     // it was answered after all
+//	reg.Ended(now, quarantine.Observation{Subject: sub, Engine: "e1"}) // the engine crashed while it ran the request
+//	reg.Answered(now, sub.Digest)                                     // a later run was answered
 //	switch reg.Level(now, sub.Digest) {
-//	case quarantine.LevelHeld: // refuse it
-//	case quarantine.LevelSuspected: // only where nothing else can be lost
+//	case quarantine.LevelHeld: // reject the request
+//	case quarantine.LevelSuspected: // run it exclusively on an engine
 //	}
-//	for _, cha := range reg.Changes() { ... } // for the log, and for other hosts
+//	for _, cha := range reg.Changes() { ... } // log the changes and send them to other hosts
 //
-// A Registry is pure: what happened and the time go in. It is told which requests an engine
-// ran when it ended, and nothing of why. One end says little, since all that ran there look
-// alike; the same request at a second end is suspected; and a suspected one that ends an
-// engine on which it ran alone has done it. Each answer acquits: a request that ends each
-// engine is never answered.
+// A Registry does no I/O and reads no clock: its methods take events and the time. It learns which
+// requests an engine ran when it crashed, but not the cause. After one crash, all requests on that
+// engine are equally likely to be the cause. A request that is part of a second crash is suspected,
+// and a suspected request that crashes an engine on which it runs exclusively is the cause. Each
+// answer clears a request, since a poison request that crashes every engine is never answered.
 //
-// Only digests are kept. What is kept is bounded: of requests that were part of one end for
-// ten minutes, of suspected ones for an hour, 4,096 in all, of which those that have done
-// least go first.
+// The registry keeps only digests, and its size is bounded: it keeps requests that were part of one
+// crash for ten minutes and suspected requests for an hour, at most 4,096 in all, and evicts those
+// with the least evidence first.
 package quarantine
 
 import (
@@ -30,20 +29,21 @@
 	"lynxwell.dev/lynxwell/call"
 )
 
-// Level says what may be done with a request.
+// Level is the quarantine level of a request.
 type Level uint8
 
-// The levels, in the order of what is known against the request.
+// The levels, in ascending order of the evidence against a request.
 const (
-	// LevelClear is a request that nothing is known against.
+	// LevelClear is the level of a request without a recorded crash.
 	LevelClear Level = iota
-	// LevelWatched is one that ran on an engine that ended. As many run beside it at the
-	// time are watched, nearly all of them innocent: it is treated as others are, but isn't
-	// run twice at the same time.
+	// LevelWatched is the level of a request that ran on an engine that crashed. All requests that
+	// ran there at the time are watched, and nearly all of them are innocent: a watched request is
+	// scheduled like any other, except that it doesn't run twice at the same time.
 	LevelWatched
-	// LevelSuspected is one that ran on several engines that ended. It runs alone.
+	// LevelSuspected is the level of a request that ran on several engines that crashed. It runs
+	// exclusively on its engine.
 	LevelSuspected
-	// LevelHeld is one that isn't run.
+	// LevelHeld is the level of a request that isn't run.
 	LevelHeld
 )
 
@@ -56,19 +56,21 @@
 	return names[lev]
 }
 
-// Config holds what a Registry is made from. Zero stands for the defaults.
+// Config holds the settings of a Registry. Zero fields take the defaults.
 type Config struct {
-	// SuspectAt is after how many ends a request runs alone, HoldAt after how many it is
-	// held; HoldAloneAt is the same where the last of them came while it ran alone.
+	// SuspectAt is the number of crashes from which a request is suspected, and HoldAt the number
+	// from which it is held. HoldAloneAt is the number from which it is held if it ran exclusively
+	// in the last of them.
 	SuspectAt   int
 	HoldAt      int
 	HoldAloneAt int
 }
 
-// The defaults of Config. With six engines of eighteen running a request a second time
-// by chance within a minute, two ends in a row are no proof, and three are what users allow
-// at most; alone on its engine, the second is: TestWaysOfJudging compares these by what
-// engines and innocent requests they cost.
+// The defaults of Config. With six of eighteen engines running a request for a second time by
+// coincidence within a minute, two crashes in a row prove nothing, and three are the most that
+// users allow. If the request ran exclusively on its engine, the second crash is proof. The
+// scheduler's benchmark of quarantine policies compares these values by the engines and innocent
+// requests that they cost.
 const (
 	defaultSuspectAt   = 2
 	defaultHoldAt      = 3
@@ -76,37 +78,39 @@
 )
 
 const (
-	// watchedFor and suspectedFor are for how long a request is remembered that isn't held:
-	// callers come back within seconds, or minutes where people do.
-	watchedFor   = 10 * time.Minute
-	suspectedFor = time.Hour
-	// firstHold is for how long a request is held, laterHold each time that it was let out
-	// and ended another engine. After maxTrials of these it stays until an operator frees
-	// it: each is an engine lost, and users allow three.
-	firstHold = time.Hour
-	laterHold = 24 * time.Hour
-	maxTrials = 2
-	// maxCases bounds what is remembered, at some 300 bytes each; MaxHeld bounds what of it
-	// is held, which has to fit into one value of the store.
+	// watchedTTL and suspectedTTL bound how long a request that isn't held is remembered: clients
+	// retry within seconds, or within minutes if a person does.
+	watchedTTL   = 10 * time.Minute
+	suspectedTTL = time.Hour
+	// firstHoldTime is how long a request is held at first, and laterHoldTime how long it is held
+	// after each trial, a run after a hold, that crashed another engine. After maxTrials of these
+	// it is held until an operator frees it: each trial costs an engine, and users allow three.
+	firstHoldTime = time.Hour
+	laterHoldTime = 24 * time.Hour
+	maxTrials     = 2
+	// maxCases bounds the remembered requests, at about 300 bytes each. MaxHeld bounds the held
+	// requests among them, which must fit into one value of the store.
 	maxCases = 4096
-	// keptCases are left when there are too many, and forgetInterval is how often old ones
-	// are looked for: neither is to be done at each end.
-	keptCases      = 3072
-	forgetInterval = time.Second
-	// MaxHeld is how many requests are held at most.
+	// casesAfterPrune is the number of cases that are left when there are too many, and
+	// pruneInterval the time between two searches for expired cases: doing either at each crash
+	// would be too expensive.
+	casesAfterPrune = 3072
+	pruneInterval   = time.Second
+	// MaxHeld is the maximum number of held requests.
 	MaxHeld = 256
-	// maxEnds bounds the ends that a case names.
-	maxEnds = 8
-	// doubtFor is for how long an end that may have been the connection's alone is looked
-	// for in the list of engines: an entry outlasts its engine by three heartbeats, less
-	// than four seconds, and a store that is away for some seconds more.
-	doubtFor = 10 * time.Second
-	// clearedFor is for how long what other hosts tell of a request that was cleared here
-	// isn't believed: it may have crossed.
-	clearedFor = 10 * time.Second
+	// maxCrashes bounds the crashes that are recorded for a case.
+	maxCrashes = 8
+	// unconfirmedTTL bounds how long an unconfirmed crash, which may have been only a broken
+	// connection, is checked against the registered engines. The entry of a crashed engine expires
+	// after three heartbeats, less than four seconds, plus some seconds if the store is
+	// unavailable.
+	unconfirmedTTL = 10 * time.Second
+	// clearedTTL is how long reports of other hosts about a request that this host has cleared are
+	// ignored, since they may have been sent before the other host learned that it was cleared.
+	clearedTTL = 10 * time.Second
 )
 
-// Subject is a request as far as it matters here.
+// Subject identifies a request and its sender.
 type Subject struct {
 	Digest  call.Digest
 	Service string
@@ -114,104 +118,106 @@
 	Route   string
 }
 
-// Source returns who sends such requests.
+// Source returns the traffic source of the request.
 func (sub Subject) Source() Source {
 	return Source{Service: sub.Service, Account: sub.Account, Route: sub.Route}
 }
 
-// Observation is an engine's end while it ran a request.
+// Observation is the crash of an engine while it ran a request.
 type Observation struct {
 	Subject
-	// Engine is the run of the engine that ended.
+	// Engine is the engine run that crashed.
 	Engine string
-	// Alone says that the engine ran nothing else.
+	// Alone reports whether the engine ran nothing else.
 	Alone bool
-	// Ran is for how long it had run the request.
+	// Ran is how long the engine had been running the request.
 	Ran time.Duration
 }
 
-// End is an engine's end under a request.
+// End is the crash of an engine while it ran the request of a case.
 type End struct {
-	// Engine is the run that ended, as far as it is known: one may start again, and end
-	// again, before the store tells of it. Again counts its ends from 0 on.
+	// Engine is the engine run that crashed, as far as it is known: an engine may restart and crash
+	// once more before the store reports the new run. Again numbers the crashes of the same run,
+	// from 0.
 	Engine string
-	Again  int
-	Alone  bool
-	// seen is when this host learnt of it.
-	seen time.Time
+	Again  int  `json:"Again"`
+	Alone  bool `json:"Alone"`
+	// seenAt is when this host learned of the crash.
+	seenAt time.Time
 }
 
-// Case is what is known against one request.
+// Case is the evidence against one request.
 type Case struct {
 	Subject
 	Ends []End
-	// Held says that the request was held; it still is until the time, for good where that
-	// is zero.
+	// Held reports whether the request was ever held. The hold lasts until the time Until, or until
+	// an operator frees the request if Until is zero.
 	Held  bool
 	Until time.Time
-	// Trials is how often it was let out and ended another engine.
+	// Trials is how often the request ran after a hold had expired and crashed another engine.
 	Trials int
-	// Seen is when it last was part of an end.
+	// Seen is when the request was last part of a crash.
 	Seen time.Time
 }
 
-// heldAt reports whether the request is held back.
-func (cas *Case) heldAt(now time.Time) bool {
+// isHeld reports whether the request is held at the given time.
+func (cas *Case) isHeld(now time.Time) bool {
 	return cas.Held && (cas.Until.IsZero() || now.Before(cas.Until))
 }
 
 func (cas *Case) level(now time.Time, cfg Config) Level {
 	switch {
-	case cas.heldAt(now):
+	case cas.isHeld(now):
 		return LevelHeld
 	case cas.Held || len(cas.Ends) >= cfg.SuspectAt:
-		// One that was held is let out alone.
+		// A request whose hold has expired runs exclusively.
 		return LevelSuspected
 	default:
 		return LevelWatched
 	}
 }
 
-// addEnd adds an end, and reports whether anything is new. Several hosts may tell of the
-// same one, whose requests ran at the same time; what began after it was seen is another.
-func (cas *Case) addEnd(now time.Time, obs Observation) bool {
-	end := End{Engine: obs.Engine, Alone: obs.Alone, seen: now}
+// addCrash records a crash and reports whether it changes the case. Several hosts may report the
+// same crash of an engine run, for requests that ran there at the same time. A run of the request
+// that began after the recorded crash was seen belongs to another crash.
+func (cas *Case) addCrash(now time.Time, obs Observation) bool {
+	cra := End{Engine: obs.Engine, Alone: obs.Alone, seenAt: now}
 	for idx, known := range cas.Ends {
 		if known.Engine != obs.Engine {
 			continue
 		}
-		if !known.seen.Before(now.Add(-obs.Ran)) {
+		if !known.seenAt.Before(now.Add(-obs.Ran)) {
 			cas.Ends[idx].Alone = known.Alone || obs.Alone
 			return cas.Ends[idx].Alone != known.Alone
 		}
-		end.Again = known.Again + 1
+		cra.Again = known.Again + 1
 	}
-	cas.append(end)
+	cas.appendCrash(cra)
 	return true
 }
 
-// mergeEnd adds an end that another host told of, and reports whether anything is new.
-func (cas *Case) mergeEnd(now time.Time, end End) bool {
+// mergeCrash records a crash that another host reported, and reports whether it changes the case.
+func (cas *Case) mergeCrash(now time.Time, cra End) bool {
 	for idx, known := range cas.Ends {
-		if known.Engine == end.Engine && known.Again == end.Again {
-			cas.Ends[idx].Alone = known.Alone || end.Alone
+		if known.Engine == cra.Engine && known.Again == cra.Again {
+			cas.Ends[idx].Alone = known.Alone || cra.Alone
 			return cas.Ends[idx].Alone != known.Alone
 		}
 	}
-	end.seen = now
-	cas.append(end)
+	cra.seenAt = now
+	cas.appendCrash(cra)
 	return true
 }
 
-func (cas *Case) append(end End) {
-	if len(cas.Ends) >= maxEnds {
+func (cas *Case) appendCrash(cra End) {
+	if len(cas.Ends) >= maxCrashes {
 		cas.Ends = append(cas.Ends[:0:0], cas.Ends[1:]...)
 	}
-	cas.Ends = append(cas.Ends, end)
+	cas.Ends = append(cas.Ends, cra)
 }
 
-// provedBy reports whether the ends suffice to hold the request.
-func (cas *Case) provedBy(cfg Config) bool {
+// reachesHold reports whether the crashes suffice to hold the request.
+func (cas *Case) reachesHold(cfg Config) bool {
 	if len(cas.Ends) >= cfg.HoldAt {
 		return true
 	}
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -9,58 +9,59 @@
 	"lynxwell.dev/lynxwell/call"
 )
 
-// Registry is what is known against requests.
+// Registry holds the evidence against requests and traffic sources. It isn't safe for concurrent
+// use.
 type Registry struct {
 	cfg   Config
 	cases map[call.Digest]*Case
-	// doubts are ends of which it isn't known whether the engine's or the connection's.
-	// doubted counts them by request: going through all for each of those who wait would
-	// have a host that decides for hundreds fall behind.
-	doubts  map[doubtKey]doubt
-	doubted map[call.Digest]int
-	// cleared is when requests were cleared here lately.
-	cleared    map[call.Digest]time.Time
-	sources    map[Source]*sourceState
-	changes    []Change
-	nextForget time.Time
-	// version counts what may make a request another level, or restrict a source.
+	// unconfirmed holds the unconfirmed crashes, which may have been only broken connections.
+	// unconfirmedCounts counts them by request: searching them all for each waiting request would
+	// make a host that schedules hundreds of requests fall behind.
+	unconfirmed       map[unconfirmedKey]unconfirmedCrash
+	unconfirmedCounts map[call.Digest]int
+	// cleared is when each request was cleared on this host, for clearedTTL.
+	cleared   map[call.Digest]time.Time
+	sources   map[Source]*sourceState
+	changes   []Change
+	nextPrune time.Time
+	// version counts the changes that may raise a request's level or restrict a traffic source.
 	version uint64
-	// stored is what the store was last read to hold of held requests.
+	// stored is the content of the store's list of held requests as last read.
 	stored map[call.Digest]storedHold
 }
 
-// New returns a registry that knows nothing.
+// New returns an empty registry.
 func New(cfg Config) *Registry {
 	cfg.SuspectAt = cmp.Or(cfg.SuspectAt, defaultSuspectAt)
 	cfg.HoldAt = cmp.Or(cfg.HoldAt, defaultHoldAt)
 	cfg.HoldAloneAt = cmp.Or(cfg.HoldAloneAt, defaultHoldAloneAt)
 	return &Registry{
-		cfg: cfg, cases: make(map[call.Digest]*Case), doubts: make(map[doubtKey]doubt), doubted: make(map[call.Digest]int), cleared: make(map[call.Digest]time.Time),
+		cfg: cfg, cases: make(map[call.Digest]*Case), unconfirmed: make(map[unconfirmedKey]unconfirmedCrash), unconfirmedCounts: make(map[call.Digest]int), cleared: make(map[call.Digest]time.Time),
 		sources: make(map[Source]*sourceState), stored: make(map[call.Digest]storedHold),
 	}
 }
 
-// Quiet reports whether nothing is known against any request, as on a calm day.
+// Quiet reports whether the registry holds no evidence against any request or traffic source.
 func (reg *Registry) Quiet() bool {
-	return len(reg.cases) == 0 && len(reg.doubts) == 0 && len(reg.sources) == 0
+	return len(reg.cases) == 0 && len(reg.unconfirmed) == 0 && len(reg.sources) == 0
 }
 
-// Version changes whenever a request of which nothing was known may have become another
-// matter. Those who ask again and again, as for each that waits, needn't meanwhile.
+// Version changes whenever a request at LevelClear may have reached another level. While it stays
+// the same, the result of an earlier check of such a request remains valid.
 func (reg *Registry) Version() uint64 { return reg.version }
 
-// Level returns what may be done with a request.
+// Level returns the quarantine level of a request.
 func (reg *Registry) Level(now time.Time, dig call.Digest) Level {
 	if cas := reg.cases[dig]; cas != nil {
 		return cas.level(now, reg.cfg)
 	}
-	if reg.doubted[dig] > 0 {
+	if reg.unconfirmedCounts[dig] > 0 {
 		return LevelWatched
 	}
 	return LevelClear
 }
 
-// HeldFor returns for how much longer a held request is held; 0 for good.
+// HeldFor returns how much longer a held request is held, or 0 if until an operator frees it.
 func (reg *Registry) HeldFor(now time.Time, dig call.Digest) time.Duration {
 	cas := reg.cases[dig]
 	if cas == nil || cas.Until.IsZero() {
@@ -69,12 +70,12 @@
 	return max(0, cas.Until.Sub(now))
 }
 
-// Ended notes an engine's end while it ran a request.
+// Ended records the crash of an engine while it ran a request.
 func (reg *Registry) Ended(now time.Time, obs Observation) {
 	if obs.Digest == (call.Digest{}) {
 		return
 	}
-	reg.forget(now)
+	reg.prune(now)
 	reg.version++
 	delete(reg.cleared, obs.Digest)
 	cas := reg.cases[obs.Digest]
@@ -85,76 +86,77 @@
 	before := cas.level(now, reg.cfg)
 	known := len(cas.Ends) > 0
 	cas.Seen = now
-	if !cas.addEnd(now, obs) {
+	if !cas.addCrash(now, obs) {
 		return
 	}
-	reg.judge(now, cas)
-	reg.tell(now, cas, before, known)
+	reg.updateHold(now, cas)
+	reg.recordLevel(now, cas, before, known)
 }
 
-// judge holds a case that is proved, or that has ended an engine since it was let out.
-func (reg *Registry) judge(now time.Time, cas *Case) {
+// updateHold holds a request with sufficient crashes, and holds a request once more that has
+// crashed an engine after its hold expired.
+func (reg *Registry) updateHold(now time.Time, cas *Case) {
 	switch {
-	case cas.heldAt(now):
+	case cas.isHeld(now):
 	case cas.Held:
 		cas.Trials++
-		cas.Until = now.Add(laterHold)
+		cas.Until = now.Add(laterHoldTime)
 		if cas.Trials >= maxTrials {
 			cas.Until = time.Time{}
 		}
-	case cas.provedBy(reg.cfg):
-		cas.Held, cas.Until = true, now.Add(firstHold)
-		reg.boundHeld(now)
+	case cas.reachesHold(reg.cfg):
+		cas.Held, cas.Until = true, now.Add(firstHoldTime)
+		reg.limitHeld(now)
 	}
 }
 
-// Answered notes that an engine answered a request: it doesn't end engines.
+// Answered records that an engine answered a request, which clears the request.
 func (reg *Registry) Answered(now time.Time, dig call.Digest) {
 	reg.clear(now, dig, KindAcquitted)
-	if len(reg.doubts) > 0 {
-		reg.settleDoubtsOf(dig)
+	if len(reg.unconfirmed) > 0 {
+		reg.removeUnconfirmedOf(dig)
 	}
 }
 
-// Free lets a request go on an operator's word, and reports whether it was known.
+// Free clears a request by order of an operator, and reports whether it was known.
 func (reg *Registry) Free(now time.Time, dig call.Digest) bool {
 	return reg.clear(now, dig, KindFreed)
 }
 
-func (reg *Registry) clear(now time.Time, dig call.Digest, why Kind) bool {
+func (reg *Registry) clear(now time.Time, dig call.Digest, kin Kind) bool {
 	cas := reg.cases[dig]
 	if cas == nil {
 		return false
 	}
 	delete(reg.cases, dig)
 	reg.cleared[dig] = now
-	reg.change(now, why, cas)
+	reg.recordChange(now, kin, cas)
 	return true
 }
 
-// clearHeard clears a case on another host's word.
-func (reg *Registry) clearHeard(now time.Time, dig call.Digest, why Kind) {
-	if reg.clear(now, dig, why) {
+// clearFromPeer clears a case because another host has cleared it.
+func (reg *Registry) clearFromPeer(now time.Time, dig call.Digest, kin Kind) {
+	if reg.clear(now, dig, kin) {
 		reg.changes[len(reg.changes)-1].Heard = true
 	}
 }
 
-// Lives notes that an engine that was taken to have ended has answered since: what looked
-// like its end was that of its connections.
+// Lives records that an engine run that was recorded as crashed has answered since, so that only
+// its connections had failed. The crash is removed from all cases that aren't held.
 func (reg *Registry) Lives(now time.Time, engine string) {
 	for dig, cas := range reg.cases {
-		kept := slices.DeleteFunc(slices.Clone(cas.Ends), func(end End) bool { return end.Engine == engine })
+		remaining := slices.DeleteFunc(slices.Clone(cas.Ends), func(cra End) bool { return cra.Engine == engine })
 		switch {
-		case len(kept) == len(cas.Ends) || cas.Held:
-		case len(kept) == 0:
+		case len(remaining) == len(cas.Ends) || cas.Held:
+		case len(remaining) == 0:
 			reg.clear(now, dig, KindAcquitted)
 		default:
-			cas.Ends = kept
+			cas.Ends = remaining
 		}
 	}
 }
 
-// Ends returns in how many ends a request was.
+// Ends returns the number of recorded crashes that a request was part of.
 func (reg *Registry) Ends(dig call.Digest) int {
 	if cas := reg.cases[dig]; cas != nil {
 		return len(cas.Ends)
@@ -162,7 +164,7 @@
 	return 0
 }
 
-// Cases returns all cases, those with most against them first.
+// Cases returns all cases, those of the highest level first, then the latest first.
 func (reg *Registry) Cases(now time.Time) []Case {
 	all := make([]Case, 0, len(reg.cases))
 	for _, cas := range reg.cases {
@@ -185,32 +187,31 @@
 	return cas.level(now, reg.cfg)
 }
 
-// forget drops what is too old, and what is too much: first those that have done least,
-// the oldest of them first. What is dropped of a request that does end engines is learnt
-// again, at the cost of as many engines.
-func (reg *Registry) forget(now time.Time) {
-	if now.Before(reg.nextForget) && len(reg.cases) < maxCases {
+// prune removes expired cases and, if there are too many, those of the lowest level, the oldest
+// first. A poison request that is removed is detected anew at the cost of as many engines.
+func (reg *Registry) prune(now time.Time) {
+	if now.Before(reg.nextPrune) && len(reg.cases) < maxCases {
 		return
 	}
-	reg.nextForget = now.Add(forgetInterval)
+	reg.nextPrune = now.Add(pruneInterval)
 	for dig, cas := range reg.cases {
-		if cas.tooOld(now, reg.cfg) {
+		if cas.isExpired(now, reg.cfg) {
 			reg.drop(now, dig)
 		}
 	}
-	maps.DeleteFunc(reg.cleared, func(_ call.Digest, at time.Time) bool { return now.Sub(at) > clearedFor })
-	reg.forgetSources(now)
-	reg.forgetDoubts(now)
+	maps.DeleteFunc(reg.cleared, func(_ call.Digest, at time.Time) bool { return now.Sub(at) > clearedTTL })
+	reg.pruneSources(now)
+	reg.pruneUnconfirmed(now)
 	if len(reg.cases) < maxCases {
 		return
 	}
-	for _, cas := range reg.Cases(now)[keptCases:] {
+	for _, cas := range reg.Cases(now)[casesAfterPrune:] {
 		reg.drop(now, cas.Digest)
 	}
 }
 
-// boundHeld drops the oldest of too many held requests.
-func (reg *Registry) boundHeld(now time.Time) {
+// limitHeld removes the oldest held requests beyond MaxHeld.
+func (reg *Registry) limitHeld(now time.Time) {
 	held := 0
 	for _, cas := range reg.Cases(now) {
 		if !cas.Held {
@@ -223,23 +224,23 @@
 	}
 }
 
-func (cas *Case) tooOld(now time.Time, cfg Config) bool {
+func (cas *Case) isExpired(now time.Time, cfg Config) bool {
 	switch {
-	case cas.heldAt(now):
+	case cas.isHeld(now):
 		return false
 	case cas.Held:
-		// It may still come back, and would end as many engines as the first time.
-		return now.Sub(cas.Until) > laterHold
+		// The request may still be sent again, and would crash as many engines as at first.
+		return now.Sub(cas.Until) > laterHoldTime
 	case len(cas.Ends) >= cfg.SuspectAt:
-		return now.Sub(cas.Seen) > suspectedFor
+		return now.Sub(cas.Seen) > suspectedTTL
 	default:
-		return now.Sub(cas.Seen) > watchedFor
+		return now.Sub(cas.Seen) > watchedTTL
 	}
 }
 
 func (reg *Registry) drop(now time.Time, dig call.Digest) {
 	if cas := reg.cases[dig]; cas != nil {
 		delete(reg.cases, dig)
-		reg.change(now, KindForgotten, cas)
+		reg.recordChange(now, KindForgotten, cas)
 	}
 }
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -7,22 +7,22 @@
 	"lynxwell.dev/lynxwell/call"
 )
 
-// Kind says what has become of a case.
+// Kind is the kind of a change of a case.
 type Kind uint8
 
 // The kinds of changes.
 const (
-	// KindWatched is a request's first end.
+	// KindWatched is the first crash that a request was part of.
 	KindWatched Kind = iota
-	// KindSuspected is one that runs alone from now on.
+	// KindSuspected is a request that runs exclusively from now on.
 	KindSuspected
-	// KindHeld is one that isn't run from now on.
+	// KindHeld is a request that isn't run from now on.
 	KindHeld
-	// KindAcquitted is one that was answered.
+	// KindAcquitted is a request that was cleared by an answer.
 	KindAcquitted
-	// KindFreed is one that an operator let go.
+	// KindFreed is a request that an operator freed.
 	KindFreed
-	// KindForgotten is one that is remembered no longer.
+	// KindForgotten is a request that was pruned from the registry.
 	KindForgotten
 )
 
@@ -35,19 +35,20 @@
 	return names[kin]
 }
 
-// Change is something that has become of a case, for the log and for other hosts.
+// Change is a change of a case, for the log and for other hosts.
 type Change struct {
 	Kind Kind
-	// Case is as it is now; for one that is cleared or forgotten, as it was.
+	// Case is the case after the change; for a request that was cleared or pruned, the case before
+	// it.
 	Case Case
-	// Report is what other hosts are told.
+	// Report is sent to other hosts.
 	Report Report
-	// Heard says that another host told of it.
+	// Heard reports whether another host caused the change by its report.
 	Heard bool
 }
 
-// Spreads reports whether hosts that don't decide have to know: those are told of requests
-// from their second end on.
+// Spreads reports whether the change is sent to gateways whose requests this host schedules. They
+// receive requests from the second crash on.
 func (cha Change) Spreads() bool {
 	switch cha.Kind {
 	case KindSuspected, KindHeld:
@@ -61,18 +62,19 @@
 	}
 }
 
-// Report is what hosts tell one another of a case. Times are told as how much is left, as
-// hosts' clocks differ.
+// Report is the message in which hosts exchange a case. It has remaining times in place of points
+// in time, since the clocks of hosts differ.
 type Report struct {
 	Subject
 	Ends []End
 	Held bool
-	// ForGood says that it is held until an operator frees it, Left for how much longer it
-	// is held else.
+	// ForGood reports whether the request is held until an operator frees it. If not, Left is how
+	// much longer it is held.
 	ForGood bool
 	Left    time.Duration
 	Trials  int
-	// Cleared says that the request was answered, or freed: nothing of it holds any more.
+	// Cleared reports whether the request was answered or freed, which voids all evidence against
+	// it.
 	Cleared bool
 }
 
@@ -85,8 +87,8 @@
 	return rep
 }
 
-// change notes what has become of a case.
-func (reg *Registry) change(now time.Time, kin Kind, cas *Case) {
+// recordChange appends a change of a case to those that Changes returns.
+func (reg *Registry) recordChange(now time.Time, kin Kind, cas *Case) {
 	copied := *cas
 	copied.Ends = slices.Clone(cas.Ends)
 	cha := Change{Kind: kin, Case: copied, Report: cas.report(now)}
@@ -94,56 +96,57 @@
 	reg.changes = append(reg.changes, cha)
 }
 
-// tell notes a case that has reached another level, or holds for longer.
-func (reg *Registry) tell(now time.Time, cas *Case, before Level, known bool) {
+// recordLevel records a change if the case has reached another level or is held for longer.
+func (reg *Registry) recordLevel(now time.Time, cas *Case, before Level, known bool) {
 	level := cas.level(now, reg.cfg)
 	switch {
 	case level == LevelHeld && before != LevelHeld:
-		reg.change(now, KindHeld, cas)
+		reg.recordChange(now, KindHeld, cas)
 	case level == LevelSuspected && (before != LevelSuspected || cas.Held):
-		reg.change(now, KindSuspected, cas)
+		reg.recordChange(now, KindSuspected, cas)
 	case !known:
-		reg.change(now, KindWatched, cas)
+		reg.recordChange(now, KindWatched, cas)
 	}
 }
 
-// Changes returns what has become of cases since it was last called, in order.
+// Changes returns the changes of cases since the last call, in order.
 func (reg *Registry) Changes() []Change {
 	all := reg.changes
 	reg.changes = nil
 	return all
 }
 
-// Reports returns what another host is told of all cases at a level or above, those with
-// most against them first, so many at most.
-func (reg *Registry) Reports(now time.Time, least Level, most int) []Report {
+// Reports returns at most the given number of reports, of the cases at a level or above, those of
+// the highest level first.
+func (reg *Registry) Reports(now time.Time, lowest Level, limit int) []Report {
 	if len(reg.cases) == 0 {
 		return nil
 	}
-	var told []Report
+	var reports []Report
 	for _, cas := range reg.Cases(now) {
-		if len(told) >= most || cas.level(now, reg.cfg) < least {
+		if len(reports) >= limit || cas.level(now, reg.cfg) < lowest {
 			break
 		}
-		told = append(told, cas.report(now))
+		reports = append(reports, cas.report(now))
 	}
-	return told
+	return reports
 }
 
-// Merge takes what another host tells of a case. Ends add up, the longer hold holds, and
-// what is cleared there is cleared here; in whatever order, and however often, it is told.
+// Merge applies the report of another host. Crashes add up, the longer hold applies, and a request
+// that was cleared there is cleared here. The result depends neither on the order of the reports
+// nor on repetitions.
 func (reg *Registry) Merge(now time.Time, rep Report) {
 	if rep.Digest == (call.Digest{}) {
 		return
 	}
 	if rep.Cleared {
-		reg.clearHeard(now, rep.Digest, KindAcquitted)
+		reg.clearFromPeer(now, rep.Digest, KindAcquitted)
 		return
 	}
-	if at, cleared := reg.cleared[rep.Digest]; cleared && now.Sub(at) <= clearedFor {
+	if at, cleared := reg.cleared[rep.Digest]; cleared && now.Sub(at) <= clearedTTL {
 		return
 	}
-	reg.forget(now)
+	reg.prune(now)
 	reg.version++
 	cas := reg.cases[rep.Digest]
 	if cas == nil {
@@ -152,25 +155,25 @@
 	}
 	before := cas.level(now, reg.cfg)
 	known := len(cas.Ends) > 0
-	for _, end := range rep.Ends[:min(maxEnds, len(rep.Ends))] {
-		if cas.mergeEnd(now, end) {
+	for _, cra := range rep.Ends[:min(maxCrashes, len(rep.Ends))] {
+		if cas.mergeCrash(now, cra) {
 			cas.Seen = now
 		}
 	}
 	if rep.Held {
-		newly := !cas.Held
-		cas.hold(now, rep)
-		if newly {
-			reg.boundHeld(now)
+		newlyHeld := !cas.Held
+		cas.mergeHold(now, rep)
+		if newlyHeld {
+			reg.limitHeld(now)
 		}
-	} else if !cas.Held && cas.provedBy(reg.cfg) {
-		reg.judge(now, cas)
+	} else if !cas.Held && cas.reachesHold(reg.cfg) {
+		reg.updateHold(now, cas)
 	}
-	reg.tell(now, cas, before, known)
+	reg.recordLevel(now, cas, before, known)
 }
 
-// hold takes another host's hold where it is the longer one.
-func (cas *Case) hold(now time.Time, rep Report) {
+// mergeHold applies another host's hold if it is the longer one.
+func (cas *Case) mergeHold(now time.Time, rep Report) {
 	cas.Trials = max(cas.Trials, rep.Trials)
 	until := now.Add(rep.Left)
 	switch {
--- a/quarantine/source.go
+++ b/quarantine/source.go
@@ -8,73 +8,78 @@
 	"time"
 )
 
-// Source is who sends requests, and by which route: a client account's other routes aren't
-// concerned by what it sends on one.
+// Source is a traffic source: a client account's requests to a service by one route. The account's
+// other routes aren't restricted because of what it sends on this one.
 type Source struct {
 	Service string
 	Account string
 	Route   string
 }
 
-// Presence is how a source stood to an engine that ended without any request there being
-// known for it.
+// Presence describes the requests of a traffic source on an engine that crashed while it ran no
+// request with a recorded crash.
 type Presence struct {
 	Source Source
-	// Here says that it had a request there, Young that it had one that was new.
+	// Here reports whether the source had a request on the engine, and Young whether it had one
+	// that was new.
 	Here  bool
 	Young bool
-	// Usual and UsualYoung are the parts of the service's other engines at which it had
-	// any request, and a new one, at that moment.
+	// Usual and UsualYoung are the shares of the service's other engines on which the source had
+	// any request and a new one at that moment.
 	Usual      float64
 	UsualYoung float64
 }
 
-// sourceState is what is known against a source whose requests change each time, so that
-// none of them is ever seen twice.
+// sourceState is the evidence against a traffic source that changes its requests each time, so that
+// no digest is seen twice.
 type sourceState struct {
-	// score is the logarithm of how much likelier the ends are by its doing than by chance.
-	score float64
-	at    time.Time
-	// restricted has its requests tried apart; after an end they pause until a time.
-	restricted bool
-	until      time.Time
-	// answered counts what was answered alone, in a row.
-	answered int
+	// score is the logarithm of how much likelier the crashes are if the source caused them than by
+	// coincidence.
+	score     float64
+	lastCrash time.Time
+	// restricted reports whether the source's requests run isolated. After a crash none of them is
+	// run until pausedUntil.
+	restricted  bool
+	pausedUntil time.Time
+	// consecutiveAnswers counts the requests answered in a row while the source is restricted.
+	consecutiveAnswers int
 }
 
 const (
-	// YoungFor is for how long a request counts as new at an engine: what ends an engine
-	// does so soon after it begins, as a rule.
+	// YoungFor is how long a request counts as new on an engine: a poison request usually crashes
+	// its engine soon after it starts.
 	YoungFor = 500 * time.Millisecond
-	// youngShare is the part of such ends that comes within that time.
-	youngShare = 0.7
-	// restrictAt is the score from which a source is restricted: a thousand times likelier.
-	restrictAt = 6.9
-	// absentStep is what an end costs a source that wasn't there. Its request may have been
-	// given back before the end was told, so that it doesn't begin anew at once.
-	absentStep = 3.0
-	// sourceFor is for how long ends count against a source.
-	sourceFor = 10 * time.Minute
-	// endCost is for how long an engine that ended is away, endShare the part of the
-	// engines' time that a restricted source may take: after each end its requests pause for
-	// as long as that asks for, some seconds with few engines, a moment with hundreds. A
-	// larger part ends more engines and serves nobody better.
-	endCost  = 3 * time.Second
-	endShare = 0.02
-	// answersToTrust is how many of a restricted source's requests must be answered in a
-	// row until it is trusted again, trustedScore what its score is then: it takes fewer
-	// ends than the first time.
-	answersToTrust = 100
-	trustedScore   = restrictAt / 2
-	// maxSourcePause bounds the pause after an end.
+	// newRequestCrashShare is the share of crashes by poison requests that occur within YoungFor.
+	newRequestCrashShare = 0.7
+	// restrictScore is the score from which a source is restricted: it is a thousand times likelier
+	// to be the cause than not.
+	restrictScore = 6.9
+	// absenceStep is subtracted from a source's score for a crash at which it had no request on the
+	// engine. The score isn't reset, because the request may have been released before the crash
+	// was reported.
+	absenceStep = 3.0
+	// sourceTTL is how long crashes count against a source.
+	sourceTTL = 10 * time.Minute
+	// crashDowntime is how long a crashed engine is unavailable, and maxDowntimeShare the share of
+	// the engines' time that a restricted source may cost. After each crash the source's requests
+	// pause for as long as this share requires, some seconds with few engines and a moment with
+	// hundreds. A larger share crashes more engines and serves no client better.
+	crashDowntime    = 3 * time.Second
+	maxDowntimeShare = 0.02
+	// answersToLift is the number of a restricted source's requests that must be answered in a row
+	// before the restriction is lifted. Its score is then set to scoreAfterLift, so that fewer
+	// crashes restrict it than the first time.
+	answersToLift  = 100
+	scoreAfterLift = restrictScore / 2
+	// maxSourcePause bounds the pause after a crash.
 	maxSourcePause = 30 * time.Second
-	// maxSources bounds the sources that are remembered.
+	// maxSources bounds the remembered sources.
 	maxSources = 1024
 )
 
-// UnexplainedEnd notes an engine's end under requests of which none was part of an end
-// before. Whoever changes its request each time is found by being there each time, beyond
-// what its share of the work explains.
+// UnexplainedEnd records the crash of an engine whose requests were part of no earlier crash, and
+// returns the sources that it restricts. A source that changes its request each time is detected
+// because it is present at each crash more often than its share of the work explains.
 func (reg *Registry) UnexplainedEnd(now time.Time, present []Presence) []Source {
 	seen := make(map[Source]bool, len(present))
 	var restricted []Source
@@ -88,75 +93,75 @@
 			sta = &sourceState{}
 			reg.sources[pre.Source] = sta
 		}
-		sta.at = now
-		sta.score = max(0, sta.score+pre.step())
-		if sta.score >= restrictAt && !sta.restricted {
-			sta.restricted, sta.answered = true, 0
+		sta.lastCrash = now
+		sta.score = max(0, sta.score+pre.scoreStep())
+		if sta.score >= restrictScore && !sta.restricted {
+			sta.restricted, sta.consecutiveAnswers = true, 0
 			reg.version++
 			restricted = append(restricted, pre.Source)
 		}
 	}
 	for src, sta := range reg.sources {
 		if len(present) > 0 && src.Service == present[0].Source.Service && !seen[src] {
-			sta.score = max(0, sta.score-absentStep)
+			sta.score = max(0, sta.score-absenceStep)
 		}
 	}
 	return restricted
 }
 
-// step returns by how much the end makes it likelier that the source did it.
-func (pre Presence) step() float64 {
+// scoreStep returns the change of the source's score by one crash.
+func (pre Presence) scoreStep() float64 {
 	likely := 0.0
 	if pre.Young {
-		likely += youngShare / pre.UsualYoung
+		likely += newRequestCrashShare / pre.UsualYoung
 	}
 	if pre.Here {
-		likely += (1 - youngShare) / pre.Usual
+		likely += (1 - newRequestCrashShare) / pre.Usual
 	}
 	if likely == 0 {
-		return -absentStep
+		return -absenceStep
 	}
 	return math.Log(likely)
 }
 
-// Restriction tells whether a source's requests run alone, and for how much longer none of
+// Restriction reports whether a source's requests run isolated, and returns how much longer none of
 // them is run.
 func (reg *Registry) Restriction(now time.Time, src Source) (bool, time.Duration) {
 	sta := reg.sources[src]
 	if sta == nil || !sta.restricted {
 		return false, 0
 	}
-	return true, max(0, sta.until.Sub(now))
+	return true, max(0, sta.pausedUntil.Sub(now))
 }
 
-// EndedAlone notes that a restricted source's request ended an engine of so many: its
-// others wait for a while.
+// EndedAlone records that a restricted source's request crashed one of a service's engines, whose
+// number is given. The source's other requests pause.
 func (reg *Registry) EndedAlone(now time.Time, src Source, engines int) {
 	sta := reg.sources[src]
 	if sta == nil || !sta.restricted {
 		return
 	}
-	sta.answered, sta.at = 0, now
-	pause := float64(endCost) / (endShare * float64(max(1, engines)))
-	sta.until = now.Add(min(maxSourcePause, time.Duration(pause)))
+	sta.consecutiveAnswers, sta.lastCrash = 0, now
+	pause := float64(crashDowntime) / (maxDowntimeShare * float64(max(1, engines)))
+	sta.pausedUntil = now.Add(min(maxSourcePause, time.Duration(pause)))
 }
 
-// AnsweredAlone notes that a restricted source's request was answered, and reports whether
-// the source is trusted again.
+// AnsweredAlone records that a restricted source's request was answered, and reports whether this
+// lifts the restriction.
 func (reg *Registry) AnsweredAlone(src Source) bool {
 	sta := reg.sources[src]
 	if sta == nil || !sta.restricted {
 		return false
 	}
-	sta.answered++
-	if sta.answered < answersToTrust {
+	sta.consecutiveAnswers++
+	if sta.consecutiveAnswers < answersToLift {
 		return false
 	}
-	sta.restricted, sta.score = false, trustedScore
+	sta.restricted, sta.score = false, scoreAfterLift
 	return true
 }
 
-// Restricted returns the sources that are restricted, sorted.
+// Restricted returns the restricted sources, sorted.
 func (reg *Registry) Restricted() []Source {
 	var all []Source
 	for src, sta := range reg.sources {
@@ -170,6 +175,8 @@
 	return all
 }
 
-func (reg *Registry) forgetSources(now time.Time) {
-	maps.DeleteFunc(reg.sources, func(_ Source, sta *sourceState) bool { return now.Sub(sta.at) > sourceFor && !now.Before(sta.until) })
+func (reg *Registry) pruneSources(now time.Time) {
+	maps.DeleteFunc(reg.sources, func(_ Source, sta *sourceState) bool {
+		return now.Sub(sta.lastCrash) > sourceTTL && !now.Before(sta.pausedUntil)
+	})
 }
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -7,40 +7,41 @@
 	"lynxwell.dev/lynxwell/call"
 )
 
-// Hold is a held request as the store keeps it: what has to outlast the loss of all hosts.
+// Hold is a held request as kept in the store, so that it survives the loss of all hosts.
 type Hold struct {
 	Subject
-	// Ends are those of the engines that ran it.
-	Ends []End
-	// Until is by the time of day; zero stands for good.
+	// Ends are the crashes of the engines that ran the request.
+	Ends []End `json:"Ends"`
+	// Until is the wall-clock time at which the hold expires; zero means until an operator frees
+	// it.
 	Until  time.Time
 	Trials int
 }
 
-// storedHold is what of a stored hold tells whether it is as it should be.
+// storedHold holds the fields of a stored hold that decide whether it must be rewritten.
 type storedHold struct {
-	trials  int
-	forGood bool
+	trials     int
+	indefinite bool
 }
 
-// TakeStored takes the held requests that the store was read to hold. One that was there
-// before and is gone was freed by another host.
+// TakeStored applies the held requests read from the store. A request that was there at the last
+// read and is missing now was freed by another host.
 func (reg *Registry) TakeStored(now time.Time, holds []Hold) {
-	former := reg.stored
+	previous := reg.stored
 	reg.stored = make(map[call.Digest]storedHold, len(holds))
 	for _, hol := range holds {
-		reg.stored[hol.Digest] = storedHold{trials: hol.Trials, forGood: hol.Until.IsZero()}
+		reg.stored[hol.Digest] = storedHold{trials: hol.Trials, indefinite: hol.Until.IsZero()}
 		reg.Merge(now, Report{Subject: hol.Subject, Ends: hol.Ends, Held: true, ForGood: hol.Until.IsZero(), Left: hol.Until.Sub(now), Trials: hol.Trials})
 	}
-	for dig := range former {
-		if _, still := reg.stored[dig]; !still {
-			reg.clearHeard(now, dig, KindFreed)
+	for dig := range previous {
+		if _, found := reg.stored[dig]; !found {
+			reg.clearFromPeer(now, dig, KindFreed)
 		}
 	}
 }
 
-// ToStore returns the held requests as the store should hold them, sorted by their
-// digests, and whether that differs from what it was last read to hold.
+// ToStore returns the held requests that the store should hold, sorted by digest, and whether they
+// differ from what was last read from the store.
 func (reg *Registry) ToStore() ([]Hold, bool) {
 	var holds []Hold
 	differs := false
@@ -49,7 +50,7 @@
 			continue
 		}
 		known, stored := reg.stored[dig]
-		differs = differs || !stored || known != (storedHold{trials: cas.Trials, forGood: cas.Until.IsZero()})
+		differs = differs || !stored || known != (storedHold{trials: cas.Trials, indefinite: cas.Until.IsZero()})
 		holds = append(holds, Hold{Subject: cas.Subject, Ends: slices.Clone(cas.Ends), Until: cas.Until, Trials: cas.Trials})
 	}
 	slices.SortFunc(holds, func(one, two Hold) int { return slices.Compare(one.Digest[:], two.Digest[:]) })
--- /dev/null
+++ b/quarantine/unconfirmed.go
@@ -0,0 +1,97 @@
+package quarantine
+
+import (
+	"time"
+
+	"lynxwell.dev/lynxwell/call"
+)
+
+// unconfirmedKey identifies a request and the engine run that it was sent to.
+type unconfirmedKey struct {
+	digest call.Digest
+	engine string
+}
+
+// unconfirmedCrash is a request whose connection to its engine ended while it isn't known whether
+// the engine crashed.
+type unconfirmedCrash struct {
+	observation Observation
+	since       time.Time
+}
+
+// Doubt records that the connection to an engine ended while it ran a request, with the crash of
+// the engine unconfirmed: the link may have failed or one answer may have been invalid, and another
+// run of the engine may have started before the host checked. EnginesChanged resolves it by the
+// registered engines.
+func (reg *Registry) Doubt(now time.Time, obs Observation) {
+	reg.prune(now)
+	if obs.Digest == (call.Digest{}) || len(reg.unconfirmed) >= maxCases {
+		return
+	}
+	key := unconfirmedKey{digest: obs.Digest, engine: obs.Engine}
+	if _, known := reg.unconfirmed[key]; !known {
+		reg.unconfirmedCounts[key.digest]++
+	}
+	reg.unconfirmed[key] = unconfirmedCrash{observation: obs, since: now}
+}
+
+// Engine is a registered run of an engine.
+type Engine struct {
+	// Run is the engine's name and start.
+	Run string
+	// Leaving reports whether the engine is draining, so that its exit is planned.
+	Leaving bool
+}
+
+// EnginesChanged applies the list of registered engines. It returns the unconfirmed crashes that
+// this list confirms: those whose engine run isn't registered any more and was never seen draining.
+func (reg *Registry) EnginesChanged(now time.Time, engines []Engine) []Observation {
+	if len(reg.unconfirmed) == 0 {
+		return nil
+	}
+	draining := make(map[string]bool, len(engines))
+	for _, eng := range engines {
+		draining[eng.Run] = eng.Leaving
+	}
+	var confirmed []Observation
+	for key, ucr := range reg.unconfirmed {
+		isDraining, registered := draining[key.engine]
+		switch {
+		case isDraining || now.Sub(ucr.since) > unconfirmedTTL:
+			reg.removeUnconfirmed(key)
+		case !registered:
+			reg.removeUnconfirmed(key)
+			obs := ucr.observation
+			obs.Ran += now.Sub(ucr.since)
+			confirmed = append(confirmed, obs)
+		}
+	}
+	return confirmed
+}
+
+func (reg *Registry) removeUnconfirmed(key unconfirmedKey) {
+	delete(reg.unconfirmed, key)
+	reg.unconfirmedCounts[key.digest]--
+	if reg.unconfirmedCounts[key.digest] <= 0 {
+		delete(reg.unconfirmedCounts, key.digest)
+	}
+}
+
+func (reg *Registry) removeUnconfirmedOf(dig call.Digest) {
+	if reg.unconfirmedCounts[dig] == 0 {
+		return
+	}
+	for key := range reg.unconfirmed {
+		if key.digest == dig {
+			reg.removeUnconfirmed(key)
+		}
+	}
+}
+
+func (reg *Registry) pruneUnconfirmed(now time.Time) {
+	for key, ucr := range reg.unconfirmed {
+		if now.Sub(ucr.since) > unconfirmedTTL {
+			reg.removeUnconfirmed(key)
+		}
+	}
+}
