--- a/rollout/compare_test.go
+++ b/rollout/compare_test.go
@@ -7,59 +7,60 @@
 	"lynxwell.dev/lynxwell/rollout"
 )
 
-// BenchmarkWays compares two ways to spread the trials and two tests, on the same seeds:
-// seconds to the end, requests given to the version, callers harmed (whose request failed
-// and can't be sent again), bad answers, and ends that are wrong, in a hundred.
-func BenchmarkWays(b *testing.B) {
-	const plays = 100
-	for _, way := range []struct {
+// BenchmarkPolicies compares two policies of spreading canary requests and two tests on the same
+// seeds. Its metrics are, on average per run, the seconds until the end, the requests sent to the
+// new version, the harmed clients (whose request failed and can't be repeated) and the bad answers,
+// and the percentage of runs with the wrong result.
+func BenchmarkPolicies(b *testing.B) {
+	const runs = 100
+	for _, policy := range []struct {
 		name   string
-		change func(*play)
+		change func(*simulation)
 	}{
-		{"few-engines/sequential", func(*play) {}},
-		{"few-engines/fixed", func(pla *play) { pla.rol.UseFixedTest() }},
-		{"all-engines/sequential", func(pla *play) { pla.load = 0 }},
+		{"few-engines/sequential", func(*simulation) {}},
+		{"few-engines/fixed", func(sim *simulation) { sim.rol.UseFixedTest() }},
+		{"all-engines/sequential", func(sim *simulation) { sim.loadedShare = 0 }},
 	} {
 		for _, size := range []struct {
 			name string
 			rate float64
 		}{{"4", 28}, {"60", 426}, {"650", 4600}} {
-			for _, kind := range []struct {
-				name string
-				bad  badness
-				good bool
+			for _, tst := range []struct {
+				name    string
+				fault   fault
+				healthy bool
 			}{
-				{"good", badness{}, true},
-				{"fails", badness{part: 0.4}, false},
-				{"slow", badness{part: 0.4, slow: true}, false},
-				{"late", badness{part: 0.4, from: 5 * time.Second}, false},
-				{"route", badness{part: 0.4, route: "unsafe"}, false},
-				{"loaded", badness{part: 0.4, loaded: true}, false},
+				{"good", fault{}, true},
+				{"fails", fault{share: 0.4}, false},
+				{"slow", fault{share: 0.4, slow: true}, false},
+				{"late", fault{share: 0.4, from: 5 * time.Second}, false},
+				{"route", fault{share: 0.4, route: "unsafe"}, false},
+				{"loaded", fault{share: 0.4, loaded: true}, false},
 			} {
-				b.Run(way.name+"/"+size.name+"/"+kind.name, func(b *testing.B) {
-					var ended time.Duration
+				b.Run(policy.name+"/"+size.name+"/"+tst.name, func(b *testing.B) {
+					var finishedAfter time.Duration
 					var exposed, harmed, bad, wrong int
 					for b.Loop() {
-						ended, exposed, harmed, bad, wrong = 0, 0, 0, 0, 0
-						for seed := range uint64(plays) {
-							pla := newPlay(seed)
-							pla.rate, pla.usual, pla.bad = size.rate, 0.03, kind.bad
-							way.change(pla)
-							pla.run(period)
-							ended += pla.ended
-							exposed += pla.exposed
-							harmed += pla.harmed
-							bad += pla.badAnswers
-							if (pla.keeper.standing.State == rollout.StateCompleted) != kind.good {
+						finishedAfter, exposed, harmed, bad, wrong = 0, 0, 0, 0, 0
+						for seed := range uint64(runs) {
+							sim := newSimulation(seed)
+							sim.rate, sim.badRate, sim.fault = size.rate, 0.03, tst.fault
+							policy.change(sim)
+							sim.run(period)
+							finishedAfter += sim.finishedAfter
+							exposed += sim.exposed
+							harmed += sim.harmed
+							bad += sim.badAnswers
+							if (sim.store.stored.State == rollout.StateCompleted) != tst.healthy {
 								wrong++
 							}
 						}
 					}
-					b.ReportMetric(ended.Seconds()/plays, "s-to-end")
-					b.ReportMetric(float64(exposed)/plays, "given")
-					b.ReportMetric(float64(harmed)/plays, "harmed")
-					b.ReportMetric(float64(bad)/plays, "bad")
-					b.ReportMetric(100*float64(wrong)/plays, "wrong-in-100")
+					b.ReportMetric(finishedAfter.Seconds()/runs, "s-to-end")
+					b.ReportMetric(float64(exposed)/runs, "given")
+					b.ReportMetric(float64(harmed)/runs, "harmed")
+					b.ReportMetric(float64(bad)/runs, "bad")
+					b.ReportMetric(100*float64(wrong)/runs, "wrong-in-100")
 				})
 			}
 		}
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -7,13 +7,15 @@
 	"time"
 )
 
-// Counts are the answers of one route.
+// Counts are the good and bad answers of both versions on one route. An answer is bad if it failed
+// or took several times as long as usual.
 type Counts struct {
-	FormerGood int
-	FormerBad  int
+	FormerGood int `json:"FormerGood"`
+	FormerBad  int `json:"FormerBad"`
 	NewGood    int
 	NewBad     int
-	// Loaded counts those of the new version under the load that it will bear.
+	// Loaded is the number of the new version's answers that were given under the load that it will
+	// have after the roll-out.
 	Loaded int
 }
 
@@ -24,15 +26,15 @@
 	}
 }
 
-// Tally is what has been seen of a roll-out.
+// Tally is the evidence that a roll-out has gathered.
 type Tally struct {
-	// Requests is how many of the service's requests were given to an engine.
+	// Requests is the number of the service's requests that were granted to an engine.
 	Requests int
-	// Routes are the answers by route.
+	// Routes holds the answers by route.
 	Routes map[string]Counts
 }
 
-// plus returns the sum of both.
+// plus returns the sum of both tallies.
 func (tal Tally) plus(other Tally) Tally {
 	sum := Tally{Requests: tal.Requests + other.Requests, Routes: maps.Clone(tal.Routes)}
 	if sum.Routes == nil {
@@ -51,8 +53,8 @@
 	tal.Routes[route] = tal.Routes[route].plus(cou)
 }
 
-// all returns the answers of all routes together.
-func (tal Tally) all() Counts {
+// total returns the sum of the answers over all routes.
+func (tal Tally) total() Counts {
 	var sum Counts
 	for _, cou := range tal.Routes {
 		sum = sum.plus(cou)
@@ -60,144 +62,153 @@
 	return sum
 }
 
-// The sequential test: the answers of the new version are as good as the former ones at
-// the same time, or a part more of them is bad. TestErrorRatesOfTheTest simulates both
-// errors.
+// The sequential test. Its hypotheses are that the new version's answers are as good as the old
+// version's at the same time, and that the share of bad answers is higher by badRateIncrease.
+// TestErrorRatesOfSequentialTest simulates both error rates.
 const (
-	// badPart is the part of bad answers beyond the former version's that is to be found.
-	badPart = 0.2
-	// leastBad is the part of bad answers that is taken to be usual at least: a chance
-	// loss or two must not take a version back.
-	leastBad = 0.02
-	// priorBad is the part that is taken to be usual before any answer was seen, and
-	// priorAnswers how many answers that weighs: a version is tried at once, when little is
-	// known of the former one.
-	priorBad     = 0.05
+	// badRateIncrease is the increase of the share of bad answers over the old version's that the
+	// test must detect.
+	badRateIncrease = 0.2
+	// minBadRate is the lowest assumed share of bad answers of a healthy version: one or two lost
+	// answers by coincidence must not roll a version back.
+	minBadRate = 0.02
+	// priorBadRate is the assumed share of bad answers before any answer was seen, and priorAnswers
+	// its weight as a number of answers: canary requests begin at once, when little is known of the
+	// old version.
+	priorBadRate = 0.05
 	priorAnswers = 20
-	// wronglyBad and wronglyGood are the error rates for each route.
-	wronglyBad  = 0.001
-	wronglyGood = 0.01
+	// falseRejectRate and falseAcceptRate are the allowed error rates on each route.
+	falseRejectRate = 0.001
+	falseAcceptRate = 0.01
 )
 
 var (
-	// rejectAt and acceptAt are Wald's bounds of the log-likelihood ratio.
-	rejectAt = math.Log((1 - wronglyGood) / wronglyBad)
-	acceptAt = math.Log(wronglyGood / (1 - wronglyBad))
+	// rejectThreshold and acceptThreshold are the bounds of the log-likelihood ratio in Wald's
+	// sequential probability ratio test.
+	rejectThreshold = math.Log((1 - falseAcceptRate) / falseRejectRate)
+	acceptThreshold = math.Log(falseAcceptRate / (1 - falseRejectRate))
 )
 
-// formerPart is the part of bad answers that is usual, as high as what was seen allows:
-// a good version must not be taken back because the former one was lucky.
-func (cou Counts) formerPart() float64 {
+// oldBadRate returns the share of bad answers to expect of a healthy version: the old version's
+// share plus one standard error, so that a healthy version isn't rolled back because the old one
+// had few bad answers by coincidence.
+func (cou Counts) oldBadRate() float64 {
 	bad, all := float64(cou.FormerBad), float64(cou.FormerBad+cou.FormerGood)
-	part := (bad + priorBad*priorAnswers) / (all + priorAnswers)
-	part += math.Sqrt(part * (1 - part) / (all + priorAnswers))
-	return min(0.8, max(leastBad, part))
+	rate := (bad + priorBadRate*priorAnswers) / (all + priorAnswers)
+	rate += math.Sqrt(rate * (1 - rate) / (all + priorAnswers))
+	return min(0.8, max(minBadRate, rate))
 }
 
-// steps returns by how much a bad and a good answer of the new version change the ratio.
-func (cou Counts) steps() (ofBad, ofGood float64) {
-	return stepsBeyond(cou.formerPart())
+// logSteps returns by how much a bad and a good answer of the new version change the log-likelihood
+// ratio.
+func (cou Counts) logSteps() (ofBad, ofGood float64) {
+	return logStepsAt(cou.oldBadRate())
 }
 
-func stepsBeyond(usual float64) (ofBad, ofGood float64) {
-	bad := min(0.95, usual+badPart)
-	return math.Log(bad / usual), math.Log((1 - bad) / (1 - usual))
+func logStepsAt(expectedRate float64) (ofBad, ofGood float64) {
+	bad := min(0.95, expectedRate+badRateIncrease)
+	return math.Log(bad / expectedRate), math.Log((1 - bad) / (1 - expectedRate))
 }
 
-// ratio returns the logarithm of how much likelier the new answers are of a bad version
-// than of a good one.
-func (cou Counts) ratio() float64 {
-	ofBad, ofGood := cou.steps()
+// logRatio returns the log-likelihood ratio of the new version's answers: positive if they are
+// likelier to come from a faulty version than from a healthy one.
+func (cou Counts) logRatio() float64 {
+	ofBad, ofGood := cou.logSteps()
 	return float64(cou.NewBad)*ofBad + float64(cou.NewGood)*ofGood
 }
 
-// turnedBadAt is the bound of the running ratio, which begins anew with each answer that
-// makes it less than nothing. It finds versions that turn bad after thousands of good
-// answers, which the ratio of all answers forgets too slowly, the more so with many engines
-// (BenchmarkWays). It is higher than Wald's, as it is looked at thousands of times.
-const turnedBadAt = 11.0
+// changeThreshold is the bound of the cumulative sum of a route, which restarts at zero whenever it
+// would become negative. The sum detects versions that become faulty after thousands of good
+// answers, to which the ratio over all answers reacts too slowly, the more so the more engines
+// there are (BenchmarkPolicies). The bound is higher than Wald's because it is checked thousands of
+// times.
+const changeThreshold = 11.0
 
-// lately is the time over which the former version's answers count as given at the same
-// time as the new one's: a trouble of the whole service, or of the hosts, isn't the new
-// version's fault, and must be seen in the former one's answers within a few bad ones.
-const lately = 150 * time.Millisecond
+// recentDecay is the time constant over which the old version's answers count as given at the same
+// time as the new version's. A failure of the whole service, or of the hosts, isn't the new
+// version's fault, and must show in the old version's answers within a few bad ones.
+const recentDecay = 150 * time.Millisecond
 
-// running is a route's running ratio, beside what the former version answered lately.
-type running struct {
-	ratio     float64
-	good, bad float64
-	at        time.Time
+// cusum is the cumulative sum of a route's log-likelihood steps, with the old version's recent
+// answers, whose weight decays with recentDecay.
+type cusum struct {
+	sum             float64
+	oldGood, oldBad float64
+	updatedAt       time.Time
 }
 
-// observe takes an answer of either version, with all answers so far, and reports whether
-// the route has turned bad.
-func (run *running) observe(now time.Time, cou Counts, isNew, bad bool) bool {
-	fade := math.Exp(-float64(now.Sub(run.at)) / float64(lately))
-	run.good, run.bad, run.at = run.good*fade, run.bad*fade, now
+// observe applies an answer of either version, given the counts of the route so far, and reports
+// whether the new version has become faulty on the route.
+func (csm *cusum) observe(now time.Time, cou Counts, isNew, bad bool) bool {
+	decay := math.Exp(-float64(now.Sub(csm.updatedAt)) / float64(recentDecay))
+	csm.oldGood, csm.oldBad, csm.updatedAt = csm.oldGood*decay, csm.oldBad*decay, now
 	switch {
 	case !isNew && bad:
-		run.bad++
+		csm.oldBad++
 	case !isNew:
-		run.good++
+		csm.oldGood++
 	default:
-		usual := max(cou.formerPart(), Counts{FormerGood: int(run.good), FormerBad: int(run.bad)}.formerPart())
-		ofBad, ofGood := stepsBeyond(usual)
+		expectedRate := max(cou.oldBadRate(), Counts{FormerGood: int(csm.oldGood), FormerBad: int(csm.oldBad)}.oldBadRate())
+		ofBad, ofGood := logStepsAt(expectedRate)
 		step := ofGood
 		if bad {
 			step = ofBad
 		}
-		run.ratio = max(0, run.ratio+step)
+		csm.sum = max(0, csm.sum+step)
 	}
-	return run.ratio >= turnedBadAt
+	return csm.sum >= changeThreshold
 }
 
-// isBad reports whether the new version's answers are worse.
-func (cou Counts) isBad() bool {
-	return cou.ratio() >= rejectAt
+// isFaulty reports whether the new version's answers are worse than the old version's.
+func (cou Counts) isFaulty() bool {
+	return cou.logRatio() >= rejectThreshold
 }
 
-// isGood reports whether they are as good.
-func (cou Counts) isGood() bool {
-	return cou.ratio() <= acceptAt
+// isHealthy reports whether the new version's answers are as good as the old version's.
+func (cou Counts) isHealthy() bool {
+	return cou.logRatio() <= acceptThreshold
 }
 
-// worst returns the first route, by name, whose answers are worse; "*" stands for all
-// together.
-func (tal Tally) worst(isBad func(Counts) bool) (string, bool) {
+// faultyRoute returns the first route, by name, on which the test finds the new version faulty; "*"
+// stands for all routes together.
+func (tal Tally) faultyRoute(isFaulty func(Counts) bool) (string, bool) {
 	for _, name := range slices.Sorted(maps.Keys(tal.Routes)) {
-		if isBad(tal.Routes[name]) {
+		if isFaulty(tal.Routes[name]) {
 			return name, true
 		}
 	}
-	return "*", isBad(tal.all())
+	return "*", isFaulty(tal.total())
 }
 
 const (
-	// slowTimes is how many times as long as usual an answer takes that counts as bad. The
-	// engines of a service differ by up to three times; bad versions are several times
+	// slowFactor is the multiple of the usual duration from which an answer counts as bad. The
+	// engines of a service differ by a factor of up to three; faulty versions are several times
 	// slower.
-	slowTimes = 4.0
-	// leastSlow is how much longer than usual it takes at least: what nobody notices isn't
-	// bad, however many times as long, and a busy host adds some milliseconds to anything.
-	leastSlow = 30 * time.Millisecond
-	// typicalGain is the weight of an answer in the usual logarithm of took by expected.
-	typicalGain = 0.05
+	slowFactor = 4.0
+	// minSlowExcess is the minimum excess over the usual duration for an answer to count as bad. A
+	// smaller excess goes unnoticed by users, whatever its factor, and a busy host adds some
+	// milliseconds to any answer.
+	minSlowExcess = 30 * time.Millisecond
+	// baselineGain is the weight of a new answer in the average logarithm of the ratio of actual to
+	// expected duration.
+	baselineGain = 0.05
 )
 
-// speed is how long former engines take beside what is expected, by route.
-type speed struct {
-	logs map[string]float64
+// latencyBaseline holds, by route, the average logarithm of the ratio of actual to expected
+// duration on engines of the old version.
+type latencyBaseline struct {
+	logRatios map[string]float64
 }
 
-func (spe *speed) observe(route string, took, expected time.Duration) {
-	if spe.logs == nil {
-		spe.logs = make(map[string]float64)
+func (bas *latencyBaseline) observe(route string, took, expected time.Duration) {
+	if bas.logRatios == nil {
+		bas.logRatios = make(map[string]float64)
 	}
-	spe.logs[route] += typicalGain * (math.Log(float64(took)/float64(expected)) - spe.logs[route])
+	bas.logRatios[route] += baselineGain * (math.Log(float64(took)/float64(expected)) - bas.logRatios[route])
 }
 
 // isSlow reports whether an answer took several times as long as usual.
-func (spe *speed) isSlow(route string, took, expected time.Duration) bool {
-	usual := time.Duration(float64(expected) * math.Exp(max(0, spe.logs[route])))
-	return took > time.Duration(slowTimes*float64(usual)) && took-usual >= leastSlow
+func (bas *latencyBaseline) isSlow(route string, took, expected time.Duration) bool {
+	usual := time.Duration(float64(expected) * math.Exp(max(0, bas.logRatios[route])))
+	return took > time.Duration(slowFactor*float64(usual)) && took-usual >= minSlowExcess
 }
--- a/rollout/export_test.go
+++ b/rollout/export_test.go
@@ -2,21 +2,22 @@
 
 import "math"
 
-// fixedAnswers is how many answers the fixed test waits for, and fixedSigmas by how many
-// standard deviations the parts must differ then.
+// fixedAnswers is the number of answers that the fixed test waits for, and fixedSigmas the number
+// of standard deviations by which the shares of bad answers must differ then.
 const (
 	fixedAnswers = 50
 	fixedSigmas  = 3
 )
 
-// UseFixedTest has the version judged by a fixed number of answers, for comparison.
+// UseFixedTest replaces the sequential test by a test after a fixed number of answers, for
+// comparison.
 func (rol *Rollout) UseFixedTest() {
-	rol.isBad = func(cou Counts) bool {
-		news := float64(cou.NewGood + cou.NewBad)
-		if news < fixedAnswers {
+	rol.isFaulty = func(cou Counts) bool {
+		answers := float64(cou.NewGood + cou.NewBad)
+		if answers < fixedAnswers {
 			return false
 		}
-		usual := cou.formerPart()
-		return float64(cou.NewBad)/news > usual+fixedSigmas*math.Sqrt(usual*(1-usual)/news)
+		rate := cou.oldBadRate()
+		return float64(cou.NewBad)/answers > rate+fixedSigmas*math.Sqrt(rate*(1-rate)/answers)
 	}
 }
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -4,194 +4,200 @@
 	"time"
 )
 
-// phase is what a running roll-out is at.
+// phase is the phase of a running roll-out.
 type phase uint8
 
 const (
-	// phaseProving gives the new version a bounded part of the requests.
-	phaseProving phase = iota
-	// phaseMoving gives it the requests that couldn't be sent again, while the former
-	// engines end those that they have.
+	// phaseCanary sends a bounded share of the requests to the new version.
+	phaseCanary phase = iota
+	// phaseMoving sends requests that can't be repeated to the new version, while the engines of
+	// the old version finish those that they run.
 	phaseMoving
-	// phaseClosing gives it all that begins, for the last moments of the former engines.
-	phaseClosing
+	// phaseCutover sends all new requests to the new version, just before the engines of the old
+	// version stop.
+	phaseCutover
 )
 
 const (
-	// exposureMargin is the part of the allowed share that is used before the version is
-	// known to be good. The rest is for what a version that turns bad late gets while that
-	// is found out, and for requests that are counted here and never reach an engine.
+	// exposureMargin is the part of the allowed share that is used before the version is known to
+	// be healthy. The rest covers the requests that a version that becomes faulty late gets until
+	// this is detected, and requests that are counted here but never reach an engine.
 	exposureMargin = 0.6
-	// slackMargin is the same for the slack: a first look at a version needs some answers
-	// before many requests have passed.
+	// slackMargin is the same for the slack: the first look at a version needs some answers before
+	// many requests have arrived.
 	slackMargin = 0.5
-	// moveAt is the part of the period after which a version that is known to be good gets
-	// more: some turn bad only after a while, and streams need seconds to end. One that
-	// turns bad later still may get more than the users allow.
-	moveAt = 0.7
-	// decideAt is the part after which a version whose requests were too few to know is
-	// judged by what there is.
-	decideAt = 0.85
-	// closingTime is for how long the former engines go on with what can be sent again.
-	closingTime = 700 * time.Millisecond
-	// leastAnswers is how many answers that takes.
-	leastAnswers = 10
-	// loadedAnswers is how many answers a version must have given under load.
-	loadedAnswers = 20
-	// routeAnswers is from how many answers on a route counts: before, nothing can be known
-	// of it, and what is known of the others must do.
-	routeAnswers = 30
-	// neededRoom is how many slots the new engines need for each of the former ones.
-	neededRoom = 0.8
-	// trialEvery is how many requests the former version is given between two trials: its
-	// answers at the same time tell a trouble of all from one of the new version.
-	trialEvery = 4
-	// writePause is the least time between two writes of a ledger: each is a call to the
+	// moveAfter is the part of the period after which a version that is known to be healthy gets
+	// more requests: some versions become faulty only after a while, and streams need seconds to
+	// end. A version that becomes faulty even later may get more requests than users allow.
+	moveAfter = 0.7
+	// decideAfter is the part of the period after which a version with too few requests for the
+	// test is judged by the evidence there is.
+	decideAfter = 0.85
+	// cutoverTime is how long the engines of the old version continue to run repeatable requests.
+	cutoverTime = 700 * time.Millisecond
+	// minAnswers is the minimum number of answers for this judgement.
+	minAnswers = 10
+	// minLoadedAnswers is the number of answers that a version must have given under load.
+	minLoadedAnswers = 20
+	// minRouteAnswers is the number of answers from which a route is tested by itself. With fewer,
+	// nothing can be known of the route, and the other routes must suffice.
+	minRouteAnswers = 30
+	// minSlotRatio is the number of slots that the new version needs for each slot of the old
+	// version.
+	minSlotRatio = 0.8
+	// requestsPerCanary is the number of requests to the old version for each canary request. Their
+	// answers at the same time distinguish a failure of the whole service from a fault of the new
+	// version.
+	requestsPerCanary = 4
+	// minWriteInterval is the minimum time between two writes of a ledger: each is a call to the
 	// store and a change that all hosts read.
-	writePause = 500 * time.Millisecond
-	// chunk is how many more requests make a write worth it.
-	chunk = 10
-	// retryWrite is after what time a write that wasn't answered, or not seen, is made
-	// again: the store answers in milliseconds, and changes are read within half a second.
-	retryWrite = time.Second
-	// chargeLapse is after what time without deciding a host isn't in charge any more: five
-	// times as long as from one decision to the next.
-	chargeLapse = 500 * time.Millisecond
+	minWriteInterval = 500 * time.Millisecond
+	// minReservation is the minimum number of additional requests for which a ledger is written.
+	minReservation = 10
+	// writeRetryInterval is the time after which a write is repeated that wasn't answered or didn't
+	// appear in the store: the store answers in milliseconds, and hosts read changes within half a
+	// second.
+	writeRetryInterval = time.Second
+	// leaderTimeout is the time after which a host that hasn't called Writes no longer counts as
+	// the leader: five times the interval between two calls.
+	leaderTimeout = 500 * time.Millisecond
 )
 
-// Rollout is one service's move to a version.
+// Rollout is the roll-out of one service to a version. It isn't safe for concurrent use.
 type Rollout struct {
 	cfg Config
-	// isBad is the test by which a version is found to be bad.
-	isBad    func(Counts) bool
-	standing Standing
+	// isFaulty is the test that finds a version faulty.
+	isFaulty func(Counts) bool
+	stored   Standing
 	state    State
-	// reason says why the state is what it is.
+	// reason explains the state to operators.
 	reason string
 	phase  phase
 	began  time.Time
-	// mine is how many requests the ledger holds for this host to give, given how many of
-	// them it gave.
-	mine  int
-	given int
-	// sinceTrial is how many requests were given since the last trial.
-	sinceTrial int
-	// fresh is what was seen since the ledger was last written, sent what a write holds
-	// that isn't answered yet.
-	fresh   Tally
-	sent    Tally
-	sending bool
-	speed   speed
-	// running are the routes' running ratios.
-	running map[string]*running
-	// ledgerAt and stateAt are when both were last asked to be written.
-	ledgerAt time.Time
-	stateAt  time.Time
-	// asked is the state that was last asked to be written.
-	asked State
-	// closingAt is when the last phase began.
-	closingAt time.Time
-	// decidedAt is when this host last decided as the one in charge.
-	decidedAt time.Time
+	// ownReserved is the number of requests that the ledger reserves for this host to grant to the
+	// new version, and ownGranted how many of them it has granted.
+	ownReserved int
+	ownGranted  int
+	// sinceCanary is the number of requests granted since the last canary request.
+	sinceCanary int
+	// unwritten is the evidence since the last write of the ledger, and writing the evidence in a
+	// write that isn't confirmed yet.
+	unwritten    Tally
+	writing      Tally
+	writePending bool
+	baseline     latencyBaseline
+	// cusums holds the cumulative sums by route.
+	cusums map[string]*cusum
+	// ledgerRequestedAt and stateRequestedAt are when the last write of each was requested.
+	ledgerRequestedAt time.Time
+	stateRequestedAt  time.Time
+	// requestedState is the state in the last requested write.
+	requestedState State
+	// cutoverAt is when phaseCutover began.
+	cutoverAt time.Time
+	// ledAt is when this host last acted as the leader.
+	ledAt time.Time
 }
 
-// New returns the roll-out of an order as the store knows it.
-func New(cfg Config, std Standing) *Rollout {
-	rol := &Rollout{sinceTrial: trialEvery, cfg: cfg, isBad: Counts.isBad, running: make(map[string]*running), state: StateRunning, reason: "ordered"}
-	rol.Adopt(std)
-	if std.state() == StateNone && std.State == StateCompleted && std.StateVersion == std.Order.Version {
-		// All requests go to the version since a former order.
-		rol.end(StateCompleted, "the version serves already")
+// New returns the roll-out of an order in the state that the store holds.
+func New(cfg Config, sto Standing) *Rollout {
+	rol := &Rollout{sinceCanary: requestsPerCanary, cfg: cfg, isFaulty: Counts.isFaulty, cusums: make(map[string]*cusum), state: StateRunning, reason: "ordered"}
+	rol.Adopt(sto)
+	if sto.publishedState() == StateNone && sto.State == StateCompleted && sto.StateVersion == sto.Order.Version {
+		// An earlier order has already moved all requests to the version.
+		rol.finish(StateCompleted, "the version already serves all requests")
 	}
 	return rol
 }
 
-// Order returns what was ordered.
-func (rol *Rollout) Order() Order { return rol.standing.Order }
+// Order returns the order of the roll-out.
+func (rol *Rollout) Order() Order { return rol.stored.Order }
 
-// State returns how far the roll-out is, as this host knows.
+// State returns the state of the roll-out as this host knows it.
 func (rol *Rollout) State() State { return rol.state }
 
-// IsOver reports whether the end of the roll-out stands in the store.
+// IsOver reports whether the store holds the final state of the roll-out.
 func (rol *Rollout) IsOver() bool {
-	return rol.state.IsEnd() && rol.standing.state() == rol.state
+	return rol.state.IsEnd() && rol.stored.publishedState() == rol.state
 }
 
-// Adopt takes what the store holds now. An end that was told there goes before what this
-// host had in mind: there is only one.
-func (rol *Rollout) Adopt(std Standing) {
-	if std.Ledger.Order != std.Order.Revision {
-		std.Ledger = Ledger{Order: std.Order.Revision, Version: std.Order.Version}
+// Adopt applies what the store holds now. A final state in the store takes precedence over this
+// host's state, since a roll-out has only one.
+func (rol *Rollout) Adopt(sto Standing) {
+	if sto.Ledger.Order != sto.Order.Revision {
+		sto.Ledger = Ledger{Order: sto.Order.Revision, Version: sto.Order.Version}
 	}
-	if std.LedgerRevision < rol.standing.LedgerRevision {
-		std.Ledger, std.LedgerRevision = rol.standing.Ledger, rol.standing.LedgerRevision
+	if sto.LedgerRevision < rol.stored.LedgerRevision {
+		sto.Ledger, sto.LedgerRevision = rol.stored.Ledger, rol.stored.LedgerRevision
 	}
-	if std.LedgerRevision > rol.standing.LedgerRevision && std.Ledger.Writer == rol.cfg.Self && rol.isSending() {
-		// The write's answer was lost or is on its way; what it holds is this host's.
-		rol.mine += std.Ledger.Reserved - rol.standing.Ledger.Reserved
-		rol.sent, rol.sending = Tally{}, false
+	if sto.LedgerRevision > rol.stored.LedgerRevision && sto.Ledger.Writer == rol.cfg.Self && rol.hasPendingWrite() {
+		// The write's confirmation was lost or is still to come; the added reservation belongs to
+		// this host.
+		rol.ownReserved += sto.Ledger.Reserved - rol.stored.Ledger.Reserved
+		rol.writing, rol.writePending = Tally{}, false
 	}
-	if std.StateRevision < rol.standing.StateRevision {
-		std.State, std.StateVersion, std.StateRevision = rol.standing.State, rol.standing.StateVersion, rol.standing.StateRevision
+	if sto.StateRevision < rol.stored.StateRevision {
+		sto.State, sto.StateVersion, sto.StateRevision = rol.stored.State, rol.stored.StateVersion, rol.stored.StateRevision
 	}
-	rol.standing = std
-	if !std.Ledger.Began.IsZero() {
-		rol.began = std.Ledger.Began
+	rol.stored = sto
+	if !sto.Ledger.Began.IsZero() {
+		rol.began = sto.Ledger.Began
 	}
-	if told := std.state(); told.IsEnd() && told != rol.state {
-		rol.state, rol.reason = told, "told by another host"
+	if published := sto.publishedState(); published.IsEnd() && published != rol.state {
+		rol.state, rol.reason = published, "published by another host"
 	}
 }
 
-// tally returns all that was seen.
-func (rol *Rollout) tally() Tally {
-	return rol.standing.Ledger.Tally.plus(rol.sent).plus(rol.fresh)
+// totals returns all evidence: stored, being written and not yet written.
+func (rol *Rollout) totals() Tally {
+	return rol.stored.Ledger.Tally.plus(rol.writing).plus(rol.unwritten)
 }
 
-// Access returns to which engines a request may go. A host that has nothing reserved
-// gives the new version nothing.
+// Access returns to the engines of which versions a request may be sent. A host without a
+// reservation sends no request to the new version.
 func (rol *Rollout) Access(now time.Time, req Request) Access {
-	inCharge := now.Sub(rol.decidedAt) < chargeLapse
+	isLeader := now.Sub(rol.ledAt) < leaderTimeout
 	switch {
 	case rol.state == StateCompleted:
 		return Access{Former: true, New: true}
 	case rol.state == StateRolledBack:
 		return Access{Former: true}
-	case !inCharge:
+	case !isLeader:
 		return Access{Former: true}
-	case rol.phase == phaseClosing:
+	case rol.phase == phaseCutover:
 		return Access{New: true}
 	case rol.phase == phaseMoving && !req.Repeatable:
 		return Access{New: true, Former: req.Repeated}
 	case rol.phase == phaseMoving:
 		return Access{Former: true}
-	case req.Repeated || rol.given >= rol.mine || rol.sinceTrial < trialEvery:
+	case req.Repeated || rol.ownGranted >= rol.ownReserved || rol.sinceCanary < requestsPerCanary:
 		return Access{Former: true}
-	case !req.Repeatable && rol.tally().Routes[req.Route].isGood():
-		// What can't be sent again is only given until its route is known to be good.
+	case !req.Repeatable && rol.totals().Routes[req.Route].isHealthy():
+		// Requests that can't be repeated are used as canary requests only until their route is
+		// known to be healthy.
 		return Access{Former: true}
 	default:
 		return Access{Former: true, New: true}
 	}
 }
 
-// Given notes that a request was given to an engine.
+// Given records that a request was granted to an engine.
 func (rol *Rollout) Given(isNew bool) {
-	rol.fresh.Requests++
-	rol.sinceTrial++
-	if isNew && rol.phase == phaseProving {
-		rol.given++
-		rol.sinceTrial = 0
+	rol.unwritten.Requests++
+	rol.sinceCanary++
+	if isNew && rol.phase == phaseCanary {
+		rol.ownGranted++
+		rol.sinceCanary = 0
 	}
 }
 
-// Answered notes what came of a request.
+// Answered records the result of a request.
 func (rol *Rollout) Answered(now time.Time, ans Answer) {
 	if rol.state.IsEnd() {
 		return
 	}
 	timed := ans.Took > 0 && ans.Expected > 0
-	bad := ans.Failed || timed && rol.speed.isSlow(ans.Route, ans.Took, ans.Expected)
+	bad := ans.Failed || timed && rol.baseline.isSlow(ans.Route, ans.Took, ans.Expected)
 	if ans.Unfinished && !bad {
 		return
 	}
@@ -210,180 +216,182 @@
 		cou.Loaded = 1
 	}
 	if timed && !ans.New && !ans.Unfinished {
-		rol.speed.observe(ans.Route, ans.Took, ans.Expected)
+		rol.baseline.observe(ans.Route, ans.Took, ans.Expected)
 	}
-	rol.fresh.add(ans.Route, cou)
-	rol.judge(now, ans, bad)
+	rol.unwritten.add(ans.Route, cou)
+	rol.evaluate(now, ans, bad)
 }
 
-// judge ends the roll-out where the new version's answers are worse, or have become so.
-func (rol *Rollout) judge(now time.Time, ans Answer, bad bool) {
-	tal := rol.tally()
-	run := rol.running[ans.Route]
-	if run == nil {
-		run = &running{at: now}
-		rol.running[ans.Route] = run
-	}
-	turned := run.observe(now, tal.Routes[ans.Route], ans.New, bad)
+// evaluate rolls back if the new version's answers are worse than the old version's or have become
+// so.
+func (rol *Rollout) evaluate(now time.Time, ans Answer, bad bool) {
+	tal := rol.totals()
+	csm := rol.cusums[ans.Route]
+	if csm == nil {
+		csm = &cusum{updatedAt: now}
+		rol.cusums[ans.Route] = csm
+	}
+	turnedFaulty := csm.observe(now, tal.Routes[ans.Route], ans.New, bad)
 	if !ans.New {
 		return
 	}
-	if route, worse := tal.worst(rol.isBad); worse {
-		rol.end(StateRolledBack, "answers are worse on "+route)
-	} else if turned {
-		rol.end(StateRolledBack, "answers have become worse on "+ans.Route)
+	if route, faulty := tal.faultyRoute(rol.isFaulty); faulty {
+		rol.finish(StateRolledBack, "answers of the new version are worse than those of the old version on route "+route)
+	} else if turnedFaulty {
+		rol.finish(StateRolledBack, "answers of the new version became worse than those of the old version on route "+ans.Route)
 	}
 }
 
-func (rol *Rollout) end(sta State, reason string) {
+func (rol *Rollout) finish(sta State, reason string) {
 	rol.state, rol.reason = sta, reason
 }
 
-// decide lets time pass: it moves on, or ends, what has been proved or has taken too long.
-func (rol *Rollout) decide(now time.Time, fle Fleet) {
+// advancePhase moves the roll-out to its next phase or ends it, by the evidence and the time
+// passed.
+func (rol *Rollout) advancePhase(now time.Time, fle Fleet) {
 	if rol.state.IsEnd() {
 		return
 	}
 	if rol.began.IsZero() {
 		rol.began = now
 		if fle.FormerSlots == 0 && fle.NewSlots > 0 {
-			rol.end(StateCompleted, "no other version is there")
+			rol.finish(StateCompleted, "no engines of an old version")
 			return
 		}
 	}
-	passed := float64(now.Sub(rol.began)) / float64(max(1, rol.standing.Order.Period))
-	room := fle.NewSlots > 0 && float64(fle.NewSlots) >= neededRoom*float64(fle.FormerSlots)
+	elapsed := float64(now.Sub(rol.began)) / float64(max(1, rol.stored.Order.Period))
+	hasSlots := fle.NewSlots > 0 && float64(fle.NewSlots) >= minSlotRatio*float64(fle.FormerSlots)
 	switch {
-	case rol.phase == phaseClosing:
-		if fle.Pinned == 0 && (fle.Running == 0 || now.Sub(rol.closingAt) >= closingTime) {
-			rol.end(StateCompleted, "the version is good")
+	case rol.phase == phaseCutover:
+		if fle.Pinned == 0 && (fle.Running == 0 || now.Sub(rol.cutoverAt) >= cutoverTime) {
+			rol.finish(StateCompleted, "the new version is healthy")
 		}
 	case rol.phase == phaseMoving:
-		if fle.Pinned == 0 && passed >= decideAt {
-			rol.phase, rol.closingAt = phaseClosing, now
+		if fle.Pinned == 0 && elapsed >= decideAfter {
+			rol.phase, rol.cutoverAt = phaseCutover, now
 		}
-	case passed < moveAt:
-		rol.reason = "too soon"
-	case room && rol.isProved():
+	case elapsed < moveAfter:
+		rol.reason = "minimum canary period not over"
+	case hasSlots && rol.isProven():
 		rol.phase, rol.reason = phaseMoving, "proved"
-	case passed < decideAt:
-		rol.reason = "not proved yet"
+	case elapsed < decideAfter:
+		rol.reason = "not yet known to be healthy"
 	case fle.NewSlots == 0:
-		rol.end(StateRolledBack, "no engine of the version is there")
-	case !room:
-		rol.end(StateRolledBack, "the version's engines have too few slots")
-	case rol.isLikely():
-		rol.phase, rol.reason = phaseMoving, "nothing speaks against it, few requests"
+		rol.finish(StateRolledBack, "no engines of the new version")
+	case !hasSlots:
+		rol.finish(StateRolledBack, "the engines of the new version have too few slots")
+	case rol.isLikelyHealthy():
+		rol.phase, rol.reason = phaseMoving, "likely healthy, too few requests to be certain"
 	default:
-		rol.end(StateRolledBack, "not proved in time")
+		rol.finish(StateRolledBack, "not known to be healthy in time")
 	}
 }
 
-// isProved reports whether the version is known to be good on each route, and under load.
-func (rol *Rollout) isProved() bool {
-	tal := rol.tally()
+// isProven reports whether the version is known to be healthy on each route and under load.
+func (rol *Rollout) isProven() bool {
+	tal := rol.totals()
 	for _, cou := range tal.Routes {
-		if seen := cou.FormerGood + cou.FormerBad + cou.NewGood + cou.NewBad; seen >= routeAnswers && !cou.isGood() {
+		if seen := cou.FormerGood + cou.FormerBad + cou.NewGood + cou.NewBad; seen >= minRouteAnswers && !cou.isHealthy() {
 			return false
 		}
 	}
-	all := tal.all()
-	return all.isGood() && all.Loaded >= loadedAnswers
+	all := tal.total()
+	return all.isHealthy() && all.Loaded >= minLoadedAnswers
 }
 
-// isLikely reports whether the few answers of a version speak for it.
-func (rol *Rollout) isLikely() bool {
-	tal := rol.tally()
-	all := tal.all()
-	if all.NewGood+all.NewBad < leastAnswers || all.ratio() >= 0 {
+// isLikelyHealthy reports whether the few answers of a version indicate that it is healthy.
+func (rol *Rollout) isLikelyHealthy() bool {
+	tal := rol.totals()
+	all := tal.total()
+	if all.NewGood+all.NewBad < minAnswers || all.logRatio() >= 0 {
 		return false
 	}
 	for _, cou := range tal.Routes {
-		if cou.NewBad > 0 && cou.ratio() >= 0 {
+		if cou.NewBad > 0 && cou.logRatio() >= 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// allowance is how many requests the version may have been given by now.
+// allowance returns the maximum number of requests that the version may have received by now.
 func (rol *Rollout) allowance() int {
-	return int(exposureMargin*rol.cfg.Share*float64(rol.tally().Requests) + slackMargin*rol.cfg.Slack)
+	return int(exposureMargin*rol.cfg.Share*float64(rol.totals().Requests) + slackMargin*rol.cfg.Slack)
 }
 
-// Write is something to be put into the store, under the condition of the revision that
-// its key has.
+// Write is a write to the store under the condition that its key has the given revision.
 type Write struct {
 	Service string
-	// Expect is the key's revision; 0 for a key that isn't there.
+	// Expect is the revision that the key must have; 0 means that the key must not exist.
 	Expect uint64
-	// Ledger is set for a ledger, else State and Version are to be told.
+	// Ledger is set for the write of a ledger. If it is nil, State and Version are to be published.
 	Ledger  *Ledger
 	State   State
 	Version string
 	Reason  string
 }
 
-// Writes decides what is due, and returns what is to be written.
+// Writes advances the roll-out as the leader, and returns the writes that are due.
 func (rol *Rollout) Writes(now time.Time, fle Fleet) []Write {
-	rol.decidedAt = now
-	rol.decide(now, fle)
+	rol.ledAt = now
+	rol.advancePhase(now, fle)
 	var writes []Write
-	if told := rol.standing.state(); told != rol.state && !told.IsEnd() && (rol.asked != rol.state || now.Sub(rol.stateAt) >= retryWrite) {
-		rol.stateAt, rol.asked = now, rol.state
+	if published := rol.stored.publishedState(); published != rol.state && !published.IsEnd() && (rol.requestedState != rol.state || now.Sub(rol.stateRequestedAt) >= writeRetryInterval) {
+		rol.stateRequestedAt, rol.requestedState = now, rol.state
 		writes = append(writes, Write{
-			Service: rol.standing.Order.Service, Expect: rol.standing.StateRevision, State: rol.state, Version: rol.standing.Order.Version, Reason: rol.reason,
+			Service: rol.stored.Order.Service, Expect: rol.stored.StateRevision, State: rol.state, Version: rol.stored.Order.Version, Reason: rol.reason,
 		})
 	}
-	if wri, due := rol.ledgerWrite(now); due {
+	if wri, due := rol.nextLedgerWrite(now); due {
 		writes = append(writes, wri)
 	}
 	return writes
 }
 
-// ledgerWrite returns the ledger that allows more requests, once enough have passed.
-func (rol *Rollout) ledgerWrite(now time.Time) (Write, bool) {
-	old := rol.standing.Ledger
+// nextLedgerWrite returns the write of a ledger that reserves more requests, if enough requests and
+// time have passed.
+func (rol *Rollout) nextLedgerWrite(now time.Time) (Write, bool) {
+	old := rol.stored.Ledger
 	allowed := rol.allowance()
-	pause := writePause
-	if rol.isSending() {
-		pause = retryWrite
+	interval := minWriteInterval
+	if rol.hasPendingWrite() {
+		interval = writeRetryInterval
 	}
-	if rol.state.IsEnd() || rol.phase != phaseProving || now.Sub(rol.ledgerAt) < pause {
+	if rol.state.IsEnd() || rol.phase != phaseCanary || now.Sub(rol.ledgerRequestedAt) < interval {
 		return Write{}, false
 	}
-	if allowed-old.Reserved < chunk && !old.Began.IsZero() {
+	if allowed-old.Reserved < minReservation && !old.Began.IsZero() {
 		return Write{}, false
 	}
-	rol.ledgerAt = now
-	rol.sent, rol.fresh, rol.sending = rol.sent.plus(rol.fresh), Tally{}, true
+	rol.ledgerRequestedAt = now
+	rol.writing, rol.unwritten, rol.writePending = rol.writing.plus(rol.unwritten), Tally{}, true
 	led := Ledger{
-		Order: rol.standing.Order.Revision, Version: rol.standing.Order.Version, Began: rol.began, Writer: rol.cfg.Self,
-		Reserved: max(old.Reserved, allowed), Tally: old.Tally.plus(rol.sent),
+		Order: rol.stored.Order.Revision, Version: rol.stored.Order.Version, Began: rol.began, Writer: rol.cfg.Self,
+		Reserved: max(old.Reserved, allowed), Tally: old.Tally.plus(rol.writing),
 	}
-	return Write{Service: rol.standing.Order.Service, Expect: rol.standing.LedgerRevision, Ledger: &led}, true
+	return Write{Service: rol.stored.Order.Service, Expect: rol.stored.LedgerRevision, Ledger: &led}, true
 }
 
-// isSending reports whether a ledger is on its way to the store.
-func (rol *Rollout) isSending() bool { return rol.sending }
+// hasPendingWrite reports whether a write of the ledger isn't confirmed yet.
+func (rol *Rollout) hasPendingWrite() bool { return rol.writePending }
 
-// Recorded notes that a write was done, with the key's revision since.
+// Recorded applies a completed write, given the new revision of its key.
 func (rol *Rollout) Recorded(wri Write, revision uint64) {
 	if wri.Ledger == nil {
-		if revision > rol.standing.StateRevision {
-			rol.standing.State, rol.standing.StateVersion, rol.standing.StateRevision = wri.State, wri.Version, revision
+		if revision > rol.stored.StateRevision {
+			rol.stored.State, rol.stored.StateVersion, rol.stored.StateRevision = wri.State, wri.Version, revision
 		}
 		return
 	}
-	if wri.Ledger.Order != rol.standing.Order.Revision || wri.Expect != rol.standing.LedgerRevision {
+	if wri.Ledger.Order != rol.stored.Order.Revision || wri.Expect != rol.stored.LedgerRevision {
 		return
 	}
-	rol.mine += wri.Ledger.Reserved - rol.standing.Ledger.Reserved
-	rol.standing.Ledger, rol.standing.LedgerRevision = *wri.Ledger, revision
-	rol.sent, rol.sending = Tally{}, false
+	rol.ownReserved += wri.Ledger.Reserved - rol.stored.Ledger.Reserved
+	rol.stored.Ledger, rol.stored.LedgerRevision = *wri.Ledger, revision
+	rol.writing, rol.writePending = Tally{}, false
 }
 
-// Dump is the state of a roll-out.
+// Dump is the state of a roll-out for operators.
 type Dump struct {
 	Service string
 	Version string
@@ -392,22 +400,23 @@
 	Moving  bool
 	Began   time.Time
 	Period  string
-	// Reserved is how many requests the version may have been given at most, of Requests
-	// in all; Mine and Given are this host's part.
+	// Reserved is the maximum number of requests that the version may have received, of Requests in
+	// all. The two fields after these are this host's part of the reservation and how many of it
+	// the host has granted.
 	Reserved int
 	Requests int
 	Mine     int
 	Given    int
-	// Routes are the answers by route.
+	// Routes holds the answers by route.
 	Routes map[string]Counts
 }
 
-// Dump returns the roll-out's state.
+// Dump returns the state of the roll-out for operators.
 func (rol *Rollout) Dump() Dump {
-	tal := rol.tally()
+	tal := rol.totals()
 	return Dump{
-		Service: rol.standing.Order.Service, Version: rol.standing.Order.Version, State: rol.state.String(), Reason: rol.reason,
-		Moving: rol.phase != phaseProving, Began: rol.began, Period: rol.standing.Order.Period.String(),
-		Reserved: rol.standing.Ledger.Reserved, Requests: tal.Requests, Mine: rol.mine, Given: rol.given, Routes: tal.Routes,
+		Service: rol.stored.Order.Service, Version: rol.stored.Order.Version, State: rol.state.String(), Reason: rol.reason,
+		Moving: rol.phase != phaseCanary, Began: rol.began, Period: rol.stored.Order.Period.String(),
+		Reserved: rol.stored.Ledger.Reserved, Requests: tal.Requests, Mine: rol.ownReserved, Given: rol.ownGranted, Routes: tal.Routes,
 	}
 }
--- a/rollout/policy_test.go
+++ b/rollout/policy_test.go
@@ -19,372 +19,375 @@
 	interval = 100 * time.Millisecond
 )
 
-// keeper is the store: it holds one ledger and one state, each under its revision.
-type keeper struct {
-	standing rollout.Standing
+// fakeStore is a fake of the store: it holds one ledger and one state, each with its revision.
+type fakeStore struct {
+	stored   rollout.Standing
 	revision uint64
 }
 
-func newKeeper(version string) *keeper {
-	kee := &keeper{revision: 100}
-	kee.order(version)
-	return kee
+func newFakeStore(version string) *fakeStore {
+	sto := &fakeStore{revision: 100}
+	sto.order(version)
+	return sto
 }
 
-func (kee *keeper) order(version string) {
-	kee.revision++
-	kee.standing.Order = rollout.Order{Service: "s", Version: version, Period: period, Revision: kee.revision}
+func (sto *fakeStore) order(version string) {
+	sto.revision++
+	sto.stored.Order = rollout.Order{Service: "s", Version: version, Period: period, Revision: sto.revision}
 }
 
-// put does a write if its condition holds.
-func (kee *keeper) put(wri rollout.Write) (uint64, bool) {
-	std := &kee.standing
+// put applies a write if its condition holds.
+func (sto *fakeStore) put(wri rollout.Write) (uint64, bool) {
+	sta := &sto.stored
 	if wri.Ledger != nil {
-		if wri.Expect != std.LedgerRevision {
+		if wri.Expect != sta.LedgerRevision {
 			return 0, false
 		}
-		kee.revision++
-		std.Ledger, std.LedgerRevision = *wri.Ledger, kee.revision
-		return kee.revision, true
+		sto.revision++
+		sta.Ledger, sta.LedgerRevision = *wri.Ledger, sto.revision
+		return sto.revision, true
 	}
-	if wri.Expect != std.StateRevision {
+	if wri.Expect != sta.StateRevision {
 		return 0, false
 	}
-	kee.revision++
-	std.State, std.StateVersion, std.StateRevision = wri.State, wri.Version, kee.revision
-	return kee.revision, true
+	sto.revision++
+	sta.State, sta.StateVersion, sta.StateRevision = wri.State, wri.Version, sto.revision
+	return sto.revision, true
 }
 
-// badness says how a version is bad.
-type badness struct {
-	// part of its answers fail, or take several times as long, from a time on, on one route
-	// or all, under load or always.
-	part   float64
+// fault describes the fault of a version.
+type fault struct {
+	// share is the share of the version's answers that fail or, if slow is set, take several times
+	// as long. The fault begins at the time from, and is limited to one route if route is set, and
+	// to engines under load if loaded is set.
+	share  float64
 	slow   bool
 	from   time.Duration
 	route  string
 	loaded bool
 }
 
-// play is a service with many requests, half of them on a route whose requests can't be
-// repeated.
-type play struct {
-	keeper *keeper
-	rol    *rollout.Rollout
-	random *rand.Rand
-	now    time.Time
-	start  time.Time
-	fleet  rollout.Fleet
-	// rate is in requests a second.
-	rate float64
-	bad  badness
-	// usual is the part of answers that fail at any engine.
-	usual float64
-	// load is the part of the trials that meet an engine under load.
-	load float64
-	// away has the store not be reached.
-	away bool
+// simulation simulates a service with many requests, a quarter of them on a route whose requests
+// can't be repeated.
+type simulation struct {
+	store     *fakeStore
+	rol       *rollout.Rollout
+	random    *rand.Rand
+	now       time.Time
+	startedAt time.Time
+	fleet     rollout.Fleet
+	// rate is the number of requests per second.
+	rate  float64
+	fault fault
+	// badRate is the share of answers that fail on any engine.
+	badRate float64
+	// loadedShare is the share of requests that run on an engine under load.
+	loadedShare float64
+	// storeDown makes the store unavailable.
+	storeDown bool
 
 	requests, exposed, harmed, badAnswers, afterFifty int
-	ended                                             time.Duration
+	finishedAfter                                     time.Duration
 }
 
-func newPlay(seed uint64) *play {
-	kee := newKeeper("v2")
+func newSimulation(seed uint64) *simulation {
+	sto := newFakeStore("v2")
 	now := time.Unix(1000, 0)
-	return &play{
-		keeper: kee, rol: rollout.New(rollout.Config{Self: "a", Share: share, Slack: slack}, kee.standing), random: rand.New(rand.NewPCG(seed, 7)),
-		now: now, start: now, fleet: rollout.Fleet{FormerSlots: 540, NewSlots: 540}, rate: 400, load: 1,
+	return &simulation{
+		store: sto, rol: rollout.New(rollout.Config{Self: "a", Share: share, Slack: slack}, sto.stored), random: rand.New(rand.NewPCG(seed, 7)),
+		now: now, startedAt: now, fleet: rollout.Fleet{FormerSlots: 540, NewSlots: 540}, rate: 400, loadedShare: 1,
 	}
 }
 
-// tick lets the one in charge decide and write.
-func (pla *play) tick() {
-	writes := pla.rol.Writes(pla.now, pla.fleet)
+// tick lets the leader advance the roll-out and write to the store.
+func (sim *simulation) tick() {
+	writes := sim.rol.Writes(sim.now, sim.fleet)
 	for _, wri := range writes {
-		if pla.away {
+		if sim.storeDown {
 			continue
 		}
-		if rev, done := pla.keeper.put(wri); done {
-			pla.rol.Recorded(wri, rev)
+		if rev, done := sim.store.put(wri); done {
+			sim.rol.Recorded(wri, rev)
 		}
 	}
-	if !pla.away {
-		pla.rol.Adopt(pla.keeper.standing)
+	if !sim.storeDown {
+		sim.rol.Adopt(sim.store.stored)
 	}
-	if pla.ended == 0 && pla.rol.IsOver() {
-		pla.ended = pla.now.Sub(pla.start)
+	if sim.finishedAfter == 0 && sim.rol.IsOver() {
+		sim.finishedAfter = sim.now.Sub(sim.startedAt)
 	}
 }
 
-// request is one request from its grant to its answer.
-func (pla *play) request() {
+// request simulates one request from its grant to its answer.
+func (sim *simulation) request() {
 	req := rollout.Request{Route: "safe", Repeatable: true}
-	if pla.random.IntN(4) == 0 {
+	if sim.random.IntN(4) == 0 {
 		req = rollout.Request{Route: "unsafe"}
 	}
-	acc := pla.rol.Access(pla.now, req)
+	acc := sim.rol.Access(sim.now, req)
 	isNew := acc.New
-	pla.requests++
-	pla.rol.Given(isNew)
-	ans := rollout.Answer{Route: req.Route, New: isNew, Failed: pla.random.Float64() < pla.usual, Loaded: pla.random.Float64() < pla.load}
-	ans.Took, ans.Expected = time.Duration(float64(time.Second)*(0.6+0.8*pla.random.Float64())), time.Second
+	sim.requests++
+	sim.rol.Given(isNew)
+	ans := rollout.Answer{Route: req.Route, New: isNew, Failed: sim.random.Float64() < sim.badRate, Loaded: sim.random.Float64() < sim.loadedShare}
+	ans.Took, ans.Expected = time.Duration(float64(time.Second)*(0.6+0.8*sim.random.Float64())), time.Second
 	if isNew {
-		pla.exposed++
-		bad := pla.bad
-		applies := pla.now.Sub(pla.start) >= bad.from && (bad.route == "" || bad.route == req.Route) && (!bad.loaded || ans.Loaded)
-		if applies && pla.random.Float64() < bad.part {
-			pla.badAnswers++
-			if pla.badAnswers > 50 {
-				pla.afterFifty++
+		sim.exposed++
+		flt := sim.fault
+		applies := sim.now.Sub(sim.startedAt) >= flt.from && (flt.route == "" || flt.route == req.Route) && (!flt.loaded || ans.Loaded)
+		if applies && sim.random.Float64() < flt.share {
+			sim.badAnswers++
+			if sim.badAnswers > 50 {
+				sim.afterFifty++
 			}
-			if bad.slow {
+			if flt.slow {
 				ans.Took *= 6
 			} else {
 				ans.Failed = true
 			}
 			if !req.Repeatable {
-				pla.harmed++
+				sim.harmed++
 			}
 		}
 	}
-	pla.rol.Answered(pla.now, ans)
+	sim.rol.Answered(sim.now, ans)
 }
 
-// run plays until the time after the order.
-func (pla *play) run(until time.Duration) {
-	for pla.now.Sub(pla.start) < until {
-		pla.tick()
-		for range pla.arrivals() {
-			pla.request()
+// run simulates until the given time after the order.
+func (sim *simulation) run(until time.Duration) {
+	for sim.now.Sub(sim.startedAt) < until {
+		sim.tick()
+		for range sim.arrivals() {
+			sim.request()
 		}
-		pla.now = pla.now.Add(interval)
+		sim.now = sim.now.Add(interval)
 	}
 }
 
-func (pla *play) arrivals() int {
-	mean := pla.rate * interval.Seconds()
-	return int(mean) + map[bool]int{true: 1}[pla.random.Float64() < mean-float64(int(mean))]
+func (sim *simulation) arrivals() int {
+	mean := sim.rate * interval.Seconds()
+	return int(mean) + map[bool]int{true: 1}[sim.random.Float64() < mean-float64(int(mean))]
 }
 
-// Good versions are completed in their period and bad ones rolled back, whatever they
-// are bad at; a bad one gets no more than the users allow, and nothing after its fiftieth
-// bad answer.
-func TestVersionsAreJudgedInTime(t *testing.T) {
+// Healthy versions are completed within their period and faulty ones rolled back, whatever their
+// fault. A faulty version gets no more requests than users allow, and none after its fiftieth bad
+// answer.
+func TestRolloutFinishesWithinPeriod(t *testing.T) {
 	for name, tst := range map[string]struct {
-		change func(*play)
+		change func(*simulation)
 		want   rollout.State
 	}{
-		"good":                             {func(*play) {}, rollout.StateCompleted},
-		"good, one answer in seven fails":  {func(pla *play) { pla.usual = 1. / 7 }, rollout.StateCompleted},
-		"good, few requests":               {func(pla *play) { pla.rate = 10 }, rollout.StateCompleted},
-		"fails at once":                    {func(pla *play) { pla.bad = badness{part: 0.4} }, rollout.StateRolledBack},
-		"fails always":                     {func(pla *play) { pla.bad = badness{part: 1} }, rollout.StateRolledBack},
-		"fails beside a sick service":      {func(pla *play) { pla.usual, pla.bad = 1./7, badness{part: 0.4} }, rollout.StateRolledBack},
-		"slow at once":                     {func(pla *play) { pla.bad = badness{part: 0.4, slow: true} }, rollout.StateRolledBack},
-		"slow later":                       {func(pla *play) { pla.bad = badness{part: 0.4, slow: true, from: 5 * time.Second} }, rollout.StateRolledBack},
-		"fails later":                      {func(pla *play) { pla.bad = badness{part: 0.4, from: 6 * time.Second} }, rollout.StateRolledBack},
-		"fails while everything moves":     {func(pla *play) { pla.bad = badness{part: 0.4, from: 9 * time.Second} }, rollout.StateRolledBack},
-		"fails on one route":               {func(pla *play) { pla.bad = badness{part: 0.4, route: "unsafe"} }, rollout.StateRolledBack},
-		"fails under load":                 {func(pla *play) { pla.bad, pla.load = badness{part: 0.4, loaded: true}, 0.5 }, rollout.StateRolledBack},
-		"no engine comes":                  {func(pla *play) { pla.fleet.NewSlots = 0 }, rollout.StateRolledBack},
-		"too few engines":                  {func(pla *play) { pla.fleet.NewSlots = 100 }, rollout.StateRolledBack},
-		"never under load":                 {func(pla *play) { pla.load = 0 }, rollout.StateCompleted},
-		"fails always, with few requests":  {func(pla *play) { pla.rate, pla.bad = 10, badness{part: 1} }, rollout.StateRolledBack},
-		"hardly any request":               {func(pla *play) { pla.rate = 0.2 }, rollout.StateRolledBack},
-		"fails a little more than usually": {func(pla *play) { pla.bad = badness{part: 0.2} }, rollout.StateRolledBack},
+		"good":                               {func(*simulation) {}, rollout.StateCompleted},
+		"good, one answer in seven fails":    {func(sim *simulation) { sim.badRate = 1. / 7 }, rollout.StateCompleted},
+		"good, few requests":                 {func(sim *simulation) { sim.rate = 10 }, rollout.StateCompleted},
+		"fails at once":                      {func(sim *simulation) { sim.fault = fault{share: 0.4} }, rollout.StateRolledBack},
+		"fails always":                       {func(sim *simulation) { sim.fault = fault{share: 1} }, rollout.StateRolledBack},
+		"fails while the service is failing": {func(sim *simulation) { sim.badRate, sim.fault = 1./7, fault{share: 0.4} }, rollout.StateRolledBack},
+		"slow at once":                       {func(sim *simulation) { sim.fault = fault{share: 0.4, slow: true} }, rollout.StateRolledBack},
+		"slow later":                         {func(sim *simulation) { sim.fault = fault{share: 0.4, slow: true, from: 5 * time.Second} }, rollout.StateRolledBack},
+		"fails later":                        {func(sim *simulation) { sim.fault = fault{share: 0.4, from: 6 * time.Second} }, rollout.StateRolledBack},
+		"fails while requests move":          {func(sim *simulation) { sim.fault = fault{share: 0.4, from: 9 * time.Second} }, rollout.StateRolledBack},
+		"fails on one route":                 {func(sim *simulation) { sim.fault = fault{share: 0.4, route: "unsafe"} }, rollout.StateRolledBack},
+		"fails under load":                   {func(sim *simulation) { sim.fault, sim.loadedShare = fault{share: 0.4, loaded: true}, 0.5 }, rollout.StateRolledBack},
+		"no engines":                         {func(sim *simulation) { sim.fleet.NewSlots = 0 }, rollout.StateRolledBack},
+		"too few engines":                    {func(sim *simulation) { sim.fleet.NewSlots = 100 }, rollout.StateRolledBack},
+		"never under load":                   {func(sim *simulation) { sim.loadedShare = 0 }, rollout.StateCompleted},
+		"fails always, with few requests":    {func(sim *simulation) { sim.rate, sim.fault = 10, fault{share: 1} }, rollout.StateRolledBack},
+		"hardly any request":                 {func(sim *simulation) { sim.rate = 0.2 }, rollout.StateRolledBack},
+		"fails a little more often":          {func(sim *simulation) { sim.fault = fault{share: 0.2} }, rollout.StateRolledBack},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				pla := newPlay(seed)
-				tst.change(pla)
-				pla.run(period)
-				std := pla.keeper.standing
-				assert.Equal(t, std.State, tst.want, "seed %d: %+v", seed, pla.rol.Dump())
-				assert.Equal(t, std.StateVersion, "v2")
-				assert.Assert(t, pla.ended > 0 && pla.ended < period, "seed %d: ended after %s", seed, pla.ended)
-				assert.Equal(t, pla.afterFifty, 0, "seed %d", seed)
+				sim := newSimulation(seed)
+				tst.change(sim)
+				sim.run(period)
+				sta := sim.store.stored
+				assert.Equal(t, sta.State, tst.want, "seed %d: %+v", seed, sim.rol.Dump())
+				assert.Equal(t, sta.StateVersion, "v2")
+				assert.Assert(t, sim.finishedAfter > 0 && sim.finishedAfter < period, "seed %d: ended after %s", seed, sim.finishedAfter)
+				assert.Equal(t, sim.afterFifty, 0, "seed %d", seed)
 				if tst.want == rollout.StateRolledBack {
-					assert.Assert(t, float64(pla.exposed) <= share*float64(pla.requests)+slack, "seed %d: %d of %d", seed, pla.exposed, pla.requests)
+					assert.Assert(t, float64(sim.exposed) <= share*float64(sim.requests)+slack, "seed %d: %d of %d", seed, sim.exposed, sim.requests)
 				}
 			}
 		})
 	}
 }
 
-// Simulated error rates of the whole: of good versions at most one in a hundred is rolled
-// back, of versions that fail a third of their answers none is completed, and they give
-// ten bad answers at most.
-func TestErrorRatesOfTheTest(t *testing.T) {
-	const plays = 400
+// Simulates the error rates of the whole procedure: at most one in a hundred healthy versions is
+// rolled back, no version that fails a third of its answers is completed, and at most one in twenty
+// of these gives more than ten bad answers.
+func TestErrorRatesOfSequentialTest(t *testing.T) {
+	const runs = 400
 	wrong, harmful := 0, 0
-	for seed := range uint64(plays) {
-		good := newPlay(seed)
-		good.usual = 0.05
-		good.run(period)
-		if good.keeper.standing.State != rollout.StateCompleted {
+	for seed := range uint64(runs) {
+		healthy := newSimulation(seed)
+		healthy.badRate = 0.05
+		healthy.run(period)
+		if healthy.store.stored.State != rollout.StateCompleted {
 			wrong++
 		}
-		bad := newPlay(seed)
-		bad.usual, bad.bad = 0.05, badness{part: 1. / 3}
-		bad.run(period)
-		assert.Equal(t, bad.keeper.standing.State, rollout.StateRolledBack, "seed %d", seed)
-		if bad.badAnswers > 10 {
+		faulty := newSimulation(seed)
+		faulty.badRate, faulty.fault = 0.05, fault{share: 1. / 3}
+		faulty.run(period)
+		assert.Equal(t, faulty.store.stored.State, rollout.StateRolledBack, "seed %d", seed)
+		if faulty.badAnswers > 10 {
 			harmful++
 		}
 	}
-	assert.Assert(t, wrong <= plays/100, "%d of %d good versions rolled back", wrong, plays)
-	assert.Assert(t, harmful <= plays/20, "%d of %d bad versions gave more than ten bad answers", harmful, plays)
+	assert.Assert(t, wrong <= runs/100, "%d of %d healthy versions rolled back", wrong, runs)
+	assert.Assert(t, harmful <= runs/20, "%d of %d faulty versions gave more than ten bad answers", harmful, runs)
 }
 
-// A version that turns bad after thousands of good answers is found by a few bad ones.
-func TestVersionThatTurnsBadIsFoundSoon(t *testing.T) {
+// A version that becomes faulty after thousands of good answers is rolled back after a few bad
+// ones.
+func TestVersionThatTurnsFaultyIsRolledBackSoon(t *testing.T) {
 	for seed := range uint64(20) {
-		pla := newPlay(seed)
-		pla.rate, pla.usual, pla.bad = 4600, 0.03, badness{part: 0.4, from: 5 * time.Second}
-		pla.run(period)
-		assert.Equal(t, pla.keeper.standing.State, rollout.StateRolledBack)
-		assert.Assert(t, pla.badAnswers <= 20, "seed %d: %d", seed, pla.badAnswers)
+		sim := newSimulation(seed)
+		sim.rate, sim.badRate, sim.fault = 4600, 0.03, fault{share: 0.4, from: 5 * time.Second}
+		sim.run(period)
+		assert.Equal(t, sim.store.stored.State, rollout.StateRolledBack)
+		assert.Assert(t, sim.badAnswers <= 20, "seed %d: %d", seed, sim.badAnswers)
 	}
 }
 
-// A trouble of the whole service, or of the hosts, isn't the version's fault: answers of
-// both versions that are slow or fail for a while, and short ones that take a few
-// milliseconds more.
-func TestTroubleOfAllIsNotTheVersionsFault(t *testing.T) {
+// A failure of the whole service, or of the hosts, must not roll the new version back: answers of
+// both versions that fail for a while, and short answers that take a few milliseconds longer.
+func TestServiceWideFailureDoesNotRollBack(t *testing.T) {
 	for seed := range uint64(40) {
-		pla := newPlay(seed)
-		pla.usual = 0.02
-		pla.run(5 * time.Second)
-		pla.usual = 0.6
-		pla.run(6 * time.Second)
-		pla.usual = 0.02
-		pla.run(period)
-		assert.Equal(t, pla.keeper.standing.State, rollout.StateCompleted, "seed %d: %+v", seed, pla.rol.Dump())
+		sim := newSimulation(seed)
+		sim.badRate = 0.02
+		sim.run(5 * time.Second)
+		sim.badRate = 0.6
+		sim.run(6 * time.Second)
+		sim.badRate = 0.02
+		sim.run(period)
+		assert.Equal(t, sim.store.stored.State, rollout.StateCompleted, "seed %d: %+v", seed, sim.rol.Dump())
 	}
-	pla := newPlay(1)
-	pla.tick()
+	sim := newSimulation(1)
+	sim.tick()
 	for range 200 {
-		pla.rol.Answered(pla.now, rollout.Answer{Route: "safe", New: true, Took: 20 * time.Millisecond, Expected: time.Millisecond})
+		sim.rol.Answered(sim.now, rollout.Answer{Route: "safe", New: true, Took: 20 * time.Millisecond, Expected: time.Millisecond})
 	}
-	assert.Equal(t, pla.rol.State(), rollout.StateRunning)
+	assert.Equal(t, sim.rol.State(), rollout.StateRunning)
 }
 
-// It isn't completed while requests at former engines would be lost, and those go on.
-func TestNothingIsLostAtFormerEngines(t *testing.T) {
-	pla := newPlay(1)
-	pla.fleet.Pinned = 3
-	pla.run(2 * period)
-	assert.Equal(t, pla.keeper.standing.State, rollout.StateRunning)
-	assert.Equal(t, pla.rol.Access(pla.now, rollout.Request{Route: "unsafe"}), rollout.Access{New: true})
-	assert.Equal(t, pla.rol.Access(pla.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true})
-	pla.fleet.Pinned = 0
-	pla.tick()
-	assert.Equal(t, pla.rol.Access(pla.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{New: true})
-	assert.Equal(t, pla.keeper.standing.State, rollout.StateRunning)
-	pla.run(pla.now.Sub(pla.start) + time.Second)
-	assert.Equal(t, pla.keeper.standing.State, rollout.StateCompleted)
+// A roll-out isn't completed while requests on engines of the old version would be lost, and these
+// requests continue.
+func TestPinnedRequestsDelayCompletion(t *testing.T) {
+	sim := newSimulation(1)
+	sim.fleet.Pinned = 3
+	sim.run(2 * period)
+	assert.Equal(t, sim.store.stored.State, rollout.StateRunning)
+	assert.Equal(t, sim.rol.Access(sim.now, rollout.Request{Route: "unsafe"}), rollout.Access{New: true})
+	assert.Equal(t, sim.rol.Access(sim.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true})
+	sim.fleet.Pinned = 0
+	sim.tick()
+	assert.Equal(t, sim.rol.Access(sim.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{New: true})
+	assert.Equal(t, sim.store.stored.State, rollout.StateRunning)
+	sim.run(sim.now.Sub(sim.startedAt) + time.Second)
+	assert.Equal(t, sim.store.stored.State, rollout.StateCompleted)
 }
 
-// While the store is away nothing more is reserved; what was goes on, and the end is told
-// when it is back. A state that another host told is never taken back.
-func TestStoreThatIsAway(t *testing.T) {
-	pla := newPlay(2)
-	pla.run(2 * time.Second)
-	held := pla.keeper.standing.Ledger.Reserved
-	pla.away = true
-	pla.run(11 * time.Second)
-	assert.Equal(t, pla.keeper.standing.State, rollout.StateRunning)
-	assert.Equal(t, pla.keeper.standing.Ledger.Reserved, held)
-	pla.away = false
-	pla.run(13 * time.Second)
-	assert.Assert(t, pla.keeper.standing.State.IsEnd())
+// While the store is unavailable, no more requests are reserved. Those already reserved are
+// granted, and the final state is published once the store is back. A final state that another host
+// has published is never replaced.
+func TestStoreOutage(t *testing.T) {
+	sim := newSimulation(2)
+	sim.run(2 * time.Second)
+	reserved := sim.store.stored.Ledger.Reserved
+	sim.storeDown = true
+	sim.run(11 * time.Second)
+	assert.Equal(t, sim.store.stored.State, rollout.StateRunning)
+	assert.Equal(t, sim.store.stored.Ledger.Reserved, reserved)
+	sim.storeDown = false
+	sim.run(13 * time.Second)
+	assert.Assert(t, sim.store.stored.State.IsEnd())
 
-	late := newPlay(3)
-	late.run(time.Second)
-	late.keeper.revision++
-	late.keeper.standing.State, late.keeper.standing.StateVersion, late.keeper.standing.StateRevision = rollout.StateRolledBack, "v2", late.keeper.revision
-	late.run(period)
-	assert.Equal(t, late.keeper.standing.State, rollout.StateRolledBack)
-	assert.Equal(t, late.rol.Access(late.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true})
+	other := newSimulation(3)
+	other.run(time.Second)
+	other.store.revision++
+	other.store.stored.State, other.store.stored.StateVersion, other.store.stored.StateRevision = rollout.StateRolledBack, "v2", other.store.revision
+	other.run(period)
+	assert.Equal(t, other.store.stored.State, rollout.StateRolledBack)
+	assert.Equal(t, other.rol.Access(other.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true})
 }
 
-// Whoever takes over goes on with what the store holds: nothing of the exposure and
-// little of the evidence begins anew.
-func TestNextHostGoesOnFromTheLedger(t *testing.T) {
-	pla := newPlay(4)
-	pla.run(6 * time.Second)
-	std := pla.keeper.standing
-	next := rollout.New(rollout.Config{Self: "b", Share: share, Slack: slack}, std)
-	assert.Equal(t, next.Access(pla.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true}, "nothing is reserved for it yet")
-	assert.Equal(t, next.Dump().Reserved, std.Ledger.Reserved)
+// The next leader continues from what the store holds: the exposure isn't counted anew, and little
+// of the evidence is lost.
+func TestNextLeaderContinuesFromLedger(t *testing.T) {
+	sim := newSimulation(4)
+	sim.run(6 * time.Second)
+	sta := sim.store.stored
+	next := rollout.New(rollout.Config{Self: "b", Share: share, Slack: slack}, sta)
+	assert.Equal(t, next.Access(sim.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true}, "no requests are reserved for it yet")
+	assert.Equal(t, next.Dump().Reserved, sta.Ledger.Reserved)
 	assert.Assert(t, next.Dump().Requests > 1500, "%d", next.Dump().Requests)
-	pla.rol = next
-	pla.run(period)
-	assert.Equal(t, pla.keeper.standing.State, rollout.StateCompleted)
-	assert.Assert(t, float64(pla.keeper.standing.Ledger.Reserved) <= share*float64(pla.requests)+slack)
+	sim.rol = next
+	sim.run(period)
+	assert.Equal(t, sim.store.stored.State, rollout.StateCompleted)
+	assert.Assert(t, float64(sim.store.stored.Ledger.Reserved) <= share*float64(sim.requests)+slack)
 }
 
-// A host that isn't in charge any more gives nothing to the version, nor moves on.
-func TestHostThatIsNotInChargeGivesNothing(t *testing.T) {
+// A host that is no longer the leader sends no request to the new version, in any phase.
+func TestFormerLeaderGrantsNothingToNewVersion(t *testing.T) {
 	for _, tst := range []struct {
 		until time.Duration
 		rate  float64
 		req   rollout.Request
 	}{{interval, 0, rollout.Request{Route: "safe", Repeatable: true}}, {9 * time.Second, 400, rollout.Request{Route: "unsafe"}}} {
-		pla := newPlay(5)
-		pla.rate = tst.rate
-		pla.run(tst.until)
-		assert.Assert(t, pla.rol.Access(pla.now, tst.req).New, "%s", tst.until)
-		assert.Equal(t, pla.rol.Access(pla.now.Add(time.Second), tst.req), rollout.Access{Former: true})
+		sim := newSimulation(5)
+		sim.rate = tst.rate
+		sim.run(tst.until)
+		assert.Assert(t, sim.rol.Access(sim.now, tst.req).New, "%s", tst.until)
+		assert.Equal(t, sim.rol.Access(sim.now.Add(time.Second), tst.req), rollout.Access{Former: true})
 	}
 }
 
-// A second order begins anew, also of the same version; the end of the former one doesn't
-// count for it.
-func TestSecondOrderBeginsAnew(t *testing.T) {
-	pla := newPlay(6)
-	pla.bad = badness{part: 1}
-	pla.run(period)
-	assert.Equal(t, pla.keeper.standing.State, rollout.StateRolledBack)
-	pla.keeper.order("v2")
-	pla.start, pla.bad, pla.requests, pla.exposed, pla.ended = pla.now, badness{}, 0, 0, 0
-	pla.rol = rollout.New(rollout.Config{Self: "a", Share: share, Slack: slack}, pla.keeper.standing)
-	assert.Equal(t, pla.rol.State(), rollout.StateRunning)
-	pla.run(period)
-	assert.Equal(t, pla.keeper.standing.State, rollout.StateCompleted)
+// A second order starts afresh, also for the same version: the final state of the first order
+// doesn't count for it.
+func TestSecondOrderStartsAfresh(t *testing.T) {
+	sim := newSimulation(6)
+	sim.fault = fault{share: 1}
+	sim.run(period)
+	assert.Equal(t, sim.store.stored.State, rollout.StateRolledBack)
+	sim.store.order("v2")
+	sim.startedAt, sim.fault, sim.requests, sim.exposed, sim.finishedAfter = sim.now, fault{}, 0, 0, 0
+	sim.rol = rollout.New(rollout.Config{Self: "a", Share: share, Slack: slack}, sim.store.stored)
+	assert.Equal(t, sim.rol.State(), rollout.StateRunning)
+	sim.run(period)
+	assert.Equal(t, sim.store.stored.State, rollout.StateCompleted)
 }
 
-// An order to the version that serves already changes nothing for callers: it is completed
-// at once, whether a former order brought it or it was there from the beginning.
-func TestOrderOfTheVersionThatServes(t *testing.T) {
-	pla := newPlay(7)
-	pla.run(period)
-	assert.Equal(t, pla.keeper.standing.State, rollout.StateCompleted)
-	pla.keeper.order("v2")
-	again := rollout.New(rollout.Config{Self: "a", Share: share, Slack: slack}, pla.keeper.standing)
-	assert.Equal(t, again.Access(pla.now, rollout.Request{Route: "safe"}), rollout.Access{Former: true, New: true})
-	writes := again.Writes(pla.now, pla.fleet)
+// An order for the version that already serves changes nothing for clients: it is completed at
+// once, whether an earlier order introduced the version or it served from the start.
+func TestOrderForServingVersionCompletesAtOnce(t *testing.T) {
+	sim := newSimulation(7)
+	sim.run(period)
+	assert.Equal(t, sim.store.stored.State, rollout.StateCompleted)
+	sim.store.order("v2")
+	again := rollout.New(rollout.Config{Self: "a", Share: share, Slack: slack}, sim.store.stored)
+	assert.Equal(t, again.Access(sim.now, rollout.Request{Route: "safe"}), rollout.Access{Former: true, New: true})
+	writes := again.Writes(sim.now, sim.fleet)
 	assert.Equal(t, len(writes), 1)
 	assert.Equal(t, writes[0].State, rollout.StateCompleted)
 
-	first := newPlay(8)
+	first := newSimulation(8)
 	first.fleet = rollout.Fleet{NewSlots: 540}
 	first.tick()
-	assert.Equal(t, first.keeper.standing.State, rollout.StateCompleted)
+	assert.Equal(t, first.store.stored.State, rollout.StateCompleted)
 }
 
-// Whoever decides, takes over, decides at the same time, starts again or loses answers of
-// the store: before the version is known to be good it never gets more than the users
-// allow.
-func TestNeverOverTheAllowedShare(t *testing.T) {
+// Until it is known to be healthy, the new version never gets more requests than users allow,
+// whichever hosts schedule, take over, schedule at the same time, restart or lose answers of the
+// store.
+func TestExposureStaysWithinAllowedShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		kee := newKeeper("v2")
+		sto := newFakeStore("v2")
 		now := time.Unix(1000, 0)
 		hosts := make([]*rollout.Rollout, 3)
 		start := func(idx int) {
 			cfg := rollout.Config{Self: fmt.Sprint("h", idx, rapid.Uint32().Draw(rt, "start")), Share: share, Slack: slack}
-			hosts[idx] = rollout.New(cfg, kee.standing)
+			hosts[idx] = rollout.New(cfg, sto.stored)
 		}
 		for idx := range hosts {
 			start(idx)
@@ -399,10 +402,10 @@
 			case 0:
 				start(idx)
 			case 1:
-				rol.Adopt(kee.standing)
+				rol.Adopt(sto.stored)
 			case 2:
 				for _, wri := range late {
-					kee.put(wri)
+					sto.put(wri)
 				}
 				late = nil
 			default:
@@ -411,12 +414,12 @@
 					case 0:
 						late = append(late, wri)
 					case 1:
-						kee.put(wri)
+						sto.put(wri)
 					default:
-						if rev, done := kee.put(wri); done {
+						if rev, done := sto.put(wri); done {
 							rol.Recorded(wri, rev)
 						} else {
-							rol.Adopt(kee.standing)
+							rol.Adopt(sto.stored)
 						}
 					}
 				}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package rollout decides how a service moves to a new version of its engines: how many
-// requests a version gets before it is known to be good, when it is known to be good or
-// bad, and when the move is over.
+// Package rollout controls how a service moves to a new version of its engines: how many canary
+// requests the version gets before it is known to be healthy, when it is found healthy or faulty,
+// and when the roll-out ends.
 //
 // # Usage
 //
@@ -8,31 +8,32 @@
 //	acc := rol.Access(now, rollout.Request{Route: "r1", Repeatable: true})
 //	rol.Given(isNew)
 //	rol.Answered(now, rollout.Answer{Route: "r1", New: true, Failed: true})
-//	for _, wri := range rol.Writes(now, fleet) { ... } // to be put under a condition
+//	for _, wri := range rol.Writes(now, fleet) { ... } // write each under the condition of its revision
 //	rol.Recorded(wri, revision)
 //
-// A Rollout is pure: it is told the time and what happened, and does nothing itself.
-// What has to outlast the host that decides, a ledger and the state, it asks to have
-// written; requests go to the new version only within what the ledger already holds, so
-// that hosts which take over, or decide at the same time, never give too much together.
+// A Rollout does no I/O and reads no clock: its methods take events and the time. It returns what
+// must be written to the store to survive the loss of the leader: a ledger and the state. Requests
+// go to the new version only within the reservation of the ledger in the store, so that hosts that
+// take over or schedule at the same time never grant too many together.
 package rollout
 
 import (
 	"time"
 )
 
-// State is how far a roll-out is, as operators are told.
+// State is the state of a roll-out, as published to operators.
 type State uint8
 
-// The states of a roll-out. The last two are ends, and are never taken back.
+// The states of a roll-out. The last two are final.
 const (
-	// StateNone says that nothing was told yet.
+	// StateNone means that no state was published yet.
 	StateNone State = iota
-	// StateRunning says that the version isn't known to be good yet.
+	// StateRunning means that the new version isn't known to be healthy yet.
 	StateRunning
-	// StateCompleted says that the version serves alone; the former engines stop at once.
+	// StateCompleted means that the new version serves all requests. The engines of the old version
+	// stop at once.
 	StateCompleted
-	// StateRolledBack says that the version gets nothing more; its engines drain.
+	// StateRolledBack means that the new version gets no more requests. Its engines drain.
 	StateRolledBack
 )
 
@@ -45,105 +46,109 @@
 	return names[sta]
 }
 
-// IsEnd reports whether the state is never left.
+// IsEnd reports whether the state is final.
 func (sta State) IsEnd() bool {
 	return sta == StateCompleted || sta == StateRolledBack
 }
 
-// Order asks to move a service onto engines of a version.
+// Order is an order to move a service to a version of its engines.
 type Order struct {
 	Service string
 	Version string
-	// Period is the time within which the roll-out is to end.
+	// Period is the time within which the roll-out must end.
 	Period time.Duration
-	// Revision is the store's at the order: a later order has a higher one.
+	// Revision is the store's revision of the order. A later order has a higher one.
 	Revision uint64
 }
 
-// Standing is what the store holds of a roll-out.
+// Standing is what the store holds about a roll-out.
 type Standing struct {
 	Order Order
-	// Ledger is that of the order, with its revision; zero where none was written.
+	// Ledger is the ledger of the order, and LedgerRevision its revision. Both are zero if none was
+	// written.
 	Ledger         Ledger
 	LedgerRevision uint64
-	// State is the state that was told last, with the version and the revision of that; it
-	// may be an earlier order's.
+	// State is the last published state, with its version and revision. It may belong to an earlier
+	// order.
 	State         State
 	StateVersion  string
 	StateRevision uint64
 }
 
-// state returns the state that was told of this order.
-func (std Standing) state() State {
-	if std.StateRevision < std.Order.Revision || std.StateVersion != std.Order.Version {
+// publishedState returns the published state of the current order, or StateNone.
+func (sto Standing) publishedState() State {
+	if sto.StateRevision < sto.Order.Revision || sto.StateVersion != sto.Order.Version {
 		return StateNone
 	}
-	return std.State
+	return sto.State
 }
 
-// Ledger is what is kept in the store of a running roll-out, for whoever decides next.
+// Ledger is the record of a running roll-out in the store, from which the next leader continues.
 type Ledger struct {
-	// Order is the revision of the order, Version the one that it names.
+	// Order is the revision of the order, and Version the version that the order names.
 	Order   uint64
 	Version string
-	// Began is when the order was first seen.
+	// Began is when a leader first handled the order.
 	Began time.Time
-	// Reserved is how many requests the version may have been given so far at most.
+	// Reserved is the maximum number of requests that the new version may have received so far.
 	Reserved int
-	// Writer is the host that wrote it.
+	// Writer is the Self of the host that wrote the ledger.
 	Writer string
 	Tally  Tally
 }
 
-// Config holds what a Rollout is made from.
+// Config holds the settings of a Rollout.
 type Config struct {
-	// Self names this start of the host, in the ledgers that it writes.
+	// Self identifies this run of the host in the ledgers that it writes.
 	Self string
-	// Share is the part of a service's requests that a version which may be bad gets at
-	// most, over the period of the order, and Slack how many more.
+	// Share is the maximum share, from 0 to 1, of a service's requests that a possibly faulty
+	// version gets over the period of the order. Slack is the number of requests that it may get in
+	// addition.
 	Share float64
 	Slack float64
 }
 
-// Request is what counts of a request for a roll-out.
+// Request holds the properties of a request that matter to a roll-out.
 type Request struct {
 	Route string
-	// Repeatable requests may run again where the version fails them.
+	// Repeatable reports whether the request may run again if the new version fails it.
 	Repeatable bool
-	// Repeated requests have been sent to an engine before.
+	// Repeated reports whether the request was sent to an engine before.
 	Repeated bool
 }
 
-// Access says to which engines a request may go.
+// Access reports to the engines of which versions a request may be sent.
 type Access struct {
 	Former bool
 	New    bool
 }
 
-// Answer is what came of a request.
+// Answer is the result of a request.
 type Answer struct {
 	Route string
-	// New says that the new version had it.
+	// New reports whether the new version ran the request.
 	New bool
-	// Failed answers are the engine's failures, or none at all.
+	// Failed reports whether the engine failed or gave no answer.
 	Failed bool
-	// Unfinished answers were left by their callers, and count only where they had taken
-	// too long by then.
+	// Unfinished reports whether the client disconnected before the end of the answer. Such an
+	// answer counts only if it was already slow.
 	Unfinished bool
-	// Took and Expected are how long the answer took and how long it takes an engine of
-	// usual speed; without either, the time tells nothing.
+	// Took is the duration of the answer, and Expected the duration on an engine of usual speed. If
+	// either is zero, the duration isn't judged.
 	Took     time.Duration
 	Expected time.Duration
-	// Loaded says that its engine had as much to do as the former ones have.
+	// Loaded reports whether the engine had as many requests to run as the engines of the old
+	// version have.
 	Loaded bool
 }
 
-// Fleet is what the service's engines are like.
+// Fleet describes the engines of a service.
 type Fleet struct {
 	FormerSlots int
 	NewSlots    int
-	// Running counts the requests at former engines.
+	// Running is the number of requests running on engines of the old version.
 	Running int
-	// Pinned counts those of them that would be lost with their engines.
+	// Pinned is the number of these requests that can't be repeated and would be lost with their
+	// engines.
 	Pinned int
 }
