--- a/quarantine/unconfirmed.go
+++ b/quarantine/doubt.go
@@ -12,17 +12,17 @@
 	engine string
 }
 
-// unconfirmedCrash is a request whose connection to its engine ended while it isn't known whether
-// the engine crashed.
+// unconfirmedCrash is a request whose connection to its engine ended while it isn't known
+// whether the engine crashed.
 type unconfirmedCrash struct {
 	observation Observation
 	since       time.Time
 }
 
-// Doubt records that the connection to an engine ended while it ran a request, with the crash of
-// the engine unconfirmed: the link may have failed or one answer may have been invalid, and another
-// run of the engine may have started before the host checked. EnginesChanged resolves it by the
-// registered engines.
+// Doubt records that the connection to an engine ended while it ran a request,
+// with the crash of the engine unconfirmed: the link may have failed or one answer may have
+// been invalid, and another run of the engine may have started before the host checked.
+// EnginesChanged resolves it by the registered engines.
 func (reg *Registry) Doubt(now time.Time, obs Observation) {
 	reg.prune(now)
 	if obs.Digest == (call.Digest{}) || len(reg.unconfirmed) >= maxCases {
@@ -43,8 +43,9 @@
 	Leaving bool
 }
 
-// EnginesChanged applies the list of registered engines. It returns the unconfirmed crashes that
-// this list confirms: those whose engine run isn't registered any more and was never seen draining.
+// EnginesChanged applies the list of registered engines. It returns the unconfirmed crashes
+// that this list confirms: those whose engine run isn't registered any more and was never seen
+// draining.
 func (reg *Registry) EnginesChanged(now time.Time, engines []Engine) []Observation {
 	if len(reg.unconfirmed) == 0 {
 		return nil
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,5 +1,5 @@
-// Package quarantine tracks requests that crash the engines that run them, and decides how such a
-// request may run: as usual, exclusively on an engine, or not at all.
+// Package quarantine tracks requests that crash the engines that run them, and decides how such
+// a request may run: as usual, exclusively on an engine, or not at all.
 //
 // # Usage
 //
@@ -12,15 +12,16 @@
 //	}
 //	for _, cha := range reg.Changes() { ... } // log the changes and send them to other hosts
 //
-// A Registry does no I/O and reads no clock: its methods take events and the time. It learns which
-// requests an engine ran when it crashed, but not the cause. After one crash, all requests on that
-// engine are equally likely to be the cause. A request that is part of a second crash is suspected,
-// and a suspected request that crashes an engine on which it runs exclusively is the cause. Each
-// answer clears a request, since a poison request that crashes every engine is never answered.
+// A Registry does no I/O and reads no clock: its methods take events and the time. It learns
+// which requests an engine ran when it crashed, but not the cause. After one crash, all
+// requests on that engine are equally likely to be the cause. A request that is part of a
+// second crash is suspected, and a suspected request that crashes an engine on which it runs
+// exclusively is the cause. Each answer clears a request, since a poison request is never
+// answered.
 //
-// The registry keeps only digests, and its size is bounded: it keeps requests that were part of one
-// crash for ten minutes and suspected requests for an hour, at most 4,096 in all, and evicts those
-// with the least evidence first.
+// The registry keeps only digests, and its size is bounded: it keeps requests that were part of
+// one crash for ten minutes and suspected requests for an hour, at most 4,096 in all, and
+// evicts those with the least evidence first.
 package quarantine
 
 import (
@@ -36,12 +37,12 @@
 const (
 	// LevelClear is the level of a request without a recorded crash.
 	LevelClear Level = iota
-	// LevelWatched is the level of a request that ran on an engine that crashed. All requests that
-	// ran there at the time are watched, and nearly all of them are innocent: a watched request is
-	// scheduled like any other, except that it doesn't run twice at the same time.
+	// LevelWatched is the level of a request that ran on an engine that crashed. All requests
+	// that ran there at the time are watched, and nearly all of them are innocent: a watched
+	// request is scheduled like any other, except that it doesn't run twice at the same time.
 	LevelWatched
-	// LevelSuspected is the level of a request that ran on several engines that crashed. It runs
-	// exclusively on its engine.
+	// LevelSuspected is the level of a request that ran on several engines that crashed. It
+	// runs exclusively on its engine.
 	LevelSuspected
 	// LevelHeld is the level of a request that isn't run.
 	LevelHeld
@@ -58,9 +59,9 @@
 
 // Config holds the settings of a Registry. Zero fields take the defaults.
 type Config struct {
-	// SuspectAt is the number of crashes from which a request is suspected, and HoldAt the number
-	// from which it is held. HoldAloneAt is the number from which it is held if it ran exclusively
-	// in the last of them.
+	// SuspectAt is the number of crashes from which a request is suspected, and HoldAt the
+	// number from which it is held. HoldAloneAt is the number from which it is held if it
+	// ran exclusively in the last of them.
 	SuspectAt   int
 	HoldAt      int
 	HoldAloneAt int
@@ -69,22 +70,23 @@
 // The defaults of Config. With six of eighteen engines running a request for a second time by
 // coincidence within a minute, two crashes in a row prove nothing, and three are the most that
 // users allow. If the request ran exclusively on its engine, the second crash is proof. The
-// scheduler's benchmark of quarantine policies compares these values by the engines and innocent
-// requests that they cost.
+// scheduler's benchmark of quarantine policies compares these values by the engines and
+// innocent requests that they cost.
 const (
 	defaultSuspectAt   = 2
 	defaultHoldAt      = 3
-	defaultHoldAloneAt = 2
+	defaultHoldExclusiveAt = 2
 )
 
 const (
-	// watchedTTL and suspectedTTL bound how long a request that isn't held is remembered: clients
-	// retry within seconds, or within minutes if a person does.
+	// watchedTTL and suspectedTTL bound how long a request that isn't held is remembered:
+	// clients retry within seconds, or within minutes if a person does.
 	watchedTTL   = 10 * time.Minute
 	suspectedTTL = time.Hour
-	// firstHoldTime is how long a request is held at first, and laterHoldTime how long it is held
-	// after each trial, a run after a hold, that crashed another engine. After maxTrials of these
-	// it is held until an operator frees it: each trial costs an engine, and users allow three.
+	// firstHoldTime is how long a request is held at first, and laterHoldTime how long it is
+	// held after each trial, a run after a hold, that crashed another engine. After maxTrials
+	// of these it is held until an operator frees it: each trial costs an engine, and users
+	// allow three.
 	firstHoldTime = time.Hour
 	laterHoldTime = 24 * time.Hour
 	maxTrials     = 2
@@ -101,12 +103,13 @@
 	// maxCrashes bounds the crashes that are recorded for a case.
 	maxCrashes = 8
 	// unconfirmedTTL bounds how long an unconfirmed crash, which may have been only a broken
-	// connection, is checked against the registered engines. The entry of a crashed engine expires
-	// after three heartbeats, less than four seconds, plus some seconds if the store is
+	// connection, is checked against the registered engines. The entry of a crashed engine
+	// expires after three heartbeats, less than four seconds, plus some seconds if the store is
 	// unavailable.
 	unconfirmedTTL = 10 * time.Second
-	// clearedTTL is how long reports of other hosts about a request that this host has cleared are
-	// ignored, since they may have been sent before the other host learned that it was cleared.
+	// clearedTTL is how long reports of other hosts about a request that this host has cleared
+	// are ignored, since they may have been sent before the other host learned that it was
+	// cleared.
 	clearedTTL = 10 * time.Second
 )
 
@@ -136,9 +139,9 @@
 
 // End is the crash of an engine while it ran the request of a case.
 type End struct {
-	// Engine is the engine run that crashed, as far as it is known: an engine may restart and crash
-	// once more before the store reports the new run. Again numbers the crashes of the same run,
-	// from 0.
+	// Engine is the engine run that crashed, as far as it is known: an engine may restart and
+	// crash once more before the store reports the new run. Again numbers the crashes of the
+	// same run, from 0.
 	Engine string
 	Again  int  `json:"Again"`
 	Alone  bool `json:"Alone"`
@@ -150,8 +153,8 @@
 type Case struct {
 	Subject
 	Ends []End
-	// Held reports whether the request was ever held. The hold lasts until the time Until, or until
-	// an operator frees the request if Until is zero.
+	// Held reports whether the request was ever held. The hold lasts until the time Until, or
+	// until an operator frees the request if Until is zero.
 	Held  bool
 	Until time.Time
 	// Trials is how often the request ran after a hold had expired and crashed another engine.
@@ -177,9 +180,9 @@
 	}
 }
 
-// addCrash records a crash and reports whether it changes the case. Several hosts may report the
-// same crash of an engine run, for requests that ran there at the same time. A run of the request
-// that began after the recorded crash was seen belongs to another crash.
+// addCrash records a crash and reports whether it changes the case. Several hosts may report
+// the same crash of an engine run, for requests that ran there at the same time. A run of the
+// request that began after the recorded crash was seen belongs to another crash.
 func (cas *Case) addCrash(now time.Time, obs Observation) bool {
 	cra := End{Engine: obs.Engine, Alone: obs.Alone, seenAt: now}
 	for idx, known := range cas.Ends {
@@ -196,7 +199,8 @@
 	return true
 }
 
-// mergeCrash records a crash that another host reported, and reports whether it changes the case.
+// mergeCrash records a crash that another host reported, and reports whether it changes the
+// case.
 func (cas *Case) mergeCrash(now time.Time, cra End) bool {
 	for idx, known := range cas.Ends {
 		if known.Engine == cra.Engine && known.Again == cra.Again {
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -9,14 +9,14 @@
 	"lynxwell.dev/lynxwell/call"
 )
 
-// Registry holds the evidence against requests and traffic sources. It isn't safe for concurrent
-// use.
+// Registry holds the evidence against requests and traffic sources. It isn't safe for
+// concurrent use.
 type Registry struct {
 	cfg   Config
 	cases map[call.Digest]*Case
 	// unconfirmed holds the unconfirmed crashes, which may have been only broken connections.
-	// unconfirmedCounts counts them by request: searching them all for each waiting request would
-	// make a host that schedules hundreds of requests fall behind.
+	// unconfirmedCounts counts them by request: searching them all for each waiting request
+	// would make a host that schedules hundreds of requests fall behind.
 	unconfirmed       map[unconfirmedKey]unconfirmedCrash
 	unconfirmedCounts map[call.Digest]int
 	// cleared is when each request was cleared on this host, for clearedTTL.
@@ -34,7 +34,7 @@
 func New(cfg Config) *Registry {
 	cfg.SuspectAt = cmp.Or(cfg.SuspectAt, defaultSuspectAt)
 	cfg.HoldAt = cmp.Or(cfg.HoldAt, defaultHoldAt)
-	cfg.HoldAloneAt = cmp.Or(cfg.HoldAloneAt, defaultHoldAloneAt)
+	cfg.HoldAloneAt = cmp.Or(cfg.HoldAloneAt, defaultHoldExclusiveAt)
 	return &Registry{
 		cfg: cfg, cases: make(map[call.Digest]*Case), unconfirmed: make(map[unconfirmedKey]unconfirmedCrash), unconfirmedCounts: make(map[call.Digest]int), cleared: make(map[call.Digest]time.Time),
 		sources: make(map[Source]*sourceState), stored: make(map[call.Digest]storedHold),
@@ -46,8 +46,8 @@
 	return len(reg.cases) == 0 && len(reg.unconfirmed) == 0 && len(reg.sources) == 0
 }
 
-// Version changes whenever a request at LevelClear may have reached another level. While it stays
-// the same, the result of an earlier check of such a request remains valid.
+// Version changes whenever a request at LevelClear may have reached another level. While it
+// stays the same, the result of an earlier check of such a request remains valid.
 func (reg *Registry) Version() uint64 { return reg.version }
 
 // Level returns the quarantine level of a request.
@@ -61,7 +61,8 @@
 	return LevelClear
 }
 
-// HeldFor returns how much longer a held request is held, or 0 if until an operator frees it.
+// HeldFor returns how much longer a held request is held, or 0 if it is held until an operator
+// frees it.
 func (reg *Registry) HeldFor(now time.Time, dig call.Digest) time.Duration {
 	cas := reg.cases[dig]
 	if cas == nil || cas.Until.IsZero() {
@@ -141,8 +142,8 @@
 	}
 }
 
-// Lives records that an engine run that was recorded as crashed has answered since, so that only
-// its connections had failed. The crash is removed from all cases that aren't held.
+// Lives records that an engine run that was recorded as crashed has answered since, so
+// that only its connections had failed. The crash is removed from all cases that aren't held.
 func (reg *Registry) Lives(now time.Time, engine string) {
 	for dig, cas := range reg.cases {
 		remaining := slices.DeleteFunc(slices.Clone(cas.Ends), func(cra End) bool { return cra.Engine == engine })
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -94,8 +94,8 @@
 	assert.Equal(t, reg.Level(now, digest(1)), quarantine.LevelClear)
 }
 
-// An unconfirmed crash, which may have been only a broken connection, counts once the engine run is
-// no longer registered, unless the engine was draining.
+// An unconfirmed crash, which may have been only a broken connection, counts once the engine
+// run is no longer registered, unless the engine was draining.
 func TestUnconfirmedCrashIsResolvedByEngineList(t *testing.T) {
 	cases := map[string]struct {
 		engines []quarantine.Engine
@@ -148,8 +148,8 @@
 	assert.Assert(t, len(reg.Cases(later)) <= quarantine.MaxHeld+1, len(reg.Cases(later)))
 }
 
-// The merged reports of several hosts give each host the same levels as if it had seen all crashes
-// itself, in whatever order and however often they arrive.
+// The merged reports of several hosts give each host the same levels as if it had seen all
+// crashes itself, in whatever order and however often they arrive.
 func TestReportsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := []*quarantine.Registry{quarantine.New(quarantine.Config{}), quarantine.New(quarantine.Config{}), quarantine.New(quarantine.Config{})}
@@ -211,8 +211,8 @@
 	assert.Equal(t, reg.Level(startTime.Add(time.Minute), digest(1)), quarantine.LevelClear, "freed by another host")
 }
 
-// A report that another host sent before it learned that the request was cleared must not restore
-// the case.
+// A report that another host sent before it learned that the request was cleared must not
+// restore the case.
 func TestClearedRequestIgnoresEarlierReports(t *testing.T) {
 	reg := heldRegistry(t)
 	reports := reg.Reports(startTime, quarantine.LevelHeld, 1)
@@ -221,9 +221,9 @@
 	assert.Equal(t, reg.Level(startTime.Add(time.Second), digest(1)), quarantine.LevelClear)
 }
 
-// A client that changes its request each time is detected by the engines that its requests run on:
-// within three crashes if it sends a twentieth of the work, and within twelve if it sends nearly
-// half of it. Crashes by coincidence restrict at most one source in a thousand.
+// A client that changes its request each time is detected by the engines that its requests run
+// on: within three crashes if it sends a twentieth of the work, and within twelve if it sends
+// nearly half of it. Crashes by coincidence restrict at most one source in a thousand.
 func TestSourceOfChangingRequestsIsRestricted(t *testing.T) {
 	source := quarantine.Source{Service: "model", Account: "kitchen", Route: "stream"}
 	cases := map[string]struct {
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -38,8 +38,8 @@
 // Change is a change of a case, for the log and for other hosts.
 type Change struct {
 	Kind Kind
-	// Case is the case after the change; for a request that was cleared or pruned, the case before
-	// it.
+	// Case is the case after the change; for a request that was cleared or pruned, the case
+	// before it.
 	Case Case
 	// Report is sent to other hosts.
 	Report Report
@@ -47,8 +47,8 @@
 	Heard bool
 }
 
-// Spreads reports whether the change is sent to gateways whose requests this host schedules. They
-// receive requests from the second crash on.
+// Spreads reports whether the change is sent to gateways whose requests this host
+// schedules. They receive requests from the second crash on.
 func (cha Change) Spreads() bool {
 	switch cha.Kind {
 	case KindSuspected, KindHeld:
@@ -62,19 +62,19 @@
 	}
 }
 
-// Report is the message in which hosts exchange a case. It has remaining times in place of points
-// in time, since the clocks of hosts differ.
+// Report is the message in which hosts exchange a case. It has remaining times in place of
+// points in time, since the clocks of hosts differ.
 type Report struct {
 	Subject
 	Ends []End
 	Held bool
-	// ForGood reports whether the request is held until an operator frees it. If not, Left is how
-	// much longer it is held.
+	// ForGood reports whether the request is held until an operator frees it. If not,
+	// Left is how much longer it is held.
 	ForGood bool
 	Left    time.Duration
 	Trials  int
-	// Cleared reports whether the request was answered or freed, which voids all evidence against
-	// it.
+	// Cleared reports whether the request was answered or freed, which voids all evidence
+	// against it.
 	Cleared bool
 }
 
@@ -116,8 +116,8 @@
 	return all
 }
 
-// Reports returns at most the given number of reports, of the cases at a level or above, those of
-// the highest level first.
+// Reports returns at most the given number of reports, of the cases at a level or above, those
+// of the highest level first.
 func (reg *Registry) Reports(now time.Time, lowest Level, limit int) []Report {
 	if len(reg.cases) == 0 {
 		return nil
@@ -132,9 +132,9 @@
 	return reports
 }
 
-// Merge applies the report of another host. Crashes add up, the longer hold applies, and a request
-// that was cleared there is cleared here. The result depends neither on the order of the reports
-// nor on repetitions.
+// Merge applies the report of another host. Crashes add up, the longer hold applies, and a
+// request that was cleared there is cleared here. The result depends neither on the order of
+// the reports nor on repetitions.
 func (reg *Registry) Merge(now time.Time, rep Report) {
 	if rep.Digest == (call.Digest{}) {
 		return
--- a/quarantine/source.go
+++ b/quarantine/source.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Source is a traffic source: a client account's requests to a service by one route. The account's
-// other routes aren't restricted because of what it sends on this one.
+// Source is a traffic source: a client account's requests to a service by one route. The
+// account's other routes aren't restricted because of what it sends on this one.
 type Source struct {
 	Service string
 	Account string
@@ -20,25 +20,25 @@
 // request with a recorded crash.
 type Presence struct {
 	Source Source
-	// Here reports whether the source had a request on the engine, and Young whether it had one
-	// that was new.
+	// Here reports whether the source had a request on the engine, and Young
+	// whether it had one that was new.
 	Here  bool
 	Young bool
-	// Usual and UsualYoung are the shares of the service's other engines on which the source had
-	// any request and a new one at that moment.
+	// Usual and UsualYoung are the shares of the service's other engines on which
+	// the source had any request and a new one at that moment.
 	Usual      float64
 	UsualYoung float64
 }
 
-// sourceState is the evidence against a traffic source that changes its requests each time, so that
-// no digest is seen twice.
+// sourceState is the evidence against a traffic source that changes its requests each time, so
+// that no digest is seen twice.
 type sourceState struct {
-	// score is the logarithm of how much likelier the crashes are if the source caused them than by
-	// coincidence.
+	// score is the logarithm of how much likelier the crashes are if the source caused them
+	// than by coincidence.
 	score     float64
 	lastCrash time.Time
-	// restricted reports whether the source's requests run isolated. After a crash none of them is
-	// run until pausedUntil.
+	// restricted reports whether the source's requests run only on isolated engines. After a
+	// crash none of them is run until pausedUntil.
 	restricted  bool
 	pausedUntil time.Time
 	// consecutiveAnswers counts the requests answered in a row while the source is restricted.
@@ -46,29 +46,30 @@
 }
 
 const (
-	// YoungFor is how long a request counts as new on an engine: a poison request usually crashes
-	// its engine soon after it starts.
+	// YoungFor is how long a request counts as new on an engine: a poison request usually
+	// crashes its engine soon after it starts.
 	YoungFor = 500 * time.Millisecond
-	// newRequestCrashShare is the share of crashes by poison requests that occur within YoungFor.
+	// newRequestCrashShare is the share of crashes by poison requests that occur within
+	// YoungFor.
 	newRequestCrashShare = 0.7
-	// restrictScore is the score from which a source is restricted: it is a thousand times likelier
-	// to be the cause than not.
+	// restrictScore is the score from which a source is restricted: the crashes are then a
+	// thousand times likelier if the source caused them.
 	restrictScore = 6.9
-	// absenceStep is subtracted from a source's score for a crash at which it had no request on the
-	// engine. The score isn't reset, because the request may have been released before the crash
-	// was reported.
+	// absenceStep is subtracted from a source's score for a crash at which it had no request on
+	// the engine. The score isn't reset, because the request may have been released before the
+	// crash was reported.
 	absenceStep = 3.0
 	// sourceTTL is how long crashes count against a source.
 	sourceTTL = 10 * time.Minute
-	// crashDowntime is how long a crashed engine is unavailable, and maxDowntimeShare the share of
-	// the engines' time that a restricted source may cost. After each crash the source's requests
-	// pause for as long as this share requires, some seconds with few engines and a moment with
-	// hundreds. A larger share crashes more engines and serves no client better.
+	// crashDowntime is how long a crashed engine is unavailable, and maxDowntimeShare the share
+	// of the engines' time that a restricted source may cost. After each crash the source's
+	// requests pause for as long as this share requires, some seconds with few engines and a
+	// moment with hundreds. A larger share crashes more engines and serves no client better.
 	crashDowntime    = 3 * time.Second
 	maxDowntimeShare = 0.02
-	// answersToLift is the number of a restricted source's requests that must be answered in a row
-	// before the restriction is lifted. Its score is then set to scoreAfterLift, so that fewer
-	// crashes restrict it than the first time.
+	// answersToLift is the number of a restricted source's requests that must be answered in a
+	// row before the restriction is lifted. Its score is then set to scoreAfterLift, so that
+	// fewer crashes restrict it than the first time.
 	answersToLift  = 100
 	scoreAfterLift = restrictScore / 2
 	// maxSourcePause bounds the pause after a crash.
@@ -77,9 +78,10 @@
 	maxSources = 1024
 )
 
-// UnexplainedEnd records the crash of an engine whose requests were part of no earlier crash, and
-// returns the sources that it restricts. A source that changes its request each time is detected
-// because it is present at each crash more often than its share of the work explains.
+// UnexplainedEnd records the crash of an engine whose requests were part of no earlier
+// crash, and returns the sources that it restricts. A source that changes its request each time
+// is detected because it is present at each crash more often than its share of the work
+// explains.
 func (reg *Registry) UnexplainedEnd(now time.Time, present []Presence) []Source {
 	seen := make(map[Source]bool, len(present))
 	var restricted []Source
@@ -124,8 +126,8 @@
 	return math.Log(likely)
 }
 
-// Restriction reports whether a source's requests run isolated, and returns how much longer none of
-// them is run.
+// Restriction reports whether a source's requests run only on isolated engines, and returns how
+// much longer none of them is run.
 func (reg *Registry) Restriction(now time.Time, src Source) (bool, time.Duration) {
 	sta := reg.sources[src]
 	if sta == nil || !sta.restricted {
@@ -134,8 +136,8 @@
 	return true, max(0, sta.pausedUntil.Sub(now))
 }
 
-// EndedAlone records that a restricted source's request crashed one of a service's engines, whose
-// number is given. The source's other requests pause.
+// EndedAlone records that a restricted source's request crashed one of a service's
+// engines, whose number is given. The source's other requests pause.
 func (reg *Registry) EndedAlone(now time.Time, src Source, engines int) {
 	sta := reg.sources[src]
 	if sta == nil || !sta.restricted {
@@ -146,8 +148,8 @@
 	sta.pausedUntil = now.Add(min(maxSourcePause, time.Duration(pause)))
 }
 
-// AnsweredAlone records that a restricted source's request was answered, and reports whether this
-// lifts the restriction.
+// AnsweredAlone records that a restricted source's request was answered, and reports
+// whether this lifts the restriction.
 func (reg *Registry) AnsweredAlone(src Source) bool {
 	sta := reg.sources[src]
 	if sta == nil || !sta.restricted {
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -12,8 +12,8 @@
 	Subject
 	// Ends are the crashes of the engines that ran the request.
 	Ends []End `json:"Ends"`
-	// Until is the wall-clock time at which the hold expires; zero means until an operator frees
-	// it.
+	// Until is the wall-clock time at which the hold expires; zero means until an operator
+	// frees it.
 	Until  time.Time
 	Trials int
 }
@@ -24,8 +24,8 @@
 	indefinite bool
 }
 
-// TakeStored applies the held requests read from the store. A request that was there at the last
-// read and is missing now was freed by another host.
+// TakeStored applies the held requests read from the store. A request that was there at the
+// last read and is missing now was freed by another host.
 func (reg *Registry) TakeStored(now time.Time, holds []Hold) {
 	previous := reg.stored
 	reg.stored = make(map[call.Digest]storedHold, len(holds))
@@ -40,8 +40,8 @@
 	}
 }
 
-// ToStore returns the held requests that the store should hold, sorted by digest, and whether they
-// differ from what was last read from the store.
+// ToStore returns the held requests that the store should hold, sorted by digest, and
+// whether they differ from what was last read from the store.
 func (reg *Registry) ToStore() ([]Hold, bool) {
 	var holds []Hold
 	differs := false
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Counts are the good and bad answers of both versions on one route. An answer is bad if it failed
-// or took several times as long as usual.
+// Counts are the good and bad answers of both versions on one route. An answer is bad if it
+// failed or took several times as long as usual.
 type Counts struct {
 	FormerGood int `json:"FormerGood"`
 	FormerBad  int `json:"FormerBad"`
 	NewGood    int
 	NewBad     int
-	// Loaded is the number of the new version's answers that were given under the load that it will
-	// have after the roll-out.
+	// Loaded is the number of the new version's answers that were given under the load that it
+	// will have after the roll-out.
 	Loaded int
 }
 
@@ -66,15 +66,15 @@
 // version's at the same time, and that the share of bad answers is higher by badRateIncrease.
 // TestErrorRatesOfSequentialTest simulates both error rates.
 const (
-	// badRateIncrease is the increase of the share of bad answers over the old version's that the
-	// test must detect.
+	// badRateIncrease is the increase of the share of bad answers over the old version's that
+	// the test must detect.
 	badRateIncrease = 0.2
-	// minBadRate is the lowest assumed share of bad answers of a healthy version: one or two lost
-	// answers by coincidence must not roll a version back.
+	// minBadRate is the lowest assumed share of bad answers of a healthy version: one or two
+	// lost answers by coincidence must not roll a version back.
 	minBadRate = 0.02
-	// priorBadRate is the assumed share of bad answers before any answer was seen, and priorAnswers
-	// its weight as a number of answers: canary requests begin at once, when little is known of the
-	// old version.
+	// priorBadRate is the assumed share of bad answers before any answer was seen, and
+	// priorAnswers its weight as a number of answers: canary requests begin at once, when
+	// little is known of the old version.
 	priorBadRate = 0.05
 	priorAnswers = 20
 	// falseRejectRate and falseAcceptRate are the allowed error rates on each route.
@@ -90,8 +90,8 @@
 )
 
 // oldBadRate returns the share of bad answers to expect of a healthy version: the old version's
-// share plus one standard error, so that a healthy version isn't rolled back because the old one
-// had few bad answers by coincidence.
+// share plus one standard error, so that a healthy version isn't rolled back because the old
+// one had few bad answers by coincidence.
 func (cou Counts) oldBadRate() float64 {
 	bad, all := float64(cou.FormerBad), float64(cou.FormerBad+cou.FormerGood)
 	rate := (bad + priorBadRate*priorAnswers) / (all + priorAnswers)
@@ -99,8 +99,8 @@
 	return min(0.8, max(minBadRate, rate))
 }
 
-// logSteps returns by how much a bad and a good answer of the new version change the log-likelihood
-// ratio.
+// logSteps returns by how much a bad and a good answer of the new version change the
+// log-likelihood ratio.
 func (cou Counts) logSteps() (ofBad, ofGood float64) {
 	return logStepsAt(cou.oldBadRate())
 }
@@ -117,16 +117,16 @@
 	return float64(cou.NewBad)*ofBad + float64(cou.NewGood)*ofGood
 }
 
-// changeThreshold is the bound of the cumulative sum of a route, which restarts at zero whenever it
-// would become negative. The sum detects versions that become faulty after thousands of good
-// answers, to which the ratio over all answers reacts too slowly, the more so the more engines
-// there are (BenchmarkPolicies). The bound is higher than Wald's because it is checked thousands of
-// times.
+// changeThreshold is the bound of the cumulative sum of a route, which restarts at zero
+// whenever it would become negative. The sum detects versions that become faulty after
+// thousands of good answers, to which the ratio over all answers reacts too slowly, the more so
+// the more engines there are (BenchmarkPolicies). The bound is higher than Wald's because it is
+// checked thousands of times.
 const changeThreshold = 11.0
 
-// recentDecay is the time constant over which the old version's answers count as given at the same
-// time as the new version's. A failure of the whole service, or of the hosts, isn't the new
-// version's fault, and must show in the old version's answers within a few bad ones.
+// recentDecay is the time constant over which the old version's answers count as given at the
+// same time as the new version's. A failure of the whole service, or of the hosts, isn't the
+// new version's fault, and must show in the old version's answers within a few bad ones.
 const recentDecay = 150 * time.Millisecond
 
 // cusum is the cumulative sum of a route's log-likelihood steps, with the old version's recent
@@ -137,8 +137,8 @@
 	updatedAt       time.Time
 }
 
-// observe applies an answer of either version, given the counts of the route so far, and reports
-// whether the new version has become faulty on the route.
+// observe applies an answer of either version, given the counts of the route so far, and
+// reports whether the new version has become faulty on the route.
 func (csm *cusum) observe(now time.Time, cou Counts, isNew, bad bool) bool {
 	decay := math.Exp(-float64(now.Sub(csm.updatedAt)) / float64(recentDecay))
 	csm.oldGood, csm.oldBad, csm.updatedAt = csm.oldGood*decay, csm.oldBad*decay, now
@@ -169,8 +169,8 @@
 	return cou.logRatio() <= acceptThreshold
 }
 
-// faultyRoute returns the first route, by name, on which the test finds the new version faulty; "*"
-// stands for all routes together.
+// faultyRoute returns the first route, by name, on which the test finds the new version faulty;
+// "*" stands for all routes together.
 func (tal Tally) faultyRoute(isFaulty func(Counts) bool) (string, bool) {
 	for _, name := range slices.Sorted(maps.Keys(tal.Routes)) {
 		if isFaulty(tal.Routes[name]) {
@@ -185,12 +185,12 @@
 	// engines of a service differ by a factor of up to three; faulty versions are several times
 	// slower.
 	slowFactor = 4.0
-	// minSlowExcess is the minimum excess over the usual duration for an answer to count as bad. A
-	// smaller excess goes unnoticed by users, whatever its factor, and a busy host adds some
-	// milliseconds to any answer.
+	// minSlowExcess is the minimum excess over the usual duration for an answer to count as
+	// bad. A smaller excess goes unnoticed by users, whatever its factor, and a busy host adds
+	// some milliseconds to any answer.
 	minSlowExcess = 30 * time.Millisecond
-	// baselineGain is the weight of a new answer in the average logarithm of the ratio of actual to
-	// expected duration.
+	// baselineGain is the weight of a new answer in the average logarithm of the ratio of
+	// actual to expected duration.
 	baselineGain = 0.05
 )
 
--- a/rollout/export_test.go
+++ b/rollout/export_test.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// fixedAnswers is the number of answers that the fixed test waits for, and fixedSigmas the number
-// of standard deviations by which the shares of bad answers must differ then.
+// fixedAnswers is the number of answers that the fixed test waits for, and fixedSigmas the
+// number of standard deviations by which the shares of bad answers must differ then.
 const (
 	fixedAnswers = 50
 	fixedSigmas  = 3
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -10,56 +10,59 @@
 const (
 	// phaseCanary sends a bounded share of the requests to the new version.
 	phaseCanary phase = iota
-	// phaseMoving sends requests that can't be repeated to the new version, while the engines of
-	// the old version finish those that they run.
+	// phaseMoving sends requests that can't be repeated to the new version, while the engines
+	// of the old version finish those that they run.
 	phaseMoving
-	// phaseCutover sends all new requests to the new version, just before the engines of the old
-	// version stop.
+	// phaseCutover sends all new requests to the new version, just before the engines of the
+	// old version stop.
 	phaseCutover
 )
 
 const (
-	// exposureMargin is the part of the allowed share that is used before the version is known to
-	// be healthy. The rest covers the requests that a version that becomes faulty late gets until
-	// this is detected, and requests that are counted here but never reach an engine.
+	// exposureMargin is the part of the allowed share that is used before the version is known
+	// to be healthy. The rest covers the requests that a version that becomes faulty late gets
+	// until this is detected, and requests that are counted here but never reach an engine.
 	exposureMargin = 0.6
-	// slackMargin is the same for the slack: the first look at a version needs some answers before
-	// many requests have arrived.
+	// slackMargin is the same for the slack: the first look at a version needs some answers
+	// before many requests have arrived.
 	slackMargin = 0.5
-	// moveAfter is the part of the period after which a version that is known to be healthy gets
-	// more requests: some versions become faulty only after a while, and streams need seconds to
-	// end. A version that becomes faulty even later may get more requests than users allow.
+	// moveAfter is the part of the period after which a version that is known to be healthy
+	// gets more requests: some versions become faulty only after a while, and streams need
+	// seconds to end. A version that becomes faulty even later may get more requests than users
+	// allow.
 	moveAfter = 0.7
 	// decideAfter is the part of the period after which a version with too few requests for the
 	// test is judged by the evidence there is.
 	decideAfter = 0.85
-	// cutoverTime is how long the engines of the old version continue to run repeatable requests.
+	// cutoverTime is how long the engines of the old version continue to run repeatable
+	// requests.
 	cutoverTime = 700 * time.Millisecond
 	// minAnswers is the minimum number of answers for this judgement.
 	minAnswers = 10
 	// minLoadedAnswers is the number of answers that a version must have given under load.
 	minLoadedAnswers = 20
-	// minRouteAnswers is the number of answers from which a route is tested by itself. With fewer,
-	// nothing can be known of the route, and the other routes must suffice.
+	// minRouteAnswers is the number of answers from which a route is tested by itself. With
+	// fewer, nothing can be known of the route, and the other routes must suffice.
 	minRouteAnswers = 30
 	// minSlotRatio is the number of slots that the new version needs for each slot of the old
 	// version.
 	minSlotRatio = 0.8
-	// requestsPerCanary is the number of requests to the old version for each canary request. Their
-	// answers at the same time distinguish a failure of the whole service from a fault of the new
-	// version.
+	// requestsPerCanary is the number of requests to the old version for each canary request.
+	// Their answers at the same time distinguish a failure of the whole service from a fault of
+	// the new version.
 	requestsPerCanary = 4
-	// minWriteInterval is the minimum time between two writes of a ledger: each is a call to the
-	// store and a change that all hosts read.
+	// minWriteInterval is the minimum time between two writes of a ledger: each is a call to
+	// the store and a change that all hosts read.
 	minWriteInterval = 500 * time.Millisecond
-	// minReservation is the minimum number of additional requests for which a ledger is written.
+	// minReservation is the minimum number of additional requests for which a ledger is
+	// written.
 	minReservation = 10
-	// writeRetryInterval is the time after which a write is repeated that wasn't answered or didn't
-	// appear in the store: the store answers in milliseconds, and hosts read changes within half a
-	// second.
+	// writeRetryInterval is the time after which a write is repeated that wasn't answered or
+	// didn't appear in the store: the store answers in milliseconds, and hosts read changes
+	// within half a second.
 	writeRetryInterval = time.Second
-	// leaderTimeout is the time after which a host that hasn't called Writes no longer counts as
-	// the leader: five times the interval between two calls.
+	// leaderTimeout is the time after which a host that hasn't called Writes no longer counts
+	// as the leader: five times the interval between two calls.
 	leaderTimeout = 500 * time.Millisecond
 )
 
@@ -74,14 +77,14 @@
 	reason string
 	phase  phase
 	began  time.Time
-	// ownReserved is the number of requests that the ledger reserves for this host to grant to the
-	// new version, and ownGranted how many of them it has granted.
+	// ownReserved is the number of requests that the ledger reserves for this host to grant to
+	// the new version, and ownGranted how many of them it has granted.
 	ownReserved int
 	ownGranted  int
 	// sinceCanary is the number of requests granted since the last canary request.
 	sinceCanary int
-	// unwritten is the evidence since the last write of the ledger, and writing the evidence in a
-	// write that isn't confirmed yet.
+	// unwritten is the evidence since the last write of the ledger, and writing the evidence in
+	// a write that isn't confirmed yet.
 	unwritten    Tally
 	writing      Tally
 	writePending bool
@@ -121,8 +124,8 @@
 	return rol.state.IsEnd() && rol.stored.publishedState() == rol.state
 }
 
-// Adopt applies what the store holds now. A final state in the store takes precedence over this
-// host's state, since a roll-out has only one.
+// Adopt applies what the store holds now. A final state in the store takes precedence
+// over this host's state, since a roll-out has only one.
 func (rol *Rollout) Adopt(sto Standing) {
 	if sto.Ledger.Order != sto.Order.Revision {
 		sto.Ledger = Ledger{Order: sto.Order.Revision, Version: sto.Order.Version}
@@ -131,8 +134,8 @@
 		sto.Ledger, sto.LedgerRevision = rol.stored.Ledger, rol.stored.LedgerRevision
 	}
 	if sto.LedgerRevision > rol.stored.LedgerRevision && sto.Ledger.Writer == rol.cfg.Self && rol.hasPendingWrite() {
-		// The write's confirmation was lost or is still to come; the added reservation belongs to
-		// this host.
+		// The write's confirmation was lost or is still to come; the added reservation belongs
+		// to this host.
 		rol.ownReserved += sto.Ledger.Reserved - rol.stored.Ledger.Reserved
 		rol.writing, rol.writePending = Tally{}, false
 	}
@@ -222,8 +225,8 @@
 	rol.evaluate(now, ans, bad)
 }
 
-// evaluate rolls back if the new version's answers are worse than the old version's or have become
-// so.
+// evaluate rolls back if the new version's answers are worse than the old version's or have
+// become so.
 func (rol *Rollout) evaluate(now time.Time, ans Answer, bad bool) {
 	tal := rol.totals()
 	csm := rol.cusums[ans.Route]
@@ -324,7 +327,8 @@
 	Service string
 	// Expect is the revision that the key must have; 0 means that the key must not exist.
 	Expect uint64
-	// Ledger is set for the write of a ledger. If it is nil, State and Version are to be published.
+	// Ledger is set for the write of a ledger. If it is nil, State and Version are to be
+	// published.
 	Ledger  *Ledger
 	State   State
 	Version string
@@ -348,8 +352,8 @@
 	return writes
 }
 
-// nextLedgerWrite returns the write of a ledger that reserves more requests, if enough requests and
-// time have passed.
+// nextLedgerWrite returns the write of a ledger that reserves more requests, if enough requests
+// and time have passed.
 func (rol *Rollout) nextLedgerWrite(now time.Time) (Write, bool) {
 	old := rol.stored.Ledger
 	allowed := rol.allowance()
@@ -400,9 +404,9 @@
 	Moving  bool
 	Began   time.Time
 	Period  string
-	// Reserved is the maximum number of requests that the version may have received, of Requests in
-	// all. The two fields after these are this host's part of the reservation and how many of it
-	// the host has granted.
+	// Reserved is the maximum number of requests that the version may have received, of
+	// Requests in all. Mine is this host's part of the reservation, and the last number counts
+	// the requests of that part that the host has granted.
 	Reserved int
 	Requests int
 	Mine     int
--- a/rollout/policy_test.go
+++ b/rollout/policy_test.go
@@ -57,9 +57,9 @@
 
 // fault describes the fault of a version.
 type fault struct {
-	// share is the share of the version's answers that fail or, if slow is set, take several times
-	// as long. The fault begins at the time from, and is limited to one route if route is set, and
-	// to engines under load if loaded is set.
+	// share is the share of the version's answers that fail or, if slow is set, take several
+	// times as long. The fault begins at the time from, and is limited to one route if route is
+	// set, and to engines under load if loaded is set.
 	share  float64
 	slow   bool
 	from   time.Duration
@@ -67,8 +67,8 @@
 	loaded bool
 }
 
-// simulation simulates a service with many requests, a quarter of them on a route whose requests
-// can't be repeated.
+// simulation simulates a service with many requests, a quarter of them on a route whose
+// requests can't be repeated.
 type simulation struct {
 	store     *fakeStore
 	rol       *rollout.Rollout
@@ -168,9 +168,9 @@
 	return int(mean) + map[bool]int{true: 1}[sim.random.Float64() < mean-float64(int(mean))]
 }
 
-// Healthy versions are completed within their period and faulty ones rolled back, whatever their
-// fault. A faulty version gets no more requests than users allow, and none after its fiftieth bad
-// answer.
+// Healthy versions are completed within their period and faulty ones rolled back, whatever
+// their fault. A faulty version gets no more requests than users allow, and none after its
+// fiftieth bad answer.
 func TestRolloutFinishesWithinPeriod(t *testing.T) {
 	for name, tst := range map[string]struct {
 		change func(*simulation)
@@ -213,9 +213,9 @@
 	}
 }
 
-// Simulates the error rates of the whole procedure: at most one in a hundred healthy versions is
-// rolled back, no version that fails a third of its answers is completed, and at most one in twenty
-// of these gives more than ten bad answers.
+// Simulates the error rates of the whole procedure: at most one in a hundred healthy versions
+// is rolled back, no version that fails a third of its answers is completed, and at most one in
+// twenty of these gives more than ten bad answers.
 func TestErrorRatesOfSequentialTest(t *testing.T) {
 	const runs = 400
 	wrong, harmful := 0, 0
@@ -250,8 +250,9 @@
 	}
 }
 
-// A failure of the whole service, or of the hosts, must not roll the new version back: answers of
-// both versions that fail for a while, and short answers that take a few milliseconds longer.
+// A failure of the whole service, or of the hosts, must not roll the new version back: answers
+// of both versions that fail for a while, and short answers that take a few milliseconds
+// longer.
 func TestServiceWideFailureDoesNotRollBack(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulation(seed)
@@ -271,8 +272,8 @@
 	assert.Equal(t, sim.rol.State(), rollout.StateRunning)
 }
 
-// A roll-out isn't completed while requests on engines of the old version would be lost, and these
-// requests continue.
+// A roll-out isn't completed while requests on engines of the old version would be lost, and
+// these requests continue.
 func TestPinnedRequestsDelayCompletion(t *testing.T) {
 	sim := newSimulation(1)
 	sim.fleet.Pinned = 3
@@ -289,8 +290,8 @@
 }
 
 // While the store is unavailable, no more requests are reserved. Those already reserved are
-// granted, and the final state is published once the store is back. A final state that another host
-// has published is never replaced.
+// granted, and the final state is published once the store is back. A final state that another
+// host has published is never replaced.
 func TestStoreOutage(t *testing.T) {
 	sim := newSimulation(2)
 	sim.run(2 * time.Second)
@@ -312,8 +313,8 @@
 	assert.Equal(t, other.rol.Access(other.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true})
 }
 
-// The next leader continues from what the store holds: the exposure isn't counted anew, and little
-// of the evidence is lost.
+// The next leader continues from what the store holds: the exposure isn't counted anew, and
+// little of the evidence is lost.
 func TestNextLeaderContinuesFromLedger(t *testing.T) {
 	sim := newSimulation(4)
 	sim.run(6 * time.Second)
@@ -378,8 +379,8 @@
 }
 
 // Until it is known to be healthy, the new version never gets more requests than users allow,
-// whichever hosts schedule, take over, schedule at the same time, restart or lose answers of the
-// store.
+// whichever hosts schedule, take over, schedule at the same time, restart or lose answers of
+// the store.
 func TestExposureStaysWithinAllowedShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sto := newFakeStore("v2")
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,6 +1,6 @@
 // Package rollout controls how a service moves to a new version of its engines: how many canary
-// requests the version gets before it is known to be healthy, when it is found healthy or faulty,
-// and when the roll-out ends.
+// requests the version gets before it is known to be healthy, when it is found healthy or
+// faulty, and when the roll-out ends.
 //
 // # Usage
 //
@@ -11,10 +11,10 @@
 //	for _, wri := range rol.Writes(now, fleet) { ... } // write each under the condition of its revision
 //	rol.Recorded(wri, revision)
 //
-// A Rollout does no I/O and reads no clock: its methods take events and the time. It returns what
-// must be written to the store to survive the loss of the leader: a ledger and the state. Requests
-// go to the new version only within the reservation of the ledger in the store, so that hosts that
-// take over or schedule at the same time never grant too many together.
+// A Rollout does no I/O and reads no clock: its methods take events and the time. It returns
+// what must be written to the store to survive the loss of the leader: a ledger and the state.
+// Requests go to the new version only within the reservation of the ledger in the store, so
+// that hosts that take over or schedule at the same time never grant too many together.
 package rollout
 
 import (
@@ -30,8 +30,8 @@
 	StateNone State = iota
 	// StateRunning means that the new version isn't known to be healthy yet.
 	StateRunning
-	// StateCompleted means that the new version serves all requests. The engines of the old version
-	// stop at once.
+	// StateCompleted means that the new version serves all requests. The engines of the old
+	// version stop at once.
 	StateCompleted
 	// StateRolledBack means that the new version gets no more requests. Its engines drain.
 	StateRolledBack
@@ -64,12 +64,12 @@
 // Standing is what the store holds about a roll-out.
 type Standing struct {
 	Order Order
-	// Ledger is the ledger of the order, and LedgerRevision its revision. Both are zero if none was
-	// written.
+	// Ledger is the ledger of the order, and LedgerRevision its revision. Both are zero if none
+	// was written.
 	Ledger         Ledger
 	LedgerRevision uint64
-	// State is the last published state, with its version and revision. It may belong to an earlier
-	// order.
+	// State is the last published state, with its version and revision. It may belong to an
+	// earlier order.
 	State         State
 	StateVersion  string
 	StateRevision uint64
@@ -83,7 +83,8 @@
 	return sto.State
 }
 
-// Ledger is the record of a running roll-out in the store, from which the next leader continues.
+// Ledger is the record of a running roll-out in the store, from which the next leader
+// continues.
 type Ledger struct {
 	// Order is the revision of the order, and Version the version that the order names.
 	Order   uint64
@@ -102,8 +103,8 @@
 	// Self identifies this run of the host in the ledgers that it writes.
 	Self string
 	// Share is the maximum share, from 0 to 1, of a service's requests that a possibly faulty
-	// version gets over the period of the order. Slack is the number of requests that it may get in
-	// addition.
+	// version gets over the period of the order. Slack is the number of requests that it may
+	// get in addition.
 	Share float64
 	Slack float64
 }
@@ -133,8 +134,8 @@
 	// Unfinished reports whether the client disconnected before the end of the answer. Such an
 	// answer counts only if it was already slow.
 	Unfinished bool
-	// Took is the duration of the answer, and Expected the duration on an engine of usual speed. If
-	// either is zero, the duration isn't judged.
+	// Took is the duration of the answer, and Expected the duration on an engine of usual
+	// speed. If either is zero, the duration isn't judged.
 	Took     time.Duration
 	Expected time.Duration
 	// Loaded reports whether the engine had as many requests to run as the engines of the old
@@ -148,7 +149,7 @@
 	NewSlots    int
 	// Running is the number of requests running on engines of the old version.
 	Running int
-	// Pinned is the number of these requests that can't be repeated and would be lost with their
-	// engines.
+	// Pinned is the number of these requests that can't be repeated and would be lost with
+	// their engines.
 	Pinned int
 }
