--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -73,8 +73,8 @@
 // scheduler's benchmark of quarantine policies compares these values by the engines and
 // innocent requests that they cost.
 const (
-	defaultSuspectAt   = 2
-	defaultHoldAt      = 3
+	defaultSuspectAt       = 2
+	defaultHoldAt          = 3
 	defaultHoldExclusiveAt = 2
 )
 
@@ -84,7 +84,7 @@
 	watchedTTL   = 10 * time.Minute
 	suspectedTTL = time.Hour
 	// firstHoldTime is how long a request is held at first, and laterHoldTime how long it is
-	// held after each trial, a run after a hold, that crashed another engine. After maxTrials
+	// held after each trial (a run after a hold) that crashed another engine. After maxTrials
 	// of these it is held until an operator frees it: each trial costs an engine, and users
 	// allow three.
 	firstHoldTime = time.Hour
--- a/rollout/compare_test.go
+++ b/rollout/compare_test.go
@@ -7,10 +7,11 @@
 	"lynxwell.dev/lynxwell/rollout"
 )
 
-// BenchmarkPolicies compares two policies of spreading canary requests and two tests on the
-// same seeds. Its metrics are, on average per run, the seconds until the end, the requests sent
-// to the new version, the harmed clients (whose request failed and can't be repeated) and the
-// bad answers, and the percentage of runs with the wrong result.
+// BenchmarkPolicies compares two policies of distributing canary requests, over few engines or
+// all, and two tests, sequential and fixed, on the same seeds. Its metrics are, on average per
+// run, the seconds until the end, the requests sent to the new version, the harmed clients
+// (whose request failed and can't be repeated) and the bad answers, and the percentage of runs
+// with the wrong result.
 func BenchmarkPolicies(b *testing.B) {
 	const runs = 100
 	for _, policy := range []struct {
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -20,11 +20,11 @@
 
 const (
 	// exposureMargin is the part of the allowed share that is used before the version is known
-	// to be healthy. The rest covers the requests that a version that becomes faulty late gets
-	// until this is detected, and requests that are counted here but never reach an engine.
+	// to be healthy. The rest covers what a version receives between becoming faulty late and
+	// being detected, and requests that are counted here but never reach an engine.
 	exposureMargin = 0.6
-	// slackMargin is the same for the slack: the first look at a version needs some answers
-	// before many requests have arrived.
+	// slackMargin is the corresponding part of the slack, which provides the first answers of a
+	// version before many requests have arrived.
 	slackMargin = 0.5
 	// moveAfter is the part of the period after which a version that is known to be healthy
 	// gets more requests: some versions become faulty only after a while, and streams need
@@ -35,9 +35,10 @@
 	// test is judged by the evidence there is.
 	decideAfter = 0.85
 	// cutoverTime is how long the engines of the old version continue to run repeatable
-	// requests.
+	// requests after the cutover began.
 	cutoverTime = 700 * time.Millisecond
-	// minAnswers is the minimum number of answers for this judgement.
+	// minAnswers is the minimum number of the new version's answers for the judgement after
+	// decideAfter.
 	minAnswers = 10
 	// minLoadedAnswers is the number of answers that a version must have given under load.
 	minLoadedAnswers = 20
@@ -57,9 +58,9 @@
 	// minReservation is the minimum number of additional requests for which a ledger is
 	// written.
 	minReservation = 10
-	// writeRetryInterval is the time after which a write is repeated that wasn't answered or
-	// didn't appear in the store: the store answers in milliseconds, and hosts read changes
-	// within half a second.
+	// writeRetryInterval is the time after which a write is repeated if the store hasn't
+	// answered it or its change hasn't been read: the store answers in milliseconds, and hosts
+	// read changes within half a second.
 	writeRetryInterval = time.Second
 	// leaderTimeout is the time after which a host that hasn't called Writes no longer counts
 	// as the leader: five times the interval between two calls.
--- a/rollout/policy_test.go
+++ b/rollout/policy_test.go
@@ -313,8 +313,8 @@
 	assert.Equal(t, other.rol.Access(other.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true})
 }
 
-// The next leader continues from what the store holds: the exposure isn't counted anew, and
-// little of the evidence is lost.
+// The next leader continues from what the store holds: the count of requests sent to the new
+// version isn't reset, and little of the evidence is lost.
 func TestNextLeaderContinuesFromLedger(t *testing.T) {
 	sim := newSimulation(4)
 	sim.run(6 * time.Second)
@@ -329,7 +329,8 @@
 	assert.Assert(t, float64(sim.store.stored.Ledger.Reserved) <= share*float64(sim.requests)+slack)
 }
 
-// A host that is no longer the leader sends no request to the new version, in any phase.
+// A host that is no longer the leader sends no request to the new version, neither in the
+// canary phase nor while requests move.
 func TestFormerLeaderGrantsNothingToNewVersion(t *testing.T) {
 	for _, tst := range []struct {
 		until time.Duration
