--- a/quarantine/doubt.go
+++ b/quarantine/doubt.go
@@ -6,91 +6,93 @@
 	"lynxwell.dev/lynxwell/call"
 )
 
-// doubtKey names a request and the run of an engine that it was at.
-type doubtKey struct {
+// unconfirmedKey identifies a request and the engine run that it was sent to.
+type unconfirmedKey struct {
 	digest call.Digest
 	engine string
 }
 
-// doubt is a request whose connection to its engine ended, without it being known whether
-// the engine did.
-type doubt struct {
-	observed Observation
-	since    time.Time
+// unconfirmedCrash is a request whose connection to its engine ended while it isn't known
+// whether the engine crashed.
+type unconfirmedCrash struct {
+	observation Observation
+	since       time.Time
 }
 
-// Doubt notes that the connection to an engine ended while it ran a request, but not
-// whether the engine did: it may be the link, or one broken answer, and by the time that
-// the host looked another run may have been there. The list of engines will tell.
+// Doubt records that the connection to an engine ended while it ran a request,
+// with the crash of the engine unconfirmed: the link may have failed or one answer may have
+// been invalid, and another run of the engine may have started before the host checked.
+// EnginesChanged resolves it by the registered engines.
 func (reg *Registry) Doubt(now time.Time, obs Observation) {
-	reg.forget(now)
-	if obs.Digest == (call.Digest{}) || len(reg.doubts) >= maxCases {
+	reg.prune(now)
+	if obs.Digest == (call.Digest{}) || len(reg.unconfirmed) >= maxCases {
 		return
 	}
-	key := doubtKey{digest: obs.Digest, engine: obs.Engine}
-	if _, known := reg.doubts[key]; !known {
-		reg.doubted[key.digest]++
+	key := unconfirmedKey{digest: obs.Digest, engine: obs.Engine}
+	if _, known := reg.unconfirmed[key]; !known {
+		reg.unconfirmedCounts[key.digest]++
 	}
-	reg.doubts[key] = doubt{observed: obs, since: now}
+	reg.unconfirmed[key] = unconfirmedCrash{observation: obs, since: now}
 }
 
-// Engine is a run of an engine that is known.
+// Engine is a registered run of an engine.
 type Engine struct {
-	// Run is its name and start.
+	// Run is the engine's name and start.
 	Run string
-	// Leaving engines end as planned.
+	// Leaving reports whether the engine is draining, so that its exit is planned.
 	Leaving bool
 }
 
-// EnginesChanged takes the engines that are known now. It returns the ends that were in
-// doubt and are certain by this: the run is known no more, and never said that it leaves.
+// EnginesChanged applies the list of registered engines. It returns the unconfirmed crashes
+// that this list confirms: those whose engine run isn't registered any more and was never seen
+// draining.
 func (reg *Registry) EnginesChanged(now time.Time, engines []Engine) []Observation {
-	if len(reg.doubts) == 0 {
+	if len(reg.unconfirmed) == 0 {
 		return nil
 	}
-	leaving := make(map[string]bool, len(engines))
+	draining := make(map[string]bool, len(engines))
 	for _, eng := range engines {
-		leaving[eng.Run] = eng.Leaving
+		draining[eng.Run] = eng.Leaving
 	}
-	var certain []Observation
-	for key, dou := range reg.doubts {
-		leaves, known := leaving[key.engine]
+	var confirmed []Observation
+	for key, ucr := range reg.unconfirmed {
+		isDraining, registered := draining[key.engine]
 		switch {
-		case leaves || now.Sub(dou.since) > doubtFor:
-			reg.settleDoubt(key)
-		case !known:
-			reg.settleDoubt(key)
-			obs := dou.observed
-			obs.Ran += now.Sub(dou.since)
-			certain = append(certain, obs)
+		case isDraining || now.Sub(ucr.since) > unconfirmedTTL:
+			reg.removeUnconfirmed(key)
+		case !registered:
+			reg.removeUnconfirmed(key)
+			obs := ucr.observation
+			obs.Ran += now.Sub(ucr.since)
+			confirmed = append(confirmed, obs)
 		}
 	}
-	return certain
+	return confirmed
 }
 
-func (reg *Registry) settleDoubt(key doubtKey) {
-	delete(reg.doubts, key)
-	reg.doubted[key.digest]--
-	if reg.doubted[key.digest] <= 0 {
-		delete(reg.doubted, key.digest)
+func (reg *Registry) removeUnconfirmed(key unconfirmedKey) {
+	delete(reg.unconfirmed, key)
+	reg.unconfirmedCounts[key.digest]--
+	if reg.unconfirmedCounts[key.digest] <= 0 {
+		delete(reg.unconfirmedCounts, key.digest)
 	}
 }
 
-func (reg *Registry) settleDoubtsOf(dig call.Digest) {
-	if reg.doubted[dig] == 0 {
+func (reg *Registry) removeUnconfirmedOf(dig call.Digest) {
+	if reg.unconfirmedCounts[dig] == 0 {
 		return
 	}
-	for key := range reg.doubts {
+	for key := range reg.unconfirmed {
 		if key.digest == dig {
-			reg.settleDoubt(key)
+			reg.removeUnconfirmed(key)
 		}
 	}
 }
 
-func (reg *Registry) forgetDoubts(now time.Time) {
-	for key, dou := range reg.doubts {
-		if now.Sub(dou.since) > doubtFor {
-			reg.settleDoubt(key)
+func (reg *Registry) pruneUnconfirmed(now time.Time) {
+	for key, ucr := range reg.unconfirmed {
+		if now.Sub(ucr.since) > unconfirmedTTL {
+			reg.removeUnconfirmed(key)
 		}
 	}
 }
