--- a/host/actions.go
+++ b/host/actions.go
@@ -13,27 +13,28 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// questionTimeout bounds a question to another host.
-const questionTimeout = time.Second
+// peerCallTimeout bounds a call to another host.
+const peerCallTimeout = time.Second
 
-// maxKeptAnswers bounds the bytes of finished answers that are kept for repeats.
-const maxKeptAnswers = 16 << 20
+// maxRetainedBytes bounds the memory for finished answers, which are retained for
+// repeated requests.
+const maxRetainedBytes = 16 << 20
 
 func (lop *loop) count(name string) {
 	metrics.GetOrRegisterCounter(name, lop.host.metrics).Inc(1)
 }
 
-// gatewayAction carries out one action of the gateway.
+// gatewayAction executes one action of the gateway core.
 func (lop *loop) gatewayAction(now time.Time, act gateway.Action) {
 	switch act := act.(type) {
 	case gateway.Attach:
-		lop.decide(act.Caller, caller.Attached{Exchange: lop.jobOf(act.ID, act.Caller).exchange})
+		lop.deliverDecision(act.Caller, caller.Attached{Exchange: lop.jobOf(act.ID, act.Caller).exchange})
 	case gateway.Answer:
 		lop.count("Finals." + string(act.Final.Cause))
-		lop.decide(act.Caller, caller.Answered{Final: act.Final})
+		lop.deliverDecision(act.Caller, caller.Answered{Final: act.Final})
 	case gateway.Relay:
 		lop.count("Relays")
-		lop.decide(act.Caller, caller.Relayed{To: act.To})
+		lop.deliverDecision(act.Caller, caller.Relayed{To: act.To})
 	case gateway.Finish:
 		lop.count("Finals." + string(act.Final.Cause))
 		lop.logUndecided(act)
@@ -52,34 +53,35 @@
 			jb.cancel()
 		}
 	case gateway.Forget:
-		lop.dropKept(act.ID)
+		lop.dropAnswer(act.ID)
 		delete(lop.jobs, act.ID)
 	case gateway.Send:
 		lop.sendToCoordinator(now, act.To, act.Message)
 	case gateway.AskFence:
-		lop.askFence(now, act)
+		lop.sendFence(now, act)
 	case gateway.SendVouch:
-		lop.sendVouch(now, act)
+		lop.sendAttestation(now, act)
 	case gateway.SendUnvouch:
-		lop.sendUnvouch(now, act)
+		lop.revokeAttestation(now, act)
 	}
 }
 
-// logUndecided says which granters kept a request from being decided.
+// logUndecided logs the fencing state of each granter when a request failed with
+// CauseUndecided.
 func (lop *loop) logUndecided(act gateway.Finish) {
 	if act.Final.Cause != gateway.CauseUndecided {
 		return
 	}
-	words := zerolog.Arr()
-	for _, wor := range act.Granters {
-		words.Dict(zerolog.Dict().Str("Host", wor.Granter.Name).Stringer("Epoch", wor.Granter.Epoch).
-			Stringer("Standing", wor.Standing).Bool("Stopped", wor.Stopped))
+	answers := zerolog.Arr()
+	for _, ans := range act.Granters {
+		answers.Dict(zerolog.Dict().Str("Host", ans.Granter.Name).Stringer("Epoch", ans.Granter.Epoch).
+			Stringer("Standing", ans.Standing).Bool("Stopped", ans.Stopped))
 	}
-	lop.host.log.Info().Stringer("RequestID", act.ID).Array("Granters", words).Msg("request not decided")
+	lop.host.log.Info().Stringer("RequestID", act.ID).Array("Granters", answers).Msg("fencing could not determine whether the request ran")
 }
 
-// decide tells a waiting caller what the gateway has decided.
-func (lop *loop) decide(num gateway.CallerID, dec caller.Decision) {
+// deliverDecision passes the gateway's decision to the waiting client request.
+func (lop *loop) deliverDecision(num gateway.CallerID, dec caller.Decision) {
 	arr := lop.pending[num]
 	if arr == nil {
 		return
@@ -88,7 +90,8 @@
 	arr.decision <- dec
 }
 
-// jobOf returns the request's job; the caller that brings it first brings its work.
+// jobOf returns the request's job. The first client request with the id creates the
+// job and supplies its work.
 func (lop *loop) jobOf(id request.ID, num gateway.CallerID) *job {
 	jb := lop.jobs[id]
 	if jb == nil {
@@ -101,7 +104,8 @@
 	return jb
 }
 
-// runner sends a request to an engine, or resumes it there, and returns how it ended.
+// runner dispatches a request to an engine, or resumes its answer there, and returns
+// the result.
 type runner func(ctx context.Context, id request.ID, engine string, jb *job) gateway.Result
 
 func (lop *loop) runJob(id request.ID, engine string, run runner) {
@@ -116,44 +120,44 @@
 		res := run(ctx, id, engine, jb)
 		lop.post(func(now time.Time) {
 			lop.gatewayEvent(now, gateway.EngineDone{ID: id, Result: res})
-			lop.keepAnswer(id, jb)
+			lop.retainAnswer(id, jb)
 		})
 	})
 }
 
-// keepAnswer keeps a finished answer for repeats, and drops the oldest ones
-// where they take too much memory.
-func (lop *loop) keepAnswer(id request.ID, jb *job) {
-	lop.keptBytes += jb.exchange.Size() - jb.kept
-	jb.kept = jb.exchange.Size()
-	lop.keptOrder = append(lop.keptOrder, id)
-	for len(lop.keptOrder) > 0 {
-		oldest := lop.keptOrder[0]
-		if lop.keptBytes <= maxKeptAnswers && lop.jobs[oldest] != nil {
+// retainAnswer retains a finished answer for repeated requests. It drops the oldest
+// answers while the total exceeds maxRetainedBytes.
+func (lop *loop) retainAnswer(id request.ID, jb *job) {
+	lop.retainedBytes += jb.exchange.Size() - jb.retained
+	jb.retained = jb.exchange.Size()
+	lop.retainedOrder = append(lop.retainedOrder, id)
+	for len(lop.retainedOrder) > 0 {
+		oldest := lop.retainedOrder[0]
+		if lop.retainedBytes <= maxRetainedBytes && lop.jobs[oldest] != nil {
 			break
 		}
-		lop.keptOrder = lop.keptOrder[1:]
-		lop.dropKept(oldest)
+		lop.retainedOrder = lop.retainedOrder[1:]
+		lop.dropAnswer(oldest)
 	}
 }
 
-// dropKept gives up the answer that is kept of a request, if any.
-func (lop *loop) dropKept(id request.ID) {
+// dropAnswer drops the retained answer of a request, if there is one.
+func (lop *loop) dropAnswer(id request.ID) {
 	jb := lop.jobs[id]
 	if jb == nil {
 		return
 	}
-	lop.keptBytes -= jb.kept
-	jb.kept = 0
+	lop.retainedBytes -= jb.retained
+	jb.retained = 0
 	jb.exchange.Drop()
 }
 
-func (lop *loop) askFence(now time.Time, act gateway.AskFence) {
+func (lop *loop) sendFence(now time.Time, act gateway.AskFence) {
 	lop.count("Fences")
 	if act.To.Epoch == lop.host.epoch {
 		ans, actions := lop.coordinator.Fence(now, act.Fence)
 		lop.coordinatorActions(now, actions)
-		// Not at once: the gateway may be asking several hosts in one go.
+		// Not synchronously: the gateway may still be sending fences to other hosts.
 		lop.host.spawn(func() {
 			lop.post(func(now time.Time) {
 				lop.gatewayEvent(now, gateway.FenceAnswered{Ballot: act.Fence.Ballot, Answer: ans})
@@ -163,7 +167,7 @@
 	}
 	ctx := lop.ctx
 	lop.host.spawn(func() {
-		ctx, cancel := context.WithTimeout(ctx, questionTimeout)
+		ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		defer cancel()
 		ans, err := lop.host.peers.Fence(ctx, act.To, act.Fence)
 		lop.post(func(now time.Time) {
@@ -176,7 +180,7 @@
 	})
 }
 
-func (lop *loop) sendVouch(now time.Time, act gateway.SendVouch) {
+func (lop *loop) sendAttestation(now time.Time, act gateway.SendVouch) {
 	lop.count("Vouches")
 	if act.To.Epoch == lop.host.epoch {
 		lop.coordinator.Vouch(now, act.Vouch)
@@ -184,15 +188,15 @@
 	}
 	ctx := lop.ctx
 	lop.host.spawn(func() {
-		ctx, cancel := context.WithTimeout(ctx, questionTimeout)
+		ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		defer cancel()
 		if err := lop.host.peers.Vouch(ctx, act.To, act.Vouch); err != nil {
-			lop.host.log.Warn().Err(err).Str("To", act.To.Name).Msg("vouch didn't arrive")
+			lop.host.log.Warn().Err(err).Str("To", act.To.Name).Msg("sending the attestation of lost grants to a peer failed")
 		}
 	})
 }
 
-func (lop *loop) sendUnvouch(now time.Time, act gateway.SendUnvouch) {
+func (lop *loop) revokeAttestation(now time.Time, act gateway.SendUnvouch) {
 	if act.To.Epoch == lop.host.epoch {
 		ans := lop.coordinator.Unvouch(act.Unvouch)
 		lop.gatewayEvent(now, gateway.Unvouched{Voucher: act.To.Epoch, Answer: ans})
@@ -200,7 +204,7 @@
 	}
 	ctx := lop.ctx
 	lop.host.spawn(func() {
-		ctx, cancel := context.WithTimeout(ctx, questionTimeout)
+		ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		defer cancel()
 		ans, err := lop.host.peers.Unvouch(ctx, act.To, act.Unvouch)
 		if err != nil {
@@ -212,7 +216,7 @@
 	})
 }
 
-// drainCores has both cores take nothing new.
+// drainCores makes both cores reject new work.
 func (lop *loop) drainCores(now time.Time) {
 	lop.gatewayEvent(now, gateway.Drain{})
 	lop.coordinatorEvent(now, coordinator.Drain{})
--- a/host/keep_test.go
+++ b/host/answers_test.go
@@ -13,7 +13,8 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-func endedJob(lop *loop, unique string, size int) (request.ID, *job) {
+// finishedJob adds a job with a finished answer of size bytes to the loop.
+func finishedJob(lop *loop, unique string, size int) (request.ID, *job) {
 	id := request.ID{Unique: unique}
 	jb := &job{exchange: caller.NewExchange()}
 	jb.exchange.Head(http.StatusOK, nil)
@@ -23,30 +24,31 @@
 	return id, jb
 }
 
-// Answers that were forgotten must not count against those that are kept.
-func TestForgottenAnswersLeaveRoomForOthers(t *testing.T) {
+// Forgotten answers must not count against the memory for retained answers; otherwise
+// answers would be dropped although there is room for them.
+func TestForgottenAnswersDoNotCountAsRetained(t *testing.T) {
 	hos, _ := newTestHost(t)
 	for num := range 40 {
-		id, jb := endedJob(hos.loop, fmt.Sprint(num), 1<<20)
-		hos.loop.keepAnswer(id, jb)
+		id, jb := finishedJob(hos.loop, fmt.Sprint(num), 1<<20)
+		hos.loop.retainAnswer(id, jb)
 		hos.loop.gatewayAction(time.Now(), gateway.Forget{ID: id})
 	}
-	id, jb := endedJob(hos.loop, "last", 1000)
-	hos.loop.keepAnswer(id, jb)
+	id, jb := finishedJob(hos.loop, "last", 1000)
+	hos.loop.retainAnswer(id, jb)
 	assert.Equal(t, jb.exchange.Size(), 1000)
-	assert.Equal(t, hos.loop.keptBytes, 1000)
-	assert.Equal(t, len(hos.loop.keptOrder), 1)
+	assert.Equal(t, hos.loop.retainedBytes, 1000)
+	assert.Equal(t, len(hos.loop.retainedOrder), 1)
 }
 
 func TestOldestAnswersAreDroppedFirst(t *testing.T) {
 	hos, _ := newTestHost(t)
 	var jobs []*job
 	for num := range 20 {
-		id, jb := endedJob(hos.loop, fmt.Sprint(num), 1<<20)
-		hos.loop.keepAnswer(id, jb)
+		id, jb := finishedJob(hos.loop, fmt.Sprint(num), 1<<20)
+		hos.loop.retainAnswer(id, jb)
 		jobs = append(jobs, jb)
 	}
 	assert.Equal(t, jobs[0].exchange.Size(), 0)
 	assert.Equal(t, jobs[19].exchange.Size(), 1<<20)
-	assert.Assert(t, hos.loop.keptBytes <= maxKeptAnswers)
+	assert.Assert(t, hos.loop.retainedBytes <= maxRetainedBytes)
 }
--- a/host/callerbackend.go
+++ b/host/callerbackend.go
@@ -13,8 +13,8 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// Addresses implements caller.Backend. It lists the active hosts whose prefix
-// is known here.
+// Addresses implements caller.Backend. It lists the active hosts whose request id
+// prefix is known to this host.
 func (hos *Host) Addresses() caller.Addresses {
 	vie := hos.shared.view()
 	ans := caller.Addresses{View: vie.Number, KeepSeconds: int(hos.set.Timing.KeepAddresses.Std().Seconds())}
@@ -30,8 +30,8 @@
 	return ans
 }
 
-// prefixOf returns the prefix of a member's gateway, as far as it has told its
-// view and window.
+// prefixOf returns the request id prefix of a member's gateway. It is known once the
+// member has reported a view that contains it, and its window.
 func (hos *Host) prefixOf(mem view.Member) (request.Prefix, bool) {
 	if mem.Epoch == hos.epoch {
 		return hos.prefix(), !hos.draining.Load()
@@ -58,8 +58,8 @@
 	return member
 }
 
-// uniqueLen is the length of the unique part of an id made here, in bytes of
-// randomness.
+// uniqueLen is the number of random bytes in the unique part of an id that NewID
+// generates.
 const uniqueLen = 9
 
 // NewID implements caller.Backend.
@@ -76,16 +76,17 @@
 
 // Arrive implements caller.Backend.
 func (hos *Host) Arrive(ctx context.Context, arr gateway.Arrived, work caller.Work) (caller.Decision, error) {
-	return hos.decideOn(ctx, arr, arr, work)
+	return hos.awaitDecision(ctx, arr, arr, work)
 }
 
 // RelayFailed implements caller.Backend.
 func (hos *Host) RelayFailed(ctx context.Context, arr gateway.Arrived, to view.Member, work caller.Work) (caller.Decision, error) {
-	return hos.decideOn(ctx, arr, gateway.RelayFailed{Arrived: arr, To: to.Epoch}, work)
+	return hos.awaitDecision(ctx, arr, gateway.RelayFailed{Arrived: arr, To: to.Epoch}, work)
 }
 
-// decideOn has the gateway decide about a caller's request.
-func (hos *Host) decideOn(ctx context.Context, arr gateway.Arrived, evt gateway.Event, work caller.Work) (caller.Decision, error) {
+// awaitDecision passes an event about a client's request to the gateway and waits for
+// its decision.
+func (hos *Host) awaitDecision(ctx context.Context, arr gateway.Arrived, evt gateway.Event, work caller.Work) (caller.Decision, error) {
 	waiting := &arrival{work: work, rank: arr.Spec.Rank, decision: make(chan caller.Decision, 1)}
 	hos.loop.post(func(now time.Time) {
 		hos.loop.pending[arr.Caller] = waiting
@@ -102,8 +103,8 @@
 	}
 }
 
-// dropArrival detaches a caller that left before it took its decision. The
-// decision was made when the arrival was handled, which is before this.
+// dropArrival detaches a client that disconnected before it received its decision. The
+// loop has already handled the arrival, so a decision that was made is in the channel.
 func (lop *loop) dropArrival(now time.Time, arr gateway.Arrived, waiting *arrival) {
 	delete(lop.pending, arr.Caller)
 	select {
@@ -124,8 +125,8 @@
 func (hos *Host) Alive(ctx context.Context, mem view.Member) error {
 	timeout := hos.set.Timing.PeerTimeout.Std()
 	for {
-		asking, cancel := context.WithTimeout(ctx, timeout)
-		_, err := hos.peers.Probe(asking, mem)
+		callCtx, cancel := context.WithTimeout(ctx, timeout)
+		_, err := hos.peers.Probe(callCtx, mem)
 		cancel()
 		if err != nil {
 			return err
@@ -142,18 +143,18 @@
 	case hos.shared.currentProblem() != "":
 		return false, hos.shared.currentProblem()
 	case hos.draining.Load():
-		return false, "the host is leaving"
+		return false, "the host is draining"
 	case hos.shared.view().Number == 0:
-		return false, "the host knows no view yet"
+		return false, "the host has not received a view yet"
 	case hos.Configuration().Revision == 0:
-		return false, "the host knows no configuration yet"
+		return false, "the host has not received a configuration yet"
 	default:
 		return true, ""
 	}
 }
 
-// Connected reports whether the host's view has so many members and a session
-// with each of the others stands.
+// Connected reports whether the host's view has exactly the given number of members
+// and a session is open with each peer that the gateway connects to.
 func (hos *Host) Connected(members int) bool {
 	vie := hos.shared.view()
 	if len(vie.Members) != members {
--- a/host/catchup.go
+++ b/host/catchup.go
@@ -14,27 +14,28 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// noteHeader takes note of what a peer says of itself, and has this host
-// fetch what the peer has and it has not.
-func (hos *Host) noteHeader(hea peer.Header, mem view.Member) {
-	hos.shared.noteHeader(hea)
+// recordHeader records the header that a peer reported. If the peer has a newer view or
+// configuration, it triggers a fetch from that peer.
+func (hos *Host) recordHeader(hea peer.Header, mem view.Member) {
+	hos.shared.recordHeader(hea)
 	if hea.View <= hos.shared.view().Number && hea.Revision <= hos.Configuration().Revision {
 		return
 	}
 	select {
-	case hos.ahead <- mem.PeerAddress:
+	case hos.aheadPeers <- mem.PeerAddress:
 	default:
-		// A fetch is due anyway; the next header asks again.
+		// A fetch is already pending; the next header triggers another one.
 	}
 }
 
-// catchUp fetches views and configuration from peers that are ahead.
+// catchUp fetches views and configuration from peers that have newer ones, until the
+// context ends.
 func (hos *Host) catchUp(ctx context.Context) error {
 	for {
 		select {
-		case adr := <-hos.ahead:
+		case adr := <-hos.aheadPeers:
 			if err := hos.fetchFrom(ctx, adr); err != nil {
-				hos.log.Debug().Err(err).Stringer("Peer", adr).Msg("couldn't catch up")
+				hos.log.Debug().Err(err).Stringer("Peer", adr).Msg("fetching newer views and configuration from a peer failed")
 				if !task.Sleep(ctx, minBackoff) {
 					return ctx.Err()
 				}
@@ -45,15 +46,16 @@
 	}
 }
 
-// fetchFrom fetches what the peer has and this host has not.
+// fetchFrom fetches and applies the views and configuration of the peer that are newer
+// than those of this host.
 func (hos *Host) fetchFrom(ctx context.Context, adr netip.AddrPort) error {
-	asking, cancel := context.WithTimeout(ctx, questionTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	sta, err := hos.peers.FetchState(asking, adr, hos.shared.view().Number+1, hos.Configuration().Revision)
+	sta, err := hos.peers.FetchState(callCtx, adr, hos.shared.view().Number+1, hos.Configuration().Revision)
 	if err != nil {
 		return err
 	}
-	if err := hos.takeViews(ctx, sta.Views); err != nil {
+	if err := hos.applyEncodedViews(ctx, sta.Views); err != nil {
 		return err
 	}
 	if len(sta.Head) == 0 {
@@ -66,13 +68,14 @@
 	return hos.applyHead(ctx, hea, func(_ context.Context, ref resource.PartRef) ([]byte, error) {
 		data, sent := sta.Parts[ref.Digest]
 		if !sent {
-			return nil, &resource.PartError{Digest: ref.Digest, Reason: "not sent by the peer"}
+			return nil, &resource.PartError{Digest: ref.Digest, Reason: "missing in the peer's answer"}
 		}
 		return data, nil
 	})
 }
 
-func (hos *Host) takeViews(ctx context.Context, raw [][]byte) error {
+// applyEncodedViews decodes views from JSON and applies them on the loop.
+func (hos *Host) applyEncodedViews(ctx context.Context, raw [][]byte) error {
 	var views []view.View
 	for _, data := range raw {
 		var vie view.View
@@ -81,18 +84,18 @@
 		}
 		views = append(views, vie)
 	}
-	_, err := ask(ctx, hos.loop, func(now time.Time) struct{} {
+	_, err := callLoop(ctx, hos.loop, func(now time.Time) struct{} {
 		for _, vie := range views {
-			hos.loop.takeView(now, vie)
+			hos.loop.applyView(now, vie)
 		}
 		return struct{}{}
 	})
 	return err
 }
 
-// askSeeds has a host that starts while the platform is out learn views and
-// configuration from the peers that its settings name.
-func (hos *Host) askSeeds(ctx context.Context) {
+// fetchFromSeeds fetches views and configuration from the peers listed in the settings,
+// so that a host can start while the platform is unavailable.
+func (hos *Host) fetchFromSeeds(ctx context.Context) {
 	if hos.shared.view().Number > 0 && hos.Configuration().Revision > 0 {
 		return
 	}
@@ -101,14 +104,15 @@
 			continue
 		}
 		if err := hos.fetchFrom(ctx, adr); err != nil {
-			hos.log.Debug().Err(err).Stringer("Seed", adr).Msg("seed didn't answer")
+			hos.log.Debug().Err(err).Stringer("Seed", adr).Msg("fetching views and configuration from a seed failed")
 		}
 	}
 }
 
-// fetchPast has a host that has just started learn the views before it from a
-// peer: ids of them may still come. It returns whether there is nothing left to learn.
-func (hos *Host) fetchPast(ctx context.Context) bool {
+// fetchPastViews fetches the views from before this host's start from a peer, since
+// requests with ids of those views may still arrive. It returns true when no further
+// fetch is needed.
+func (hos *Host) fetchPastViews(ctx context.Context) bool {
 	if hos.shared.view().Number <= 1 {
 		return true
 	}
@@ -116,11 +120,11 @@
 		if mem.Epoch == hos.epoch {
 			continue
 		}
-		asking, cancel := context.WithTimeout(ctx, questionTimeout)
-		sta, err := hos.peers.FetchState(asking, mem.PeerAddress, 1, hos.Configuration().Revision)
+		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
+		sta, err := hos.peers.FetchState(callCtx, mem.PeerAddress, 1, hos.Configuration().Revision)
 		cancel()
 		if err == nil {
-			return hos.takeViews(ctx, sta.Views) == nil
+			return hos.applyEncodedViews(ctx, sta.Views) == nil
 		}
 	}
 	return false
--- a/host/configuration.go
+++ b/host/configuration.go
@@ -14,22 +14,22 @@
 	"lynxwell.dev/lynxwell/task"
 )
 
-// The keys of the configuration on the platform. Parts stand apart, so that
-// storing one wakes no watch.
+// The configuration's keys on the platform. Chunks are stored outside watchedPrefix, so
+// that storing one triggers no watch.
 const (
 	keyConfigHead = watchedPrefix + "config/head"
-	partsPrefix   = "lynxwell-parts/"
+	chunksPrefix  = "lynxwell-parts/"
 )
 
-// changeTries bounds how often a change is tried against racing writers, lost
-// replies and short outages; changePause is the wait between.
+// maxChangeAttempts bounds the attempts to write a change despite concurrent writers, lost
+// replies and short outages. changeRetryDelay is the wait between attempts.
 const (
-	changeTries = 20
-	changePause = 100 * time.Millisecond
+	maxChangeAttempts = 20
+	changeRetryDelay  = 100 * time.Millisecond
 )
 
-// PlatformBehindError reports a platform that serves an older configuration
-// than the one in force.
+// PlatformBehindError reports that the platform stores an older configuration than the
+// active one, as it does after a restore from a backup.
 type PlatformBehindError struct {
 	Served  uint64
 	InForce uint64
@@ -37,7 +37,7 @@
 
 // Error names both revisions.
 func (per *PlatformBehindError) Error() string {
-	return fmt.Sprintf("the platform serves configuration revision %d, but %d is in force", per.Served, per.InForce)
+	return fmt.Sprintf("the platform stores configuration revision %d, older than the active revision %d; change not written", per.Served, per.InForce)
 }
 
 // Configuration implements caller.Backend and operator.Backend.
@@ -51,29 +51,31 @@
 	return acc, known
 }
 
-// partSource fetches a part of a configuration.
-type partSource func(ctx context.Context, ref resource.PartRef) ([]byte, error)
+// chunkSource fetches one chunk of a stored configuration. A chunk holds the JSON of a
+// group of resources and is stored under its SHA-256 digest.
+type chunkSource func(ctx context.Context, ref resource.PartRef) ([]byte, error)
 
-func partKey(ref resource.PartRef) string {
-	return fmt.Sprintf("%s%d-%s", partsPrefix, ref.Since, ref.Digest)
+func chunkKey(ref resource.PartRef) string {
+	return fmt.Sprintf("%s%d-%s", chunksPrefix, ref.Since, ref.Digest)
 }
 
-func (hos *Host) partFromPlatform(ctx context.Context, ref resource.PartRef) ([]byte, error) {
-	val, err := hos.store.Get(ctx, partKey(ref))
+func (hos *Host) chunkFromPlatform(ctx context.Context, ref resource.PartRef) ([]byte, error) {
+	val, err := hos.store.Get(ctx, chunkKey(ref))
 	if err != nil {
 		return nil, err
 	}
 	if val.Revision == 0 {
-		return nil, &resource.PartError{Digest: ref.Digest, Reason: "not on the platform"}
+		return nil, &resource.PartError{Digest: ref.Digest, Reason: "not found on the platform"}
 	}
 	return val.Data, nil
 }
 
-// collect returns the head's parts, from memory or from the source.
-func (hos *Host) collect(ctx context.Context, hea resource.Head, fetch partSource) (map[string][]byte, error) {
+// collectChunks returns the chunks that the head refers to, by digest. Those that
+// aren't in the cache are fetched.
+func (hos *Host) collectChunks(ctx context.Context, hea resource.Head, fetch chunkSource) (map[string][]byte, error) {
 	all := make(map[string][]byte, len(hea.Parts))
 	for _, ref := range hea.Parts {
-		data, known := hos.parts.get(ref.Digest)
+		data, known := hos.chunks.get(ref.Digest)
 		if !known {
 			var err error
 			if data, err = fetch(ctx, ref); err != nil {
@@ -85,53 +87,54 @@
 	return all, nil
 }
 
-// applyHead puts a configuration in force if its revision is higher than the
-// one in force. One that can't be applied is refused whole; the host then says
-// that it isn't ready.
-func (hos *Host) applyHead(ctx context.Context, hea resource.Head, fetch partSource) error {
+// applyHead activates a configuration if its revision is higher than the active one. A
+// configuration that can't be applied is rejected as a whole, and the host reports itself
+// as not ready.
+func (hos *Host) applyHead(ctx context.Context, hea resource.Head, fetch chunkSource) error {
 	if hea.Revision <= hos.Configuration().Revision {
 		return nil
 	}
-	all, err := hos.collect(ctx, hea, fetch)
+	all, err := hos.collectChunks(ctx, hea, fetch)
 	if err != nil {
 		return err
 	}
 	con, err := resource.Join(hea, all)
 	if err != nil {
-		hos.shared.setProblem(fmt.Sprintf("configuration revision %d can't be applied: %v", hea.Revision, err))
+		hos.shared.setProblem(fmt.Sprintf("applying configuration revision %d failed: %v", hea.Revision, err))
 		return err
 	}
-	_, err = ask(ctx, hos.loop, func(now time.Time) struct{} {
-		hos.loop.putInForce(now, hea, con, all)
+	_, err = callLoop(ctx, hos.loop, func(now time.Time) struct{} {
+		hos.loop.activateConfiguration(now, hea, con, all)
 		return struct{}{}
 	})
 	return err
 }
 
-// putInForce is where revisions only ever go up.
-func (lop *loop) putInForce(now time.Time, hea resource.Head, con resource.Configuration, all map[string][]byte) {
+// activateConfiguration makes a configuration the active one. It ignores revisions that
+// aren't higher than the active one.
+func (lop *loop) activateConfiguration(now time.Time, hea resource.Head, con resource.Configuration, all map[string][]byte) {
 	if con.Revision <= lop.host.Configuration().Revision {
 		return
 	}
-	lop.host.parts.keep(all)
-	lop.host.shared.config.Store(newInForce(hea, con))
+	lop.host.chunks.replace(all)
+	lop.host.shared.config.Store(newActiveConfig(hea, con))
 	lop.host.shared.setProblem("")
-	lop.applyConfiguration(now, con)
-	lop.host.shared.wake()
-	lop.host.log.Info().Uint64("Revision", con.Revision).Msg("configuration in force")
+	lop.deliverConfiguration(now, con)
+	lop.host.shared.notify()
+	lop.host.log.Info().Uint64("Revision", con.Revision).Msg("configuration active")
 }
 
 // Change implements operator.Backend.
 func (hos *Host) Change(ctx context.Context, cha resource.Change) (operator.ChangeResult, error) {
 	wrc := &writer{host: hos, change: cha}
 	var last error
-	for range changeTries {
+	for range maxChangeAttempts {
 		res, settled, err := wrc.try(ctx)
 		if settled {
 			return res, err
 		}
 		last = err
-		if !task.Sleep(ctx, changePause) {
+		if !task.Sleep(ctx, changeRetryDelay) {
 			break
 		}
 	}
@@ -141,45 +144,47 @@
 	return operator.ChangeResult{}, last
 }
 
-// writer brings one change onto the platform.
+// writer writes one change to the platform.
 type writer struct {
 	host   *Host
 	change resource.Change
-	// uncertain is set while a swap of the head may have taken effect unseen.
+	// uncertain is set if the reply to a swap of the head was lost, so that the swap may
+	// have taken effect.
 	uncertain bool
-	// created are the parts stored by a try that didn't get through.
+	// created are the chunks stored by an attempt whose head wasn't written.
 	created []resource.PartRef
 }
 
-// try makes one attempt; settled is false where another one makes sense.
+// try makes one attempt. It returns settled as false if another attempt may succeed.
 func (wrc *writer) try(ctx context.Context) (res operator.ChangeResult, settled bool, err error) {
 	val, err := wrc.host.store.Get(ctx, keyConfigHead)
 	if err != nil {
 		return res, false, err
 	}
-	former, err := parseHead(val.Data)
+	current, err := parseHead(val.Data)
 	if err != nil {
 		return res, true, err
 	}
-	wrc.dropCreated(ctx, former)
-	if rev, landed := former.Landed(wrc.change.ID); landed {
+	wrc.dropUnusedChunks(ctx, current)
+	if rev, landed := current.Landed(wrc.change.ID); landed {
 		wrc.uncertain = false
-		wrc.applied(ctx, former)
+		wrc.activate(ctx, current)
 		return operator.ChangeResult{Revision: rev}, true, nil
 	}
 	wrc.uncertain = false
-	if inForce := wrc.host.Configuration().Revision; former.Revision < inForce {
-		return res, false, &PlatformBehindError{Served: former.Revision, InForce: inForce}
+	if active := wrc.host.Configuration().Revision; current.Revision < active {
+		return res, false, &PlatformBehindError{Served: current.Revision, InForce: active}
 	}
-	return wrc.write(ctx, val, former)
+	return wrc.write(ctx, val, current)
 }
 
-func (wrc *writer) write(ctx context.Context, val store.Value, former resource.Head) (res operator.ChangeResult, settled bool, err error) {
-	all, err := wrc.host.collect(ctx, former, wrc.host.partFromPlatform)
+// write applies the change to the stored configuration and replaces its head.
+func (wrc *writer) write(ctx context.Context, val store.Value, current resource.Head) (res operator.ChangeResult, settled bool, err error) {
+	all, err := wrc.host.collectChunks(ctx, current, wrc.host.chunkFromPlatform)
 	if err != nil {
 		return res, false, err
 	}
-	con, err := resource.Join(former, all)
+	con, err := resource.Join(current, all)
 	if err != nil {
 		return res, true, err
 	}
@@ -190,30 +195,30 @@
 	if next.Revision == con.Revision {
 		return operator.ChangeResult{Revision: con.Revision, Unchanged: true}, true, nil
 	}
-	hea, parts, err := next.Split(former, wrc.change.ID)
+	hea, chunks, err := next.Split(current, wrc.change.ID)
 	if err != nil {
 		return res, true, err
 	}
-	if err := wrc.storeParts(ctx, hea, parts); err != nil {
+	if err := wrc.storeChunks(ctx, hea, chunks); err != nil {
 		return res, false, err
 	}
-	if err := wrc.swap(ctx, val.Revision, hea); err != nil {
+	if err := wrc.swapHead(ctx, val.Revision, hea); err != nil {
 		return res, false, err
 	}
 	wrc.created = nil
-	wrc.dropFormer(ctx, former, hea)
-	wrc.applied(ctx, hea)
+	wrc.dropUnreferenced(ctx, current, hea)
+	wrc.activate(ctx, hea)
 	return operator.ChangeResult{Revision: next.Revision}, true, nil
 }
 
-// storeParts stores the parts that are new. One that is there already was
-// stored by a former try or by a racing writer of the same content.
-func (wrc *writer) storeParts(ctx context.Context, hea resource.Head, parts map[string][]byte) error {
+// storeChunks stores the chunks that are new in this revision. A chunk that already exists
+// was stored by an earlier attempt or by a concurrent writer of the same content.
+func (wrc *writer) storeChunks(ctx context.Context, hea resource.Head, chunks map[string][]byte) error {
 	for _, ref := range hea.Parts {
 		if ref.Since != hea.Revision {
 			continue
 		}
-		_, err := wrc.host.store.Put(ctx, store.Write{Key: partKey(ref), Data: parts[ref.Digest]})
+		_, err := wrc.host.store.Put(ctx, store.Write{Key: chunkKey(ref), Data: chunks[ref.Digest]})
 		var cer *store.ConflictError
 		if err != nil && !errors.As(err, &cer) {
 			return err
@@ -223,7 +228,7 @@
 	return nil
 }
 
-func (wrc *writer) swap(ctx context.Context, expect store.Revision, hea resource.Head) error {
+func (wrc *writer) swapHead(ctx context.Context, expect store.Revision, hea resource.Head) error {
 	data, err := json.Marshal(hea)
 	if err != nil {
 		return errors.Wrap(err, "encode head")
@@ -234,26 +239,26 @@
 	return err
 }
 
-// applied puts the written configuration in force here; if that fails now, the
-// watch brings it.
-func (wrc *writer) applied(ctx context.Context, hea resource.Head) {
-	if err := wrc.host.applyHead(ctx, hea, wrc.host.partFromPlatform); err != nil {
-		wrc.host.log.Warn().Err(err).Uint64("Revision", hea.Revision).Msg("accepted configuration isn't in force here yet")
+// activate applies the written configuration on this host. If that fails, the host
+// receives the configuration through its watch.
+func (wrc *writer) activate(ctx context.Context, hea resource.Head) {
+	if err := wrc.host.applyHead(ctx, hea, wrc.host.chunkFromPlatform); err != nil {
+		wrc.host.log.Warn().Err(err).Uint64("Revision", hea.Revision).Msg("configuration accepted, but applying it on this host failed; waiting for the watch")
 	}
 }
 
-// dropFormer removes the parts that the new head no longer names. What can't
-// be removed is only a little waste.
-func (wrc *writer) dropFormer(ctx context.Context, former, hea resource.Head) {
-	for _, ref := range former.Parts {
+// dropUnreferenced deletes the chunks that the new head no longer refers to. A chunk whose
+// deletion fails only occupies storage.
+func (wrc *writer) dropUnreferenced(ctx context.Context, current, hea resource.Head) {
+	for _, ref := range current.Parts {
 		if _, kept := hea.Part(ref.Digest); !kept {
-			wrc.drop(ctx, ref)
+			wrc.dropChunk(ctx, ref)
 		}
 	}
 }
 
-// dropCreated removes the parts of a try that lost against another writer.
-func (wrc *writer) dropCreated(ctx context.Context, hea resource.Head) {
+// dropUnusedChunks deletes the chunks of an attempt that lost against another writer.
+func (wrc *writer) dropUnusedChunks(ctx context.Context, hea resource.Head) {
 	created := wrc.created
 	wrc.created = nil
 	for _, ref := range created {
@@ -261,18 +266,18 @@
 			continue
 		}
 		if ref.Since <= hea.Revision {
-			wrc.drop(ctx, ref)
+			wrc.dropChunk(ctx, ref)
 		}
 	}
 }
 
-func (wrc *writer) drop(ctx context.Context, ref resource.PartRef) {
-	val, err := wrc.host.store.Get(ctx, partKey(ref))
+func (wrc *writer) dropChunk(ctx context.Context, ref resource.PartRef) {
+	val, err := wrc.host.store.Get(ctx, chunkKey(ref))
 	if err != nil || val.Revision == 0 {
 		return
 	}
 	if _, err := wrc.host.store.Put(ctx, store.Write{Key: val.Key, Expect: val.Revision, Delete: true}); err != nil {
-		wrc.host.log.Debug().Err(err).Str("Key", val.Key).Msg("part not removed")
+		wrc.host.log.Debug().Err(err).Str("Key", val.Key).Msg("deleting an unreferenced configuration chunk failed")
 	}
 }
 
--- a/host/configuration_test.go
+++ b/host/configuration_test.go
@@ -14,7 +14,7 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// newTestHost returns a host that isn't started, over a store in memory.
+// newTestHost returns a host that isn't started, and its in-memory store.
 func newTestHost(t *testing.T) (*Host, *platformtest.Memory) {
 	t.Helper()
 	mem := platformtest.NewMemory(platformtest.MemoryConfig{})
@@ -24,35 +24,35 @@
 	return hos, mem
 }
 
-func configured(t *testing.T, revision uint64) (resource.Head, resource.Configuration, map[string][]byte) {
+// newConfiguration returns a configuration with one tier, whose rank is the revision.
+func newConfiguration(t *testing.T, revision uint64) (resource.Head, resource.Configuration, map[string][]byte) {
 	t.Helper()
 	entry := resource.Entry{Revision: revision, Resource: resource.Tier{Name: "Normal", Rank: int(revision)}}
 	con := resource.NewConfiguration(revision, []resource.Entry{entry})
-	hea, parts, err := con.Split(resource.Head{}, "change")
+	hea, chunks, err := con.Split(resource.Head{}, "change")
 	assert.NilError(t, err)
-	return hea, con, parts
+	return hea, con, chunks
 }
 
-// Whoever brings it, the platform or a peer, an older configuration never
-// replaces a newer one.
-func TestRevisionsOnlyGoUp(t *testing.T) {
+// An older configuration, from the platform or from a peer, must never replace a newer one.
+func TestOlderRevisionDoesNotReplaceNewer(t *testing.T) {
 	hos, _ := newTestHost(t)
-	for _, step := range []struct{ brought, inForce uint64 }{{3, 3}, {2, 3}, {3, 3}, {5, 5}, {4, 5}} {
-		hea, con, parts := configured(t, step.brought)
-		hos.loop.putInForce(time.Now(), hea, con, parts)
-		assert.Equal(t, hos.Configuration().Revision, step.inForce)
+	for _, step := range []struct{ received, active uint64 }{{3, 3}, {2, 3}, {3, 3}, {5, 5}, {4, 5}} {
+		hea, con, chunks := newConfiguration(t, step.received)
+		hos.loop.activateConfiguration(time.Now(), hea, con, chunks)
+		assert.Equal(t, hos.Configuration().Revision, step.active)
 		tier, _ := hos.Configuration().Tier("Normal")
-		assert.Equal(t, uint64(tier.Rank), step.inForce)
+		assert.Equal(t, uint64(tier.Rank), step.active)
 	}
 }
 
-// A platform that serves an older configuration, as after a restore, gets no
-// change on top of it.
-func TestChangeOnAnOlderPlatformIsRefused(t *testing.T) {
+// After a restore the platform may store an older configuration than the active one. A
+// change based on it would lose the newer revisions, so it must be rejected.
+func TestChangeIsRejectedWhenPlatformIsBehind(t *testing.T) {
 	hos, mem := newTestHost(t)
-	hea, con, parts := configured(t, 7)
-	hos.loop.putInForce(time.Now(), hea, con, parts)
-	old, _, _ := configured(t, 5)
+	hea, con, chunks := newConfiguration(t, 7)
+	hos.loop.activateConfiguration(time.Now(), hea, con, chunks)
+	old, _, _ := newConfiguration(t, 5)
 	data, err := json.Marshal(old)
 	assert.NilError(t, err)
 	_, err = mem.Put(t.Context(), store.Write{Key: keyConfigHead, Data: data})
@@ -60,5 +60,5 @@
 	wrc := &writer{host: hos, change: resource.Change{ID: "x"}}
 	_, settled, err := wrc.try(t.Context())
 	assert.Assert(t, !settled)
-	assert.ErrorContains(t, err, "serves configuration revision 5, but 7 is in force")
+	assert.ErrorContains(t, err, "stores configuration revision 5, older than the active revision 7")
 }
--- a/host/dispatch.go
+++ b/host/dispatch.go
@@ -16,17 +16,17 @@
 	"lynxwell.dev/lynxwell/task"
 )
 
-// resumeTries bounds how often a stream that broke off is resumed, and
-// resumePause is the wait before each.
+// maxResumeAttempts bounds the attempts to resume an interrupted stream. resumeDelay is
+// the wait before each attempt.
 const (
-	resumeTries = 5
-	resumePause = 200 * time.Millisecond
+	maxResumeAttempts = 5
+	resumeDelay       = 200 * time.Millisecond
 )
 
-// cancelTimeout bounds a cancellation.
+// cancelTimeout bounds the call that cancels a request on its engine.
 const cancelTimeout = 2 * time.Second
 
-// dispatch sends a request to its engine, once.
+// dispatch sends a request to its engine exactly once.
 func (hos *Host) dispatch(ctx context.Context, id request.ID, name string, jb *job) gateway.Result {
 	eng, known := hos.Configuration().Engine(name)
 	if !known {
@@ -47,41 +47,41 @@
 	dis := engine.Dispatch{Address: adr, ID: id, Priority: jb.priority, Body: work.Body}
 	res := hos.engines.Dispatch(ctx, dis, modelSink(jb.exchange))
 	if res.Dispatched && !res.Whole && !isRefusal(res.Err) {
-		res = hos.resumeBroken(ctx, id, adr, res, jb)
+		res = hos.resumeInterrupted(ctx, id, adr, res, jb)
 	}
-	return hos.endModel(ctx, id, adr, res, start, jb)
+	return hos.finishModel(ctx, id, adr, res, start, jb)
 }
 
-// resume reads the answer of a request that another gateway dispatched.
+// resume reads the answer to a request that another gateway dispatched.
 func (hos *Host) resume(ctx context.Context, id request.ID, name string, jb *job) gateway.Result {
 	eng, known := hos.Configuration().Engine(name)
 	_, isModel := jb.work.(caller.ModelWork)
 	if !known || !isModel {
-		// A plain service keeps no answers to read again.
+		// Engines of plain services retain no answers.
 		return gateway.Result{Dispatched: true, NotKnown: !known}
 	}
 	start := time.Now()
 	res := hos.engines.Resume(ctx, eng.Address, id, 0, modelSink(jb.exchange))
 	if res.Answered && !res.Whole && !isRefusal(res.Err) {
-		res = hos.resumeBroken(ctx, id, eng.Address, res, jb)
+		res = hos.resumeInterrupted(ctx, id, eng.Address, res, jb)
 	}
 	if res.NotKnown {
 		return gateway.Result{Dispatched: true, NotKnown: true}
 	}
-	return hos.endModel(ctx, id, eng.Address, res, start, jb)
+	return hos.finishModel(ctx, id, eng.Address, res, start, jb)
 }
 
-// resumeBroken reads on where a stream broke off.
-func (hos *Host) resumeBroken(ctx context.Context, id request.ID, adr netip.AddrPort, broken engine.Result, jb *job) engine.Result {
-	res := broken
-	for range resumeTries {
-		if !task.Sleep(ctx, resumePause) {
+// resumeInterrupted reads the rest of an interrupted stream from its engine.
+func (hos *Host) resumeInterrupted(ctx context.Context, id request.ID, adr netip.AddrPort, interrupted engine.Result, jb *job) engine.Result {
+	res := interrupted
+	for range maxResumeAttempts {
+		if !task.Sleep(ctx, resumeDelay) {
 			return res
 		}
 		next := hos.engines.Resume(ctx, adr, id, res.Events, modelSink(jb.exchange))
 		next.Dispatched = true
 		next.Answered = res.Answered || (next.Answered && !next.NotKnown)
-		next.FirstToken = broken.FirstToken
+		next.FirstToken = interrupted.FirstToken
 		if next.Whole || isRefusal(next.Err) {
 			return next
 		}
@@ -90,7 +90,9 @@
 	return res
 }
 
-func (hos *Host) endModel(ctx context.Context, id request.ID, adr netip.AddrPort, res engine.Result, start time.Time, jb *job) gateway.Result {
+// finishModel completes the exchange, or cancels a request whose client disconnected,
+// and returns the result for the gateway.
+func (hos *Host) finishModel(ctx context.Context, id request.ID, adr netip.AddrPort, res engine.Result, start time.Time, jb *job) gateway.Result {
 	var rer *engine.RefusalError
 	switch {
 	case res.Whole:
@@ -101,7 +103,7 @@
 		jb.exchange.Data(rer.Body)
 		jb.exchange.End(true)
 	case ctx.Err() != nil && res.Dispatched:
-		hos.cancelAt(id, adr)
+		hos.cancelOnEngine(id, adr)
 	}
 	cached := 0
 	if res.Usage.Details != nil {
@@ -120,16 +122,16 @@
 	return errors.As(err, &rer)
 }
 
-// cancelAt stops a request at its engine; it is no matter where that fails.
-func (hos *Host) cancelAt(id request.ID, adr netip.AddrPort) {
+// cancelOnEngine cancels a request on its engine, best effort.
+func (hos *Host) cancelOnEngine(id request.ID, adr netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	if err := hos.engines.Cancel(ctx, adr, id); err != nil {
-		hos.log.Debug().Err(err).Stringer("RequestID", id).Msg("cancellation failed")
+		hos.log.Debug().Err(err).Stringer("RequestID", id).Msg("canceling a request on its engine failed")
 	}
 }
 
-// modelSink adds a stream's events to the exchange.
+// modelSink returns a sink that appends a stream's events to the exchange.
 func modelSink(exc *caller.Exchange) engine.Sink {
 	return func(data []byte) {
 		exc.Head(http.StatusOK, http.Header{"Content-Type": {"text/event-stream"}, "Cache-Control": {"no-cache"}})
--- a/host/drain.go
+++ b/host/drain.go
@@ -12,22 +12,24 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// drainStep is how often a leaving host looks whether its last request has ended.
-const drainStep = 20 * time.Millisecond
+// drainPollInterval is how often a draining host checks for requests in flight.
+const drainPollInterval = 20 * time.Millisecond
 
-// successorCount is how many hosts get the ledger of one that stops.
+// successorCount is the number of hosts that receive the ledger of a stopping host.
 const successorCount = 2
 
-// handoverTimeout bounds the handing over of the ledger to one host.
+// handoverTimeout bounds the transfer of the ledger to one host.
 const handoverTimeout = 5 * time.Second
 
-// DrainError reports a drain that ended before the last request did.
+// DrainError reports a drain that ended while requests were still in flight.
 type DrainError struct {
+	// InFlight is the number of requests in flight.
 	InFlight int
-	Cause    error
+	// Cause is why the drain ended, such as a deadline.
+	Cause error
 }
 
-// Error names the requests left.
+// Error returns the number of requests in flight and the cause.
 func (der *DrainError) Error() string {
 	return fmt.Sprintf("drain ended with %d requests in flight: %v", der.InFlight, der.Cause)
 }
@@ -37,17 +39,17 @@
 	return der.Cause
 }
 
-// Drain makes a planned stop of the host: it takes nothing new, waits until the
-// last request has its answer, and hands its ledger over to other hosts. Stop
-// should follow.
+// Drain prepares the host for a planned stop: it rejects new work, waits until no request
+// is in flight, and hands its ledger over to other hosts. It returns a *DrainError if the
+// context ends first. Stop should follow.
 func (hos *Host) Drain(ctx context.Context) error {
 	hos.draining.Store(true)
-	hos.log.Info().Msg("host is leaving")
+	hos.log.Info().Msg("host is draining")
 	select {
-	case hos.leaving <- struct{}{}:
+	case hos.drainStarted <- struct{}{}:
 	default:
 	}
-	if _, err := ask(ctx, hos.loop, func(now time.Time) struct{} {
+	if _, err := callLoop(ctx, hos.loop, func(now time.Time) struct{} {
 		hos.loop.drainCores(now)
 		return struct{}{}
 	}); err != nil {
@@ -57,61 +59,63 @@
 		return err
 	}
 	hos.handOver(ctx)
-	return hos.closeCallers(ctx)
+	return hos.shutDownClientServer(ctx)
 }
 
-// waitIdle waits until no request is in flight here.
+// waitIdle waits until this gateway has no requests in flight.
 func (hos *Host) waitIdle(ctx context.Context) error {
 	for {
-		left, err := ask(ctx, hos.loop, func(time.Time) int { return hos.loop.gateway.InFlight() })
+		left, err := callLoop(ctx, hos.loop, func(time.Time) int { return hos.loop.gateway.InFlight() })
 		if err != nil {
 			return err
 		}
 		if left == 0 {
 			return nil
 		}
-		if !task.Sleep(ctx, drainStep) {
+		if !task.Sleep(ctx, drainPollInterval) {
 			return &DrainError{InFlight: left, Cause: ctx.Err()}
 		}
 	}
 }
 
-// closeCallers lets the last answers reach their callers.
-func (hos *Host) closeCallers(ctx context.Context) error {
-	return errors.Wrap(hos.servers[0].Shutdown(ctx), "close the callers' interface")
+// shutDownClientServer stops the client-facing server gracefully, so that answers being
+// sent are completed.
+func (hos *Host) shutDownClientServer(ctx context.Context) error {
+	return errors.Wrap(hos.servers[0].Shutdown(ctx), "shut down the client-facing server")
 }
 
-// handOver gives the ledger to hosts in different failure domains, so that
-// they can answer for what this one granted.
+// handOver sends the ledger to hosts in different failure domains, so that they can
+// answer fences for the requests that this host granted.
 func (hos *Host) handOver(ctx context.Context) {
-	han, err := ask(ctx, hos.loop, func(time.Time) reservation.Handover { return hos.loop.coordinator.Handover() })
+	han, err := callLoop(ctx, hos.loop, func(time.Time) reservation.Handover { return hos.loop.coordinator.Handover() })
 	if err != nil {
 		return
 	}
-	given := 0
+	sent := 0
 	for _, mem := range hos.successors() {
-		if given == successorCount {
+		if sent == successorCount {
 			return
 		}
 		if hos.handOverTo(ctx, mem, han) {
-			given++
+			sent++
 		}
 	}
-	hos.log.Warn().Int("Given", given).Msg("ledger handed over to fewer hosts than wanted")
+	hos.log.Warn().Int("Given", sent).Msg("ledger handed over to fewer hosts than required")
 }
 
 func (hos *Host) handOverTo(ctx context.Context, mem view.Member, han reservation.Handover) bool {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	if err := hos.peers.Handover(ctx, mem, han); err != nil {
-		hos.log.Warn().Err(err).Str("To", mem.Name).Msg("handover failed")
+		hos.log.Warn().Err(err).Str("To", mem.Name).Msg("handing over the ledger to a host failed")
 		return false
 	}
 	hos.log.Info().Str("To", mem.Name).Int("Records", len(han.Records)).Msg("ledger handed over")
 	return true
 }
 
-// successors returns the other active hosts, a new failure domain first.
+// successors returns the other active hosts, one of each failure domain before any
+// second one.
 func (hos *Host) successors() []view.Member {
 	var others []view.Member
 	for _, mem := range hos.shared.view().Active() {
--- a/host/dump.go
+++ b/host/dump.go
@@ -14,7 +14,7 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// Dump is the state of a process.
+// Dump is a snapshot of the state of a host, encoded as JSON for operators.
 type Dump struct {
 	Name        string
 	Epoch       request.Epoch
@@ -34,8 +34,8 @@
 	Jobs        int
 	KeptBytes   int
 	Inbox       int
-	// Goroutines counts all of the process; Tasks names the host's lasting ones,
-	// Spawned counts its dispatches and questions on their way.
+	// Goroutines counts all goroutines of the process. Tasks names the host's long-running
+	// ones, Spawned counts its current dispatches and calls to peers.
 	Goroutines int
 	Tasks      []string
 	Spawned    int64
@@ -44,7 +44,7 @@
 	Traffic    Traffic
 }
 
-// PeerDump is a session of this gateway with a coordinator.
+// PeerDump describes a session of this gateway with a coordinator.
 type PeerDump struct {
 	Name   string
 	Epoch  request.Epoch
@@ -53,7 +53,7 @@
 	Header peer.Header
 }
 
-// GatewayDump is a session of a gateway with this coordinator.
+// GatewayDump describes a session of a gateway with this coordinator.
 type GatewayDump struct {
 	Name   string
 	Epoch  request.Epoch
@@ -68,7 +68,7 @@
 
 // Dump implements operator.Backend.
 func (hos *Host) Dump(ctx context.Context) any {
-	dum, err := ask(ctx, hos.loop, hos.loop.dump)
+	dum, err := callLoop(ctx, hos.loop, hos.loop.dump)
 	if err != nil {
 		return struct{ Problem string }{err.Error()}
 	}
@@ -77,7 +77,7 @@
 	dum.HeapBytes = mem.HeapAlloc
 	dum.Goroutines = runtime.NumGoroutine()
 	dum.Tasks = hos.tasks.Names()
-	dum.Spawned = hos.spawnedNow.Load()
+	dum.Spawned = hos.spawnedCount.Load()
 	dum.Platform = hos.store.Counts()
 	dum.Traffic = Traffic{Received: hos.meter.Received(), Sent: hos.meter.Sent()}
 	return dum
@@ -92,7 +92,7 @@
 		Window: hos.window(), Revision: hos.Configuration().Revision,
 		View: hos.shared.view(), ViewsKept: len(hos.shared.viewsSince(0)),
 		Gateway: lop.gateway.Dump(now), Coordinator: lop.coordinator.Dump(now),
-		Jobs: len(lop.jobs), KeptBytes: lop.keptBytes, Inbox: len(lop.inbox),
+		Jobs: len(lop.jobs), KeptBytes: lop.retainedBytes, Inbox: len(lop.inbox),
 	}
 	for epo, out := range lop.outbound {
 		hea, _ := hos.shared.header(epo)
--- a/host/host.go
+++ b/host/host.go
@@ -1,5 +1,5 @@
-// Package host is one process of lynxwell: it wraps the pure decision cores of
-// the gateway and the coordinator, and connects them to callers, engines,
+// Package host runs one process of lynxwell: it wraps the pure decision cores of
+// the gateway and the coordinator, and connects them to clients, engines,
 // other hosts, the platform and operators.
 //
 // # Usage
@@ -7,11 +7,11 @@
 //	hos, err := host.New(host.Config{Settings: set, Log: log, Store: sto})
 //	err = hos.Start(ctx)
 //	...
-//	hos.Drain(ctx) // a planned stop: returns when the last request has ended
+//	hos.Drain(ctx) // planned stop: returns when no request is in flight
 //	hos.Stop()
 //
-// All decisions are made on one goroutine, the loop; everything else only
-// brings it events and carries out its actions.
+// All decisions are made on one goroutine, the loop. The other goroutines only
+// post events to it and execute its actions.
 package host
 
 import (
@@ -41,19 +41,19 @@
 	"lynxwell.dev/lynxwell/task"
 )
 
-// Config holds what a Host is made from.
+// Config is the configuration of a Host.
 type Config struct {
 	Settings settings.Settings
 	Log      zerolog.Logger
-	// Store is the platform's service.
+	// Store is the platform's key-value store.
 	Store store.Store
-	// Gateway and Coordinator may set what tests and benchmarks vary; the
-	// epoch and the start are filled in.
+	// Gateway and Coordinator may set the fields that tests and benchmarks vary. New sets
+	// the epoch, the start time and the periods from Settings.
 	Gateway     gateway.Config
 	Coordinator coordinator.Config
 }
 
-// Host is one process of the system.
+// Host is one process of the system, with a gateway and a coordinator.
 type Host struct {
 	cfg     Config
 	set     settings.Settings
@@ -72,23 +72,24 @@
 	callers  *caller.Server
 	meter    *peer.Meter
 
-	parts    *parts
+	chunks   *chunkCache
 	draining atomic.Bool
-	// leaving wakes the lease keeper when the host starts to leave.
-	leaving chan struct{}
-	// ahead names peers that have views or configuration that this host has not.
-	ahead chan netip.AddrPort
-	tasks *task.Group
-	// spawned waits for the short work beside the loop; spawnedNow counts it.
-	spawned    sync.WaitGroup
-	spawnedNow atomic.Int64
-	servers    []*http.Server
-	cancel     context.CancelFunc
-	// done is closed when every goroutine has ended.
+	// drainStarted wakes maintainLease when the host starts to drain, so that the
+	// membership entry is updated at once.
+	drainStarted chan struct{}
+	// aheadPeers are the addresses of peers that have newer views or configuration.
+	aheadPeers chan netip.AddrPort
+	tasks      *task.Group
+	// spawned waits for the short-lived goroutines; spawnedCount counts them.
+	spawned      sync.WaitGroup
+	spawnedCount atomic.Int64
+	servers      []*http.Server
+	cancel       context.CancelFunc
+	// done is closed when every goroutine of the host has ended.
 	done chan struct{}
 }
 
-// New returns a host; Start has it work.
+// New returns a host that isn't running yet; Start starts it.
 func New(cfg Config) (*Host, error) {
 	epoch, err := request.NewEpoch()
 	if err != nil {
@@ -101,14 +102,14 @@
 	hos := &Host{
 		tls: peerTLS,
 		cfg: cfg, set: cfg.Settings, epoch: epoch, started: time.Now(),
-		log:     cfg.Log.With().Str("Host", cfg.Settings.Name).Stringer("Epoch", epoch).Logger(),
-		store:   store.NewRecorder(cfg.Store),
-		metrics: metrics.NewRegistry(),
-		shared:  newShared(),
-		meter:   &peer.Meter{},
-		leaving: make(chan struct{}, 1),
-		ahead:   make(chan netip.AddrPort, 1),
-		done:    make(chan struct{}),
+		log:          cfg.Log.With().Str("Host", cfg.Settings.Name).Stringer("Epoch", epoch).Logger(),
+		store:        store.NewRecorder(cfg.Store),
+		metrics:      metrics.NewRegistry(),
+		shared:       newShared(),
+		meter:        &peer.Meter{},
+		drainStarted: make(chan struct{}, 1),
+		aheadPeers:   make(chan netip.AddrPort, 1),
+		done:         make(chan struct{}),
 	}
 	hos.peers = peer.NewClient(peer.ClientConfig{
 		Security: hos.security(), Timing: hos.timing(), Self: hos.Header, Meter: hos.meter,
@@ -116,18 +117,18 @@
 	hos.engines = engine.NewClient(engine.ClientConfig{})
 	hos.backends = backend.NewClient(backend.ClientConfig{})
 	hos.callers = caller.NewServer(caller.ServerConfig{Backend: hos, Log: hos.log, HostName: hos.set.Name})
-	hos.parts = newParts()
+	hos.chunks = newChunkCache()
 	hos.tasks = task.NewGroup(hos.log)
 	hos.loop = newLoop(hos)
 	return hos, nil
 }
 
-// Epoch returns the number of this process start.
+// Epoch returns the epoch of this process start.
 func (hos *Host) Epoch() request.Epoch {
 	return hos.epoch
 }
 
-// Done is closed when the host has stopped.
+// Done returns a channel that is closed when the host has stopped.
 func (hos *Host) Done() <-chan struct{} {
 	return hos.done
 }
@@ -140,8 +141,8 @@
 	return peer.Timing{Heartbeat: hos.set.Timing.Heartbeat.Std(), Timeout: hos.set.Timing.PeerTimeout.Std()}
 }
 
-// Start listens on the host's three addresses and starts its goroutines. They
-// end with Stop, not with the context, which bounds the start alone.
+// Start listens on the host's three addresses and starts its goroutines. The context
+// bounds only the start; the goroutines run until Stop.
 func (hos *Host) Start(ctx context.Context) error {
 	listeners, err := hos.listen(ctx)
 	if err != nil {
@@ -152,9 +153,9 @@
 	tasks := hos.tasks
 	tasks.Run("loop", func() error { return hos.loop.run(ctx) })
 	hos.serve(tasks, listeners)
-	tasks.Run("lease", func() error { return hos.keepLease(ctx) })
+	tasks.Run("lease", func() error { return hos.maintainLease(ctx) })
 	tasks.Run("membership", func() error { return hos.watchPlatform(ctx) })
-	tasks.Run("sessions", func() error { return hos.keepSessions(ctx) })
+	tasks.Run("sessions", func() error { return hos.maintainSessions(ctx) })
 	tasks.Run("catch-up", func() error { return hos.catchUp(ctx) })
 	tasks.Run("monitor", func() error { return hos.monitorEngines(ctx) })
 	go func() {
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// listeners are the host's three listening sockets.
+// listeners are the host's three listening sockets: for clients, peers and operators.
 type listeners struct {
 	caller, peer, operator net.Listener
 }
@@ -197,11 +198,11 @@
 	tks.Run("operators' server", func() error { return task.Served(hos.servers[2].Serve(lis.operator)) })
 }
 
-// Stop ends the host at once: requests in flight are cut.
+// Stop stops the host immediately and aborts the requests in flight.
 func (hos *Host) Stop() {
 	hos.cancel()
 	for _, srv := range hos.servers {
-		// The listeners are closed; what else fails has no consequence.
+		// Close always closes the listeners; other errors have no effect.
 		_ = srv.Close()
 	}
 	<-hos.done
@@ -212,11 +213,11 @@
 	hos.log.Info().Msg("host stopped")
 }
 
-// spawn runs short work beside the loop, which it reports back to by post.
+// spawn runs short-lived work in its own goroutine, which posts its result to the loop.
 func (hos *Host) spawn(work func()) {
-	hos.spawnedNow.Add(1)
+	hos.spawnedCount.Add(1)
 	hos.spawned.Go(func() {
-		defer hos.spawnedNow.Add(-1)
+		defer hos.spawnedCount.Add(-1)
 		work()
 	})
 }
--- a/host/loop.go
+++ b/host/loop.go
@@ -14,13 +14,14 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// tickInterval is how often time passes in the cores.
+// tickInterval is the interval of the cores' tick events.
 const tickInterval = 50 * time.Millisecond
 
-// inboxLen bounds the events that wait for the loop.
+// inboxLen is the capacity of the loop's queue of events.
 const inboxLen = 4096
 
-// loop owns both decision cores and all that their actions change.
+// loop owns both decision cores and the state that their actions change. Only its own
+// goroutine accesses that state.
 type loop struct {
 	host        *Host
 	inbox       chan func(now time.Time)
@@ -32,25 +33,25 @@
 	outbound    map[request.Epoch]*outbound
 	inbound     map[request.Epoch]*inbound
 	inboundByID map[uint64]*inbound
-	// keptBytes is the memory of finished answers, keptOrder their requests, the
-	// oldest first.
-	keptBytes int
-	keptOrder []request.ID
-	// ctx ends with the loop, and what it started with it.
+	// retainedBytes is the size of the retained answers in bytes. retainedOrder holds
+	// the ids of their requests, oldest first.
+	retainedBytes int
+	retainedOrder []request.ID
+	// ctx ends with the loop; the contexts of dispatches and peer calls derive from it.
 	ctx context.Context
 }
 
-// job is a request's exchange, with what is needed to run it.
+// job holds a request's exchange and the data needed to run it.
 type job struct {
 	exchange *caller.Exchange
 	work     caller.Work
 	priority int
 	cancel   context.CancelFunc
-	// kept is how much of the answer counts against the memory for answers.
-	kept int
+	// retained is the number of bytes that the answer adds to retainedBytes.
+	retained int
 }
 
-// arrival is a caller that waits for a decision.
+// arrival is a client request that waits for a decision.
 type arrival struct {
 	work     caller.Work
 	rank     int
@@ -99,7 +100,7 @@
 	}
 }
 
-// run makes all decisions, one after another, until the context ends.
+// run processes events one at a time until the context ends.
 func (lop *loop) run(ctx context.Context) error {
 	lop.ctx = ctx
 	defer close(lop.stopped)
@@ -119,7 +120,7 @@
 	}
 }
 
-// post has the loop do some work; it is dropped once the loop has stopped.
+// post queues work for the loop. The work is discarded once the loop has stopped.
 func (lop *loop) post(work func(now time.Time)) {
 	select {
 	case lop.inbox <- work:
@@ -127,16 +128,17 @@
 	}
 }
 
-// StoppedError reports a host that has stopped.
+// StoppedError reports that the host has stopped, so that its loop processes no more work.
 type StoppedError struct{}
 
-// Error says so.
+// Error implements error.
 func (*StoppedError) Error() string {
 	return "the host has stopped"
 }
 
-// ask has the loop do some work and waits for its result.
-func ask[T any](ctx context.Context, lop *loop, work func(now time.Time) T) (T, error) {
+// callLoop runs work on the loop and waits for its result. It returns a *StoppedError if
+// the loop has stopped, and the context's error if the context ends first.
+func callLoop[T any](ctx context.Context, lop *loop, work func(now time.Time) T) (T, error) {
 	var none T
 	result := make(chan T, 1)
 	lop.post(func(now time.Time) { result <- work(now) })
@@ -196,14 +198,14 @@
 	}
 }
 
-// applyView brings a view to both cores.
-func (lop *loop) applyView(now time.Time, vie view.View) {
+// deliverView passes a view to both cores.
+func (lop *loop) deliverView(now time.Time, vie view.View) {
 	lop.coordinatorEvent(now, coordinator.ViewChanged{View: vie})
 	lop.gatewayEvent(now, gateway.ViewChanged{View: vie})
 }
 
-// applyConfiguration brings a configuration to both cores.
-func (lop *loop) applyConfiguration(now time.Time, con resource.Configuration) {
+// deliverConfiguration passes a configuration to both cores.
+func (lop *loop) deliverConfiguration(now time.Time, con resource.Configuration) {
 	lop.coordinatorEvent(now, coordinator.ConfigurationChanged{Configuration: con})
 	lop.gatewayEvent(now, gateway.ConfigurationChanged{Configuration: con})
 }
--- a/host/membership.go
+++ b/host/membership.go
@@ -20,20 +20,20 @@
 	keyViewHead   = watchedPrefix + "view/head"
 )
 
-// watchWait is how long a watch waits for a change.
-const watchWait = 20 * time.Second
+// watchTimeout bounds how long one watch call waits for a change.
+const watchTimeout = 20 * time.Second
 
-// proposeStep is how much longer each further host waits before it proposes a
-// view that others have failed to propose.
-const proposeStep = 150 * time.Millisecond
+// proposalStagger is the delay added per proposer rank, so that a host proposes a
+// view only if the hosts ranked before it have not done so.
+const proposalStagger = 150 * time.Millisecond
 
-// The pause after a call to the platform that failed grows between these.
+// minBackoff and maxBackoff bound the exponential backoff after a failed call to the platform.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// member returns what this host says of itself.
+// member returns the membership entry that this host publishes.
 func (hos *Host) member() view.Member {
 	return view.Member{
 		Name: hos.set.Name, Epoch: hos.epoch, Domain: hos.set.Domain,
@@ -41,27 +41,27 @@
 	}
 }
 
-// keepLease keeps the host's lease and the key that hangs on it.
-func (hos *Host) keepLease(ctx context.Context) error {
-	kee := &leaseKeeper{host: hos}
+// maintainLease renews the host's lease, and the key bound to it, until the context ends.
+func (hos *Host) maintainLease(ctx context.Context) error {
+	hol := &leaseHolder{host: hos}
 	wait := minBackoff
 	for {
-		err := kee.step(ctx)
+		err := hol.step(ctx)
 		next := hos.set.Timing.Lease.Std() / 2
 		if err != nil {
 			next, wait = wait, min(maxBackoff, 2*wait)
-			hos.log.Debug().Err(err).Msg("lease not kept")
+			hos.log.Debug().Err(err).Msg("renewing the host's lease or writing its membership key failed; retrying after a backoff")
 		} else {
 			wait = minBackoff
 		}
 		select {
-		case <-hos.leaving:
+		case <-hos.drainStarted:
 		default:
 		}
 		timer := time.NewTimer(next)
 		select {
 		case <-timer.C:
-		case <-hos.leaving:
+		case <-hos.drainStarted:
 		case <-ctx.Done():
 			timer.Stop()
 			return ctx.Err()
@@ -70,84 +70,86 @@
 	}
 }
 
-// leaseKeeper holds the lease of one host.
-type leaseKeeper struct {
+// leaseHolder holds a host's lease and the last value written under its membership key.
+type leaseHolder struct {
 	host    *Host
 	lease   store.LeaseID
 	written []byte
 }
 
-// step renews the lease, or takes a new one, and writes the host's key where
-// it isn't what it should be.
-func (kee *leaseKeeper) step(ctx context.Context) error {
-	if err := kee.renew(ctx); err != nil {
+// step renews the lease, or requests a new one, and writes the host's key if its
+// value is out of date.
+func (hol *leaseHolder) step(ctx context.Context) error {
+	if err := hol.renew(ctx); err != nil {
 		return err
 	}
-	data, err := json.Marshal(kee.host.member())
+	data, err := json.Marshal(hol.host.member())
 	if err != nil {
 		return errors.Wrap(err, "encode member")
 	}
-	if bytes.Equal(data, kee.written) {
+	if bytes.Equal(data, hol.written) {
 		return nil
 	}
-	if err := kee.write(ctx, data); err != nil {
+	if err := hol.write(ctx, data); err != nil {
 		return err
 	}
-	kee.written = data
+	hol.written = data
 	return nil
 }
 
-func (kee *leaseKeeper) renew(ctx context.Context) error {
-	sto := kee.host.store
-	if kee.lease != 0 {
-		err := sto.RenewLease(ctx, kee.lease)
+func (hol *leaseHolder) renew(ctx context.Context) error {
+	sto := hol.host.store
+	if hol.lease != 0 {
+		err := sto.RenewLease(ctx, hol.lease)
 		var ler *store.LeaseError
 		if !errors.As(err, &ler) {
 			return err
 		}
-		kee.host.log.Warn().Msg("lease had lapsed")
-		kee.lease, kee.written = 0, nil
+		hol.host.log.Warn().Msg("host's lease expired; requesting a new one")
+		hol.lease, hol.written = 0, nil
 	}
-	lease, err := sto.GrantLease(ctx, kee.host.set.Timing.Lease.Std())
+	lease, err := sto.GrantLease(ctx, hol.host.set.Timing.Lease.Std())
 	if err != nil {
 		return err
 	}
-	kee.lease = lease
+	hol.lease = lease
 	return nil
 }
 
-// write swaps the host's key; an uncertain write is read back by the next step.
-func (kee *leaseKeeper) write(ctx context.Context, data []byte) error {
-	key := hostsPrefix + kee.host.set.Name
-	val, err := kee.host.store.Get(ctx, key)
+// write updates the host's key by compare-and-swap. After a write with an uncertain
+// outcome, the next step reads the key back.
+func (hol *leaseHolder) write(ctx context.Context, data []byte) error {
+	key := hostsPrefix + hol.host.set.Name
+	val, err := hol.host.store.Get(ctx, key)
 	if err != nil {
 		return err
 	}
-	if bytes.Equal(val.Data, data) && val.Lease == kee.lease {
+	if bytes.Equal(val.Data, data) && val.Lease == hol.lease {
 		return nil
 	}
-	_, err = kee.host.store.Put(ctx, store.Write{Key: key, Data: data, Expect: val.Revision, Lease: kee.lease})
+	_, err = hol.host.store.Put(ctx, store.Write{Key: key, Data: data, Expect: val.Revision, Lease: hol.lease})
 	return err
 }
 
-// watchPlatform follows the platform: members, views and configuration.
+// watchPlatform watches the members, views and configuration on the platform and
+// applies their changes. It fetches from the seeds while the platform is unavailable.
 func (hos *Host) watchPlatform(ctx context.Context) error {
 	wait := minBackoff
-	pastKnown := false
+	pastViewsFetched := false
 	for ctx.Err() == nil {
 		rev, err := hos.refresh(ctx)
-		if err == nil && !pastKnown {
-			pastKnown = hos.fetchPast(ctx)
+		if err == nil && !pastViewsFetched {
+			pastViewsFetched = hos.fetchPastViews(ctx)
 		}
 		if err == nil {
-			_, err = hos.store.Watch(ctx, watchedPrefix, rev, watchWait)
+			_, err = hos.store.Watch(ctx, watchedPrefix, rev, watchTimeout)
 		}
 		if err == nil {
 			wait = minBackoff
 			continue
 		}
-		hos.log.Debug().Err(err).Msg("platform not followed")
-		hos.askSeeds(ctx)
+		hos.log.Debug().Err(err).Msg("reading or watching the platform failed; asking the seeds and retrying after a backoff")
+		hos.fetchFromSeeds(ctx)
 		if !task.Sleep(ctx, wait) {
 			break
 		}
@@ -156,31 +158,32 @@
 	return ctx.Err()
 }
 
-// refresh reads what there is and proposes a view where the members differ.
+// refresh reads the watched keys, applies views and configuration, and proposes a
+// new view if the members differ. It returns the revision to watch from.
 func (hos *Host) refresh(ctx context.Context) (store.Revision, error) {
 	values, rev, err := hos.store.List(ctx, watchedPrefix)
 	if err != nil {
 		return 0, err
 	}
-	see := seen{}
+	snp := platformSnapshot{}
 	for _, val := range values {
-		if err := see.take(val); err != nil {
-			hos.log.Error().Err(err).Str("Key", val.Key).Msg("value on the platform can't be read")
+		if err := snp.add(val); err != nil {
+			hos.log.Error().Err(err).Str("Key", val.Key).Msg("decoding a value stored on the platform failed; ignoring the key")
 		}
 	}
-	if err := hos.applyViews(ctx, see.views); err != nil {
+	if err := hos.applyViews(ctx, snp.views); err != nil {
 		return 0, err
 	}
-	if see.configFound {
-		if err := hos.applyConfigValue(ctx, see.config); err != nil {
-			hos.log.Warn().Err(err).Msg("configuration not applied")
+	if snp.configFound {
+		if err := hos.applyConfigValue(ctx, snp.config); err != nil {
+			hos.log.Warn().Err(err).Msg("applying the configuration stored on the platform failed")
 		}
 	}
-	return rev, hos.propose(ctx, see)
+	return rev, hos.propose(ctx, snp)
 }
 
-// seen is what a reading of the platform found.
-type seen struct {
+// platformSnapshot holds the decoded values of one read of the watched keys.
+type platformSnapshot struct {
 	leased       []view.Member
 	views        view.Head
 	viewRevision store.Revision
@@ -188,22 +191,22 @@
 	configFound  bool
 }
 
-func (see *seen) take(val store.Value) error {
+func (snp *platformSnapshot) add(val store.Value) error {
 	switch {
 	case val.Key == keyViewHead:
 		hea, err := view.ParseHead(val.Data)
 		if err != nil {
 			return err
 		}
-		see.views, see.viewRevision = hea, val.Revision
+		snp.views, snp.viewRevision = hea, val.Revision
 	case val.Key == keyConfigHead:
-		see.config, see.configFound = val.Data, true
+		snp.config, snp.configFound = val.Data, true
 	case bytes.HasPrefix([]byte(val.Key), []byte(hostsPrefix)):
 		var mem view.Member
 		if err := json.Unmarshal(val.Data, &mem); err != nil {
 			return errors.Wrap(err, "decode member")
 		}
-		see.leased = append(see.leased, mem)
+		snp.leased = append(snp.leased, mem)
 	}
 	return nil
 }
@@ -213,57 +216,58 @@
 	if err != nil {
 		return err
 	}
-	return hos.applyHead(ctx, hea, hos.partFromPlatform)
+	return hos.applyHead(ctx, hea, hos.chunkFromPlatform)
 }
 
-// applyViews brings the views to the loop, the oldest first.
+// applyViews applies the views of the head on the loop, oldest first.
 func (hos *Host) applyViews(ctx context.Context, hea view.Head) error {
 	if hea.Current.Number == 0 {
 		return nil
 	}
-	_, err := ask(ctx, hos.loop, func(now time.Time) struct{} {
+	_, err := callLoop(ctx, hos.loop, func(now time.Time) struct{} {
 		for _, vie := range append(hea.Past, hea.Current) {
-			hos.loop.takeView(now, vie)
+			hos.loop.applyView(now, vie)
 		}
 		return struct{}{}
 	})
 	return err
 }
 
-// takeView remembers a view, and puts it in force where it is the newest.
-func (lop *loop) takeView(now time.Time, vie view.View) {
+// applyView passes a view to both cores and adds it to the history. The newest view
+// becomes the current one.
+func (lop *loop) applyView(now time.Time, vie view.View) {
 	if vie.Number == 0 {
 		return
 	}
-	lop.applyView(now, vie)
+	lop.deliverView(now, vie)
 	if lop.host.shared.addView(vie) {
-		lop.host.log.Info().Uint64("View", vie.Number).Int("Members", len(vie.Members)).Msg("view in force")
+		lop.host.log.Info().Uint64("View", vie.Number).Int("Members", len(vie.Members)).Msg("view active")
 	}
 }
 
-// propose swaps in the next view where the members differ from the current
-// one. The hosts take turns by a fixed order, so that mostly one of them does it.
-func (hos *Host) propose(ctx context.Context, see seen) error {
-	members, err := hos.wantedMembers(ctx, see)
-	if err != nil || len(members) == 0 || see.views.Current.SameMembers(members) {
+// propose writes the next view by compare-and-swap if its members differ from those
+// of the current one. Hosts wait in rank order, so that usually only one of them writes.
+func (hos *Host) propose(ctx context.Context, snp platformSnapshot) error {
+	members, err := hos.proposedMembers(ctx, snp)
+	if err != nil || len(members) == 0 || snp.views.Current.SameMembers(members) {
 		return err
 	}
-	rank := view.ProposerRank(see.views.Current, hos.set.Name)
+	rank := view.ProposerRank(snp.views.Current, hos.set.Name)
 	if rank > 0 {
-		if !task.Sleep(ctx, time.Duration(rank)*proposeStep) {
+		if !task.Sleep(ctx, time.Duration(rank)*proposalStagger) {
 			return ctx.Err()
 		}
 		val, err := hos.store.Get(ctx, keyViewHead)
-		if err != nil || val.Revision != see.viewRevision {
+		if err != nil || val.Revision != snp.viewRevision {
 			return err
 		}
 	}
-	next := see.views.Next(members)
+	next := snp.views.Next(members)
 	data, err := next.Encode()
 	if err != nil {
 		return err
 	}
-	_, err = hos.store.Put(ctx, store.Write{Key: keyViewHead, Data: data, Expect: see.viewRevision})
+	_, err = hos.store.Put(ctx, store.Write{Key: keyViewHead, Data: data, Expect: snp.viewRevision})
 	var cer *store.ConflictError
 	if errors.As(err, &cer) {
 		return nil
@@ -274,8 +278,10 @@
 	return hos.applyViews(ctx, next)
 }
 
-func (hos *Host) wantedMembers(ctx context.Context, see seen) ([]view.Member, error) {
-	connected, err := ask(ctx, hos.loop, func(time.Time) map[uint64]bool {
+// proposedMembers returns the members for the next view: hosts with a lease, and
+// current members with which this host has a session.
+func (hos *Host) proposedMembers(ctx context.Context, snp platformSnapshot) ([]view.Member, error) {
+	connected, err := callLoop(ctx, hos.loop, func(time.Time) map[uint64]bool {
 		up := make(map[uint64]bool)
 		for epo, out := range hos.loop.outbound {
 			up[uint64(epo)] = out.up
@@ -285,7 +291,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return view.Propose(see.views.Current, see.leased, func(mem view.Member) bool {
+	return view.Propose(snp.views.Current, snp.leased, func(mem view.Member) bool {
 		return mem.Epoch == hos.epoch || connected[uint64(mem.Epoch)]
 	}), nil
 }
--- a/host/monitor.go
+++ b/host/monitor.go
@@ -9,20 +9,20 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// reportInterval is how often a coordinator reads the reports of its engines;
+// reportInterval is how often a coordinator polls the load reports of its engines.
 // hostsInterval is how often it reads the platform's list of hosts.
 const (
 	reportInterval = 500 * time.Millisecond
 	hostsInterval  = 2 * time.Second
 )
 
-// reportTimeout bounds the reading of one report.
+// reportTimeout bounds the calls that read the load and cache events of one engine.
 const reportTimeout = time.Second
 
-// monitorEngines follows the engines that this host coordinates: their load,
-// their cache events, and whether they leave.
+// monitorEngines polls the engines that this host coordinates for their load, their cache
+// events and whether they are draining, until the context ends.
 func (hos *Host) monitorEngines(ctx context.Context) error {
-	mon := &monitor{host: hos, sequences: make(map[string]uint64), leaving: make(map[string]bool)}
+	mon := &monitor{host: hos, sequences: make(map[string]uint64), draining: make(map[string]bool)}
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
@@ -38,16 +38,17 @@
 	}
 }
 
-// monitor holds what is known of engines from outside.
+// monitor polls engines and the platform's list of hosts. sequences holds the position in
+// each engine's cache events, draining the engines that the list reports as leaving.
 type monitor struct {
 	host      *Host
 	sequences map[string]uint64
-	leaving   map[string]bool
+	draining  map[string]bool
 	hostsRead time.Time
 }
 
-// readHosts reads the platform's list for engines that leave. The list lags
-// and may be out; engines also say so themselves.
+// readHosts reads from the platform's list of hosts which engines are draining. The list
+// lags and may be unavailable, but engines also report draining in their load.
 func (mon *monitor) readHosts(ctx context.Context) {
 	if time.Since(mon.hostsRead) < hostsInterval {
 		return
@@ -57,15 +58,15 @@
 	if err != nil {
 		return
 	}
-	clear(mon.leaving)
+	clear(mon.draining)
 	for _, state := range hosts {
 		if state.Kind == store.HostBackend && state.Leaving {
-			mon.leaving[state.Name] = true
+			mon.draining[state.Name] = true
 		}
 	}
 }
 
-// engineReading is one engine's report, read by a goroutine of its own.
+// engineReading is the result of polling one engine, which has its own goroutine.
 type engineReading struct {
 	engine   resource.Engine
 	reported coordinator.Reported
@@ -75,7 +76,7 @@
 }
 
 func (mon *monitor) readEngines(ctx context.Context) error {
-	names, err := ask(ctx, mon.host.loop, func(time.Time) []string {
+	names, err := callLoop(ctx, mon.host.loop, func(time.Time) []string {
 		return mon.host.loop.coordinator.EngineNames()
 	})
 	if err != nil {
@@ -93,7 +94,7 @@
 		go func() { readings <- mon.read(ctx, eng, after) }()
 	}
 	for range started {
-		mon.take(<-readings)
+		mon.apply(<-readings)
 	}
 	return nil
 }
@@ -128,10 +129,10 @@
 	return rea
 }
 
-func (mon *monitor) take(rea engineReading) {
+func (mon *monitor) apply(rea engineReading) {
 	name := rea.engine.Name
 	mon.sequences[name] = rea.next
-	if mon.leaving[name] {
+	if mon.draining[name] {
 		rea.reported = coordinator.Reported{Engine: name, Running: rea.reported.Running, Leaving: true}
 	} else if rea.failed {
 		return
--- a/host/operatorbackend.go
+++ b/host/operatorbackend.go
@@ -9,11 +9,11 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// Status implements operator.Backend: it asks every member of the view.
+// Status implements operator.Backend. It queries every member of the view.
 func (hos *Host) Status(ctx context.Context) operator.Status {
 	vie := hos.shared.view()
 	sta := operator.Status{View: vie.Number}
-	sta.Hosts = hos.askHosts(ctx, vie)
+	sta.Hosts = hos.queryHosts(ctx, vie)
 	for _, hst := range sta.Hosts {
 		sta.Revision = max(sta.Revision, hst.Revision)
 	}
@@ -23,7 +23,8 @@
 	return sta
 }
 
-func (hos *Host) askHosts(ctx context.Context, vie view.View) []operator.HostStatus {
+// queryHosts queries the members concurrently and returns their status in view order.
+func (hos *Host) queryHosts(ctx context.Context, vie view.View) []operator.HostStatus {
 	type answer struct {
 		index  int
 		status operator.HostStatus
@@ -44,7 +45,7 @@
 	sta := operator.HostStatus{Name: mem.Name, Epoch: mem.Epoch, Domain: mem.Domain, Leaving: mem.Leaving}
 	hea, err := hos.headerOf(ctx, mem)
 	if err != nil {
-		sta.Problem = "not reached: " + err.Error()
+		sta.Problem = "unreachable: " + err.Error()
 		return sta
 	}
 	sta.Reached, sta.View, sta.Revision = true, hea.View, hea.Revision
@@ -58,11 +59,13 @@
 	if mem.Epoch == hos.epoch {
 		return hos.Header(), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, questionTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	return hos.peers.Probe(ctx, mem)
 }
 
+// resourceStatus returns the conditions of a resource: whether every host has applied its
+// latest revision, and for an engine whether it takes new work.
 func resourceStatus(ent resource.Entry, sta operator.Status) operator.ResourceStatus {
 	key := ent.Resource.Key()
 	res := operator.ResourceStatus{
@@ -71,19 +74,19 @@
 	behind := ""
 	for _, hst := range sta.Hosts {
 		if !hst.Reached {
-			behind = hst.Name + " isn't reached"
+			behind = hst.Name + " is unreachable"
 			continue
 		}
 		res.Observed[hst.Name] = hst.Revision
 		if hst.Revision < ent.Revision {
-			behind = hst.Name + " is behind"
+			behind = hst.Name + " has not applied this revision yet"
 		}
 	}
 	res.Conditions = append(res.Conditions, operator.Condition{Type: "InForce", Status: behind == "", Reason: behind})
 	if eng, isEngine := ent.Resource.(resource.Engine); isEngine {
 		reason := ""
 		if eng.Leaving {
-			reason = "the operator has set Leaving"
+			reason = "the field Leaving is set"
 		}
 		res.Conditions = append(res.Conditions, operator.Condition{Type: "TakesWork", Status: !eng.Leaving, Reason: reason})
 	}
--- a/host/peerbackend.go
+++ b/host/peerbackend.go
@@ -14,7 +14,7 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// sessionNumbers numbers the sessions that gateways open.
+// sessionNumbers is the number of the last session opened by a gateway.
 var sessionNumbers atomic.Uint64
 
 // Header implements peer.Backend.
@@ -36,7 +36,7 @@
 func (hos *Host) SessionMessage(session uint64, rec peer.Received) {
 	if rec.Message == nil {
 		if mem, known := hos.shared.view().Member(rec.Header.Epoch); known {
-			hos.noteHeader(rec.Header, mem)
+			hos.recordHeader(rec.Header, mem)
 		}
 		return
 	}
@@ -54,7 +54,7 @@
 
 // Fence implements peer.Backend.
 func (hos *Host) Fence(ctx context.Context, fen reservation.Fence) (reservation.FenceAnswer, error) {
-	return ask(ctx, hos.loop, func(now time.Time) reservation.FenceAnswer {
+	return callLoop(ctx, hos.loop, func(now time.Time) reservation.FenceAnswer {
 		ans, actions := hos.loop.coordinator.Fence(now, fen)
 		hos.loop.coordinatorActions(now, actions)
 		return ans
@@ -63,7 +63,7 @@
 
 // Vouch implements peer.Backend.
 func (hos *Host) Vouch(ctx context.Context, vou reservation.Vouch) error {
-	_, err := ask(ctx, hos.loop, func(now time.Time) struct{} {
+	_, err := callLoop(ctx, hos.loop, func(now time.Time) struct{} {
 		hos.loop.coordinator.Vouch(now, vou)
 		return struct{}{}
 	})
@@ -72,14 +72,14 @@
 
 // Unvouch implements peer.Backend.
 func (hos *Host) Unvouch(ctx context.Context, unv reservation.Unvouch) (reservation.UnvouchAnswer, error) {
-	return ask(ctx, hos.loop, func(time.Time) reservation.UnvouchAnswer {
+	return callLoop(ctx, hos.loop, func(time.Time) reservation.UnvouchAnswer {
 		return hos.loop.coordinator.Unvouch(unv)
 	})
 }
 
 // Handover implements peer.Backend.
 func (hos *Host) Handover(ctx context.Context, han reservation.Handover) error {
-	_, err := ask(ctx, hos.loop, func(now time.Time) struct{} {
+	_, err := callLoop(ctx, hos.loop, func(now time.Time) struct{} {
 		hos.loop.coordinator.TakeOver(now, han)
 		return struct{}{}
 	})
@@ -96,25 +96,25 @@
 		}
 		sta.Views = append(sta.Views, data)
 	}
-	inf := hos.shared.config.Load()
-	if inf.configuration.Revision <= aboveRevision {
+	acf := hos.shared.config.Load()
+	if acf.configuration.Revision <= aboveRevision {
 		return sta, nil
 	}
-	head, err := json.Marshal(inf.head)
+	head, err := json.Marshal(acf.head)
 	if err != nil {
 		return sta, errors.Wrap(err, "encode head")
 	}
 	sta.Head = head
-	sta.Parts = hos.parts.of(inf.head)
+	sta.Parts = hos.chunks.forHead(acf.head)
 	return sta, nil
 }
 
-// window returns the gateway's current window without asking the loop.
+// window returns the number of the gateway's current time window. It doesn't use the loop.
 func (hos *Host) window() uint64 {
 	return gateway.WindowAt(hos.started, hos.set.Timing.Window.Std(), time.Now())
 }
 
-// prefix returns the prefix to hand out for this gateway.
+// prefix returns the prefix of new request ids of this gateway.
 func (hos *Host) prefix() request.Prefix {
 	return request.Prefix{View: hos.shared.view().Number, Epoch: hos.epoch, Window: hos.window()}
 }
--- a/host/sessions.go
+++ b/host/sessions.go
@@ -13,20 +13,21 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// The pause before a lost session is tried again grows between these.
+// minReconnectDelay and maxReconnectDelay bound the exponential backoff before a lost
+// session is reopened.
 const (
-	minRedial = 50 * time.Millisecond
-	maxRedial = time.Second
+	minReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay = time.Second
 )
 
-// keepSessions keeps a session with each member of the view that this gateway
-// may reserve at.
-func (hos *Host) keepSessions(ctx context.Context) error {
+// maintainSessions keeps a session open with each member that this gateway connects to,
+// until the context ends.
+func (hos *Host) maintainSessions(ctx context.Context) error {
 	ends := make(chan request.Epoch)
 	running := make(map[request.Epoch]context.CancelFunc)
 	for {
 		changed := hos.shared.nextView()
-		hos.adjustSessions(ctx, running, ends)
+		hos.reconcileSessions(ctx, running, ends)
 		select {
 		case <-changed:
 		case epo := <-ends:
@@ -40,9 +41,9 @@
 	}
 }
 
-// adjustSessions starts a keeper for each new member and ends those of members
-// that are gone.
-func (hos *Host) adjustSessions(ctx context.Context, running map[request.Epoch]context.CancelFunc, ends chan<- request.Epoch) {
+// reconcileSessions starts a goroutine for each missing session and cancels those of
+// members that are no longer in the view.
+func (hos *Host) reconcileSessions(ctx context.Context, running map[request.Epoch]context.CancelFunc, ends chan<- request.Epoch) {
 	vie := hos.shared.view()
 	for epo, cancel := range running {
 		if _, member := vie.Member(epo); !member {
@@ -53,29 +54,30 @@
 		if running[mem.Epoch] != nil {
 			continue
 		}
-		keeping, cancel := context.WithCancel(ctx)
+		sessionCtx, cancel := context.WithCancel(ctx)
 		running[mem.Epoch] = cancel
 		go func() {
-			hos.keepSession(keeping, mem)
+			hos.maintainSession(sessionCtx, mem)
 			ends <- mem.Epoch
 		}()
 	}
 }
 
-// keepSession opens a session with the member again and again.
-func (hos *Host) keepSession(ctx context.Context, mem view.Member) {
-	wait := minRedial
+// maintainSession opens a session with the member and reopens it with backoff and jitter
+// whenever it ends, until the context ends.
+func (hos *Host) maintainSession(ctx context.Context, mem view.Member) {
+	wait := minReconnectDelay
 	for ctx.Err() == nil {
 		start := time.Now()
 		err := hos.runSession(ctx, mem)
-		if time.Since(start) > maxRedial {
-			wait = minRedial
+		if time.Since(start) > maxReconnectDelay {
+			wait = minReconnectDelay
 		}
-		hos.log.Debug().Err(err).Str("Peer", mem.Name).Stringer("PeerEpoch", mem.Epoch).Msg("session ended")
+		hos.log.Debug().Err(err).Str("Peer", mem.Name).Stringer("PeerEpoch", mem.Epoch).Msg("session with a peer ended or could not be opened; reconnecting")
 		if !task.Sleep(ctx, wait/2+rand.N(wait)) {
 			return
 		}
-		wait = min(maxRedial, 2*wait)
+		wait = min(maxReconnectDelay, 2*wait)
 	}
 }
 
@@ -100,18 +102,20 @@
 	lop.gatewayEvent(now, gateway.PeerUp{Peer: out.member.Epoch})
 }
 
-// outboundMessage takes a coordinator's message, unless its session was lost meanwhile.
+// outboundMessage processes a coordinator's message. Messages of sessions that were lost or
+// replaced in the meantime are ignored.
 func (lop *loop) outboundMessage(now time.Time, out *outbound, rec peer.Received) {
 	if lop.outbound[out.member.Epoch] != out {
 		return
 	}
 	if rec.Message == nil {
-		lop.host.noteHeader(rec.Header, out.member)
+		lop.host.recordHeader(rec.Header, out.member)
 		return
 	}
 	lop.gatewayEvent(now, gateway.Received{From: out.member.Epoch, Message: rec.Message, Load: rec.Load})
 }
 
+// outboundLost reports a lost session, or one that could not be opened, to both cores.
 func (lop *loop) outboundLost(now time.Time, out *outbound) {
 	if !out.up {
 		lop.coordinatorEvent(now, coordinator.HostLost{Host: out.member.Epoch})
@@ -122,15 +126,16 @@
 		return
 	}
 	delete(lop.outbound, out.member.Epoch)
-	lop.host.shared.forgetHeader(out.member.Epoch)
+	lop.host.shared.deleteHeader(out.member.Epoch)
 	lop.coordinatorEvent(now, coordinator.HostLost{Host: out.member.Epoch})
 	lop.gatewayEvent(now, gateway.PeerLost{Peer: out.member.Epoch})
 }
 
+// inboundUp registers a session of a gateway and ends the gateway's previous one.
 func (lop *loop) inboundUp(now time.Time, inb *inbound) {
-	if former := lop.inbound[inb.gateway]; former != nil {
-		lop.inboundLost(now, former)
-		former.cancel()
+	if previous := lop.inbound[inb.gateway]; previous != nil {
+		lop.inboundLost(now, previous)
+		previous.cancel()
 	}
 	lop.inbound[inb.gateway] = inb
 	lop.inboundByID[inb.number] = inb
--- a/host/shared.go
+++ b/host/shared.go
@@ -10,20 +10,21 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// shared is what the loop's owner and the other goroutines both read.
+// shared holds the state that the loop and the other goroutines both access.
 type shared struct {
-	config  atomic.Pointer[inForce]
+	config  atomic.Pointer[activeConfig]
 	mutex   sync.Mutex
 	history view.History
-	// headers are what each peer epoch last said of itself.
+	// headers are the last headers reported by each peer epoch.
 	headers map[request.Epoch]peer.Header
-	// viewChanged and configChanged are closed and replaced at each change.
+	// viewChanged is closed and replaced at each change of the view or configuration.
 	viewChanged chan struct{}
-	problem     string
+	// problem is why the host isn't ready, if its last configuration was rejected.
+	problem string
 }
 
-// inForce is a configuration with what is looked up in it for each request.
-type inForce struct {
+// activeConfig is the active configuration, with its client accounts by key digest.
+type activeConfig struct {
 	configuration resource.Configuration
 	head          resource.Head
 	accounts      map[string]resource.ClientAccount
@@ -35,18 +36,18 @@
 		headers:     make(map[request.Epoch]peer.Header),
 		viewChanged: make(chan struct{}),
 	}
-	sha.config.Store(newInForce(resource.Head{}, resource.NewConfiguration(0, nil)))
+	sha.config.Store(newActiveConfig(resource.Head{}, resource.NewConfiguration(0, nil)))
 	return sha
 }
 
-func newInForce(hea resource.Head, con resource.Configuration) *inForce {
-	inf := &inForce{configuration: con, head: hea, accounts: make(map[string]resource.ClientAccount)}
+func newActiveConfig(hea resource.Head, con resource.Configuration) *activeConfig {
+	acf := &activeConfig{configuration: con, head: hea, accounts: make(map[string]resource.ClientAccount)}
 	for _, acc := range con.ClientAccounts() {
 		for _, digest := range acc.KeyDigests {
-			inf.accounts[digest] = acc
+			acf.accounts[digest] = acc
 		}
 	}
-	return inf
+	return acf
 }
 
 // view returns the current view.
@@ -56,47 +57,48 @@
 	return sha.history.Last()
 }
 
-// viewsSince returns the remembered views from the number on.
+// viewsSince returns the views in the history from the given number on.
 func (sha *shared) viewsSince(number uint64) []view.View {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
 	return sha.history.Since(number)
 }
 
-// addView remembers a view; it reports whether it is the newest.
+// addView adds a view to the history and reports whether it is the newest.
 func (sha *shared) addView(vie view.View) bool {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
 	newest := vie.Number > sha.history.Last().Number
 	sha.history.Add(vie)
 	if newest {
-		sha.signal()
+		sha.notifyLocked()
 	}
 	return newest
 }
 
-// nextView returns a channel that is closed at the next change of the view.
+// nextView returns a channel that is closed at the next change of the view or
+// configuration.
 func (sha *shared) nextView() <-chan struct{} {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
 	return sha.viewChanged
 }
 
-// wake has those who wait for the next view look again.
-func (sha *shared) wake() {
+// notify wakes the goroutines that wait on nextView.
+func (sha *shared) notify() {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
-	sha.signal()
+	sha.notifyLocked()
 }
 
-// signal wakes the waiting; the mutex must be held.
-func (sha *shared) signal() {
+// notifyLocked is notify with the mutex held by the caller.
+func (sha *shared) notifyLocked() {
 	close(sha.viewChanged)
 	sha.viewChanged = make(chan struct{})
 }
 
-// noteHeader remembers what a peer said of itself.
-func (sha *shared) noteHeader(hea peer.Header) {
+// recordHeader records the header that a peer reported.
+func (sha *shared) recordHeader(hea peer.Header) {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
 	sha.headers[hea.Epoch] = hea
@@ -109,7 +111,7 @@
 	return hea, known
 }
 
-func (sha *shared) forgetHeader(epo request.Epoch) {
+func (sha *shared) deleteHeader(epo request.Epoch) {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
 	delete(sha.headers, epo)
