--- a/resource/configuration.go
+++ b/resource/configuration.go
@@ -9,15 +9,14 @@
 	"strings"
 )
 
-// Configuration is every resource under one revision. It is never changed in
-// place.
+// Configuration is an immutable set of resources with a revision.
 type Configuration struct {
-	// Revision orders configurations; 0 is the empty one before any change.
+	// Revision orders configurations; 0 is the empty configuration before any change.
 	Revision uint64
 	entries  map[Key]Entry
 }
 
-// NewConfiguration returns a configuration of the entries.
+// NewConfiguration returns a configuration with the revision and entries.
 func NewConfiguration(revision uint64, entries []Entry) Configuration {
 	con := Configuration{Revision: revision, entries: make(map[Key]Entry, len(entries))}
 	for _, ent := range entries {
@@ -36,28 +35,28 @@
 	return all
 }
 
-// Entry returns the entry with the key.
+// Entry returns the entry with the key, if there is one.
 func (con Configuration) Entry(key Key) (Entry, bool) {
 	ent, known := con.entries[key]
 	return ent, known
 }
 
-// Service returns the service with the name.
+// Service returns the service with the name, if there is one.
 func (con Configuration) Service(name string) (Service, bool) {
 	return lookup[Service](con, Key{KindService, name})
 }
 
-// Engine returns the engine with the name.
+// Engine returns the engine with the name, if there is one.
 func (con Configuration) Engine(name string) (Engine, bool) {
 	return lookup[Engine](con, Key{KindEngine, name})
 }
 
-// Tier returns the tier with the name.
+// Tier returns the tier with the name, if there is one.
 func (con Configuration) Tier(name string) (Tier, bool) {
 	return lookup[Tier](con, Key{KindTier, name})
 }
 
-// ClientAccount returns the client account with the name.
+// ClientAccount returns the client account with the name, if there is one.
 func (con Configuration) ClientAccount(name string) (ClientAccount, bool) {
 	return lookup[ClientAccount](con, Key{KindClientAccount, name})
 }
@@ -77,13 +76,13 @@
 	return collect[ClientAccount](con)
 }
 
-// EngineSlots names an engine and the number of requests it runs at once.
+// EngineSlots is the name of an engine and the number of requests that it runs concurrently.
 type EngineSlots struct {
 	Engine string
 	Slots  int
 }
 
-// SlotsByService returns the engines that take new work, by service.
+// SlotsByService returns the engines that accept new work, by service name.
 func (con Configuration) SlotsByService() map[string][]EngineSlots {
 	groups := make(map[string][]EngineSlots)
 	for _, eng := range con.Engines() {
@@ -109,46 +108,49 @@
 	return all
 }
 
-// Edit is one wish of a change: to write a resource, or to delete it.
+// Edit writes or deletes one resource.
 type Edit struct {
 	// Key identifies the resource.
 	Key Key
-	// Seen is the resource's revision that the operator saw; 0 when it saw none.
+	// Seen is the revision of the resource on which the edit is based; 0 if the resource
+	// did not exist.
 	Seen uint64
-	// Resource is the wished state; nil deletes.
+	// Resource is the desired state; nil deletes the resource.
 	Resource Resource
 }
 
 // Change is a set of edits that take effect together.
 type Change struct {
-	// ID is chosen by the writer; it finds out whether a lost reply's write landed.
+	// ID is chosen by the writer. If a reply was lost, it shows whether the change was
+	// written.
 	ID string
-	// Edits are the wishes.
+	// Edits each refer to the configuration before the change.
 	Edits []Edit
 }
 
-// ConflictError reports that somebody else changed a resource since it was seen.
+// ConflictError reports that another writer changed a resource after the revision on which
+// an edit is based.
 type ConflictError struct {
 	// Key identifies the resource.
 	Key Key
-	// Seen is the revision that the operator saw.
+	// Seen is the revision on which the edit is based.
 	Seen uint64
-	// Newer is the resource's revision now; 0 when it was deleted.
+	// Newer is the current revision of the resource; 0 if it doesn't exist.
 	Newer uint64
-	// Fields are the fields in which the wish and the newer state differ.
+	// Fields are the names of the fields in which the desired and the current state differ.
 	Fields []string
 }
 
-// Error names the resource, the fields and both revisions.
+// Error returns the resource, the differing fields and both revisions.
 func (cer *ConflictError) Error() string {
-	return fmt.Sprintf("%s: changed by another writer: fields %s; you saw revision %d, newer is %d",
+	return fmt.Sprintf("%s: changed by another writer: fields %s; edit based on revision %d, current revision is %d",
 		cer.Key, strings.Join(cer.Fields, ", "), cer.Seen, cer.Newer)
 }
 
-// With returns the configuration after the change, one revision higher. It
-// returns a *ConflictError when an edit's resource isn't as the writer saw it,
-// and a *CheckError when the result isn't fit to be accepted. A change that
-// changes nothing returns the configuration itself.
+// With returns the configuration after the change, with the next revision. It returns
+// a *ConflictError if the resource of an edit isn't at the revision on which the edit is
+// based, and a *CheckError if the result is invalid. If the change has no effect, With
+// returns the configuration itself.
 func (con Configuration) With(cha Change) (Configuration, error) {
 	next := Configuration{Revision: con.Revision + 1, entries: maps.Clone(con.entries)}
 	if next.entries == nil {
@@ -156,13 +158,13 @@
 	}
 	changed := false
 	for _, edi := range cha.Edits {
-		now := con.entries[edi.Key]
-		if now.Revision != edi.Seen {
+		current := con.entries[edi.Key]
+		if current.Revision != edi.Seen {
 			return Configuration{}, &ConflictError{
-				Key: edi.Key, Seen: edi.Seen, Newer: now.Revision, Fields: differing(now.Resource, edi.Resource),
+				Key: edi.Key, Seen: edi.Seen, Newer: current.Revision, Fields: differingFields(current.Resource, edi.Resource),
 			}
 		}
-		if reflect.DeepEqual(now.Resource, edi.Resource) {
+		if reflect.DeepEqual(current.Resource, edi.Resource) {
 			continue
 		}
 		changed = true
@@ -181,12 +183,13 @@
 	return next, nil
 }
 
-// differing returns the names of the fields in which two resources differ.
-func differing(now, wish Resource) []string {
-	if now == nil || wish == nil {
+// differingFields returns the names of the fields in which two resources differ, or "(all)"
+// if one of them doesn't exist.
+func differingFields(current, desired Resource) []string {
+	if current == nil || desired == nil {
 		return []string{"(all)"}
 	}
-	one, two := reflect.ValueOf(now), reflect.ValueOf(wish)
+	one, two := reflect.ValueOf(current), reflect.ValueOf(desired)
 	var fields []string
 	for idx := range one.NumField() {
 		if !reflect.DeepEqual(one.Field(idx).Interface(), two.Field(idx).Interface()) {
--- a/resource/head.go
+++ b/resource/head.go
@@ -12,39 +12,44 @@
 	"github.com/cockroachdb/errors"
 )
 
-// accountParts is over how many stored values the client accounts are spread,
-// so that each stays far below the platform's limit of a megabyte.
-const accountParts = 16
+// accountChunks is the number of chunks over which the client accounts are distributed,
+// so that each stays far below the platform's limit of 1 MB per value.
+const accountChunks = 16
 
-// changesKept is how many change ids the head remembers.
-const changesKept = 64
+// maxRememberedChanges is the number of change ids that the head stores.
+const maxRememberedChanges = 64
 
-// Head is the one value that orders configurations: it names the parts by their
-// content, so one swap of the head puts all of them in force.
+// Head is the stored value that orders configurations. A configuration is stored as chunks,
+// each under its digest. Since the head lists the digests, replacing the head activates
+// all chunks at once.
 type Head struct {
 	// Revision is the configuration's revision.
 	Revision uint64
-	// Parts are the stored parts, sorted by digest.
-	Parts []PartRef
-	// Changes are the ids of the last changes, the newest last.
+	// Parts are the references to the chunks, sorted by digest.
+	Parts []PartRef `json:"Parts"`
+	// Changes are the last changes, newest last.
 	Changes []LandedChange
 }
 
-// PartRef names a stored part. A part that was dropped and comes back is stored
-// anew, so that a clean-up of the former one can't take it away.
+// PartRef refers to a stored chunk. Its key on the platform includes the revision, so that
+// a chunk whose content recurs is stored under a new key and isn't deleted by a pending
+// cleanup of the old one.
 type PartRef struct {
+	// Digest is the SHA-256 digest of the chunk in hexadecimal.
 	Digest string
-	// Since is the revision that stored it.
+	// Since is the revision of the configuration that stored the chunk.
 	Since uint64
 }
 
-// LandedChange is a change that is in the configuration.
+// LandedChange records a change that has been written to the configuration.
 type LandedChange struct {
-	ID       string
+	// ID is the id of the change.
+	ID string
+	// Revision is the configuration's revision after the change.
 	Revision uint64
 }
 
-// Landed returns the revision in which the change took effect.
+// Landed returns the revision of the change with the id, and whether the head lists it.
 func (hea Head) Landed(changeID string) (uint64, bool) {
 	for _, lan := range hea.Changes {
 		if lan.ID == changeID {
@@ -54,7 +59,7 @@
 	return 0, false
 }
 
-// Part returns the reference with the digest.
+// Part returns the reference to the chunk with the digest, if the head has one.
 func (hea Head) Part(digest string) (PartRef, bool) {
 	for _, ref := range hea.Parts {
 		if ref.Digest == digest {
@@ -64,49 +69,50 @@
 	return PartRef{}, false
 }
 
-// Split returns the head of the configuration and its parts by digest. The
-// changes of the former head are kept, and changeID is added.
-func (con Configuration) Split(former Head, changeID string) (Head, map[string][]byte, error) {
+// Split encodes the configuration as a head and its chunks by digest. The head takes over
+// the changes of the previous head and adds changeID.
+func (con Configuration) Split(previous Head, changeID string) (Head, map[string][]byte, error) {
 	groups := make(map[string][]Entry)
 	for _, ent := range con.Entries() {
-		name := partName(ent.Resource.Key())
+		name := chunkName(ent.Resource.Key())
 		groups[name] = append(groups[name], ent)
 	}
-	parts := make(map[string][]byte, len(groups))
+	chunks := make(map[string][]byte, len(groups))
 	hea := Head{Revision: con.Revision}
 	for _, group := range groups {
 		data, err := json.Marshal(group)
 		if err != nil {
-			return Head{}, nil, errors.Wrap(err, "encode part")
+			return Head{}, nil, errors.Wrap(err, "encode configuration chunk")
 		}
 		digest := Digest(data)
-		parts[digest] = data
-		ref, known := former.Part(digest)
+		chunks[digest] = data
+		ref, known := previous.Part(digest)
 		if !known {
 			ref = PartRef{Digest: digest, Since: con.Revision}
 		}
 		hea.Parts = append(hea.Parts, ref)
 	}
 	slices.SortFunc(hea.Parts, func(one, two PartRef) int { return cmp.Compare(one.Digest, two.Digest) })
-	hea.Changes = append(slices.Clone(former.Changes), LandedChange{ID: changeID, Revision: con.Revision})
-	if over := len(hea.Changes) - changesKept; over > 0 {
-		hea.Changes = hea.Changes[over:]
+	hea.Changes = append(slices.Clone(previous.Changes), LandedChange{ID: changeID, Revision: con.Revision})
+	if excess := len(hea.Changes) - maxRememberedChanges; excess > 0 {
+		hea.Changes = hea.Changes[excess:]
 	}
-	return hea, parts, nil
+	return hea, chunks, nil
 }
 
-// Join builds the configuration of a head from its parts. It returns a
-// *PartError when a part is missing or isn't what its digest says.
-func Join(hea Head, parts map[string][]byte) (Configuration, error) {
+// Join decodes the configuration of a head from its chunks. It returns a *PartError if a
+// chunk is missing, doesn't match its digest or can't be decoded, and a *CheckError if the
+// configuration is invalid.
+func Join(hea Head, chunks map[string][]byte) (Configuration, error) {
 	var all []Entry
 	for _, ref := range hea.Parts {
 		digest := ref.Digest
-		data, present := parts[digest]
+		data, present := chunks[digest]
 		if !present {
 			return Configuration{}, &PartError{Digest: digest, Reason: "missing"}
 		}
 		if Digest(data) != digest {
-			return Configuration{}, &PartError{Digest: digest, Reason: "content doesn't match the digest"}
+			return Configuration{}, &PartError{Digest: digest, Reason: "content does not match the digest"}
 		}
 		var group []Entry
 		if err := json.Unmarshal(data, &group); err != nil {
@@ -121,15 +127,17 @@
 	return con, nil
 }
 
-// PartError reports a stored part that can't be used.
+// PartError reports a missing or invalid chunk.
 type PartError struct {
+	// Digest is the expected digest of the chunk.
 	Digest string
+	// Reason states what is wrong.
 	Reason string
 }
 
-// Error names the part and the reason.
+// Error returns the digest and the reason.
 func (per *PartError) Error() string {
-	return fmt.Sprintf("configuration part %s: %s", per.Digest, per.Reason)
+	return fmt.Sprintf("configuration chunk %s: %s", per.Digest, per.Reason)
 }
 
 // Digest returns the SHA-256 digest of data in hexadecimal.
@@ -138,11 +146,13 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func partName(key Key) string {
+// chunkName returns the name of the chunk that holds the resource: one chunk per kind, and
+// several for client accounts.
+func chunkName(key Key) string {
 	if key.Kind != KindClientAccount {
 		return string(key.Kind)
 	}
 	hsh := fnv.New32a()
 	_, _ = hsh.Write([]byte(key.Name))
-	return fmt.Sprintf("%s-%d", key.Kind, hsh.Sum32()%accountParts)
+	return fmt.Sprintf("%s-%d", key.Kind, hsh.Sum32()%accountChunks)
 }
--- a/resource/resource.go
+++ b/resource/resource.go
@@ -1,14 +1,14 @@
-// Package resource holds what operators declare: services, engines, tiers and
-// client accounts, and the configuration that they make up together.
+// Package resource defines the resources that operators declare (services, engines, tiers
+// and client accounts) and the configuration that consists of them.
 //
 // # Usage
 //
 //	set, err := resource.ParseSet("menus.json", data) // a file of resources
 //	next, err := conf.With(change)                    // a changed configuration
-//	problems := next.Check()                          // what keeps it from being accepted
+//	problems := next.Check()                          // the problems of an invalid configuration
 //
-// A configuration is one immutable value under one revision; nodes only ever
-// go to a higher one.
+// A configuration is an immutable value with a revision. Hosts only ever switch to a
+// configuration with a higher revision.
 package resource
 
 import (
@@ -29,12 +29,12 @@
 	KindClientAccount Kind = "ClientAccount"
 )
 
-// Kinds lists every kind in the order in which they refer to one another.
+// Kinds returns all kinds, each after the kinds to which its resources refer.
 func Kinds() []Kind {
 	return []Kind{KindTier, KindService, KindEngine, KindClientAccount}
 }
 
-// ParseKind reads a kind's name.
+// ParseKind returns the kind with the name. It returns a *KindError if there is none.
 func ParseKind(text string) (Kind, error) {
 	for _, kin := range Kinds() {
 		if string(kin) == text {
@@ -44,22 +44,22 @@
 	return "", &KindError{Text: text}
 }
 
-// KindError reports a name that is no kind of resource.
+// KindError reports an unknown kind of resource.
 type KindError struct {
-	// Text is what was given.
+	// Text is the name that was given.
 	Text string
 }
 
-// Error names the text and the kinds there are.
+// Error returns the name and the known kinds.
 func (ker *KindError) Error() string {
 	return fmt.Sprintf("%q is no kind of resource, want one of %v", ker.Text, Kinds())
 }
 
-// Resource is one declared thing: a Service, Engine, Tier or ClientAccount.
+// Resource is a Service, Engine, Tier or ClientAccount.
 type Resource interface {
 	// Key returns the kind and the name.
 	Key() Key
-	// isResource keeps the set of resources closed.
+	// isResource prevents implementations outside this package.
 	isResource()
 }
 
@@ -74,7 +74,7 @@
 	return string(key.Kind) + "/" + key.Name
 }
 
-// Protocol is what the engines of a service speak.
+// Protocol is the protocol of the engines of a service.
 type Protocol string
 
 // The protocols of services.
@@ -85,17 +85,17 @@
 	ProtocolPlain Protocol = "Plain"
 )
 
-// Service is a model or a plain service that callers may ask for by name.
+// Service is a model or a plain HTTP service that clients request by name.
 type Service struct {
 	// Name is the model name in requests, or the name under /services/.
 	Name string
-	// Protocol is what the engines speak.
+	// Protocol is the protocol of the service's engines.
 	Protocol Protocol
-	// MaxBodyBytes bounds a request's body; 0 stands for 1 MiB.
+	// MaxBodyBytes bounds the size of a request's body in bytes; 0 means 1 MiB.
 	MaxBodyBytes int64
-	// DefaultDeadline bounds a request that names none; 0 stands for 60 s.
+	// DefaultDeadline is the deadline of requests that specify none; 0 means 60 s.
 	DefaultDeadline format.Duration
-	// MaxWaiting bounds the line at each coordinator; 0 stands for 256.
+	// MaxWaiting bounds the number of queued requests at each coordinator; 0 means 256.
 	MaxWaiting int
 }
 
@@ -103,45 +103,47 @@
 type Engine struct {
 	// Name identifies the engine.
 	Name string
-	// Service is the service that it belongs to.
+	// Service is the name of the engine's service.
 	Service string
-	// Address is where it listens.
+	// Address is the IP address and port on which the engine listens.
 	Address netip.AddrPort
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the engine runs concurrently, 1 to 4096.
 	Slots int
-	// PrefillTokensPerSecond is the speed to start from; it is corrected by
-	// what completions show. 0 stands for 4000.
+	// PrefillTokensPerSecond is the initial estimate of the prefill speed, which is corrected
+	// by the measured speed of completed requests. 0 means 4000.
 	PrefillTokensPerSecond float64
-	// DecodeTokensPerSecond is the speed of one stream to start from, likewise.
-	// 0 stands for 40.
+	// DecodeTokensPerSecond is the initial estimate of the decode speed of one stream, which
+	// is corrected in the same way. 0 means 40.
 	DecodeTokensPerSecond float64
-	// Leaving is set by operators before the server goes: it gets no new work.
+	// Leaving drains the engine: it gets no new work. Operators set it before they remove
+	// the server.
 	Leaving bool
 }
 
-// Tier is a class of urgency.
+// Tier is a priority class of requests.
 type Tier struct {
 	// Name identifies the tier.
 	Name string
-	// Rank orders tiers; the highest is served first.
+	// Rank is the priority, 0 or more; requests of the highest rank are served first.
 	Rank int
 }
 
-// ClientAccount is a party that sends requests.
+// ClientAccount is an account that sends requests and is authenticated by bearer keys.
 type ClientAccount struct {
 	// Name identifies the account.
 	Name string
-	// KeyDigests are the SHA-256 digests, in hexadecimal, of its bearer keys.
+	// KeyDigests are the SHA-256 digests of the account's bearer keys, in hexadecimal.
 	KeyDigests []string
-	// Tiers are the tiers that it may ask for; the first one is the default.
+	// Tiers are the names of the tiers that the account may request; the first one is the
+	// default.
 	Tiers []string
-	// Services are the services that it may use; empty stands for all.
+	// Services are the names of the services that the account may use; empty means all.
 	Services []string
-	// Weight is its share of busy engines against other accounts; 0 stands for 1.
+	// Weight is the account's relative share of busy engines; 0 means 1.
 	Weight float64
-	// RequestsPerSecond bounds its rate over the whole system; 0 is no bound.
+	// RequestsPerSecond limits the account's request rate across the system; 0 means no limit.
 	RequestsPerSecond float64
-	// MaxInFlight bounds its requests in flight over the whole system; 0 is no bound.
+	// MaxInFlight limits the account's requests in flight across the system; 0 means no limit.
 	MaxInFlight int
 }
 
--- a/resource/resource_test.go
+++ b/resource/resource_test.go
@@ -11,19 +11,20 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
+// write returns an edit that writes res, based on the revision seen.
 func write(res resource.Resource, seen uint64) resource.Edit {
 	return resource.Edit{Key: res.Key(), Seen: seen, Resource: res}
 }
 
-func mustChange(t *testing.T, con resource.Configuration, edits ...resource.Edit) resource.Configuration {
+func applyEdits(t *testing.T, con resource.Configuration, edits ...resource.Edit) resource.Configuration {
 	t.Helper()
 	next, err := con.With(resource.Change{ID: "c", Edits: edits})
 	assert.NilError(t, err)
 	return next
 }
 
-func TestChanges(t *testing.T) {
-	base := mustChange(t, resource.Configuration{},
+func TestWithAppliesOrRejectsEdit(t *testing.T) {
+	base := applyEdits(t, resource.Configuration{},
 		write(resource.Tier{Name: "Normal", Rank: 1}, 0),
 		write(resource.Service{Name: "menus", Protocol: resource.ProtocolModel}, 0),
 	)
@@ -35,8 +36,8 @@
 		"Update":         {write(resource.Tier{Name: "Normal", Rank: 2}, 1), 2, ""},
 		"Same":           {write(resource.Tier{Name: "Normal", Rank: 1}, 1), 1, ""},
 		"Create":         {write(resource.Tier{Name: "Other"}, 0), 2, ""},
-		"CreateExisting": {write(resource.Tier{Name: "Normal", Rank: 2}, 0), 0, "fields Rank; you saw revision 0, newer is 1"},
-		"Stale":          {write(resource.Tier{Name: "Normal", Rank: 2}, 9), 0, "fields Rank; you saw revision 9, newer is 1"},
+		"CreateExisting": {write(resource.Tier{Name: "Normal", Rank: 2}, 0), 0, "fields Rank; edit based on revision 0, current revision is 1"},
+		"Stale":          {write(resource.Tier{Name: "Normal", Rank: 2}, 9), 0, "fields Rank; edit based on revision 9, current revision is 1"},
 		"DeleteUnseen":   {resource.Edit{Key: resource.Key{Kind: resource.KindTier, Name: "Normal"}}, 0, "fields (all)"},
 		"Delete":         {resource.Edit{Key: resource.Key{Kind: resource.KindTier, Name: "Normal"}, Seen: 1}, 2, ""},
 		"BadName":        {write(resource.Tier{Name: "a b"}, 0), 0, "Tier/a b: Name"},
@@ -58,21 +59,21 @@
 	}
 }
 
-func TestSplitAndJoin(t *testing.T) {
+func TestSplitStoresOnlyChangedChunksAndJoinRestores(t *testing.T) {
 	var edits []resource.Edit
 	edits = append(edits, write(resource.Tier{Name: "Normal"}, 0))
 	for num := range 200 {
 		edits = append(edits, write(resource.ClientAccount{Name: fmt.Sprintf("account-%d", num), Tiers: []string{"Normal"}}, 0))
 	}
-	first := mustChange(t, resource.Configuration{}, edits...)
-	head, parts, err := first.Split(resource.Head{}, "one")
+	first := applyEdits(t, resource.Configuration{}, edits...)
+	head, chunks, err := first.Split(resource.Head{}, "one")
 	assert.NilError(t, err)
 	assert.Equal(t, len(head.Parts), 17)
-	back, err := resource.Join(head, parts)
+	joined, err := resource.Join(head, chunks)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, back.Entries(), first.Entries())
+	assert.DeepEqual(t, joined.Entries(), first.Entries())
 
-	second := mustChange(t, first, write(resource.Tier{Name: "Normal", Rank: 5}, 1))
+	second := applyEdits(t, first, write(resource.Tier{Name: "Normal", Rank: 5}, 1))
 	next, _, err := second.Split(head, "two")
 	assert.NilError(t, err)
 	changed := 0
@@ -81,20 +82,20 @@
 			changed++
 		}
 	}
-	assert.Equal(t, changed, 1, "only the changed part is stored anew")
-	revision, landed := next.Landed("one")
-	assert.Assert(t, landed && revision == 1)
+	assert.Equal(t, changed, 1, "only the changed chunk is stored again")
+	revision, written := next.Landed("one")
+	assert.Assert(t, written && revision == 1)
 }
 
-func TestJoinRefusesWhatIsNotWhole(t *testing.T) {
-	con := mustChange(t, resource.Configuration{}, write(resource.Tier{Name: "Normal"}, 0))
-	head, parts, err := con.Split(resource.Head{}, "one")
+func TestJoinRejectsMissingAndAlteredChunks(t *testing.T) {
+	con := applyEdits(t, resource.Configuration{}, write(resource.Tier{Name: "Normal"}, 0))
+	head, chunks, err := con.Split(resource.Head{}, "one")
 	assert.NilError(t, err)
 	var per *resource.PartError
 	_, err = resource.Join(head, nil)
 	assert.Assert(t, errors.As(err, &per))
-	parts[head.Parts[0].Digest] = []byte("[]")
-	_, err = resource.Join(head, parts)
+	chunks[head.Parts[0].Digest] = []byte("[]")
+	_, err = resource.Join(head, chunks)
 	assert.Assert(t, errors.As(err, &per))
 }
 
@@ -116,10 +117,10 @@
 		if err != nil || con.Revision == 0 {
 			return
 		}
-		head, parts, err := con.Split(resource.Head{}, "c")
+		head, chunks, err := con.Split(resource.Head{}, "c")
 		assert.NilError(t, err)
-		back, err := resource.Join(head, parts)
+		joined, err := resource.Join(head, chunks)
 		assert.NilError(t, err)
-		assert.Equal(t, len(back.Entries()), len(con.Entries()))
+		assert.Equal(t, len(joined.Entries()), len(con.Entries()))
 	})
 }
--- a/resource/set.go
+++ b/resource/set.go
@@ -8,7 +8,7 @@
 	"lynxwell.dev/lynxwell/format"
 )
 
-// Set is the content of a file of resources.
+// Set holds the resources of one file.
 type Set struct {
 	Tiers          []Tier          `json:",omitempty"`
 	Services       []Service       `json:",omitempty"`
@@ -16,8 +16,8 @@
 	ClientAccounts []ClientAccount `json:",omitempty"`
 }
 
-// ParseSet reads a file of resources. Unknown fields and values of the wrong
-// type give a *format.FieldError with the line.
+// ParseSet decodes the HuJSON content of a file of resources. For unknown fields and
+// values of the wrong type it returns a *format.FieldError with the line.
 func ParseSet(file string, data []byte) (Set, error) {
 	var set Set
 	if err := format.Decode(file, data, &set); err != nil {
@@ -26,7 +26,7 @@
 	return set, nil
 }
 
-// Resources returns the set's resources, kind by kind.
+// Resources returns the set's resources in the order of Kinds.
 func (set Set) Resources() []Resource {
 	var all []Resource
 	for _, tie := range set.Tiers {
@@ -52,14 +52,14 @@
 	Resource Resource
 }
 
-// entryJSON is the stored shape of an Entry.
+// entryJSON is the stored form of an Entry.
 type entryJSON struct {
 	Kind     Kind
 	Revision uint64
 	Spec     json.RawMessage
 }
 
-// MarshalJSON writes the entry with its kind.
+// MarshalJSON encodes the entry with its kind.
 func (ent Entry) MarshalJSON() ([]byte, error) {
 	spec, err := json.Marshal(ent.Resource)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return json.Marshal(entryJSON{Kind: ent.Resource.Key().Kind, Revision: ent.Revision, Spec: spec})
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes the output of MarshalJSON.
 func (ent *Entry) UnmarshalJSON(data []byte) error {
 	var raw entryJSON
 	if err := json.Unmarshal(data, &raw); err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// DecodeSpec reads one resource of the kind.
+// DecodeSpec decodes one resource of the kind. It returns a *KindError if the kind is unknown.
 func DecodeSpec(file string, kin Kind, data []byte) (Resource, error) {
 	switch kin {
 	case KindService:
--- a/view/assign.go
+++ b/view/assign.go
@@ -8,28 +8,28 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// deputyShare is the part of an engine's slots, one in deputyShare, that a
-// deputy hands out.
-const deputyShare = 4
+// deputySlotDivisor is the divisor of an engine's slots that gives the number of slots
+// assigned to a deputy.
+const deputySlotDivisor = 4
 
-// Share is what one host coordinates of one engine.
+// Share is the assignment of slots of one engine to the host that coordinates them.
 type Share struct {
 	// Engine is the engine's name.
 	Engine string
 	// Coordinator is the host's epoch.
 	Coordinator request.Epoch
-	// Slots is how many of the engine's slots the host hands out.
+	// Slots is the number of the engine's slots that the host assigns to requests.
 	Slots int
-	// Deputy is set where the host serves only the gateways of the
-	// coordinator's own failure domain.
+	// Deputy is set if the host grants these slots only to gateways in the failure
+	// domain of the engine's main coordinator.
 	Deputy bool
 }
 
-// Assign spreads the engines of one service over the view's active members:
-// evenly over failure domains, then by rendezvous, so that a change of one host
-// moves only that host's engines. A service whose engines all fall to one
-// failure domain gets deputies in another, since a gateway takes no grant from
-// its own domain.
+// Assign distributes the engines of one service over the view's active members:
+// evenly over failure domains, then by rendezvous hashing within a domain, so that the
+// loss of one host moves only that host's engines. If all engines of a service are
+// assigned to one failure domain, deputies in another domain get a share of the slots,
+// since a gateway accepts no grants from its own domain.
 func Assign(vie View, service string, engines []resource.EngineSlots) []Share {
 	active := vie.Active()
 	if len(active) == 0 || len(engines) == 0 {
@@ -63,6 +63,7 @@
 	return groups
 }
 
+// sortedDomains returns the domains in an order that differs between services.
 func sortedDomains(groups map[string][]Member, service string) []string {
 	domains := make([]string, 0, len(groups))
 	for domain := range groups {
@@ -74,8 +75,8 @@
 	return domains
 }
 
-// bestDomain returns the domain with the least load, and of those the one that
-// the engine prefers.
+// bestDomain returns the domain with the fewest assigned engines. Ties go to the domain
+// with the highest rendezvous score for the engine.
 func bestDomain(domains []string, load map[string]int, engine string) string {
 	best := ""
 	for _, domain := range domains {
@@ -88,21 +89,23 @@
 	return best
 }
 
+// bestMember returns the member with the highest rendezvous score for the engine.
 func bestMember(members []Member, engine string) Member {
 	return slices.MaxFunc(members, func(one, two Member) int {
 		return cmp.Compare(Score(engine, one.Name), Score(engine, two.Name))
 	})
 }
 
+// addDeputies moves a share of each engine's slots to a deputy in another domain.
 func addDeputies(shares []Share, byDomain map[string][]Member, domains []string, load map[string]int) []Share {
 	deputies := make([]Share, 0, len(shares))
 	for idx := range shares {
 		sha := &shares[idx]
 		domain := bestDomain(domains, load, sha.Engine)
 		host := bestMember(byDomain[domain], sha.Engine)
-		part := max(1, sha.Slots/deputyShare)
-		deputies = append(deputies, Share{Engine: sha.Engine, Coordinator: host.Epoch, Slots: part, Deputy: true})
-		sha.Slots = max(1, sha.Slots-part)
+		deputySlots := max(1, sha.Slots/deputySlotDivisor)
+		deputies = append(deputies, Share{Engine: sha.Engine, Coordinator: host.Epoch, Slots: deputySlots, Deputy: true})
+		sha.Slots = max(1, sha.Slots-deputySlots)
 	}
 	return append(shares, deputies...)
 }
--- a/view/history.go
+++ b/view/history.go
@@ -2,14 +2,14 @@
 
 import "lynxwell.dev/lynxwell/request"
 
-// History remembers the last views by number.
+// History stores the last views by number.
 type History struct {
 	limit uint64
 	views map[uint64]View
 	last  uint64
 }
 
-// historyLimit is how many views a history remembers.
+// historyLimit is the number of views that a history stores.
 const historyLimit = 128
 
 // NewHistory returns an empty history.
@@ -17,7 +17,7 @@
 	return History{limit: historyLimit, views: make(map[uint64]View)}
 }
 
-// Add remembers the view and forgets the ones that are too old.
+// Add stores the view and removes those beyond the limit.
 func (his *History) Add(vie View) {
 	his.views[vie.Number] = vie
 	his.last = max(his.last, vie.Number)
@@ -31,18 +31,18 @@
 	}
 }
 
-// Get returns the view with the number.
+// Get returns the view with the number, if it is stored.
 func (his *History) Get(number uint64) (View, bool) {
 	vie, known := his.views[number]
 	return vie, known
 }
 
-// Last returns the newest view; its number is 0 when there is none.
+// Last returns the newest view. Its number is 0 if the history is empty.
 func (his *History) Last() View {
 	return his.views[his.last]
 }
 
-// Since returns the remembered views from the number on, oldest first.
+// Since returns the stored views from the number on, oldest first.
 func (his *History) Since(number uint64) []View {
 	var views []View
 	for num := max(number, 1); num <= his.last; num++ {
@@ -53,13 +53,13 @@
 	return views
 }
 
-// Knows reports whether any remembered view has the epoch.
+// Knows reports whether any stored view has a member with the epoch.
 func (his *History) Knows(epo request.Epoch) bool {
 	_, known := his.Find(func(mem Member) bool { return mem.Epoch == epo })
 	return known
 }
 
-// Find returns the newest member with the epoch in any remembered view.
+// Find returns the first matching member, searching the stored views from the newest back.
 func (his *History) Find(match func(Member) bool) (Member, bool) {
 	for num := his.last; num > 0; num-- {
 		vie, known := his.views[num]
--- a/view/main_test.go
+++ b/view/main_test.go
@@ -8,7 +8,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The same walks on every run.
+	// A fixed seed makes the property tests draw the same cases on every run.
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
--- a/view/propose.go
+++ b/view/propose.go
@@ -8,19 +8,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxHeadBytes bounds the stored head: every host reads it at each change. What
-// has no room in it is fetched from peers.
+// maxHeadBytes bounds the size of the stored head, since every host reads it at each
+// change. Views that don't fit are fetched from peers.
 const maxHeadBytes = 128 << 10
 
-// Head is the stored value that orders views: the current one, and as many of
-// the last ones as there is room for, so that a host that starts knows them.
+// Head is the stored value that orders views. It holds the current view, and as many of
+// the past ones as fit, so that a starting host knows them.
 type Head struct {
 	Current View
-	// Past are the former views, the newest last.
+	// Past are the previous views, newest last.
 	Past []View
 }
 
-// ParseHead reads a stored head.
+// ParseHead decodes a stored head.
 func ParseHead(data []byte) (Head, error) {
 	var hea Head
 	if err := json.Unmarshal(data, &hea); err != nil {
@@ -29,7 +29,7 @@
 	return hea, nil
 }
 
-// Next returns the head with the members as the view of the next number.
+// Next returns a head whose current view has the next number and the given members.
 func (hea Head) Next(members []Member) Head {
 	next := Head{Current: View{Number: hea.Current.Number + 1, Members: members}}
 	if hea.Current.Number > 0 {
@@ -38,7 +38,8 @@
 	return next
 }
 
-// Encode returns the stored form, without the oldest views where it grew too long.
+// Encode returns the head as JSON of at most 128 KiB. It drops the oldest views until the
+// rest fits, but never the current one.
 func (hea Head) Encode() ([]byte, error) {
 	for {
 		data, err := json.Marshal(hea)
@@ -52,9 +53,9 @@
 	}
 }
 
-// Propose returns the members that the next view should have: every host with
-// a lease, and those of the current view that are seen alive although their
-// lease lapsed, as leases do in an outage of the platform.
+// Propose returns the members for the next view: every host with a lease, and those
+// members of the current view that are alive although their lease expired, as leases
+// do during an outage of the platform.
 func Propose(current View, leased []Member, alive func(Member) bool) []Member {
 	byName := make(map[string]Member, len(leased))
 	for _, mem := range current.Members {
@@ -73,8 +74,8 @@
 	return members
 }
 
-// ProposerRank says how many hosts are to propose a change of the current view
-// before the named one.
+// ProposerRank returns the number of members of the current view that should propose a
+// change before the named host does.
 func ProposerRank(current View, name string) int {
 	rank := 0
 	for _, mem := range current.Members {
--- a/view/reach.go
+++ b/view/sessionpeers.go
@@ -8,18 +8,18 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// allReach is the largest number of other hosts that a gateway keeps sessions
-// with all of.
-const allReach = 24
+// maxFullMeshPeers is the largest number of other hosts up to which a gateway keeps a
+// session with every one of them.
+const maxFullMeshPeers = 24
 
-// serviceReach is how many coordinators of each service a gateway keeps
-// sessions with in a larger view.
-const serviceReach = 2
+// coordinatorsPerService is the number of coordinators of each service with which a gateway
+// keeps sessions in a larger view.
+const coordinatorsPerService = 2
 
-// Reach returns the members that the gateway with the epoch keeps sessions
-// with: all others of a small view, and of a large one, for each service, a few
-// coordinators outside its own failure domain, in different domains as far as
-// there are any, which differ from gateway to gateway.
+// Reach returns the members with which the gateway with the given epoch keeps sessions. In
+// a view with at most 24 other members these are all of them. In a larger view they are two
+// coordinators of each service that are outside the gateway's failure domain, if possible
+// in different domains. The choice differs between gateways, which distributes the load.
 func (vie View) Reach(gateway request.Epoch, services map[string][]resource.EngineSlots) []Member {
 	var others []Member
 	for _, mem := range vie.Members {
@@ -27,19 +27,21 @@
 			others = append(others, mem)
 		}
 	}
-	if len(others) <= allReach {
+	if len(others) <= maxFullMeshPeers {
 		return others
 	}
 	wanted := make(map[request.Epoch]bool)
 	for service, engines := range services {
-		for _, mem := range vie.reachOf(gateway, service, engines) {
+		for _, mem := range vie.servicePeers(gateway, service, engines) {
 			wanted[mem.Epoch] = true
 		}
 	}
 	return slices.DeleteFunc(others, func(mem Member) bool { return !wanted[mem.Epoch] })
 }
 
-func (vie View) reachOf(gateway request.Epoch, service string, engines []resource.EngineSlots) []Member {
+// servicePeers returns the coordinators of one service with which the gateway keeps
+// sessions in a large view.
+func (vie View) servicePeers(gateway request.Epoch, service string, engines []resource.EngineSlots) []Member {
 	var coordinators []Member
 	for _, sha := range Assign(vie, service, engines) {
 		mem, _ := vie.Member(sha.Coordinator)
@@ -52,11 +54,11 @@
 	slices.SortFunc(coordinators, func(one, two Member) int {
 		return cmp.Compare(Score(key, two.Name), Score(key, one.Name))
 	})
-	return Spread(coordinators, serviceReach)
+	return Spread(coordinators, coordinatorsPerService)
 }
 
-// Spread takes count members, the first of each failure domain before any
-// second, otherwise in the order given.
+// Spread returns up to count members, one of each failure domain before any second one of
+// a domain, otherwise in the given order.
 func Spread(members []Member, count int) []Member {
 	var first, rest []Member
 	for _, mem := range members {
--- a/view/view.go
+++ b/view/view.go
@@ -1,14 +1,14 @@
-// Package view is the pure part of membership: the immutable views of the
-// system's hosts, which host may grant which request, and which host
+// Package view implements the parts of membership that do no I/O: the immutable views of
+// the system's hosts, which hosts may grant requests to a gateway, and which host
 // coordinates which engine.
 //
 // # Usage
 //
 //	vie := view.View{Number: 4, Members: members}
-//	granters := vie.Granters(gatewayEpoch)   // who may grant to that gateway
-//	asg := view.Assign(vie, "menus", engines) // engine name to coordinator
+//	granters := vie.Granters(gatewayEpoch)       // the hosts that may grant to that gateway
+//	shares := view.Assign(vie, "menus", engines) // the engines' slots by coordinator
 //
-// A view never changes once it is published; a change of members is a view
+// A view never changes once it is published. A change of members creates a view
 // with the next number.
 package view
 
@@ -20,7 +20,7 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// Member is one host's process in a view.
+// Member is one host in a view, identified by the epoch of its process.
 type Member struct {
 	// Name is the host's name, unique in the system.
 	Name string
@@ -28,17 +28,17 @@
 	Epoch request.Epoch
 	// Domain is the host's failure domain.
 	Domain string
-	// CallerAddress is where callers connect.
+	// CallerAddress is the IP address and port to which clients connect.
 	CallerAddress netip.AddrPort
-	// PeerAddress is where other hosts connect.
+	// PeerAddress is the IP address and port to which other hosts connect.
 	PeerAddress netip.AddrPort
-	// Leaving is set while the host stops: it gets no new work.
-	Leaving bool
+	// Leaving is set while the host drains; it gets no new work.
+	Leaving bool `json:"Leaving"`
 }
 
 // View is one numbered, immutable set of members, sorted by name.
 type View struct {
-	// Number grows by one with each change; 0 is no view at all.
+	// Number increases by one with each change; 0 means that there is no view.
 	Number uint64
 	// Members are sorted by name.
 	Members []Member
@@ -66,9 +66,9 @@
 	return domains
 }
 
-// Granters returns the members that may grant requests to the gateway with the
-// epoch: those outside its failure domain, or all when there is one domain.
-// It returns nil when the gateway isn't in the view.
+// Granters returns the members that may grant requests to the gateway with the given
+// epoch: those outside its failure domain, or all members if there is only one domain.
+// It returns nil if the gateway isn't in the view.
 func (vie View) Granters(gateway request.Epoch) []Member {
 	own, known := vie.Member(gateway)
 	if !known {
@@ -86,8 +86,8 @@
 	return granters
 }
 
-// MayGrant reports whether the host with epoch granter may grant requests to
-// the gateway.
+// MayGrant reports whether the host with the epoch granter may grant requests to
+// the gateway with the epoch gateway.
 func (vie View) MayGrant(granter, gateway request.Epoch) bool {
 	for _, mem := range vie.Granters(gateway) {
 		if mem.Epoch == granter {
@@ -97,7 +97,7 @@
 	return false
 }
 
-// Active returns the members that take new work.
+// Active returns the members that accept new work, which are those not draining.
 func (vie View) Active() []Member {
 	var active []Member
 	for _, mem := range vie.Members {
@@ -108,34 +108,36 @@
 	return active
 }
 
-// Without returns the view without the members that the function names. It is
-// for working out who coordinates what while hosts are lost; who may grant
-// what is always worked out from the whole view.
+// Without returns the view without the members for which lost returns true. It serves
+// to assign coordinators while hosts are lost. Which hosts may grant requests is always
+// determined from the complete view.
 func (vie View) Without(lost func(request.Epoch) bool) View {
-	left := View{Number: vie.Number}
+	remaining := View{Number: vie.Number}
 	for _, mem := range vie.Members {
 		if !lost(mem.Epoch) {
-			left.Members = append(left.Members, mem)
+			remaining.Members = append(remaining.Members, mem)
 		}
 	}
-	return left
+	return remaining
 }
 
-// SameMembers reports whether other has the same members, whatever its number.
+// SameMembers reports whether the view has exactly the given members, in the same order.
 func (vie View) SameMembers(other []Member) bool {
 	return slices.Equal(vie.Members, other)
 }
 
-// Score is the rendezvous weight of key at place; the highest place wins.
-func Score(key, place string) uint64 {
+// Score returns the rendezvous hashing weight of a candidate for the key. The candidate
+// with the highest score is chosen.
+func Score(key, candidate string) uint64 {
 	hsh := fnv.New64a()
 	_, _ = hsh.Write([]byte(key))
 	_, _ = hsh.Write([]byte{0})
-	_, _ = hsh.Write([]byte(place))
+	_, _ = hsh.Write([]byte(candidate))
 	return mix(hsh.Sum64())
 }
 
-// mix spreads the hash: FNV alone leaves close names with close sums.
+// mix is a bit mixer that decorrelates the hashes of similar names, for which FNV alone
+// returns similar values.
 func mix(val uint64) uint64 {
 	val ^= val >> 33
 	val *= 0xff51afd7ed558ccd
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -32,18 +32,19 @@
 	return engines
 }
 
-// Whatever the members, every gateway of a view with two domains or more can
-// use some engine of each service, and no engine's slots are given out twice.
-func TestEveryGatewayHasAnEngineAndNoSlotTwice(t *testing.T) {
+// For any membership, every gateway must get at least one coordinator that may grant it
+// slots of the service, and the shares of an engine must add up to exactly its slots.
+// Without deputies, a service assigned to one domain would be unusable for its gateways.
+func TestAssignGivesEveryGatewayAnEngineAndEachSlotOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vie, engines := drawView(t), drawEngines(t)
 		shares := view.Assign(vie, "menus", engines)
-		given := make(map[string]int)
+		assigned := make(map[string]int)
 		for _, sha := range shares {
-			given[sha.Engine] += sha.Slots
+			assigned[sha.Engine] += sha.Slots
 		}
 		for _, eng := range engines {
-			assert.Equal(t, given[eng.Engine], eng.Slots)
+			assert.Equal(t, assigned[eng.Engine], eng.Slots)
 		}
 		for _, mem := range vie.Members {
 			usable := 0
@@ -52,14 +53,15 @@
 					usable++
 				}
 			}
-			assert.Assert(t, usable > 0, "%s in %s has none of %v", mem.Name, mem.Domain, shares)
+			assert.Assert(t, usable > 0, "%s in domain %s may use none of the shares %v", mem.Name, mem.Domain, shares)
 		}
 	})
 }
 
-// A host that goes moves only the engines of its own domain, or, where its
-// domain goes with it, at most as many as rebalancing the domains takes.
-func TestLossOfAHostMovesItsOwnEnginesOnly(t *testing.T) {
+// The loss of a host must move only the engines that it coordinated. Otherwise one
+// failure would interrupt the coordination of unrelated engines. (The loss of a whole
+// domain may move as many engines as rebalancing the domains takes.)
+func TestLossOfHostMovesOnlyItsEngines(t *testing.T) {
 	vie := view.View{Number: 1}
 	for num := range 9 {
 		vie.Members = append(vie.Members, view.Member{Name: fmt.Sprintf("host-%d", num), Epoch: request.Epoch(num + 1), Domain: fmt.Sprintf("domain-%d", num%3)})
@@ -77,18 +79,18 @@
 	}
 }
 
-func TestProposeKeepsHostsThatAreSeenAlive(t *testing.T) {
+func TestProposeKeepsAliveHostsWithoutLease(t *testing.T) {
 	current := view.View{Number: 3, Members: []view.Member{{Name: "a", Epoch: 1}, {Name: "b", Epoch: 2}, {Name: "c", Epoch: 3}}}
 	cases := map[string]struct {
 		leased []view.Member
 		alive  map[request.Epoch]bool
 		want   []view.Member
 	}{
-		"AllLeased":      {current.Members, nil, current.Members},
-		"LeasesLapsed":   {nil, map[request.Epoch]bool{1: true, 2: true, 3: true}, current.Members},
-		"LostAndLapsed":  {current.Members[:2], map[request.Epoch]bool{1: true}, current.Members[:2]},
-		"StartedAnew":    {[]view.Member{{Name: "b", Epoch: 9}}, map[request.Epoch]bool{1: true, 2: true}, []view.Member{{Name: "a", Epoch: 1}, {Name: "b", Epoch: 9}}},
-		"LeavingByLease": {[]view.Member{{Name: "a", Epoch: 1, Leaving: true}}, map[request.Epoch]bool{1: true}, []view.Member{{Name: "a", Epoch: 1, Leaving: true}}},
+		"AllLeased":       {current.Members, nil, current.Members},
+		"LeasesExpired":   {nil, map[request.Epoch]bool{1: true, 2: true, 3: true}, current.Members},
+		"LostAndExpired":  {current.Members[:2], map[request.Epoch]bool{1: true}, current.Members[:2]},
+		"Restarted":       {[]view.Member{{Name: "b", Epoch: 9}}, map[request.Epoch]bool{1: true, 2: true}, []view.Member{{Name: "a", Epoch: 1}, {Name: "b", Epoch: 9}}},
+		"DrainingByLease": {[]view.Member{{Name: "a", Epoch: 1, Leaving: true}}, map[request.Epoch]bool{1: true}, []view.Member{{Name: "a", Epoch: 1, Leaving: true}}},
 	}
 	for name, cas := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -98,7 +100,7 @@
 	}
 }
 
-func TestHeadKeepsPastViewsWithinTheValueLimit(t *testing.T) {
+func TestEncodedHeadStaysWithinSizeLimit(t *testing.T) {
 	hea := view.Head{}
 	var members []view.Member
 	for num := range 350 {
@@ -110,14 +112,15 @@
 	data, err := hea.Encode()
 	assert.NilError(t, err)
 	assert.Assert(t, len(data) <= 128<<10, "%d bytes", len(data))
-	back, err := view.ParseHead(data)
+	decoded, err := view.ParseHead(data)
 	assert.NilError(t, err)
-	assert.Equal(t, back.Current.Number, uint64(40))
+	assert.Equal(t, decoded.Current.Number, uint64(40))
 }
 
-// In a view too large for sessions with everybody, each gateway still reaches
-// two failure domains' coordinators of every service.
-func TestReachOfALargeViewHasEveryService(t *testing.T) {
+// In a view too large for a full mesh of sessions, each gateway must still have sessions
+// with coordinators of every service in two failure domains, so that the loss of one
+// domain leaves it a coordinator.
+func TestSessionPeersInLargeViewCoverEveryService(t *testing.T) {
 	vie := view.View{Number: 1}
 	for num := range 350 {
 		vie.Members = append(vie.Members, view.Member{Name: fmt.Sprintf("host-%d", num), Epoch: request.Epoch(num + 1), Domain: fmt.Sprintf("domain-%d", num%5)})
@@ -128,17 +131,17 @@
 		services[service] = append(services[service], resource.EngineSlots{Engine: fmt.Sprintf("engine-%d", num), Slots: 8})
 	}
 	for _, gat := range vie.Members[:20] {
-		reach := vie.Reach(gat.Epoch, services)
-		assert.Assert(t, len(reach) <= 44, "%d sessions", len(reach))
+		peers := vie.Reach(gat.Epoch, services)
+		assert.Assert(t, len(peers) <= 44, "%d sessions", len(peers))
 		for service, engines := range services {
 			domains := make(map[string]bool)
 			for _, sha := range view.Assign(vie, service, engines) {
-				if slices.ContainsFunc(reach, func(mem view.Member) bool { return mem.Epoch == sha.Coordinator && mem.Domain != gat.Domain }) {
+				if slices.ContainsFunc(peers, func(mem view.Member) bool { return mem.Epoch == sha.Coordinator && mem.Domain != gat.Domain }) {
 					mem, _ := vie.Member(sha.Coordinator)
 					domains[mem.Domain] = true
 				}
 			}
-			assert.Assert(t, len(domains) >= 2, "%s reaches %d domains of %s", gat.Name, len(domains), service)
+			assert.Assert(t, len(domains) >= 2, "%s has sessions with coordinators in %d domains of %s", gat.Name, len(domains), service)
 		}
 	}
 }
