--- a/host/actions.go
+++ b/host/actions.go
@@ -191,7 +191,7 @@
 		ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		defer cancel()
 		if err := lop.host.peers.Vouch(ctx, act.To, act.Vouch); err != nil {
-			lop.host.log.Warn().Err(err).Str("To", act.To.Name).Msg("sending the attestation of lost grants to a peer failed")
+			lop.host.log.Warn().Err(err).Str("To", act.To.Name).Msg("sending the attestation of a lost host's grants to a peer failed")
 		}
 	})
 }
--- a/host/callerbackend.go
+++ b/host/callerbackend.go
@@ -104,7 +104,7 @@
 }
 
 // dropArrival detaches a client that disconnected before it received its decision. The
-// loop has already handled the arrival, so a decision that was made is in the channel.
+// loop handles the arrival before this call, so a decision is already in the channel.
 func (lop *loop) dropArrival(now time.Time, arr gateway.Arrived, waiting *arrival) {
 	delete(lop.pending, arr.Caller)
 	select {
--- a/host/dispatch.go
+++ b/host/dispatch.go
@@ -26,7 +26,7 @@
 // cancelTimeout bounds the call that cancels a request on its engine.
 const cancelTimeout = 2 * time.Second
 
-// dispatch sends a request to its engine exactly once.
+// dispatch sends a request to its engine at most once; it never retries.
 func (hos *Host) dispatch(ctx context.Context, id request.ID, name string, jb *job) gateway.Result {
 	eng, known := hos.Configuration().Engine(name)
 	if !known {
--- a/resource/head.go
+++ b/resource/head.go
@@ -51,9 +51,9 @@
 
 // Landed returns the revision of the change with the id, and whether the head lists it.
 func (hea Head) Landed(changeID string) (uint64, bool) {
-	for _, lan := range hea.Changes {
-		if lan.ID == changeID {
-			return lan.Revision, true
+	for _, chg := range hea.Changes {
+		if chg.ID == changeID {
+			return chg.Revision, true
 		}
 	}
 	return 0, false
@@ -136,8 +136,8 @@
 }
 
 // Error returns the digest and the reason.
-func (per *PartError) Error() string {
-	return fmt.Sprintf("configuration chunk %s: %s", per.Digest, per.Reason)
+func (cer *PartError) Error() string {
+	return fmt.Sprintf("configuration chunk %s: %s", cer.Digest, cer.Reason)
 }
 
 // Digest returns the SHA-256 digest of data in hexadecimal.
