--- a/host/host.go
+++ b/host/host.go
@@ -45,7 +45,7 @@
 type Config struct {
 	Settings settings.Settings
 	Log      zerolog.Logger
-	// Store is the platform's key-value store.
+	// Store is the interface to the platform: its keys, leases and list of hosts.
 	Store store.Store
 	// Gateway and Coordinator may set the fields that tests and benchmarks vary. New sets
 	// the epoch, the start time and the periods from Settings.
--- a/view/view.go
+++ b/view/view.go
@@ -24,7 +24,7 @@
 type Member struct {
 	// Name is the host's name, unique in the system.
 	Name string
-	// Epoch numbers the process start.
+	// Epoch identifies the process start.
 	Epoch request.Epoch
 	// Domain is the host's failure domain.
 	Domain string
