--- a/host/parts.go
+++ b/host/parts.go
@@ -6,39 +6,39 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// parts keeps the parts of the configuration in force, by digest.
-type parts struct {
+// chunkCache holds the stored chunks of the active configuration, by digest.
+type chunkCache struct {
 	mutex sync.Mutex
 	data  map[string][]byte
 }
 
-func newParts() *parts {
-	return &parts{data: make(map[string][]byte)}
+func newChunkCache() *chunkCache {
+	return &chunkCache{data: make(map[string][]byte)}
 }
 
-func (par *parts) get(digest string) ([]byte, bool) {
-	par.mutex.Lock()
-	defer par.mutex.Unlock()
-	data, known := par.data[digest]
+func (cac *chunkCache) get(digest string) ([]byte, bool) {
+	cac.mutex.Lock()
+	defer cac.mutex.Unlock()
+	data, known := cac.data[digest]
 	return data, known
 }
 
-// keep replaces what is kept.
-func (par *parts) keep(data map[string][]byte) {
-	par.mutex.Lock()
-	defer par.mutex.Unlock()
-	par.data = data
+// replace replaces the content of the cache.
+func (cac *chunkCache) replace(data map[string][]byte) {
+	cac.mutex.Lock()
+	defer cac.mutex.Unlock()
+	cac.data = data
 }
 
-// of returns the parts of the head that are kept.
-func (par *parts) of(hea resource.Head) map[string][]byte {
-	par.mutex.Lock()
-	defer par.mutex.Unlock()
-	some := make(map[string][]byte, len(hea.Parts))
+// forHead returns the cached chunks that the head refers to.
+func (cac *chunkCache) forHead(hea resource.Head) map[string][]byte {
+	cac.mutex.Lock()
+	defer cac.mutex.Unlock()
+	found := make(map[string][]byte, len(hea.Parts))
 	for _, ref := range hea.Parts {
-		if data, known := par.data[ref.Digest]; known {
-			some[ref.Digest] = data
+		if data, known := cac.data[ref.Digest]; known {
+			found[ref.Digest] = data
 		}
 	}
-	return some
+	return found
 }
