--- a/coordinator/benchcore_test.go
+++ b/coordinator/benchcore_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// busyCore returns a coordinator whose slots are all taken and whose line is full.
-func busyCore(waitingCount, engines int) (*Core, time.Time) {
+// saturatedCore returns a coordinator whose slots are all taken and whose line is full.
+func saturatedCore(waitingCount, engines int) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	cor := New(Config{Self: benchSelf})
 	entries := []resource.Entry{{Resource: resource.Service{Name: "menus", Protocol: resource.ProtocolModel, MaxWaiting: 1 << 20}}}
@@ -42,8 +42,8 @@
 	return cor, now
 }
 
-// decideOnce reserves one request and releases one slot, which grants another.
-func decideOnce(cor *Core, now time.Time, number int) {
+// scheduleOnce reserves one request and releases one slot, which grants another.
+func scheduleOnce(cor *Core, now time.Time, number int) {
 	cor.Handle(now, Received{From: benchGateway, Message: benchReserve(fmt.Sprintf("n%d", number), number%50)})
 	for name, ens := range cor.engines {
 		for id := range ens.held {
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -59,7 +59,7 @@
 	conf     resource.Configuration
 	services map[string]*serviceState
 	engines  map[string]*engineState
-	// lost are the hosts that can't be reached from here: their engines go to
+	// lost are the hosts that can't be reachable from here: their engines go to
 	// the next ones, without waiting for a new view.
 	lost     map[request.Epoch]bool
 	draining bool
@@ -71,10 +71,10 @@
 
 // New returns the core of a process start.
 func New(cfg Config) *Core {
-	fill(&cfg.Settle, DefaultSettle)
-	fill(&cfg.FloorTime, DefaultFloorTime)
-	fill(&cfg.OrphanTime, DefaultOrphanTime)
-	fill(&cfg.Retention, DefaultRetention)
+	setDefault(&cfg.Settle, DefaultSettle)
+	setDefault(&cfg.FloorTime, DefaultFloorTime)
+	setDefault(&cfg.OrphanTime, DefaultOrphanTime)
+	setDefault(&cfg.Retention, DefaultRetention)
 	return &Core{
 		cfg:      cfg,
 		ledger:   NewLedger(cfg.Self),
@@ -85,7 +85,7 @@
 	}
 }
 
-func fill(dur *time.Duration, def time.Duration) {
+func setDefault(dur *time.Duration, def time.Duration) {
 	if *dur == 0 {
 		*dur = def
 	}
@@ -109,7 +109,7 @@
 	case Received:
 		cor.received(now, evt.From, evt.Message)
 	case Reported:
-		cor.reported(now, evt)
+		cor.engineReported(now, evt)
 	case CacheChanged:
 		cor.cacheChanged(evt)
 	case Drain:
@@ -142,26 +142,26 @@
 // dropFenced takes a fenced request out of the line and tells its gateway.
 func (cor *Core) dropFenced(id request.ID) {
 	for _, svc := range cor.services {
-		wai := svc.line.byID[id]
+		wai := svc.queue.byID[id]
 		if wai == nil {
 			continue
 		}
 		reason, holder := cor.ledger.Check(id, wai.reserve.Ballot)
 		if reason != 0 {
-			svc.line.remove(id)
+			svc.queue.remove(id)
 			cor.refuse(wai, reason, holder, svc)
 		}
 	}
 }
 
 // Vouch takes over what a lost coordinator epoch granted to a gateway.
-func (cor *Core) Vouch(now time.Time, vou reservation.Vouch) {
-	cor.ledger.Vouch(now, vou)
+func (cor *Core) Vouch(now time.Time, att reservation.Vouch) {
+	cor.ledger.Vouch(now, att)
 }
 
 // Unvouch takes a vouch back.
-func (cor *Core) Unvouch(unv reservation.Unvouch) reservation.UnvouchAnswer {
-	return cor.ledger.Unvouch(unv)
+func (cor *Core) Unvouch(rev reservation.Unvouch) reservation.UnvouchAnswer {
+	return cor.ledger.Unvouch(rev)
 }
 
 // Handover returns the whole ledger, once; from then on the coordinator
@@ -190,16 +190,16 @@
 // reassign takes the engines that the view and the configuration give to this
 // host, and refuses what waits for a service that it no longer coordinates.
 func (cor *Core) reassign(now time.Time) {
-	mine := cor.myShares()
+	assigned := cor.myShares()
 	for name := range cor.engines {
-		if _, kept := mine[name]; !kept {
+		if _, kept := assigned[name]; !kept {
 			delete(cor.engines, name)
 		}
 	}
-	for name, sha := range mine {
-		cor.take(now, name, sha)
+	for name, sha := range assigned {
+		cor.assignEngine(now, name, sha)
 	}
-	cor.regroup()
+	cor.rebuildServices()
 	for _, svc := range cor.sortedServices() {
 		cor.schedule(now, svc)
 	}
@@ -215,22 +215,22 @@
 }
 
 func (cor *Core) myShares() map[string]view.Share {
-	mine := make(map[string]view.Share)
+	assigned := make(map[string]view.Share)
 	if cor.draining {
-		return mine
+		return assigned
 	}
-	reached := cor.view.Without(func(epo request.Epoch) bool { return cor.lost[epo] })
+	reachable := cor.view.Without(func(epo request.Epoch) bool { return cor.lost[epo] })
 	for service, engines := range cor.conf.SlotsByService() {
-		for _, sha := range view.Assign(reached, service, engines) {
+		for _, sha := range view.Assign(reachable, service, engines) {
 			if sha.Coordinator == cor.cfg.Self {
-				mine[sha.Engine] = sha
+				assigned[sha.Engine] = sha
 			}
 		}
 	}
-	return mine
+	return assigned
 }
 
-func (cor *Core) take(now time.Time, name string, sha view.Share) {
+func (cor *Core) assignEngine(now time.Time, name string, sha view.Share) {
 	eng, _ := cor.conf.Engine(name)
 	ens := cor.engines[name]
 	if ens == nil {
@@ -243,7 +243,7 @@
 }
 
 // regroup rebuilds the services from the engines.
-func (cor *Core) regroup() {
+func (cor *Core) rebuildServices() {
 	for _, svc := range cor.services {
 		svc.engines = nil
 	}
@@ -266,8 +266,8 @@
 }
 
 func (cor *Core) refuseAll(svc *serviceState) {
-	for _, wai := range sortedWaiting(svc.line) {
-		svc.line.remove(wai.reserve.ID)
+	for _, wai := range sortedWaiting(svc.queue) {
+		svc.queue.remove(wai.reserve.ID)
 		cor.refuse(wai, reservation.ReasonMoved, 0, svc)
 	}
 }
@@ -290,9 +290,9 @@
 
 func (cor *Core) gatewayLost(now time.Time, gateway request.Epoch) {
 	for _, svc := range cor.services {
-		for _, wai := range sortedWaiting(svc.line) {
+		for _, wai := range sortedWaiting(svc.queue) {
 			if wai.gateway == gateway {
-				svc.line.remove(wai.reserve.ID)
+				svc.queue.remove(wai.reserve.ID)
 			}
 		}
 	}
@@ -314,14 +314,14 @@
 
 func (cor *Core) tick(now time.Time) {
 	cor.ledger.Forget(now.Add(-cor.cfg.Retention))
-	cor.freeOrphans(now)
+	cor.releaseOrphans(now)
 	for _, svc := range cor.sortedServices() {
 		cor.expire(now, svc)
 		cor.schedule(now, svc)
 	}
 }
 
-func (cor *Core) freeOrphans(now time.Time) {
+func (cor *Core) releaseOrphans(now time.Time) {
 	for _, ens := range cor.engines {
 		for id, hol := range ens.held {
 			if !hol.orphaned.IsZero() && now.Sub(hol.orphaned) >= cor.cfg.OrphanTime {
@@ -344,12 +344,12 @@
 	}
 }
 
-func (cor *Core) reported(now time.Time, evt Reported) {
+func (cor *Core) engineReported(now time.Time, evt Reported) {
 	ens := cor.engines[evt.Engine]
 	if ens == nil {
 		return
 	}
-	ens.leaving = evt.Leaving
+	ens.draining = evt.Leaving
 	if svc := cor.services[ens.engine.Service]; svc != nil {
 		cor.schedule(now, svc)
 	}
--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -24,21 +24,21 @@
 )
 
 // bench drives one coordinator core.
-type bench struct {
+type harness struct {
 	core *coordinator.Core
 	now  time.Time
 }
 
-// benchConfig says how a bench is set up.
-type benchConfig struct {
+// harnessConfig says how a bench is set up.
+type harnessConfig struct {
 	slots      int
 	maxWaiting int
 	// second adds another engine, half as fast.
 	second bool
 }
 
-func newBench(cfg benchConfig) *bench {
-	ben := &bench{core: coordinator.New(coordinator.Config{Self: selfEpoch}), now: time.Unix(1000, 0)}
+func newHarness(cfg harnessConfig) *harness {
+	har := &harness{core: coordinator.New(coordinator.Config{Self: selfEpoch}), now: time.Unix(1000, 0)}
 	members := []view.Member{
 		{Name: "host-1", Epoch: gatewayEpoch, Domain: "a", Leaving: true},
 		{Name: "host-2", Epoch: selfEpoch, Domain: "b"},
@@ -57,14 +57,14 @@
 			PrefillTokensPerSecond: 500, DecodeTokensPerSecond: 50,
 		}})
 	}
-	ben.handle(coordinator.ConfigurationChanged{Configuration: resource.NewConfiguration(1, entries)})
-	ben.handle(coordinator.ViewChanged{View: view.View{Number: 1, Members: members}})
-	ben.now = ben.now.Add(time.Second)
-	return ben
+	har.handle(coordinator.ConfigurationChanged{Configuration: resource.NewConfiguration(1, entries)})
+	har.handle(coordinator.ViewChanged{View: view.View{Number: 1, Members: members}})
+	har.now = har.now.Add(time.Second)
+	return har
 }
 
-func (ben *bench) handle(evt coordinator.Event) []coordinator.Action {
-	return ben.core.Handle(ben.now, evt)
+func (har *harness) handle(evt coordinator.Event) []coordinator.Action {
+	return har.core.Handle(har.now, evt)
 }
 
 func requestID(unique string) request.ID {
@@ -78,8 +78,8 @@
 	}
 }
 
-func (ben *bench) receive(msg reservation.Message) []coordinator.Action {
-	return ben.handle(coordinator.Received{From: gatewayEpoch, Message: msg})
+func (har *harness) receive(msg reservation.Message) []coordinator.Action {
+	return har.handle(coordinator.Received{From: gatewayEpoch, Message: msg})
 }
 
 // messages returns the messages of the actions in short.
@@ -103,119 +103,119 @@
 }
 
 func TestHigherTierIsServedFirst(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1})
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("running", 10))), []string{"Grant running"})
-	ben.receive(reserveOf("low", 10))
-	ben.receive(reserveOf("high", 20))
+	har := newHarness(harnessConfig{slots: 1})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("running", 10))), []string{"Grant running"})
+	har.receive(reserveOf("low", 10))
+	har.receive(reserveOf("high", 20))
 	rel := reservation.Release{ID: requestID("running"), Ballot: request.Ballot{Holder: gatewayEpoch}, Engine: "engine-1", Dispatched: true}
-	assert.DeepEqual(t, messages(ben.receive(rel)), []string{"Grant high"})
+	assert.DeepEqual(t, messages(har.receive(rel)), []string{"Grant high"})
 }
 
-func TestFullLineDropsTheLowestTierOnly(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1, maxWaiting: 1})
-	ben.receive(reserveOf("running", 10))
-	ben.receive(reserveOf("middle", 15))
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("low", 10))), []string{"Refuse low Full"})
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("high", 20))), []string{"Refuse middle Full"})
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("same", 20))), []string{"Refuse same Full"})
+func TestFullQueueDropsTheLowestTierOnly(t *testing.T) {
+	har := newHarness(harnessConfig{slots: 1, maxWaiting: 1})
+	har.receive(reserveOf("running", 10))
+	har.receive(reserveOf("middle", 15))
+	assert.DeepEqual(t, messages(har.receive(reserveOf("low", 10))), []string{"Refuse low Full"})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("high", 20))), []string{"Refuse middle Full"})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("same", 20))), []string{"Refuse same Full"})
 }
 
 // Once a rank was refused, nothing below it is newly kept for a while, even
 // when there is room: somebody else may be about to drop that rank for good.
-func TestFloorKeepsLowerTiersOut(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1, maxWaiting: 1})
-	ben.receive(reserveOf("running", 10))
-	ben.receive(reserveOf("waiting", 20))
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("refused", 20))), []string{"Refuse refused Full"})
-	ben.receive(reservation.Withdraw{ID: requestID("waiting"), Ballot: request.Ballot{Holder: gatewayEpoch}})
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("low", 10))), []string{"Refuse low Full"})
-	ben.now = ben.now.Add(coordinator.DefaultFloorTime)
-	assert.Equal(t, len(messages(ben.receive(reserveOf("later", 10)))), 0)
+func TestFloorRefusesLowerTiers(t *testing.T) {
+	har := newHarness(harnessConfig{slots: 1, maxWaiting: 1})
+	har.receive(reserveOf("running", 10))
+	har.receive(reserveOf("waiting", 20))
+	assert.DeepEqual(t, messages(har.receive(reserveOf("refused", 20))), []string{"Refuse refused Full"})
+	har.receive(reservation.Withdraw{ID: requestID("waiting"), Ballot: request.Ballot{Holder: gatewayEpoch}})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("low", 10))), []string{"Refuse low Full"})
+	har.now = har.now.Add(coordinator.DefaultFloorTime)
+	assert.Equal(t, len(messages(har.receive(reserveOf("later", 10)))), 0)
 }
 
 func TestEvictDropsALowerReservationOrRaisesTheFloor(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1, maxWaiting: 4})
-	ben.receive(reserveOf("running", 10))
-	ben.receive(reserveOf("low", 10))
+	har := newHarness(harnessConfig{slots: 1, maxWaiting: 4})
+	har.receive(reserveOf("running", 10))
+	har.receive(reserveOf("low", 10))
 	evict := reservation.Evict{ID: requestID("high"), Service: "menus", Rank: 20}
-	assert.DeepEqual(t, messages(ben.receive(evict)), []string{"Refuse low Full", "Evicted high true"})
-	assert.DeepEqual(t, messages(ben.receive(evict)), []string{"Evicted high false"})
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("late", 10))), []string{"Refuse late Full"})
+	assert.DeepEqual(t, messages(har.receive(evict)), []string{"Refuse low Full", "Evicted high true"})
+	assert.DeepEqual(t, messages(har.receive(evict)), []string{"Evicted high false"})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("late", 10))), []string{"Refuse late Full"})
 }
 
-func TestDeadlineThatCantBeMetIsGivenUpBeforeDispatch(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1})
-	ben.receive(reserveOf("running", 10))
+func TestReservationWithUnattainableDeadlineExpires(t *testing.T) {
+	har := newHarness(harnessConfig{slots: 1})
+	har.receive(reserveOf("running", 10))
 	res := reserveOf("hasty", 10)
 	res.Remaining = 500 * time.Millisecond
-	ben.receive(res)
-	ben.now = ben.now.Add(450 * time.Millisecond)
-	assert.DeepEqual(t, messages(ben.handle(coordinator.Tick{})), []string{"Refuse hasty Expired"})
+	har.receive(res)
+	har.now = har.now.Add(450 * time.Millisecond)
+	assert.DeepEqual(t, messages(har.handle(coordinator.Tick{})), []string{"Refuse hasty Expired"})
 }
 
-func TestLeavingEngineGetsNothingNew(t *testing.T) {
-	ben := newBench(benchConfig{slots: 2})
-	ben.handle(coordinator.Reported{Engine: "engine-1", Leaving: true})
-	assert.Equal(t, len(messages(ben.receive(reserveOf("one", 10)))), 0)
-	assert.DeepEqual(t, messages(ben.handle(coordinator.Reported{Engine: "engine-1"})), []string{"Grant one"})
+func TestDrainingEngineIsGrantedNothing(t *testing.T) {
+	har := newHarness(harnessConfig{slots: 2})
+	har.handle(coordinator.Reported{Engine: "engine-1", Leaving: true})
+	assert.Equal(t, len(messages(har.receive(reserveOf("one", 10)))), 0)
+	assert.DeepEqual(t, messages(har.handle(coordinator.Reported{Engine: "engine-1"})), []string{"Grant one"})
 }
 
 func TestFencedRequestIsNeverGrantedUnderALowerBallot(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1})
-	ben.receive(reserveOf("running", 10))
-	ben.receive(reserveOf("one", 10))
+	har := newHarness(harnessConfig{slots: 1})
+	har.receive(reserveOf("running", 10))
+	har.receive(reserveOf("one", 10))
 	fen := reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}}
-	ans, actions := ben.core.Fence(ben.now, fen)
+	ans, actions := har.core.Fence(har.now, fen)
 	assert.Equal(t, ans.Standing, reservation.StandingPromised)
 	assert.DeepEqual(t, messages(actions), []string{"Refuse one Fenced"})
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("one", 10))), []string{"Refuse one Fenced"})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("one", 10))), []string{"Refuse one Fenced"})
 }
 
-func TestGrantAskedForTwiceIsTheSame(t *testing.T) {
-	ben := newBench(benchConfig{slots: 4})
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("one", 10))), []string{"Grant one"})
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("one", 10))), []string{"Grant one"})
+func TestRepeatedReserveReturnsTheSameGrant(t *testing.T) {
+	har := newHarness(harnessConfig{slots: 4})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("one", 10))), []string{"Grant one"})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("one", 10))), []string{"Grant one"})
 }
 
 // What a coordinator promised after it gave its ledger away would be known to
 // nobody once it has stopped.
 func TestStoppedLedgerPromisesNothing(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1})
-	ben.handle(coordinator.Drain{})
-	ben.core.Handover()
+	har := newHarness(harnessConfig{slots: 1})
+	har.handle(coordinator.Drain{})
+	har.core.Handover()
 	fen := reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}}
-	ans, _ := ben.core.Fence(ben.now, fen)
+	ans, _ := har.core.Fence(har.now, fen)
 	assert.Equal(t, ans.Standing, reservation.StandingForgotten)
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("two", 10))), []string{"Refuse two NotGranter"})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("two", 10))), []string{"Refuse two NotGranter"})
 }
 
 // An id whose window was forgotten may have been promised away: it must not be
 // granted as if it were new.
 func TestForgottenWindowIsRefused(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1})
+	har := newHarness(harnessConfig{slots: 1})
 	fen := reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}}
-	ben.core.Fence(ben.now, fen)
-	ben.now = ben.now.Add(coordinator.DefaultRetention + time.Second)
-	ben.handle(coordinator.Tick{})
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("one", 10))), []string{"Refuse one Forgotten"})
+	har.core.Fence(har.now, fen)
+	har.now = har.now.Add(coordinator.DefaultRetention + time.Second)
+	har.handle(coordinator.Tick{})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("one", 10))), []string{"Refuse one Forgotten"})
 }
 
 // A grant can be lost with its session. The holder that then closes the request
 // knows that it wasn't dispatched; told that it is "fenced by itself", it would
 // ask again without end.
-func TestCloseTakesALostGrantBack(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1})
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("one", 10))), []string{"Grant one"})
-	ben.receive(reserveOf("two", 10))
+func TestCloseRevokesALostGrant(t *testing.T) {
+	har := newHarness(harnessConfig{slots: 1})
+	assert.DeepEqual(t, messages(har.receive(reserveOf("one", 10))), []string{"Grant one"})
+	har.receive(reserveOf("two", 10))
 	wit := reservation.Withdraw{ID: requestID("one"), Ballot: request.Ballot{Holder: gatewayEpoch}, Close: true}
-	assert.DeepEqual(t, messages(ben.receive(wit)), []string{"Grant two", "Refuse one Closed"})
+	assert.DeepEqual(t, messages(har.receive(wit)), []string{"Grant two", "Refuse one Closed"})
 }
 
 // Once a fence has relied on a vouch, the lost epoch must stay refused: what it
 // grants now could come beside what the fence let run.
-func TestVouchThatAFenceReliedOnIsNotReleased(t *testing.T) {
+func TestAttestationUsedByAFenceIsNotRevoked(t *testing.T) {
 	key := reservation.VouchKey{Lost: otherEpoch, Holder: gatewayEpoch}
-	vou := reservation.Vouch{VouchKey: key, Sequence: 1}
+	att := reservation.Vouch{VouchKey: key, Sequence: 1}
 	fen := reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}}
 	cases := map[string]struct {
 		fenced   bool
@@ -226,60 +226,60 @@
 	}
 	for name, cas := range cases {
 		t.Run(name, func(t *testing.T) {
-			ben := newBench(benchConfig{slots: 1})
-			ben.core.Vouch(ben.now, vou)
+			har := newHarness(harnessConfig{slots: 1})
+			har.core.Vouch(har.now, att)
 			if cas.fenced {
-				ans, _ := ben.core.Fence(ben.now, fen)
+				ans, _ := har.core.Fence(har.now, fen)
 				assert.DeepEqual(t, ans.Vouches, []reservation.VouchKey{key})
 			}
-			ans := ben.core.Unvouch(reservation.Unvouch{VouchKey: key, Sequence: 2})
+			ans := har.core.Unvouch(reservation.Unvouch{VouchKey: key, Sequence: 2})
 			assert.Equal(t, ans.Released, cas.released)
-			after, _ := ben.core.Fence(ben.now, fen)
+			after, _ := har.core.Fence(har.now, fen)
 			assert.Equal(t, len(after.Vouches) == 0, cas.released)
 		})
 	}
 }
 
 // A vouch that arrives after it was taken back counts for nothing.
-func TestVouchThatArrivesLateCountsForNothing(t *testing.T) {
+func TestAttestationArrivingAfterRevocationIsIgnored(t *testing.T) {
 	key := reservation.VouchKey{Lost: otherEpoch, Holder: gatewayEpoch}
-	ben := newBench(benchConfig{slots: 1})
-	assert.Assert(t, ben.core.Unvouch(reservation.Unvouch{VouchKey: key, Sequence: 2}).Released)
-	ben.core.Vouch(ben.now, reservation.Vouch{VouchKey: key, Sequence: 1})
-	ans, _ := ben.core.Fence(ben.now, reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}})
+	har := newHarness(harnessConfig{slots: 1})
+	assert.Assert(t, har.core.Unvouch(reservation.Unvouch{VouchKey: key, Sequence: 2}).Released)
+	har.core.Vouch(har.now, reservation.Vouch{VouchKey: key, Sequence: 1})
+	ans, _ := har.core.Fence(har.now, reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}})
 	assert.Equal(t, len(ans.Vouches), 0)
 }
 
-func TestOfSeveralLowerTiersTheLowestIsDropped(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1, maxWaiting: 2})
-	ben.receive(reserveOf("running", 10))
-	ben.receive(reserveOf("low", 10))
-	ben.receive(reserveOf("middle", 15))
-	assert.DeepEqual(t, messages(ben.receive(reserveOf("high", 20))), []string{"Refuse low Full"})
+func TestLowestOfSeveralLowerTiersIsDropped(t *testing.T) {
+	har := newHarness(harnessConfig{slots: 1, maxWaiting: 2})
+	har.receive(reserveOf("running", 10))
+	har.receive(reserveOf("low", 10))
+	har.receive(reserveOf("middle", 15))
+	assert.DeepEqual(t, messages(har.receive(reserveOf("high", 20))), []string{"Refuse low Full"})
 }
 
 // What is kept of hosts that are gone must not grow for as long as the process runs.
-func TestVouchesOfHostsThatNoViewKnowsAreForgotten(t *testing.T) {
-	ben := newBench(benchConfig{slots: 1})
-	ben.core.Vouch(ben.now, reservation.Vouch{VouchKey: reservation.VouchKey{Lost: otherEpoch, Holder: gatewayEpoch}, Sequence: 1})
-	assert.Equal(t, ben.core.Dump(ben.now).Vouches, 1)
+func TestAttestationsOfUnknownHostsAreDropped(t *testing.T) {
+	har := newHarness(harnessConfig{slots: 1})
+	har.core.Vouch(har.now, reservation.Vouch{VouchKey: reservation.VouchKey{Lost: otherEpoch, Holder: gatewayEpoch}, Sequence: 1})
+	assert.Equal(t, har.core.Dump(har.now).Vouches, 1)
 	members := []view.Member{{Name: "host-1", Epoch: gatewayEpoch, Domain: "a"}, {Name: "host-2", Epoch: selfEpoch, Domain: "b"}}
-	for number := uint64(2); ben.core.Dump(ben.now).Vouches > 0; number++ {
+	for number := uint64(2); har.core.Dump(har.now).Vouches > 0; number++ {
 		assert.Assert(t, number < 1000, "the vouch is kept")
-		ben.handle(coordinator.ViewChanged{View: view.View{Number: number, Members: members}})
+		har.handle(coordinator.ViewChanged{View: view.View{Number: number, Members: members}})
 	}
 }
 
 // A short request isn't sent to an engine that still works on a long prompt:
 // its few tokens would wait for that, also on the fastest engine.
 func TestShortRequestAvoidsAnEngineWithALongPrompt(t *testing.T) {
-	ben := newBench(benchConfig{slots: 4, second: true})
+	har := newHarness(harnessConfig{slots: 4, second: true})
 	long := reserveOf("long", 10)
 	long.PromptTokens = 8000
-	assert.Equal(t, grantedEngine(ben.receive(long)), "engine-1")
-	assert.Equal(t, grantedEngine(ben.receive(reserveOf("short", 10))), "engine-2")
-	ben.now = ben.now.Add(8 * time.Second)
-	assert.Equal(t, grantedEngine(ben.receive(reserveOf("later", 10))), "engine-1")
+	assert.Equal(t, grantedEngine(har.receive(long)), "engine-1")
+	assert.Equal(t, grantedEngine(har.receive(reserveOf("short", 10))), "engine-2")
+	har.now = har.now.Add(8 * time.Second)
+	assert.Equal(t, grantedEngine(har.receive(reserveOf("later", 10))), "engine-1")
 }
 
 func grantedEngine(actions []coordinator.Action) string {
--- a/coordinator/dump.go
+++ b/coordinator/dump.go
@@ -54,12 +54,12 @@
 // Dump returns the state of the coordinator.
 func (cor *Core) Dump(now time.Time) Dump {
 	dum := Dump{
-		LedgerRecords: cor.ledger.Len(), Vouches: len(cor.ledger.vouches),
+		LedgerRecords: cor.ledger.Len(), Vouches: len(cor.ledger.attestations),
 		Successions: cor.ledger.successionList(), Draining: cor.draining,
 	}
 	for _, svc := range cor.sortedServices() {
 		sdu := ServiceDump{Name: svc.name, FloorRank: svc.floorRank, FloorUntil: svc.floorUntil}
-		for _, wai := range sortedWaiting(svc.line) {
+		for _, wai := range sortedWaiting(svc.queue) {
 			sdu.Waiting = append(sdu.Waiting, WaitingDump{
 				ID: wai.reserve.ID, Gateway: wai.gateway, Tier: wai.reserve.Tier, Account: wai.reserve.Account,
 				Age: now.Sub(wai.arrived).String(), Work: wai.work.String(),
@@ -76,8 +76,8 @@
 func (ens *engineState) dump() EngineDump {
 	edu := EngineDump{
 		Name: ens.engine.Name, Slots: ens.slots, Deputy: ens.deputy, Held: len(ens.held),
-		Leaving: ens.leaving || ens.engine.Leaving, PrefillSpeed: ens.prefill, DecodeSpeed: ens.decode,
-		KnownPrefixes: len(ens.prefixes.places),
+		Leaving: ens.draining || ens.engine.Leaving, PrefillSpeed: ens.prefill, DecodeSpeed: ens.decode,
+		KnownPrefixes: len(ens.prefixes.elements),
 	}
 	for _, hol := range ens.held {
 		if !hol.orphaned.IsZero() {
--- a/coordinator/engine.go
+++ b/coordinator/engine.go
@@ -17,12 +17,12 @@
 // learnRate is the weight of a new measurement of an engine's speed.
 const learnRate = 0.2
 
-// minMeasured is the shortest run whose speed is learned from; shorter ones
+// minMeasuredTime is the shortest run whose speed is learned from; shorter ones
 // measure the network.
-const minMeasured = 5 * time.Millisecond
+const minMeasuredTime = 5 * time.Millisecond
 
-// suspectTime is for how long an engine that failed gets nothing new.
-const suspectTime = time.Second
+// ejectionTime is for how long an engine that failed gets nothing new.
+const ejectionTime = time.Second
 
 // engineState is what a coordinator knows of one engine.
 type engineState struct {
@@ -37,9 +37,9 @@
 	prefixes *prefixSet
 	// ready is when grants may start: before it, a former coordinator's grants
 	// are still being told.
-	ready   time.Time
-	suspect time.Time
-	leaving bool
+	readyAt      time.Time
+	ejectedUntil time.Time
+	draining     bool
 }
 
 // hold is one slot in use.
@@ -52,7 +52,7 @@
 }
 
 func newEngineState(eng resource.Engine, ready time.Time) *engineState {
-	ens := &engineState{held: make(map[request.ID]*hold), prefixes: newPrefixSet(), ready: ready}
+	ens := &engineState{held: make(map[request.ID]*hold), prefixes: newPrefixSet(), readyAt: ready}
 	ens.prefill = orDefault(eng.PrefillTokensPerSecond, defaultPrefillSpeed)
 	ens.decode = orDefault(eng.DecodeTokensPerSecond, defaultDecodeSpeed)
 	return ens
@@ -66,7 +66,7 @@
 }
 
 func (ens *engineState) free(now time.Time) int {
-	if ens.leaving || ens.engine.Leaving || now.Before(ens.ready) || now.Before(ens.suspect) {
+	if ens.draining || ens.engine.Leaving || now.Before(ens.readyAt) || now.Before(ens.ejectedUntil) {
 		return 0
 	}
 	return max(0, ens.slots-len(ens.held))
@@ -78,9 +78,9 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// prefillAhead is how long the engine is expected to work on prompts that were
+// pendingPrefillTime is how long the engine is expected to work on prompts that were
 // granted already: until then every stream on it is slow.
-func (ens *engineState) prefillAhead(now time.Time) time.Duration {
+func (ens *engineState) pendingPrefillTime(now time.Time) time.Duration {
 	var total time.Duration
 	for _, hol := range ens.held {
 		total += max(0, hol.prefilled.Sub(now))
@@ -99,10 +99,10 @@
 
 // learn corrects the engine's speeds by one finished run.
 func (ens *engineState) learn(prefillTokens, decodeTokens int, firstToken, total time.Duration) {
-	if prefillTokens > 0 && firstToken >= minMeasured {
+	if prefillTokens > 0 && firstToken >= minMeasuredTime {
 		ens.prefill = blend(ens.prefill, float64(prefillTokens)/firstToken.Seconds())
 	}
-	if decode := total - firstToken; decodeTokens > 1 && decode >= minMeasured {
+	if decode := total - firstToken; decodeTokens > 1 && decode >= minMeasuredTime {
 		ens.decode = blend(ens.decode, float64(decodeTokens-1)/decode.Seconds())
 	}
 }
--- a/coordinator/ledger.go
+++ b/coordinator/ledger.go
@@ -15,20 +15,20 @@
 	self    request.Epoch
 	records map[request.ID]*record
 	// floors are, by gateway epoch, the highest window of a forgotten record.
-	floors      map[request.Epoch]uint64
-	vouches     map[reservation.VouchKey]*vouch
-	successions map[request.Epoch]bool
+	floors       map[request.Epoch]uint64
+	attestations map[reservation.VouchKey]*attestation
+	successions  map[request.Epoch]bool
 }
 
 type record struct {
-	ballot   request.Ballot
-	standing reservation.Standing
-	engine   string
-	holders  []request.Epoch
-	touched  time.Time
+	ballot    request.Ballot
+	state     reservation.Standing
+	engine    string
+	holders   []request.Epoch
+	touchedAt time.Time
 }
 
-type vouch struct {
+type attestation struct {
 	sequence uint64
 	active   bool
 	// fenced is set once a fence was answered on the strength of the vouch.
@@ -38,11 +38,11 @@
 // NewLedger returns the empty ledger of a process start.
 func NewLedger(self request.Epoch) *Ledger {
 	return &Ledger{
-		self:        self,
-		records:     make(map[request.ID]*record),
-		floors:      make(map[request.Epoch]uint64),
-		vouches:     make(map[reservation.VouchKey]*vouch),
-		successions: make(map[request.Epoch]bool),
+		self:         self,
+		records:      make(map[request.ID]*record),
+		floors:       make(map[request.Epoch]uint64),
+		attestations: make(map[reservation.VouchKey]*attestation),
+		successions:  make(map[request.Epoch]bool),
 	}
 }
 
@@ -54,20 +54,20 @@
 // Check returns 0 when the request may be kept or granted under the ballot,
 // else the reason why not, and who holds it.
 func (led *Ledger) Check(id request.ID, bal request.Ballot) (reservation.Reason, request.Epoch) {
-	if led.forgotten(id) {
+	if led.isForgotten(id) {
 		return reservation.ReasonForgotten, 0
 	}
 	rec := led.records[id]
 	switch {
 	case rec == nil:
 		return 0, 0
-	case rec.standing == reservation.StandingForgotten:
+	case rec.state == reservation.StandingForgotten:
 		return reservation.ReasonForgotten, 0
-	case rec.standing == reservation.StandingClosed:
+	case rec.state == reservation.StandingClosed:
 		return reservation.ReasonClosed, 0
 	case bal.Less(rec.ballot):
 		return reservation.ReasonFenced, rec.ballot.Holder
-	case rec.standing == reservation.StandingGranted && !rec.ballot.Same(bal):
+	case rec.state == reservation.StandingGranted && !rec.ballot.Same(bal):
 		return reservation.ReasonFenced, rec.ballot.Holder
 	default:
 		return 0, 0
@@ -77,7 +77,7 @@
 // Granted returns the engine that was granted for the request.
 func (led *Ledger) Granted(id request.ID) (string, bool) {
 	rec := led.records[id]
-	if rec == nil || rec.standing != reservation.StandingGranted {
+	if rec == nil || rec.state != reservation.StandingGranted {
 		return "", false
 	}
 	return rec.engine, true
@@ -86,17 +86,17 @@
 // Grant records a grant; Check must have returned 0.
 func (led *Ledger) Grant(now time.Time, id request.ID, bal request.Ballot, engine string) {
 	rec := led.touch(now, id, bal)
-	rec.standing = reservation.StandingGranted
+	rec.state = reservation.StandingGranted
 	rec.engine = engine
 }
 
 // Ungrant takes back a grant that was certainly not dispatched.
 func (led *Ledger) Ungrant(id request.ID, bal request.Ballot) {
 	rec := led.records[id]
-	if rec == nil || rec.standing != reservation.StandingGranted || !rec.ballot.Same(bal) {
+	if rec == nil || rec.state != reservation.StandingGranted || !rec.ballot.Same(bal) {
 		return
 	}
-	rec.standing = reservation.StandingPromised
+	rec.state = reservation.StandingPromised
 	rec.engine = ""
 }
 
@@ -110,7 +110,7 @@
 	// A grant under this very ballot was lost on its way: its holder says itself
 	// that it hasn't dispatched the request and won't.
 	rec := led.touch(now, id, bal)
-	rec.standing = reservation.StandingClosed
+	rec.state = reservation.StandingClosed
 	rec.engine = ""
 	return 0, 0
 }
@@ -124,11 +124,11 @@
 		ans.Holders = slices.Clone(rec.holders)
 	}
 	switch {
-	case rec != nil && rec.standing == reservation.StandingGranted:
-		ans.Standing, ans.Ballot, ans.Engine = rec.standing, rec.ballot, rec.engine
-	case rec != nil && rec.standing == reservation.StandingClosed:
-		ans.Standing, ans.Ballot = rec.standing, rec.ballot
-	case led.forgotten(fen.ID) || (rec != nil && rec.standing == reservation.StandingForgotten):
+	case rec != nil && rec.state == reservation.StandingGranted:
+		ans.Standing, ans.Ballot, ans.Engine = rec.state, rec.ballot, rec.engine
+	case rec != nil && rec.state == reservation.StandingClosed:
+		ans.Standing, ans.Ballot = rec.state, rec.ballot
+	case led.isForgotten(fen.ID) || (rec != nil && rec.state == reservation.StandingForgotten):
 		ans.Standing = reservation.StandingForgotten
 	case rec != nil && fen.Ballot.Less(rec.ballot):
 		ans.Standing, ans.Ballot = reservation.StandingOutbid, rec.ballot
@@ -137,58 +137,58 @@
 		ans.Standing = reservation.StandingPromised
 	}
 	if !granter {
-		return bystander(ans)
+		return nonGranterAnswer(ans)
 	}
-	ans.Vouches = led.useVouches(append(slices.Clone(ans.Holders), fen.ID.Epoch))
+	ans.Vouches = led.useAttestations(append(slices.Clone(ans.Holders), fen.ID.Epoch))
 	return ans
 }
 
 // bystander turns the answer of a host that may not grant the request into one
 // that only tells what it knows: its promise would count for nothing.
-func bystander(ans reservation.FenceAnswer) reservation.FenceAnswer {
+func nonGranterAnswer(ans reservation.FenceAnswer) reservation.FenceAnswer {
 	if ans.Standing == reservation.StandingPromised || ans.Standing == reservation.StandingForgotten {
 		ans.Standing = reservation.StandingBystander
 	}
 	return ans
 }
 
-// useVouches returns the active vouches about the holders and marks them as
+// useAttestations returns the active vouches about the holders and marks them as
 // relied upon.
-func (led *Ledger) useVouches(holders []request.Epoch) []reservation.VouchKey {
+func (led *Ledger) useAttestations(holders []request.Epoch) []reservation.VouchKey {
 	var keys []reservation.VouchKey
-	for key, vou := range led.vouches {
-		if vou.active && slices.Contains(holders, key.Holder) {
-			vou.fenced = true
+	for key, att := range led.attestations {
+		if att.active && slices.Contains(holders, key.Holder) {
+			att.fenced = true
 			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(keys, compareVouchKeys)
+	slices.SortFunc(keys, compareAttestationKeys)
 	return keys
 }
 
 // Vouch takes over what a lost coordinator epoch granted to one gateway.
-func (led *Ledger) Vouch(now time.Time, vou reservation.Vouch) {
-	known := led.vouches[vou.VouchKey]
-	if known != nil && known.sequence >= vou.Sequence {
+func (led *Ledger) Vouch(now time.Time, att reservation.Vouch) {
+	known := led.attestations[att.VouchKey]
+	if known != nil && known.sequence >= att.Sequence {
 		return
 	}
-	led.merge(now, vou.Records)
+	led.merge(now, att.Records)
 	fenced := known != nil && known.fenced
-	led.vouches[vou.VouchKey] = &vouch{sequence: vou.Sequence, active: true, fenced: fenced}
+	led.attestations[att.VouchKey] = &attestation{sequence: att.Sequence, active: true, fenced: fenced}
 }
 
 // Unvouch takes a vouch back unless a fence has relied on it.
-func (led *Ledger) Unvouch(unv reservation.Unvouch) reservation.UnvouchAnswer {
-	ans := reservation.UnvouchAnswer{VouchKey: unv.VouchKey, Released: true}
-	known := led.vouches[unv.VouchKey]
+func (led *Ledger) Unvouch(rev reservation.Unvouch) reservation.UnvouchAnswer {
+	ans := reservation.UnvouchAnswer{VouchKey: rev.VouchKey, Released: true}
+	known := led.attestations[rev.VouchKey]
 	switch {
 	case known == nil:
 		// A vouch still on its way must not count when it arrives.
-		led.vouches[unv.VouchKey] = &vouch{sequence: unv.Sequence}
+		led.attestations[rev.VouchKey] = &attestation{sequence: rev.Sequence}
 	case known.fenced:
 		ans.Released = false
-	case known.sequence < unv.Sequence:
-		known.sequence = unv.Sequence
+	case known.sequence < rev.Sequence:
+		known.sequence = rev.Sequence
 		known.active = false
 	}
 	return ans
@@ -198,12 +198,12 @@
 func (led *Ledger) Handover() reservation.Handover {
 	han := reservation.Handover{Stopped: append(led.successionList(), led.self), Floors: maps.Clone(led.floors)}
 	for id, rec := range led.records {
-		for _, holder := range withoutOwn(rec, id) {
+		for _, holder := range earlierHolders(rec, id) {
 			// A former claim matters to a later fence as a claim of its own.
 			bal := request.Ballot{Round: 1, Holder: holder}
 			han.Records = append(han.Records, reservation.Record{ID: id, Ballot: bal, Standing: reservation.StandingPromised})
 		}
-		han.Records = append(han.Records, reservation.Record{ID: id, Ballot: rec.ballot, Standing: rec.standing, Engine: rec.engine})
+		han.Records = append(han.Records, reservation.Record{ID: id, Ballot: rec.ballot, Standing: rec.state, Engine: rec.engine})
 	}
 	slices.SortStableFunc(han.Records, func(one, two reservation.Record) int {
 		return compareIDs(one.ID, two.ID)
@@ -211,7 +211,7 @@
 	return han
 }
 
-func withoutOwn(rec *record, id request.ID) []request.Epoch {
+func earlierHolders(rec *record, id request.ID) []request.Epoch {
 	return slices.DeleteFunc(slices.Clone(rec.holders), func(epo request.Epoch) bool {
 		return epo == rec.ballot.Holder || epo == id.Epoch
 	})
@@ -231,8 +231,8 @@
 func (led *Ledger) merge(now time.Time, records []reservation.Record) {
 	for _, rep := range records {
 		rec := led.touch(now, rep.ID, rep.Ballot)
-		if rep.Standing == reservation.StandingGranted || rec.standing == reservation.StandingPromised {
-			rec.standing = rep.Standing
+		if rep.Standing == reservation.StandingGranted || rec.state == reservation.StandingPromised {
+			rec.state = rep.Standing
 			rec.engine = rep.Engine
 			rec.ballot = rep.Ballot
 		}
@@ -243,7 +243,7 @@
 // their windows and older ones are not known.
 func (led *Ledger) Forget(before time.Time) {
 	for id, rec := range led.records {
-		if rec.touched.Before(before) {
+		if rec.touchedAt.Before(before) {
 			led.floors[id.Epoch] = max(led.floors[id.Epoch], id.Window)
 			delete(led.records, id)
 		}
@@ -253,9 +253,9 @@
 // ForgetHosts drops vouches and successions about epochs that aren't known any
 // more: no id that is still taken can lead to them.
 func (led *Ledger) ForgetHosts(known func(request.Epoch) bool) {
-	for key := range led.vouches {
+	for key := range led.attestations {
 		if !known(key.Lost) {
-			delete(led.vouches, key)
+			delete(led.attestations, key)
 		}
 	}
 	for epo := range led.successions {
@@ -265,7 +265,7 @@
 	}
 }
 
-func (led *Ledger) forgotten(id request.ID) bool {
+func (led *Ledger) isForgotten(id request.ID) bool {
 	floor, known := led.floors[id.Epoch]
 	return known && id.Window <= floor
 }
@@ -274,7 +274,7 @@
 func (led *Ledger) touch(now time.Time, id request.ID, bal request.Ballot) *record {
 	rec := led.records[id]
 	if rec == nil {
-		rec = &record{standing: reservation.StandingPromised, ballot: bal}
+		rec = &record{state: reservation.StandingPromised, ballot: bal}
 		led.records[id] = rec
 	}
 	if rec.ballot.Less(bal) {
@@ -283,7 +283,7 @@
 	if bal.Round > 0 && !slices.Contains(rec.holders, bal.Holder) {
 		rec.holders = append(rec.holders, bal.Holder)
 	}
-	rec.touched = now
+	rec.touchedAt = now
 	return rec
 }
 
--- a/coordinator/prefix.go
+++ b/coordinator/prefix.go
@@ -8,27 +8,27 @@
 // prefixSet guesses which prompt prefixes an engine holds in its cache: those
 // granted to it last, corrected by its cache events.
 type prefixSet struct {
-	order  *list.List
-	places map[uint64]*list.Element
+	order    *list.List
+	elements map[uint64]*list.Element
 }
 
 func newPrefixSet() *prefixSet {
-	return &prefixSet{order: list.New(), places: make(map[uint64]*list.Element)}
+	return &prefixSet{order: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
 func (pre *prefixSet) has(hash uint64) bool {
-	return hash != 0 && pre.places[hash] != nil
+	return hash != 0 && pre.elements[hash] != nil
 }
 
 func (pre *prefixSet) add(hash uint64) {
 	if hash == 0 {
 		return
 	}
-	if ele := pre.places[hash]; ele != nil {
+	if ele := pre.elements[hash]; ele != nil {
 		pre.order.MoveToBack(ele)
 		return
 	}
-	pre.places[hash] = pre.order.PushBack(hash)
+	pre.elements[hash] = pre.order.PushBack(hash)
 	if pre.order.Len() > prefixCapacity {
 		oldest, _ := pre.order.Front().Value.(uint64)
 		pre.remove(oldest)
@@ -36,8 +36,8 @@
 }
 
 func (pre *prefixSet) remove(hash uint64) {
-	if ele := pre.places[hash]; ele != nil {
+	if ele := pre.elements[hash]; ele != nil {
 		pre.order.Remove(ele)
-		delete(pre.places, hash)
+		delete(pre.elements, hash)
 	}
 }
--- a/coordinator/line.go
+++ b/coordinator/queue.go
@@ -18,126 +18,126 @@
 	// deadline is the request's deadline on this host's clock.
 	deadline time.Time
 	// overdue is when the reservation goes before all others of its tier.
-	overdue time.Time
+	promoteAt time.Time
 	// work is the predicted run time on a middling engine of the service.
-	work  time.Duration
-	index int
-	place *list.Element
+	work    time.Duration
+	index   int
+	element *list.Element
 }
 
 // line holds the waiting reservations of one service: strictly by tier, within
 // a tier by fair share over client accounts, within an account by work.
-type line struct {
+type queue struct {
 	byID  map[request.ID]*waiting
-	tiers []*tierLine
+	tiers []*tierQueue
 	// work is the predicted work of all of them.
 	work time.Duration
 }
 
-type tierLine struct {
+type tierQueue struct {
 	rank int
 	// arrivals holds the tier's reservations by arrival.
 	arrivals *list.List
-	accounts map[string]*accountLine
+	accounts map[string]*accountQueue
 	active   accountHeap
 	// virtual is the virtual time of the account served last.
 	virtual float64
 }
 
-type accountLine struct {
-	name    string
-	virtual float64
-	index   int
-	heap    workHeap
+type accountQueue struct {
+	name         string
+	virtual      float64
+	index        int
+	reservations workHeap
 }
 
-func newLine() *line {
-	return &line{byID: make(map[request.ID]*waiting)}
+func newQueue() *queue {
+	return &queue{byID: make(map[request.ID]*waiting)}
 }
 
-func (lin *line) len() int {
-	return len(lin.byID)
+func (que *queue) len() int {
+	return len(que.byID)
 }
 
-func (lin *line) add(wai *waiting) {
-	lin.byID[wai.reserve.ID] = wai
-	lin.work += wai.work
-	til := lin.tier(wai.reserve.Rank)
-	wai.place = til.arrivals.PushBack(wai)
-	acl := til.accounts[wai.reserve.Account]
-	if acl == nil {
-		acl = &accountLine{name: wai.reserve.Account}
-		til.accounts[acl.name] = acl
+func (que *queue) add(wai *waiting) {
+	que.byID[wai.reserve.ID] = wai
+	que.work += wai.work
+	tiq := que.tier(wai.reserve.Rank)
+	wai.element = tiq.arrivals.PushBack(wai)
+	acq := tiq.accounts[wai.reserve.Account]
+	if acq == nil {
+		acq = &accountQueue{name: wai.reserve.Account}
+		tiq.accounts[acq.name] = acq
 	}
-	if len(acl.heap) == 0 {
-		acl.virtual = max(acl.virtual, til.virtual)
-		heap.Push(&til.active, acl)
+	if len(acq.reservations) == 0 {
+		acq.virtual = max(acq.virtual, tiq.virtual)
+		heap.Push(&tiq.active, acq)
 	}
-	heap.Push(&acl.heap, wai)
+	heap.Push(&acq.reservations, wai)
 }
 
-func (lin *line) tier(rank int) *tierLine {
-	idx, found := slices.BinarySearchFunc(lin.tiers, rank, func(til *tierLine, rank int) int {
-		return rank - til.rank
+func (que *queue) tier(rank int) *tierQueue {
+	idx, found := slices.BinarySearchFunc(que.tiers, rank, func(tiq *tierQueue, rank int) int {
+		return rank - tiq.rank
 	})
 	if !found {
-		til := &tierLine{rank: rank, arrivals: list.New(), accounts: make(map[string]*accountLine)}
-		lin.tiers = slices.Insert(lin.tiers, idx, til)
+		tiq := &tierQueue{rank: rank, arrivals: list.New(), accounts: make(map[string]*accountQueue)}
+		que.tiers = slices.Insert(que.tiers, idx, tiq)
 	}
-	return lin.tiers[idx]
+	return que.tiers[idx]
 }
 
 // remove takes a reservation out, wherever it stands.
-func (lin *line) remove(id request.ID) *waiting {
-	wai := lin.byID[id]
+func (que *queue) remove(id request.ID) *waiting {
+	wai := que.byID[id]
 	if wai == nil {
 		return nil
 	}
-	delete(lin.byID, id)
-	lin.work -= wai.work
-	til := lin.tier(wai.reserve.Rank)
-	til.arrivals.Remove(wai.place)
-	acl := til.accounts[wai.reserve.Account]
-	heap.Remove(&acl.heap, wai.index)
-	if len(acl.heap) == 0 {
-		heap.Remove(&til.active, acl.index)
+	delete(que.byID, id)
+	que.work -= wai.work
+	tiq := que.tier(wai.reserve.Rank)
+	tiq.arrivals.Remove(wai.element)
+	acq := tiq.accounts[wai.reserve.Account]
+	heap.Remove(&acq.reservations, wai.index)
+	if len(acq.reservations) == 0 {
+		heap.Remove(&tiq.active, acq.index)
 	}
-	til.forgetIdle()
+	tiq.resetIfEmpty()
 	return wai
 }
 
-// forgetIdle drops accounts whose past use no longer matters.
-func (til *tierLine) forgetIdle() {
-	if til.arrivals.Len() > 0 {
+// resetIfEmpty drops accounts whose past use no longer matters.
+func (tiq *tierQueue) resetIfEmpty() {
+	if tiq.arrivals.Len() > 0 {
 		return
 	}
-	clear(til.accounts)
-	til.virtual = 0
+	clear(tiq.accounts)
+	tiq.virtual = 0
 }
 
 // next returns the reservation to serve first, without taking it out.
-func (lin *line) next(now time.Time) *waiting {
-	for _, til := range lin.tiers {
-		if til.arrivals.Len() == 0 {
+func (que *queue) next(now time.Time) *waiting {
+	for _, tiq := range que.tiers {
+		if tiq.arrivals.Len() == 0 {
 			continue
 		}
-		oldest, _ := til.arrivals.Front().Value.(*waiting)
-		if !now.Before(oldest.overdue) {
+		oldest, _ := tiq.arrivals.Front().Value.(*waiting)
+		if !now.Before(oldest.promoteAt) {
 			return oldest
 		}
-		return til.active[0].heap[0]
+		return tiq.active[0].reservations[0]
 	}
 	return nil
 }
 
 // serve takes the reservation out and charges its account.
-func (lin *line) serve(wai *waiting) {
-	til := lin.tier(wai.reserve.Rank)
-	acl := til.accounts[wai.reserve.Account]
-	til.virtual = acl.virtual
-	acl.virtual += wai.work.Seconds() / weightOf(wai.reserve.Weight)
-	heap.Fix(&til.active, acl.index)
-	lin.remove(wai.reserve.ID)
+func (que *queue) serve(wai *waiting) {
+	tiq := que.tier(wai.reserve.Rank)
+	acq := tiq.accounts[wai.reserve.Account]
+	tiq.virtual = acq.virtual
+	acq.virtual += wai.work.Seconds() / weightOf(wai.reserve.Weight)
+	heap.Fix(&tiq.active, acq.index)
+	que.remove(wai.reserve.ID)
 }
 
 func weightOf(weight float64) float64 {
@@ -149,13 +149,13 @@
 
 // lowest returns the reservation to drop first: the one of the lowest tier
 // that would be served last. It returns nil when none ranks below the rank.
-func (lin *line) lowest(below int) *waiting {
-	for _, til := range slices.Backward(lin.tiers) {
-		if til.rank >= below {
+func (que *queue) lowestBelow(below int) *waiting {
+	for _, tiq := range slices.Backward(que.tiers) {
+		if tiq.rank >= below {
 			return nil
 		}
-		if til.arrivals.Len() > 0 {
-			last, _ := til.arrivals.Back().Value.(*waiting)
+		if tiq.arrivals.Len() > 0 {
+			last, _ := tiq.arrivals.Back().Value.(*waiting)
 			return last
 		}
 	}
@@ -163,9 +163,9 @@
 }
 
 // all returns every reservation, in no order.
-func (lin *line) all() []*waiting {
-	waits := make([]*waiting, 0, len(lin.byID))
-	for _, wai := range lin.byID {
+func (que *queue) all() []*waiting {
+	waits := make([]*waiting, 0, len(que.byID))
+	for _, wai := range que.byID {
 		waits = append(waits, wai)
 	}
 	return waits
@@ -205,7 +205,7 @@
 }
 
 // accountHeap orders the accounts that wait: the least served first.
-type accountHeap []*accountLine
+type accountHeap []*accountQueue
 
 func (ach accountHeap) Len() int { return len(ach) }
 
@@ -221,18 +221,18 @@
 	ach[one].index, ach[two].index = one, two
 }
 
-// Push appends an *accountLine; container/heap calls it.
+// Push appends an *accountQueue; container/heap calls it.
 func (ach *accountHeap) Push(val any) {
-	acl, _ := val.(*accountLine)
-	acl.index = len(*ach)
-	*ach = append(*ach, acl)
+	acq, _ := val.(*accountQueue)
+	acq.index = len(*ach)
+	*ach = append(*ach, acq)
 }
 
-// Pop takes the last *accountLine off; container/heap calls it.
+// Pop takes the last *accountQueue off; container/heap calls it.
 func (ach *accountHeap) Pop() any {
 	last := len(*ach) - 1
-	acl := (*ach)[last]
+	acq := (*ach)[last]
 	(*ach)[last] = nil
 	*ach = (*ach)[:last]
-	return acl
+	return acq
 }
--- a/coordinator/line_test.go
+++ b/coordinator/queue_test.go
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// naiveLine is a plain list that works everything out anew each time.
-type naiveLine struct {
+// referenceQueue is a plain list that works everything out anew each time.
+type referenceQueue struct {
 	waits []*waiting
 	// virtual and last are the accounts' and the tiers' virtual times.
 	virtual map[string]float64
@@ -36,9 +36,9 @@
 	return fmt.Sprintf("%d %s", wai.reserve.Rank, wai.reserve.Account)
 }
 
-func (nai *naiveLine) waitsOf(match func(*waiting) bool) []*waiting {
+func (ref *referenceQueue) waitingWhere(match func(*waiting) bool) []*waiting {
 	var some []*waiting
-	for _, wai := range nai.waits {
+	for _, wai := range ref.waits {
 		if match(wai) {
 			some = append(some, wai)
 		}
@@ -46,28 +46,28 @@
 	return some
 }
 
-func (nai *naiveLine) add(wai *waiting) {
+func (ref *referenceQueue) add(wai *waiting) {
 	key := accountKey(wai)
-	if len(nai.waitsOf(func(other *waiting) bool { return accountKey(other) == key })) == 0 {
-		nai.virtual[key] = max(nai.virtual[key], nai.last[wai.reserve.Rank])
+	if len(ref.waitingWhere(func(other *waiting) bool { return accountKey(other) == key })) == 0 {
+		ref.virtual[key] = max(ref.virtual[key], ref.last[wai.reserve.Rank])
 	}
-	nai.waits = append(nai.waits, wai)
+	ref.waits = append(ref.waits, wai)
 }
 
-func (nai *naiveLine) remove(id request.ID) {
-	for idx, wai := range nai.waits {
+func (ref *referenceQueue) remove(id request.ID) {
+	for idx, wai := range ref.waits {
 		if wai.reserve.ID != id {
 			continue
 		}
-		nai.waits = slices.Delete(nai.waits, idx, idx+1)
+		ref.waits = slices.Delete(ref.waits, idx, idx+1)
 		rank := wai.reserve.Rank
-		if len(nai.waitsOf(func(other *waiting) bool { return other.reserve.Rank == rank })) == 0 {
-			nai.last[rank] = 0
-			for key := range nai.virtual {
+		if len(ref.waitingWhere(func(other *waiting) bool { return other.reserve.Rank == rank })) == 0 {
+			ref.last[rank] = 0
+			for key := range ref.virtual {
 				var tier int
 				_, _ = fmt.Sscanf(key, "%d", &tier)
 				if tier == rank {
-					delete(nai.virtual, key)
+					delete(ref.virtual, key)
 				}
 			}
 		}
@@ -75,26 +75,26 @@
 	}
 }
 
-func (nai *naiveLine) next(now time.Time) *waiting {
-	if len(nai.waits) == 0 {
+func (ref *referenceQueue) next(now time.Time) *waiting {
+	if len(ref.waits) == 0 {
 		return nil
 	}
-	top := slices.MaxFunc(nai.waits, func(one, two *waiting) int { return one.reserve.Rank - two.reserve.Rank }).reserve.Rank
-	tier := nai.waitsOf(func(wai *waiting) bool { return wai.reserve.Rank == top })
-	if !now.Before(tier[0].overdue) {
+	top := slices.MaxFunc(ref.waits, func(one, two *waiting) int { return one.reserve.Rank - two.reserve.Rank }).reserve.Rank
+	tier := ref.waitingWhere(func(wai *waiting) bool { return wai.reserve.Rank == top })
+	if !now.Before(tier[0].promoteAt) {
 		return tier[0]
 	}
 	best := tier[0]
 	for _, wai := range tier[1:] {
-		if nai.before(wai, best) {
+		if ref.before(wai, best) {
 			best = wai
 		}
 	}
 	return best
 }
 
-func (nai *naiveLine) before(one, two *waiting) bool {
-	first, second := nai.virtual[accountKey(one)], nai.virtual[accountKey(two)]
+func (ref *referenceQueue) before(one, two *waiting) bool {
+	first, second := ref.virtual[accountKey(one)], ref.virtual[accountKey(two)]
 	switch {
 	case one.reserve.Account != two.reserve.Account && first != second:
 		return first < second
@@ -107,11 +107,11 @@
 	}
 }
 
-func (nai *naiveLine) serve(wai *waiting) {
+func (ref *referenceQueue) serve(wai *waiting) {
 	key := accountKey(wai)
-	nai.last[wai.reserve.Rank] = nai.virtual[key]
-	nai.virtual[key] += wai.work.Seconds() / weightOf(wai.reserve.Weight)
-	nai.remove(wai.reserve.ID)
+	ref.last[wai.reserve.Rank] = ref.virtual[key]
+	ref.virtual[key] += wai.work.Seconds() / weightOf(wai.reserve.Weight)
+	ref.remove(wai.reserve.ID)
 }
 
 func drawWaiting(t *rapid.T, number int, now time.Time) *waiting {
@@ -122,17 +122,17 @@
 			Account: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "account"),
 			Weight:  float64(rapid.IntRange(0, 2).Draw(t, "weight")),
 		},
-		arrived: now, overdue: now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "patience")) * time.Second),
+		arrived: now, promoteAt: now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "patience")) * time.Second),
 		work: time.Duration(rapid.IntRange(1, 9).Draw(t, "work")) * time.Second,
 	}
 }
 
 // The line and the plain list, given the same events, serve the same
 // reservations in the same order.
-func TestLineServesAsAPlainListDoes(t *testing.T) {
+func TestQueueServesInTheReferenceOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lin := newLine()
-		nai := &naiveLine{virtual: make(map[string]float64), last: make(map[int]float64)}
+		que := newQueue()
+		ref := &referenceQueue{virtual: make(map[string]float64), last: make(map[int]float64)}
 		now := time.Unix(1000, 0)
 		for number := range rapid.IntRange(1, 80).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "pause")) * time.Millisecond)
@@ -140,35 +140,35 @@
 			case 0, 1, 2:
 				wai := drawWaiting(t, number, now)
 				own := *wai
-				lin.add(wai)
-				nai.add(&own)
+				que.add(wai)
+				ref.add(&own)
 			case 3:
-				serveBoth(t, lin, nai, now)
+				serveBoth(t, que, ref, now)
 			case 4:
-				if len(nai.waits) > 0 {
-					id := nai.waits[rapid.IntRange(0, len(nai.waits)-1).Draw(t, "gone")].reserve.ID
-					lin.remove(id)
-					nai.remove(id)
+				if len(ref.waits) > 0 {
+					id := ref.waits[rapid.IntRange(0, len(ref.waits)-1).Draw(t, "gone")].reserve.ID
+					que.remove(id)
+					ref.remove(id)
 				}
 			}
-			assert.Equal(t, lin.len(), len(nai.waits))
+			assert.Equal(t, que.len(), len(ref.waits))
 		}
-		for lin.len() > 0 {
-			serveBoth(t, lin, nai, now)
+		for que.len() > 0 {
+			serveBoth(t, que, ref, now)
 		}
-		assert.Equal(t, lin.work, time.Duration(0))
+		assert.Equal(t, que.work, time.Duration(0))
 	})
 }
 
-func serveBoth(t *rapid.T, lin *line, nai *naiveLine, now time.Time) {
-	got, want := lin.next(now), nai.next(now)
+func serveBoth(t *rapid.T, que *queue, ref *referenceQueue, now time.Time) {
+	got, want := que.next(now), ref.next(now)
 	if want == nil {
 		assert.Assert(t, got == nil)
 		return
 	}
 	assert.Equal(t, got.reserve.ID, want.reserve.ID)
-	lin.serve(got)
-	nai.serve(want)
+	que.serve(got)
+	ref.serve(want)
 }
 
 // BenchmarkDecision is one reservation through its whole life, with so many
@@ -177,10 +177,10 @@
 	for _, waitingCount := range []int{10, 100, 1000, 10000} {
 		for _, engines := range []int{2, 10, 100} {
 			b.Run(fmt.Sprintf("waiting=%d/engines=%d", waitingCount, engines), func(b *testing.B) {
-				cor, now := busyCore(waitingCount, engines)
+				cor, now := saturatedCore(waitingCount, engines)
 				b.ReportAllocs()
 				for number := 0; b.Loop(); number++ {
-					decideOnce(cor, now, number)
+					scheduleOnce(cor, now, number)
 				}
 			})
 		}
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -15,7 +15,7 @@
 
 // patience is the part of its time to the deadline, one in patience, that a
 // reservation waits before it goes ahead of all others of its tier.
-const patience = 2
+const promotionDivisor = 2
 
 // decodeShare is the part of a request's MaxTokens that it is expected to use.
 const decodeShare = 0.6
@@ -41,7 +41,7 @@
 // serviceState is one service's line and engines on this host.
 type serviceState struct {
 	name       string
-	line       *line
+	queue      *queue
 	engines    []*engineState
 	maxWaiting int
 	// floorRank is the lowest rank newly kept until floorUntil.
@@ -51,7 +51,7 @@
 }
 
 func newServiceState(name string) *serviceState {
-	return &serviceState{name: name, line: newLine()}
+	return &serviceState{name: name, queue: newQueue()}
 }
 
 func maxWaitingOf(conf resource.Configuration, name string) int {
@@ -66,8 +66,8 @@
 	return cmp.Compare(one.engine.Name, two.engine.Name)
 }
 
-func sortedWaiting(lin *line) []*waiting {
-	waits := lin.all()
+func sortedWaiting(que *queue) []*waiting {
+	waits := que.all()
 	sortByArrival(waits)
 	return waits
 }
@@ -91,23 +91,23 @@
 	for _, ens := range svc.engines {
 		free += ens.free(svc.now)
 	}
-	loa := reservation.Load{Service: svc.name, FreeSlots: free, Waiting: svc.line.len()}
+	loa := reservation.Load{Service: svc.name, FreeSlots: free, Waiting: svc.queue.len()}
 	if free == 0 {
 		loa.Delay = svc.delay()
 	} else {
-		loa.Delay = svc.leastPrefillAhead()
+		loa.Delay = svc.minPendingPrefillTime()
 	}
 	return loa
 }
 
-// leastPrefillAhead is the prompt work ahead on the free engine that has the least.
-func (svc *serviceState) leastPrefillAhead() time.Duration {
+// minPendingPrefillTime is the prompt work ahead on the free engine that has the least.
+func (svc *serviceState) minPendingPrefillTime() time.Duration {
 	least := time.Duration(-1)
 	for _, ens := range svc.engines {
 		if ens.free(svc.now) == 0 {
 			continue
 		}
-		if ahead := ens.prefillAhead(svc.now); least < 0 || ahead < least {
+		if ahead := ens.pendingPrefillTime(svc.now); least < 0 || ahead < least {
 			least = ahead
 		}
 	}
@@ -122,19 +122,19 @@
 	}
 	var busy time.Duration
 	for _, ens := range svc.engines {
-		busy += time.Duration(len(ens.held)) * svc.typicalRun(ens) / 2
+		busy += time.Duration(len(ens.held)) * svc.typicalRunTime(ens) / 2
 	}
-	return (svc.line.work + busy) / time.Duration(slots)
+	return (svc.queue.work + busy) / time.Duration(slots)
 }
 
-// typicalRun is a middling run time on the engine, for a rough delay only.
-func (svc *serviceState) typicalRun(ens *engineState) time.Duration {
+// typicalRunTime is a middling run time on the engine, for a rough delay only.
+func (svc *serviceState) typicalRunTime(ens *engineState) time.Duration {
 	const prompt, answer = 1000, 40
 	return ens.predict(prompt, 0, answer)
 }
 
 // middling returns the predicted run time on an engine of mean speed.
-func (svc *serviceState) middling(res reservation.Reserve) time.Duration {
+func (svc *serviceState) meanRunTime(res reservation.Reserve) time.Duration {
 	if len(svc.engines) == 0 {
 		return 0
 	}
@@ -146,7 +146,7 @@
 }
 
 // fastest returns the least predicted run time on any of the engines.
-func (svc *serviceState) fastest(res reservation.Reserve) time.Duration {
+func (svc *serviceState) minRunTime(res reservation.Reserve) time.Duration {
 	best := time.Duration(0)
 	for _, ens := range svc.engines {
 		if run := predictReserve(ens, res); best == 0 || run < best {
@@ -165,14 +165,14 @@
 }
 
 // pick returns the free engine that would finish the reservation first.
-func (svc *serviceState) pick(now time.Time, res reservation.Reserve) *engineState {
+func (svc *serviceState) fastestEngine(now time.Time, res reservation.Reserve) *engineState {
 	var best *engineState
 	var bestRun time.Duration
 	for _, ens := range svc.engines {
 		if ens.free(now) == 0 {
 			continue
 		}
-		run := predictReserve(ens, res) + ens.prefillAhead(now)
+		run := predictReserve(ens, res) + ens.pendingPrefillTime(now)
 		if best == nil || run < bestRun {
 			best, bestRun = ens, run
 		}
@@ -192,7 +192,7 @@
 	case reservation.Adopt:
 		cor.adopt(now, from, msg)
 	case reservation.Hold:
-		cor.hold(now, from, msg)
+		cor.reconcileHeld(now, from, msg)
 	case reservation.Evict:
 		cor.evict(now, from, msg)
 	case reservation.Grant, reservation.Refuse, reservation.Evicted:
@@ -203,7 +203,7 @@
 func (cor *Core) reserve(now time.Time, from request.Epoch, res reservation.Reserve) {
 	wai := &waiting{reserve: res, gateway: from, arrived: now, deadline: now.Add(res.Remaining)}
 	svc := cor.services[res.Service]
-	if reason, holder := cor.mayKeep(res); reason != 0 {
+	if reason, holder := cor.checkAdmission(res); reason != 0 {
 		cor.refuse(wai, reason, holder, svc)
 		return
 	}
@@ -216,30 +216,30 @@
 		return
 	}
 	svc.now = now
-	if svc.line.byID[res.ID] != nil {
+	if svc.queue.byID[res.ID] != nil {
 		return
 	}
 	if !cor.makeRoom(now, svc, res) {
 		cor.refuseFull(now, wai, svc)
 		return
 	}
-	wai.overdue = now.Add(res.Remaining / patience)
-	wai.work = svc.middling(res)
+	wai.promoteAt = now.Add(res.Remaining / promotionDivisor)
+	wai.work = svc.meanRunTime(res)
 	if cor.cfg.Order == OrderArrival {
-		flatten(wai)
+		orderByArrival(wai)
 	}
-	svc.line.add(wai)
+	svc.queue.add(wai)
 	cor.schedule(now, svc)
 }
 
 // flatten makes the line serve by arrival alone.
-func flatten(wai *waiting) {
+func orderByArrival(wai *waiting) {
 	wai.reserve.Rank = 0
 	wai.reserve.Account = ""
 	wai.work = 0
 }
 
-func (cor *Core) mayKeep(res reservation.Reserve) (reservation.Reason, request.Epoch) {
+func (cor *Core) checkAdmission(res reservation.Reserve) (reservation.Reason, request.Epoch) {
 	vie, known := cor.views.Get(res.ID.View)
 	if cor.stopped || !known || !vie.MayGrant(cor.cfg.Self, res.ID.Epoch) {
 		return reservation.ReasonNotGranter, 0
@@ -253,7 +253,7 @@
 	if now.Before(svc.floorUntil) && res.Rank < svc.floorRank {
 		return false
 	}
-	if res.Overflow || svc.line.len() < svc.maxWaiting {
+	if res.Overflow || svc.queue.len() < svc.maxWaiting {
 		return true
 	}
 	return cor.dropLower(now, svc, res.Rank)
@@ -262,11 +262,11 @@
 // dropLower drops one reservation that ranks below the rank. It isn't closed:
 // its gateway first asks the service's other coordinators.
 func (cor *Core) dropLower(now time.Time, svc *serviceState, rank int) bool {
-	wai := svc.line.lowest(rank)
+	wai := svc.queue.lowestBelow(rank)
 	if wai == nil {
 		return false
 	}
-	svc.line.remove(wai.reserve.ID)
+	svc.queue.remove(wai.reserve.ID)
 	cor.refuseFull(now, wai, svc)
 	return true
 }
@@ -299,20 +299,20 @@
 func (cor *Core) schedule(now time.Time, svc *serviceState) {
 	svc.now = now
 	for {
-		wai := svc.line.next(now)
+		wai := svc.queue.next(now)
 		if wai == nil {
 			return
 		}
 		if reason, holder := cor.ledger.Check(wai.reserve.ID, wai.reserve.Ballot); reason != 0 {
-			svc.line.remove(wai.reserve.ID)
+			svc.queue.remove(wai.reserve.ID)
 			cor.refuse(wai, reason, holder, svc)
 			continue
 		}
-		if tooLate(now, wai, svc) {
+		if isUnattainable(now, wai, svc) {
 			cor.refuseExpired(now, wai, svc)
 			continue
 		}
-		ens := svc.pick(now, wai.reserve)
+		ens := svc.fastestEngine(now, wai.reserve)
 		if ens == nil {
 			return
 		}
@@ -320,12 +320,12 @@
 	}
 }
 
-func tooLate(now time.Time, wai *waiting, svc *serviceState) bool {
-	return now.Add(svc.fastest(wai.reserve)).After(wai.deadline)
+func isUnattainable(now time.Time, wai *waiting, svc *serviceState) bool {
+	return now.Add(svc.minRunTime(wai.reserve)).After(wai.deadline)
 }
 
 func (cor *Core) grant(now time.Time, svc *serviceState, wai *waiting, ens *engineState) {
-	svc.line.serve(wai)
+	svc.queue.serve(wai)
 	res := wai.reserve
 	cor.ledger.Grant(now, res.ID, res.Ballot, ens.engine.Name)
 	ens.held[res.ID] = &hold{gateway: wai.gateway, prefilled: now.Add(ens.prefillTime(res))}
@@ -335,7 +335,7 @@
 
 // refuseExpired gives a reservation up whose deadline can't be met any more.
 func (cor *Core) refuseExpired(now time.Time, wai *waiting, svc *serviceState) {
-	svc.line.remove(wai.reserve.ID)
+	svc.queue.remove(wai.reserve.ID)
 	reason, holder := cor.ledger.Close(now, wai.reserve.ID, wai.reserve.Ballot)
 	if reason == 0 {
 		reason = reservation.ReasonExpired
@@ -345,10 +345,10 @@
 
 // overdue returns the reservations that can't meet their deadline any more, by
 // arrival.
-func (svc *serviceState) overdue(now time.Time) []*waiting {
+func (svc *serviceState) unattainable(now time.Time) []*waiting {
 	var late []*waiting
-	for _, wai := range svc.line.byID {
-		if tooLate(now, wai, svc) {
+	for _, wai := range svc.queue.byID {
+		if isUnattainable(now, wai, svc) {
 			late = append(late, wai)
 		}
 	}
@@ -359,7 +359,7 @@
 // expire gives up every reservation that can't meet its deadline any more.
 func (cor *Core) expire(now time.Time, svc *serviceState) {
 	svc.now = now
-	for _, wai := range svc.overdue(now) {
+	for _, wai := range svc.unattainable(now) {
 		cor.refuseExpired(now, wai, svc)
 	}
 }
@@ -367,7 +367,7 @@
 func (cor *Core) withdraw(now time.Time, from request.Epoch, wit reservation.Withdraw) {
 	var svc *serviceState
 	for _, candidate := range cor.services {
-		if candidate.line.remove(wit.ID) != nil {
+		if candidate.queue.remove(wit.ID) != nil {
 			svc = candidate
 		}
 	}
@@ -375,7 +375,7 @@
 		return
 	}
 	wai := &waiting{reserve: reservation.Reserve{ID: wit.ID, Ballot: wit.Ballot}, gateway: from}
-	reason, holder := cor.mayKeep(wai.reserve)
+	reason, holder := cor.checkAdmission(wai.reserve)
 	if reason == 0 {
 		reason, holder = cor.ledger.Close(now, wit.ID, wit.Ballot)
 		cor.freeSlot(now, wit.ID)
@@ -406,7 +406,7 @@
 	}
 	delete(ens.held, rel.ID)
 	if rel.Failed {
-		ens.suspect = now.Add(suspectTime)
+		ens.ejectedUntil = now.Add(ejectionTime)
 	} else if rel.Dispatched {
 		ens.learn(rel.PrefillTokens, rel.DecodeTokens, rel.FirstToken, rel.Total)
 	}
@@ -427,7 +427,7 @@
 
 // hold frees the slots that the gateway doesn't know of: their grants were lost
 // with a former session.
-func (cor *Core) hold(now time.Time, from request.Epoch, hol reservation.Hold) {
+func (cor *Core) reconcileHeld(now time.Time, from request.Epoch, hol reservation.Hold) {
 	for _, ens := range cor.engines {
 		for id, held := range ens.held {
 			if held.gateway != from {
--- a/gateway/action.go
+++ b/gateway/action.go
@@ -6,55 +6,56 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// Action is something that the gateway wants done.
+// Action is an effect that the host must carry out.
 type Action interface {
 	isAction()
 }
 
-// Attach gives a caller what there is and what is still to come of a request.
+// Attach subscribes a client to the answer of a request: the part received so
+// far and everything that follows.
 type Attach struct {
 	Caller CallerID
 	ID     request.ID
 }
 
-// Answer gives one caller a final answer that isn't kept.
+// Answer sends one client a final answer that isn't stored for repeats.
 type Answer struct {
 	Caller CallerID
 	Final  Final
 }
 
-// Relay passes a caller's request on to the gateway that decides it.
+// Relay forwards a client's request to the gateway that owns its id.
 type Relay struct {
 	Arrived
 	To view.Member
 }
 
-// Finish ends a request without a whole answer: every attached caller gets the
-// final answer.
+// Finish ends a request without a complete answer: every attached client gets
+// the final answer.
 type Finish struct {
 	ID    request.ID
 	Final Final
-	// Granters are what the granters of a request said that couldn't be decided,
-	// empty where none was asked.
+	// Granters are the granters' answers to the fence of an undecided request;
+	// empty if no fence was sent.
 	Granters []GranterWord
 }
 
-// GranterWord is what one granter said of a request; it is for the log.
+// GranterWord is one granter's answer to a fence, for the log.
 type GranterWord struct {
 	Granter view.Member
-	// Standing is 0 where the granter didn't answer.
+	// Standing is 0 if the granter didn't answer.
 	Standing reservation.Standing
-	// Stopped is set where another host holds the granter's whole ledger.
+	// Stopped is set if the granter has handed its complete ledger over to another host.
 	Stopped bool
 }
 
-// Dispatch sends the request to the engine; it is told once a request.
+// Dispatch sends the request to the engine. Each grant is dispatched at most once.
 type Dispatch struct {
 	ID     request.ID
 	Engine string
 }
 
-// Resume reads the answer of a request that another gateway dispatched.
+// Resume reads the answer of a request that another gateway dispatched to the engine.
 type Resume struct {
 	ID     request.ID
 	Engine string
@@ -65,7 +66,7 @@
 	ID request.ID
 }
 
-// Forget drops what is kept of a request.
+// Forget drops the stored state of a request.
 type Forget struct {
 	ID request.ID
 }
@@ -76,19 +77,20 @@
 	Message reservation.Message
 }
 
-// AskFence asks a host about a request; FenceAnswered or FenceFailed follows.
+// AskFence sends a fence to a host. FenceAnswered or FenceFailed follows.
 type AskFence struct {
 	To    view.Member
 	Fence reservation.Fence
 }
 
-// SendVouch tells a coordinator what a lost one had granted.
+// SendVouch sends a coordinator an attestation of what a lost coordinator had
+// granted and closed.
 type SendVouch struct {
 	To    view.Member
 	Vouch reservation.Vouch
 }
 
-// SendUnvouch takes a vouch back; Unvouched follows.
+// SendUnvouch revokes an attestation. Unvouched follows.
 type SendUnvouch struct {
 	To      view.Member
 	Unvouch reservation.Unvouch
--- a/gateway/arrive.go
+++ b/gateway/arrive.go
@@ -7,8 +7,8 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// undecidedRetry is when to repeat an id that couldn't be decided.
-const undecidedRetry = time.Second
+// undecidedRetryAfter is the Retry-After of a request whose outcome is undecided.
+const undecidedRetryAfter = time.Second
 
 func (gat *Core) arrived(now time.Time, arr Arrived) {
 	if ent := gat.table.byID[arr.ID]; ent != nil {
@@ -22,16 +22,17 @@
 	gat.arrivedForeign(now, arr)
 }
 
-// attach gives a repeat what there is of the request.
+// attach subscribes a repeat of a known request to its answer. A repeat with
+// another body under the same id is rejected.
 func (gat *Core) attach(now time.Time, ent *entry, arr Arrived) {
 	if ent.spec.Fingerprint != arr.Spec.Fingerprint {
-		gat.act(Answer{Caller: arr.Caller, Final: Final{Cause: CauseOtherBody, Outcome: request.Unknown}})
+		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseOtherBody, Outcome: request.Unknown}})
 		return
 	}
-	ent.callers++
-	ent.abandoned = time.Time{}
-	gat.act(Attach{Caller: arr.Caller, ID: ent.id})
-	if ent.phase == phaseUnclosed {
+	ent.clients++
+	ent.abandonedAt = time.Time{}
+	gat.emit(Attach{Caller: arr.Caller, ID: ent.id})
+	if ent.phase == phaseCloseUnconfirmed {
 		gat.close(now, ent, ent.final)
 	}
 }
@@ -41,14 +42,14 @@
 	vie, known := gat.views.Get(arr.ID.View)
 	switch {
 	case arr.ID.Window > current || arr.ID.View > gat.views.Last().Number:
-		gat.act(Answer{Caller: arr.Caller, Final: Final{Cause: CauseNotHandedOut, Outcome: request.NotRun}})
+		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseNotHandedOut, Outcome: request.NotRun}})
 		return
 	case arr.ID.Window+WindowsKept <= current || !known:
-		gat.act(Answer{Caller: arr.Caller, Final: Final{Cause: CauseTooOld, Outcome: request.Unknown}})
+		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseTooOld, Outcome: request.Unknown}})
 		return
 	}
 	if _, member := vie.Member(gat.cfg.Self); !member {
-		gat.act(Answer{Caller: arr.Caller, Final: Final{Cause: CauseNotHandedOut, Outcome: request.NotRun}})
+		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseNotHandedOut, Outcome: request.NotRun}})
 		return
 	}
 	ent := gat.newEntry(now, arr, request.Ballot{Holder: gat.cfg.Self})
@@ -59,14 +60,14 @@
 	ent := &entry{
 		id: arr.ID, ballot: bal, spec: arr.Spec, phase: phaseWaiting,
 		arrived: now, deadline: now.Add(arr.Spec.Remaining), reserved: now,
-		callers: 1, refused: make(map[request.Epoch]time.Time),
+		clients: 1, refused: make(map[request.Epoch]time.Time),
 	}
 	gat.table.add(ent)
-	gat.act(Attach{Caller: arr.Caller, ID: ent.id})
+	gat.emit(Attach{Caller: arr.Caller, ID: ent.id})
 	return ent
 }
 
-// admit holds a new request against the limits, then has it reserved.
+// admit checks a new request against the account's limits, then reserves it.
 func (gat *Core) admit(now time.Time, ent *entry) {
 	if gat.draining {
 		gat.close(now, ent, Final{Cause: CauseDraining, Outcome: request.NotRun, Retry: true})
@@ -79,33 +80,33 @@
 	gat.reserve(now, ent)
 }
 
-// arrivedForeign handles an id that names another gateway: it goes there, or
-// is taken over where that gateway can't be reached.
+// arrivedForeign handles an id that another gateway owns: the request is relayed
+// to the owner, or taken over if the owner is unreachable.
 func (gat *Core) arrivedForeign(now time.Time, arr Arrived) {
 	last := gat.views.Last().Number
 	vie, known := gat.views.Get(arr.ID.View)
 	if !known {
 		fin := Final{Cause: CauseTooOld, Outcome: request.Unknown}
 		if arr.ID.View > last {
-			fin = Final{Cause: CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: undecidedRetry}
+			fin = Final{Cause: CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: undecidedRetryAfter}
 		}
-		gat.act(Answer{Caller: arr.Caller, Final: fin})
+		gat.emit(Answer{Caller: arr.Caller, Final: fin})
 		return
 	}
 	owner, member := vie.Member(arr.ID.Epoch)
 	if !member {
-		gat.act(Answer{Caller: arr.Caller, Final: Final{Cause: CauseNotHandedOut, Outcome: request.NotRun}})
+		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseNotHandedOut, Outcome: request.NotRun}})
 		return
 	}
 	if !arr.Relayed && gat.mayBeAlive(owner) {
-		gat.act(Relay{Arrived: arr, To: owner})
+		gat.emit(Relay{Arrived: arr, To: owner})
 		return
 	}
 	gat.startFence(now, arr)
 }
 
-// mayBeAlive reports whether it is worth asking the owner of an id: it is so
-// unless its host has started anew since, or the session with it is lost.
+// mayBeAlive reports whether the owner of an id may still answer: the session
+// with it isn't lost and its host hasn't restarted since.
 func (gat *Core) mayBeAlive(owner view.Member) bool {
 	if gat.lost[owner.Epoch] != nil {
 		return false
@@ -120,9 +121,9 @@
 		return
 	}
 	if fai.ID.Epoch == gat.cfg.Self {
-		// It was fenced away from here to a gateway that can't be reached now.
-		fin := Final{Cause: CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: undecidedRetry}
-		gat.act(Answer{Caller: fai.Caller, Final: fin})
+		// Another gateway has fenced the request and is unreachable now.
+		fin := Final{Cause: CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: undecidedRetryAfter}
+		gat.emit(Answer{Caller: fai.Caller, Final: fin})
 		return
 	}
 	gat.startFence(now, fai.Arrived)
@@ -133,8 +134,8 @@
 	if ent == nil {
 		return
 	}
-	ent.callers--
-	if ent.callers == 0 {
-		ent.abandoned = now
+	ent.clients--
+	if ent.clients == 0 {
+		ent.abandonedAt = now
 	}
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -11,30 +11,29 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// fullTime is for how long a gateway trusts that a coordinator keeps nothing
-// newly below its floor. It is well under the coordinator's own floor time, so
-// that the delay of the message doesn't matter.
-const fullTime = 400 * time.Millisecond
+// floorFreshness is how long the gateway relies on a reported floor, below which
+// the coordinator queues no new reservation. It is well below the coordinator's
+// own floor time (1 s), so that message delay doesn't matter.
+const floorFreshness = 400 * time.Millisecond
 
-// refusalTrust is for how long a coordinator's refusal counts: it must be over
-// before the floor that it raised is.
-const refusalTrust = 700 * time.Millisecond
+// refusalFreshness is how long a coordinator's refusal counts. It must end before
+// the floor that the refusal raised.
+const refusalFreshness = 700 * time.Millisecond
 
-// movedTime is for how long a coordinator that coordinates nothing of a
-// service is passed over.
-const movedTime = 200 * time.Millisecond
+// movedRetryDelay is how long the gateway skips a coordinator that has no engine
+// of the service.
+const movedRetryDelay = 200 * time.Millisecond
 
-// maxAttempts bounds how often one request is reserved anew after an engine
-// that couldn't be reached.
+// maxAttempts is the number of unreachable engines after which a request fails.
 const maxAttempts = 3
 
-// loadState is what a coordinator last told of one service.
+// loadState is the load of one service that a coordinator last reported.
 type loadState struct {
 	load reservation.Load
-	// noted is when that word came; sent counts the reservations sent since.
-	noted time.Time
-	sent  int
-	// floorRank is the lowest rank newly kept until floorUntil.
+	// updatedAt is when the report arrived; sent counts the reservations sent since.
+	updatedAt time.Time
+	sent      int
+	// floorRank is the lowest rank that the coordinator queues until floorUntil.
 	floorRank  int
 	floorUntil time.Time
 	movedUntil time.Time
@@ -58,8 +57,8 @@
 	return los
 }
 
-// coordinators returns the distinct coordinators of the service that are
-// connected, whether they may grant the request or not.
+// coordinators returns the connected coordinators of the service without
+// duplicates, including those that may not grant to this gateway.
 func (gat *Core) coordinators(service string) []request.Epoch {
 	var epochs []request.Epoch
 	for _, sha := range gat.shares[service] {
@@ -70,10 +69,10 @@
 	return epochs
 }
 
-// mayTake reports whether the gateway may take a grant of the request from the
-// coordinator epoch: the id's view names it as a granter, it isn't lost, and it
-// is outside this gateway's own failure domain.
-func (gat *Core) mayTake(epo request.Epoch, ent *entry) bool {
+// mayAcceptGrant reports whether the gateway may accept a grant of the request
+// from the coordinator epoch: the view of the id names the epoch as a granter, the
+// epoch isn't lost, and it is outside this gateway's own failure domain.
+func (gat *Core) mayAcceptGrant(epo request.Epoch, ent *entry) bool {
 	if gat.lost[epo] != nil {
 		return false
 	}
@@ -86,7 +85,7 @@
 
 func (gat *Core) outsideOwnDomain(epo request.Epoch, vie view.View) bool {
 	if len(vie.Domains()) < 3 {
-		// With two domains a request taken over has no third one to go to.
+		// With two domains, no third one is left for a request that was taken over.
 		return true
 	}
 	granter, _ := vie.Member(epo)
@@ -94,33 +93,34 @@
 	return !known || own.Domain != granter.Domain
 }
 
-// reserve sends the reservation to the best coordinator that hasn't refused
-// it. Where all have, lower reservations are looked for elsewhere.
+// reserve sends the reservation to the best coordinator that hasn't refused it.
+// If all have refused, the other coordinators are asked to evict a reservation of
+// a lower rank.
 func (gat *Core) reserve(now time.Time, ent *entry) {
 	gat.table.enter(ent, phaseWaiting)
 	ent.coordinator = 0
-	best := gat.best(now, ent)
+	best := gat.bestCoordinator(now, ent)
 	switch {
 	case best != 0:
 		gat.sendReserve(now, ent, best)
 	case len(ent.refused) > 0:
-		gat.seekEviction(now, ent)
-	case gat.outdated(ent):
+		gat.requestEviction(now, ent)
+	case gat.isOutdated(ent):
 		gat.close(now, ent, Final{Cause: CauseRetired, Outcome: request.NotRun, Retry: true})
 	default:
 		gat.table.stranded[ent.id] = ent
 	}
 }
 
-// outdated reports whether the service is coordinated only by hosts that
-// aren't in the id's view, so that nobody can grant the request any more.
-func (gat *Core) outdated(ent *entry) bool {
+// isOutdated reports whether no current coordinator of the service may grant the
+// request, because the view of the id is too old.
+func (gat *Core) isOutdated(ent *entry) bool {
 	if ent.id.View == gat.views.Last().Number {
 		return false
 	}
 	shares := gat.shares[ent.spec.Service]
 	for _, sha := range shares {
-		if gat.mayTake(sha.Coordinator, ent) {
+		if gat.mayAcceptGrant(sha.Coordinator, ent) {
 			return false
 		}
 	}
@@ -135,20 +135,20 @@
 	gat.send(to, ent.reserve(now))
 }
 
-// best returns the coordinator with the least predicted time to the first
-// token, or 0. Ties and near ties go to the one that is likely to hold the
-// prompt's prefix.
-func (gat *Core) best(now time.Time, ent *entry) request.Epoch {
+// bestCoordinator returns the coordinator with the shortest predicted time to the
+// first token, or 0. Ties and near ties go to the coordinator whose engines
+// probably have the prompt's prefix in their caches.
+func (gat *Core) bestCoordinator(now time.Time, ent *entry) request.Epoch {
 	var best request.Epoch
 	var bestCost time.Duration
-	preferred := gat.preferred(ent)
+	preferred := gat.preferredCoordinator(ent)
 	for _, epo := range gat.coordinators(ent.spec.Service) {
-		if !gat.mayAsk(now, epo, ent) {
+		if !gat.isCandidate(now, epo, ent) {
 			continue
 		}
-		cost := gat.cost(now, epo, ent)
+		cost := gat.predictedWait(now, epo, ent)
 		if epo != preferred {
-			cost += prefixCost(ent.spec)
+			cost += missingPrefixCost(ent.spec)
 		}
 		if best == 0 || cost < bestCost {
 			best, bestCost = epo, cost
@@ -157,8 +157,8 @@
 	return best
 }
 
-func (gat *Core) mayAsk(now time.Time, epo request.Epoch, ent *entry) bool {
-	if ent.hasRefused(epo) || !gat.mayTake(epo, ent) {
+func (gat *Core) isCandidate(now time.Time, epo request.Epoch, ent *entry) bool {
+	if ent.hasRefused(epo) || !gat.mayAcceptGrant(epo, ent) {
 		return false
 	}
 	los := gat.peer(epo).loadOf(ent.spec.Service)
@@ -166,29 +166,29 @@
 		return false
 	}
 	if now.Before(los.floorUntil) && ent.spec.Rank < los.floorRank {
-		// It has said so already; asking again would change nothing.
-		ent.refused[epo] = los.floorUntil.Add(-fullTime)
+		// The reported floor is still fresh, so the coordinator would refuse again.
+		ent.refused[epo] = los.floorUntil.Add(-floorFreshness)
 		return false
 	}
 	return true
 }
 
-// cost is the predicted wait at the coordinator, corrected by what was sent
-// there since it last told its load.
-func (gat *Core) cost(now time.Time, epo request.Epoch, ent *entry) time.Duration {
+// predictedWait returns the predicted wait at the coordinator, corrected for the
+// reservations sent since its last load report.
+func (gat *Core) predictedWait(now time.Time, epo request.Epoch, ent *entry) time.Duration {
 	los := gat.peer(epo).loadOf(ent.spec.Service)
 	free := los.load.FreeSlots - los.sent
 	if free > 0 {
-		// Prompts get done while time passes.
-		return max(0, los.load.Delay-now.Sub(los.noted))
+		// The prefills behind the reported delay have progressed since the report.
+		return max(0, los.load.Delay-now.Sub(los.updatedAt))
 	}
 	slots := max(1, gat.slotsOf(epo, ent.spec.Service))
-	return los.load.Delay + time.Duration(1-free)*unknownRun/time.Duration(slots)
+	return los.load.Delay + time.Duration(1-free)*assumedRunTime/time.Duration(slots)
 }
 
-// unknownRun is the run time assumed of a reservation that a load doesn't
-// count yet.
-const unknownRun = 500 * time.Millisecond
+// assumedRunTime is the run time assumed for a reservation that the load report
+// doesn't include yet.
+const assumedRunTime = 500 * time.Millisecond
 
 func (gat *Core) slotsOf(epo request.Epoch, service string) int {
 	slots := 0
@@ -200,16 +200,16 @@
 	return slots
 }
 
-// preferred returns the coordinator that requests with this prompt prefix go
-// to, so that they meet in the same cache.
-func (gat *Core) preferred(ent *entry) request.Epoch {
+// preferredCoordinator returns the coordinator for requests with this prompt
+// prefix, chosen by rendezvous hashing so that they share a cache.
+func (gat *Core) preferredCoordinator(ent *entry) request.Epoch {
 	key := ent.id.String()
 	if ent.spec.PrefixHash != 0 {
 		key = strconv.FormatUint(ent.spec.PrefixHash, 16)
 	}
 	var epochs []request.Epoch
 	for _, epo := range gat.coordinators(ent.spec.Service) {
-		if gat.mayTake(epo, ent) {
+		if gat.mayAcceptGrant(epo, ent) {
 			epochs = append(epochs, epo)
 		}
 	}
@@ -221,24 +221,25 @@
 	})
 }
 
-// prefixCost is the prompt work that a coordinator without the prefix has to do.
-func prefixCost(spec Spec) time.Duration {
+// missingPrefixCost returns the prefill time of the prefix on an engine that
+// doesn't have it cached.
+func missingPrefixCost(spec Spec) time.Duration {
 	if spec.PrefixHash == 0 {
 		return time.Nanosecond
 	}
-	const middlingPrefill = 4000
-	return time.Duration(spec.PrefixTokens) * time.Second / middlingPrefill
+	const typicalPrefillSpeed = 4000
+	return time.Duration(spec.PrefixTokens) * time.Second / typicalPrefillSpeed
 }
 
-// moveToFree moves a reservation that has waited for a while to a coordinator
-// with a free slot.
-func (gat *Core) moveToFree(now time.Time, ent *entry) {
+// moveToFreeCoordinator moves a reservation that has waited for Config.MoveAfter to
+// a coordinator with a free slot.
+func (gat *Core) moveToFreeCoordinator(now time.Time, ent *entry) {
 	if now.Sub(ent.reserved) < gat.cfg.MoveAfter {
 		return
 	}
 	for _, epo := range gat.coordinators(ent.spec.Service) {
 		los := gat.peer(epo).loadOf(ent.spec.Service)
-		if epo == ent.coordinator || !gat.mayAsk(now, epo, ent) || los.load.FreeSlots-los.sent <= 0 {
+		if epo == ent.coordinator || !gat.isCandidate(now, epo, ent) || los.load.FreeSlots-los.sent <= 0 {
 			continue
 		}
 		gat.send(ent.coordinator, reservation.Withdraw{ID: ent.id, Ballot: ent.ballot})
@@ -247,9 +248,10 @@
 	}
 }
 
-// seekEviction asks the coordinators that may not grant to this gateway for a
-// lower reservation to drop. When none is left to ask, the request is shed.
-func (gat *Core) seekEviction(now time.Time, ent *entry) {
+// requestEviction asks the next coordinator that hasn't refused yet to drop a
+// reservation of a lower rank. These are the coordinators that may not grant to
+// this gateway. If none is left, the request is shed.
+func (gat *Core) requestEviction(now time.Time, ent *entry) {
 	gat.table.enter(ent, phaseEvicting)
 	ent.reserved = now
 	for _, epo := range gat.coordinators(ent.spec.Service) {
@@ -270,7 +272,7 @@
 		return
 	}
 	if !evi.Done {
-		gat.seekEviction(now, ent)
+		gat.requestEviction(now, ent)
 		return
 	}
 	clear(ent.refused)
@@ -278,11 +280,11 @@
 	gat.reserve(now, ent)
 }
 
-// shed gives the request up after every coordinator said that it keeps nothing
-// lower. Where the first of them said so too long ago to be sure of it still,
-// they are asked anew.
+// shed closes the request after every coordinator has answered that it holds no
+// reservation of a lower rank. If the oldest of these answers isn't fresh any more,
+// all coordinators are asked again.
 func (gat *Core) shed(now time.Time, ent *entry) {
-	if now.Sub(ent.oldestRefusal(now)) > refusalTrust {
+	if now.Sub(ent.oldestRefusal(now)) > refusalFreshness {
 		clear(ent.refused)
 		gat.reserve(now, ent)
 		return
@@ -290,16 +292,16 @@
 	gat.close(now, ent, Final{Cause: CauseShed, Outcome: request.NotRun, Retry: true, RetryAfter: gat.retryAfter(ent)})
 }
 
-// retryAfter spreads the callers' return over as long a time again as the
-// shortest delay that any coordinator predicts.
+// retryAfter returns the shortest delay that any coordinator predicts, plus a jitter
+// of up to the same length, so that clients don't retry all at once.
 func (gat *Core) retryAfter(ent *entry) time.Duration {
-	const least, most = time.Second, 30 * time.Second
-	delay := most
+	const minDelay, maxDelay = time.Second, 30 * time.Second
+	delay := maxDelay
 	for _, epo := range gat.coordinators(ent.spec.Service) {
 		delay = min(delay, gat.peer(epo).loadOf(ent.spec.Service).load.Delay)
 	}
-	delay = max(least, delay)
+	delay = max(minDelay, delay)
 	const steps = 1000
-	part := view.Score(ent.id.String(), "retry") % steps
-	return delay + delay*time.Duration(part)/steps
+	jitter := view.Score(ent.id.String(), "retry") % steps
+	return delay + delay*time.Duration(jitter)/steps
 }
--- a/gateway/close.go
+++ b/gateway/close.go
@@ -7,9 +7,9 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// close ends a request that wasn't dispatched. The caller is told NotRun only
-// once a granter has recorded that it never runs: another gateway may have
-// taken the request over meanwhile.
+// close ends a request that wasn't dispatched. The client gets the outcome NotRun
+// only after a granter has recorded that the request never runs, because another
+// gateway may have taken it over in the meantime.
 func (gat *Core) close(now time.Time, ent *entry, fin Final) {
 	gat.table.enter(ent, phaseClosing)
 	ent.closeAsked = true
@@ -19,10 +19,10 @@
 	gat.askToClose(now, ent)
 }
 
-// askToClose asks the coordinator that the reservation is with, or any other
-// granter. Where none is connected, a fence finds out whether any is left.
+// askToClose asks the coordinator that holds the reservation, or another granter,
+// to close the request. If none is connected, a fence determines whether any is left.
 func (gat *Core) askToClose(now time.Time, ent *entry) {
-	to := gat.closer(ent)
+	to := gat.closingGranter(ent)
 	if to == 0 {
 		gat.fenceRound(now, ent, ent.ballot.Round+1)
 		return
@@ -31,26 +31,26 @@
 	gat.send(to, reservation.Withdraw{ID: ent.id, Ballot: ent.ballot, Close: true})
 }
 
-// closer returns the granter to close the request at, or 0. One of the own
-// failure domain, or this host itself, will do where no other is left: whoever
-// fences the request later has to hear that granter, or the heir of its ledger,
-// and without either nobody runs it.
-func (gat *Core) closer(ent *entry) request.Epoch {
-	if gat.isUp(ent.coordinator) && gat.mayTake(ent.coordinator, ent) && !ent.hasRefused(ent.coordinator) {
+// closingGranter returns the granter that is asked to close the request, or 0. A
+// granter in this gateway's failure domain, or this host itself, is acceptable if no
+// other is left: every later fence needs the answer of that granter, or of the host
+// that took over its ledger, and without it the request isn't run.
+func (gat *Core) closingGranter(ent *entry) request.Epoch {
+	if gat.isUp(ent.coordinator) && gat.mayAcceptGrant(ent.coordinator, ent) && !ent.hasRefused(ent.coordinator) {
 		return ent.coordinator
 	}
 	vie, _ := gat.views.Get(ent.id.View)
-	var near request.Epoch
+	var sameDomain request.Epoch
 	for _, mem := range vie.Granters(ent.id.Epoch) {
 		if !gat.isUp(mem.Epoch) || gat.lost[mem.Epoch] != nil || ent.hasRefused(mem.Epoch) {
 			continue
 		}
-		if gat.mayTake(mem.Epoch, ent) {
+		if gat.mayAcceptGrant(mem.Epoch, ent) {
 			return mem.Epoch
 		}
-		near = mem.Epoch
+		sameDomain = mem.Epoch
 	}
-	return near
+	return sameDomain
 }
 
 func (gat *Core) checkClosing(now time.Time, ent *entry) {
@@ -59,38 +59,38 @@
 	}
 }
 
-// undecided tells the caller that nothing certain is known, so that a repeat is
-// looked at anew. It is only for requests that this gateway hasn't dispatched:
-// what another one may have done with them stands in the granters' ledgers.
+// undecided reports the outcome Unknown to the clients and drops the request, so
+// that a repeat is evaluated again. It is only for requests that this gateway hasn't
+// dispatched: what another gateway did with them is in the granters' ledgers.
 func (gat *Core) undecided(ent *entry) {
-	fin := Final{Cause: CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: undecidedRetry}
-	gat.act(Finish{ID: ent.id, Final: fin, Granters: ent.fence.words()})
-	gat.setAside(ent)
+	fin := Final{Cause: CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: undecidedRetryAfter}
+	gat.emit(Finish{ID: ent.id, Final: fin, Granters: ent.fence.granterAnswers()})
+	gat.relinquish(ent)
 }
 
-// setAside ends a request that this gateway doesn't decide for now. Where a
-// granter may have closed it unheard it stays in memory, since this gateway
-// must neither run it nor vouch that it was never closed.
-func (gat *Core) setAside(ent *entry) {
+// relinquish ends a request whose outcome this gateway doesn't decide now. If a
+// granter may have closed it without the answer arriving, the entry stays in memory:
+// this gateway must neither run the request nor attest that it was never closed.
+func (gat *Core) relinquish(ent *entry) {
 	if !ent.closeAsked {
 		gat.forget(ent)
 		return
 	}
-	gat.table.enter(ent, phaseUnclosed)
-	ent.callers = 0
-	gat.act(Forget{ID: ent.id})
+	gat.table.enter(ent, phaseCloseUnconfirmed)
+	ent.clients = 0
+	gat.emit(Forget{ID: ent.id})
 }
 
-// finish gives every attached caller the final answer and keeps it for repeats.
+// finish sends every attached client the final answer and stores it for repeats.
 func (gat *Core) finish(ent *entry, fin Final) {
 	gat.table.enter(ent, phaseGivenUp)
 	ent.final = fin
-	gat.act(Finish{ID: ent.id, Final: fin})
+	gat.emit(Finish{ID: ent.id, Final: fin})
 }
 
-// received takes one message of a coordinator.
+// received handles one message from a coordinator.
 func (gat *Core) received(now time.Time, rec Received) {
-	gat.noteLoad(now, rec)
+	gat.recordLoad(now, rec)
 	switch msg := rec.Message.(type) {
 	case reservation.Grant:
 		gat.granted(rec.From, msg)
@@ -99,25 +99,25 @@
 	case reservation.Evicted:
 		gat.evicted(now, rec.From, msg)
 	case reservation.Reserve, reservation.Withdraw, reservation.Release, reservation.Adopt, reservation.Hold, reservation.Evict:
-		// A gateway sends these; it never gets them.
+		// Only gateways send these.
 	}
-	gat.retryWaiting(now)
+	gat.retryStranded(now)
 }
 
-func (gat *Core) noteLoad(now time.Time, rec Received) {
+func (gat *Core) recordLoad(now time.Time, rec Received) {
 	if rec.Load.Service == "" {
 		return
 	}
 	los := gat.peer(rec.From).loadOf(rec.Load.Service)
 	los.load = rec.Load
-	los.noted = now
+	los.updatedAt = now
 	los.sent = 0
 }
 
 func (gat *Core) granted(from request.Epoch, gra reservation.Grant) {
 	ent := gat.table.byID[gra.ID]
 	wanted := ent != nil && ent.phase == phaseWaiting && ent.coordinator == from &&
-		ent.ballot.Same(gra.Ballot) && gat.mayTake(from, ent)
+		ent.ballot.Same(gra.Ballot) && gat.mayAcceptGrant(from, ent)
 	if !wanted {
 		gat.returnGrant(from, ent, gra)
 		return
@@ -125,11 +125,11 @@
 	gat.table.enter(ent, phaseRunning)
 	ent.granter = from
 	ent.engine = gra.Engine
-	gat.act(Dispatch{ID: ent.id, Engine: gra.Engine})
+	gat.emit(Dispatch{ID: ent.id, Engine: gra.Engine})
 }
 
-// returnGrant gives back a slot that isn't used, unless it is the very grant
-// that the request runs on, told twice.
+// returnGrant releases a granted slot that isn't used, unless the message repeats the
+// grant that the request runs on.
 func (gat *Core) returnGrant(from request.Epoch, ent *entry, gra reservation.Grant) {
 	if ent != nil && ent.granter == from && ent.engine == gra.Engine {
 		return
@@ -147,8 +147,8 @@
 		gat.refusedWaiting(now, ent, ref)
 	case phaseClosing:
 		gat.refusedClosing(now, ent, ref)
-	case phaseEvicting, phaseFencing, phaseRunning, phaseResuming, phaseDone, phaseUnclosed, phaseGivenUp:
-		// The refusal is about a reservation that no longer matters.
+	case phaseEvicting, phaseFencing, phaseRunning, phaseResuming, phaseDone, phaseCloseUnconfirmed, phaseGivenUp:
+		// The reservation isn't waiting any more.
 	}
 }
 
@@ -158,12 +158,13 @@
 	switch ref.Reason {
 	case reservation.ReasonFull:
 		los.floorRank = ref.FloorRank
-		// The refusal may have been long on its way; when it was asked for is sure.
-		los.floorUntil = ent.reserved.Add(fullTime)
+		// The refusal may have been delayed; the time of the reservation is the earliest
+		// time at which the floor can have been raised.
+		los.floorUntil = ent.reserved.Add(floorFreshness)
 		ent.refused[from] = ent.reserved
 		gat.reserve(now, ent)
 	case reservation.ReasonMoved, reservation.ReasonNotGranter:
-		los.movedUntil = now.Add(movedTime)
+		los.movedUntil = now.Add(movedRetryDelay)
 		gat.reserve(now, ent)
 	case reservation.ReasonExpired:
 		ent.granter = from
@@ -172,7 +173,7 @@
 		ent.granter = from
 		gat.finish(ent, Final{Cause: CauseExpired, Outcome: request.NotRun})
 	case reservation.ReasonFenced, reservation.ReasonForgotten:
-		gat.takenAway(ent, ref)
+		gat.yieldToHolder(ent, ref)
 	}
 }
 
@@ -183,22 +184,22 @@
 		ent.granter = from
 		gat.finish(ent, ent.final)
 	case reservation.ReasonFenced:
-		gat.takenAway(ent, ref)
+		gat.yieldToHolder(ent, ref)
 	case reservation.ReasonFull, reservation.ReasonMoved, reservation.ReasonNotGranter, reservation.ReasonForgotten:
 		ent.refused[from] = now
 		gat.askToClose(now, ent)
 	}
 }
 
-// takenAway ends a request here that another gateway has taken over: its
-// callers go there.
-func (gat *Core) takenAway(ent *entry, ref reservation.Refuse) {
+// yieldToHolder ends a request that another gateway has taken over and redirects its
+// clients to that gateway.
+func (gat *Core) yieldToHolder(ent *entry, ref reservation.Refuse) {
 	holder, known := gat.views.Find(byEpoch(ref.Holder))
 	if ref.Reason != reservation.ReasonFenced || !known || holder.Epoch == gat.cfg.Self {
 		gat.undecided(ent)
 		return
 	}
 	fin := Final{Cause: CauseMoved, Outcome: request.Unknown, Retry: true, Holder: holder}
-	gat.act(Finish{ID: ent.id, Final: fin})
-	gat.setAside(ent)
+	gat.emit(Finish{ID: ent.id, Final: fin})
+	gat.relinquish(ent)
 }
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -1,17 +1,18 @@
-// Package gateway is the pure decision core of the gateway's job: it decides
-// when a request is reserved, dispatched, relayed, resumed or given up.
+// Package gateway implements the decision core of the gateway role: it decides
+// when a request is reserved, dispatched, relayed, resumed or closed.
 //
 // # Usage
 //
 //	gat := gateway.New(gateway.Config{Self: epoch, Started: now})
 //	actions := gat.Handle(now, gateway.Arrived{Caller: 1, ID: id, Spec: spec})
 //
-// Events and time go in, actions come out: there is no clock, goroutine,
-// network or randomness in here, and a Core is for one goroutine at a time.
+// The core is a deterministic state machine: it takes events with their time and
+// returns actions. It uses no clock, goroutine, network or randomness, and a Core
+// must not be used by several goroutines at once.
 //
-// A request is decided by the gateway that its id names. It is dispatched only
-// on a grant from a coordinator outside that gateway's failure domain, so that
-// no single loss takes both records of it.
+// The gateway whose epoch is in a request's id owns the request. The request is
+// dispatched only on a grant from a coordinator outside that gateway's failure
+// domain, so that no single failure loses both records of it.
 package gateway
 
 import (
@@ -24,23 +25,22 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// Config holds what a gateway is told at its start. Zero durations stand for
-// the defaults.
+// Config configures a Core. Zero durations select the defaults.
 type Config struct {
 	// Self is the epoch of this process.
 	Self request.Epoch
-	// Started is when the process started; windows count from it.
+	// Started is when the process started. Windows are counted from it.
 	Started time.Time
-	// Window is how long one window lasts.
+	// Window is the length of one window of request ids.
 	Window time.Duration
-	// CloseTimeout bounds the wait for a granter's word that a request never runs.
+	// CloseTimeout bounds the wait for a granter's answer that a request never
+	// runs.
 	CloseTimeout time.Duration
-	// OrphanGrace is how long a request goes on without its caller.
+	// OrphanGrace is how long a request continues without an attached client.
 	OrphanGrace time.Duration
-	// StrandedTime is how long a request waits without any coordinator that
-	// could be asked.
+	// StrandedTime is how long a request waits while no coordinator is available.
 	StrandedTime time.Duration
-	// MoveAfter is how long a reservation waits before it moves to a
+	// MoveAfter is how long a reservation waits before it may move to a
 	// coordinator with a free slot.
 	MoveAfter time.Duration
 }
@@ -54,10 +54,11 @@
 	DefaultMoveAfter    = 250 * time.Millisecond
 )
 
-// WindowsKept is how many windows, the current one among them, ids may be of.
+// WindowsKept is the number of windows, including the current one, whose ids are
+// accepted.
 const WindowsKept = 3
 
-// Core is the gateway of one host.
+// Core is the gateway role of one host.
 type Core struct {
 	cfg    Config
 	conf   resource.Configuration
@@ -66,60 +67,60 @@
 	peers  map[request.Epoch]*peerState
 	table  *table
 	lost   map[request.Epoch]*lostState
-	// away are the hosts that can't be reached now: their engines go to others.
-	away     map[request.Epoch]bool
-	limits   *limiter
-	sequence uint64
-	draining bool
-	actions  []Action
+	// unreachable are the hosts without a session; other hosts coordinate their engines.
+	unreachable map[request.Epoch]bool
+	limits      *limiter
+	sequence    uint64
+	draining    bool
+	actions     []Action
 }
 
-// peerState is what the gateway knows of one coordinator epoch.
+// peerState is the gateway's state of one coordinator epoch.
 type peerState struct {
 	up    bool
 	loads map[string]*loadState
 }
 
-// New returns the core of a process start.
+// New returns a Core for a process that has just started.
 func New(cfg Config) *Core {
-	fill(&cfg.Window, DefaultWindow)
-	fill(&cfg.CloseTimeout, DefaultCloseTimeout)
-	fill(&cfg.OrphanGrace, DefaultOrphanGrace)
-	fill(&cfg.StrandedTime, DefaultStrandedTime)
-	fill(&cfg.MoveAfter, DefaultMoveAfter)
+	setDefault(&cfg.Window, DefaultWindow)
+	setDefault(&cfg.CloseTimeout, DefaultCloseTimeout)
+	setDefault(&cfg.OrphanGrace, DefaultOrphanGrace)
+	setDefault(&cfg.StrandedTime, DefaultStrandedTime)
+	setDefault(&cfg.MoveAfter, DefaultMoveAfter)
 	return &Core{
-		cfg:    cfg,
-		views:  view.NewHistory(),
-		peers:  make(map[request.Epoch]*peerState),
-		table:  newTable(),
-		lost:   make(map[request.Epoch]*lostState),
-		away:   make(map[request.Epoch]bool),
-		limits: newLimiter(),
+		cfg:         cfg,
+		views:       view.NewHistory(),
+		peers:       make(map[request.Epoch]*peerState),
+		table:       newTable(),
+		lost:        make(map[request.Epoch]*lostState),
+		unreachable: make(map[request.Epoch]bool),
+		limits:      newLimiter(),
 	}
 }
 
-func fill(dur *time.Duration, def time.Duration) {
+func setDefault(dur *time.Duration, def time.Duration) {
 	if *dur == 0 {
 		*dur = def
 	}
 }
 
-// WindowAt returns the number of the window at a time; the first one is 1.
+// WindowAt returns the number of the window at the time now; the first is 1.
 func WindowAt(started time.Time, length time.Duration, now time.Time) uint64 {
 	return uint64(max(0, now.Sub(started))/length) + 1
 }
 
-// Window returns the number of the current window.
+// Window returns the number of the window at the time now.
 func (gat *Core) Window(now time.Time) uint64 {
 	return WindowAt(gat.cfg.Started, gat.cfg.Window, now)
 }
 
-// InFlight returns how many requests don't have their final answer yet.
+// InFlight returns the number of requests without a final answer.
 func (gat *Core) InFlight() int {
 	return len(gat.table.active)
 }
 
-// Handle takes one event and returns what is to be done about it.
+// Handle applies one event and returns the actions to carry out, in order.
 func (gat *Core) Handle(now time.Time, evt Event) []Action {
 	gat.actions = nil
 	switch evt := evt.(type) {
@@ -134,7 +135,7 @@
 	case PeerLost:
 		gat.peerLost(now, evt.Peer)
 	case PeerUnreachable:
-		gat.unreachable(now, evt.Peer)
+		gat.peerUnreachable(now, evt.Peer)
 	case Received:
 		gat.received(now, evt)
 	case FenceAnswered:
@@ -142,7 +143,7 @@
 	case FenceFailed:
 		gat.fenceFailed(now, evt)
 	case Unvouched:
-		gat.unvouched(evt)
+		gat.revocationAnswered(evt)
 	case EngineDone:
 		gat.engineDone(now, evt)
 	case ViewChanged:
@@ -158,12 +159,12 @@
 	return gat.actions
 }
 
-func (gat *Core) act(act Action) {
+func (gat *Core) emit(act Action) {
 	gat.actions = append(gat.actions, act)
 }
 
 func (gat *Core) send(to request.Epoch, msg reservation.Message) {
-	gat.act(Send{To: to, Message: msg})
+	gat.emit(Send{To: to, Message: msg})
 }
 
 func (gat *Core) viewChanged(now time.Time, vie view.View) {
@@ -171,46 +172,46 @@
 	gat.views.Add(vie)
 	gat.forgetHosts()
 	if !newest {
-		// A past view says who may grant what; nothing goes by it otherwise.
+		// A past view only determines the granters of its ids.
 		return
 	}
 	gat.reroute(now)
 }
 
-// forgetHosts drops what is kept of epochs that no remembered view has: no id
-// that is still taken can lead to them.
+// forgetHosts drops the state of epochs that aren't in any remembered view: no id
+// that is still accepted can refer to them.
 func (gat *Core) forgetHosts() {
 	for epo := range gat.lost {
 		if !gat.views.Knows(epo) {
 			delete(gat.lost, epo)
 		}
 	}
-	for epo := range gat.away {
+	for epo := range gat.unreachable {
 		if !gat.views.Knows(epo) {
-			delete(gat.away, epo)
+			delete(gat.unreachable, epo)
 		}
 	}
 }
 
-// reroute follows a change of who coordinates what: new coordinators are told
-// of the slots in use, and requests that waited for a coordinator try again.
+// reroute recomputes which host coordinates which engine, reports the slots in use
+// to new coordinators, and retries the requests that wait for a coordinator.
 func (gat *Core) reroute(now time.Time) {
-	former := gat.shares
+	previous := gat.shares
 	gat.shares = make(map[string][]view.Share)
-	reached := gat.views.Last().Without(func(epo request.Epoch) bool { return gat.away[epo] })
+	reachable := gat.views.Last().Without(func(epo request.Epoch) bool { return gat.unreachable[epo] })
 	for service, engines := range gat.conf.SlotsByService() {
-		gat.shares[service] = view.Assign(reached, service, engines)
+		gat.shares[service] = view.Assign(reachable, service, engines)
 	}
-	for _, ent := range inOrder(gat.table.active) {
-		if ent.holds() {
-			gat.adopt(ent, former[ent.spec.Service])
+	for _, ent := range sortedByID(gat.table.active) {
+		if ent.holdsSlot() {
+			gat.sendAdopt(ent, previous[ent.spec.Service])
 		}
 	}
-	gat.retryWaiting(now)
+	gat.retryStranded(now)
 }
 
-func (gat *Core) adopt(ent *entry, former []view.Share) {
-	before := coordinatorsOf(former, ent.engine)
+func (gat *Core) sendAdopt(ent *entry, previous []view.Share) {
+	before := coordinatorsOf(previous, ent.engine)
 	for _, epo := range coordinatorsOf(gat.shares[ent.spec.Service], ent.engine) {
 		if !slices.Contains(before, epo) && gat.isUp(epo) {
 			gat.send(epo, reservation.Adopt{ID: ent.id, Ballot: ent.ballot, Engine: ent.engine})
@@ -233,23 +234,23 @@
 	return pee != nil && pee.up
 }
 
-func (gat *Core) retryWaiting(now time.Time) {
+func (gat *Core) retryStranded(now time.Time) {
 	if len(gat.table.stranded) == 0 {
 		return
 	}
-	for _, ent := range inOrder(gat.table.stranded) {
+	for _, ent := range sortedByID(gat.table.stranded) {
 		gat.reserve(now, ent)
 	}
 }
 
 func (gat *Core) tick(now time.Time) {
-	for _, ent := range inOrder(gat.table.active) {
+	for _, ent := range sortedByID(gat.table.active) {
 		gat.tickEntry(now, ent)
 	}
-	for ent := gat.table.oldest(); ent != nil && gat.tooOld(now, ent); ent = gat.table.oldest() {
+	for ent := gat.table.oldest(); ent != nil && gat.isTooOld(now, ent); ent = gat.table.oldest() {
 		gat.forget(ent)
 	}
-	gat.retryUnvouch()
+	gat.retryRevocations()
 }
 
 func (gat *Core) tickEntry(now time.Time, ent *entry) {
@@ -263,17 +264,17 @@
 	case ent.phase == phaseWaiting && !now.Before(ent.deadline):
 		gat.close(now, ent, Final{Cause: CauseExpired, Outcome: request.NotRun})
 	case ent.phase == phaseWaiting && ent.coordinator == 0 && now.Sub(ent.reserved) >= gat.cfg.StrandedTime:
-		gat.close(now, ent, Final{Cause: CauseStranded, Outcome: request.NotRun, Retry: true, RetryAfter: undecidedRetry})
+		gat.close(now, ent, Final{Cause: CauseStranded, Outcome: request.NotRun, Retry: true, RetryAfter: undecidedRetryAfter})
 	case ent.phase == phaseWaiting && ent.coordinator == 0:
 		gat.reserve(now, ent)
 	case ent.phase == phaseWaiting:
-		gat.moveToFree(now, ent)
+		gat.moveToFreeCoordinator(now, ent)
 	}
 }
 
-// tooOld reports whether the id of a finished request is too old to be taken
-// again, so that it needn't be remembered.
-func (gat *Core) tooOld(now time.Time, ent *entry) bool {
+// isTooOld reports whether the id of a finished request isn't accepted any more, so
+// that the request can be forgotten.
+func (gat *Core) isTooOld(now time.Time, ent *entry) bool {
 	if ent.id.Epoch == gat.cfg.Self {
 		return ent.id.Window+WindowsKept <= gat.Window(now)
 	}
@@ -282,22 +283,22 @@
 
 func (gat *Core) forget(ent *entry) {
 	gat.table.remove(ent)
-	gat.act(Forget{ID: ent.id})
+	gat.emit(Forget{ID: ent.id})
 }
 
 func (gat *Core) isAbandoned(now time.Time, ent *entry) bool {
-	return ent.callers == 0 && !ent.abandoned.IsZero() && now.Sub(ent.abandoned) >= gat.cfg.OrphanGrace
+	return ent.clients == 0 && !ent.abandonedAt.IsZero() && now.Sub(ent.abandonedAt) >= gat.cfg.OrphanGrace
 }
 
-// abandon ends a request that nobody has waited for since the grace time.
+// abandon ends a request that has had no client for Config.OrphanGrace.
 func (gat *Core) abandon(now time.Time, ent *entry) {
 	switch ent.phase {
 	case phaseWaiting:
 		gat.close(now, ent, Final{Cause: CauseAbandoned, Outcome: request.NotRun})
 	case phaseRunning, phaseResuming:
-		ent.abandoned = time.Time{}
-		gat.act(Cancel{ID: ent.id})
-	case phaseEvicting, phaseClosing, phaseFencing, phaseDone, phaseUnclosed, phaseGivenUp:
-		// These end by themselves.
+		ent.abandonedAt = time.Time{}
+		gat.emit(Cancel{ID: ent.id})
+	case phaseEvicting, phaseClosing, phaseFencing, phaseDone, phaseCloseUnconfirmed, phaseGivenUp:
+		// These are finished, or end by an answer or a timeout.
 	}
 }
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -19,7 +19,7 @@
 
 var start = time.Unix(1000, 0)
 
-// member is host number num in the domain, with the number as its epoch.
+// member returns host number num in the domain, with the number as its epoch.
 func member(num int, domain string) view.Member {
 	return view.Member{Name: fmt.Sprintf("host-%d", num), Epoch: request.Epoch(num), Domain: domain}
 }
@@ -39,40 +39,40 @@
 	return resource.NewConfiguration(1, entries)
 }
 
-// bench drives one gateway core and collects its actions.
-type bench struct {
+// harness drives one gateway core.
+type harness struct {
 	t       *testing.T
 	core    *gateway.Core
 	now     time.Time
 	callers gateway.CallerID
 }
 
-func newBench(t *testing.T, engines int, members ...view.Member) *bench {
-	ben := &bench{t: t, now: start, core: gateway.New(gateway.Config{Self: self, Started: start, Window: time.Minute})}
-	ben.handle(gateway.ViewChanged{View: view.View{Number: 1, Members: members}})
-	ben.handle(gateway.ConfigurationChanged{Configuration: configuration(engines)})
+func newHarness(t *testing.T, engines int, members ...view.Member) *harness {
+	har := &harness{t: t, now: start, core: gateway.New(gateway.Config{Self: self, Started: start, Window: time.Minute})}
+	har.handle(gateway.ViewChanged{View: view.View{Number: 1, Members: members}})
+	har.handle(gateway.ConfigurationChanged{Configuration: configuration(engines)})
 	for _, mem := range members {
-		ben.handle(gateway.PeerUp{Peer: mem.Epoch})
+		har.handle(gateway.PeerUp{Peer: mem.Epoch})
 	}
-	return ben
+	return har
 }
 
-func (ben *bench) handle(evt gateway.Event) []gateway.Action {
-	return ben.core.Handle(ben.now, evt)
+func (har *harness) handle(evt gateway.Event) []gateway.Action {
+	return har.core.Handle(har.now, evt)
 }
 
-func (ben *bench) idOf(epoch request.Epoch, unique string) request.ID {
-	return request.ID{Prefix: request.Prefix{View: 1, Epoch: epoch, Window: ben.core.Window(ben.now)}, Unique: unique}
+func (har *harness) idOf(epoch request.Epoch, unique string) request.ID {
+	return request.ID{Prefix: request.Prefix{View: 1, Epoch: epoch, Window: har.core.Window(har.now)}, Unique: unique}
 }
 
-func (ben *bench) arrive(id request.ID) []gateway.Action {
-	ben.callers++
-	return ben.handle(gateway.Arrived{Caller: ben.callers, ID: id, Spec: gateway.Spec{
+func (har *harness) arrive(id request.ID) []gateway.Action {
+	har.callers++
+	return har.handle(gateway.Arrived{Caller: har.callers, ID: id, Spec: gateway.Spec{
 		Service: "menus", Tier: "Normal", Rank: 10, Account: "care", PromptTokens: 100, MaxTokens: 10, Remaining: time.Minute,
 	}})
 }
 
-// find returns the first action of the type.
+// find returns the first action of type T.
 func find[T gateway.Action](actions []gateway.Action) (T, bool) {
 	for _, act := range actions {
 		if found, same := act.(T); same {
@@ -83,7 +83,7 @@
 	return none, false
 }
 
-// sent returns the first message of the type, and whom it goes to.
+// sent returns the first sent message of type T and its recipient.
 func sent[T reservation.Message](actions []gateway.Action) (request.Epoch, T, bool) {
 	for _, act := range actions {
 		if snd, isSend := act.(gateway.Send); isSend {
@@ -97,43 +97,43 @@
 }
 
 func TestRequestIsDispatchedOnAGrantFromOutsideTheDomain(t *testing.T) {
-	ben := newBench(t, 4, member(1, "a"), member(2, "a"), member(3, "b"))
-	actions := ben.arrive(ben.idOf(self, "one"))
+	har := newHarness(t, 4, member(1, "a"), member(2, "a"), member(3, "b"))
+	actions := har.arrive(har.idOf(self, "one"))
 	_, attached := find[gateway.Attach](actions)
 	assert.Assert(t, attached)
 	to, res, reserved := sent[reservation.Reserve](actions)
 	assert.Assert(t, reserved)
 	assert.Equal(t, to, request.Epoch(3))
-	actions = ben.handle(gateway.Received{From: to, Message: reservation.Grant{ID: res.ID, Ballot: res.Ballot, Engine: "engine-0"}})
+	actions = har.handle(gateway.Received{From: to, Message: reservation.Grant{ID: res.ID, Ballot: res.Ballot, Engine: "engine-0"}})
 	dis, dispatched := find[gateway.Dispatch](actions)
 	assert.Assert(t, dispatched)
 	assert.Equal(t, dis.Engine, "engine-0")
 }
 
-func TestGrantTwiceIsDispatchedOnce(t *testing.T) {
-	ben := newBench(t, 4, member(1, "a"), member(3, "b"))
-	to, res, _ := sent[reservation.Reserve](ben.arrive(ben.idOf(self, "one")))
+func TestRepeatedGrantIsDispatchedOnce(t *testing.T) {
+	har := newHarness(t, 4, member(1, "a"), member(3, "b"))
+	to, res, _ := sent[reservation.Reserve](har.arrive(har.idOf(self, "one")))
 	gra := gateway.Received{From: to, Message: reservation.Grant{ID: res.ID, Ballot: res.Ballot, Engine: "engine-0"}}
-	_, first := find[gateway.Dispatch](ben.handle(gra))
-	_, second := find[gateway.Dispatch](ben.handle(gra))
+	_, first := find[gateway.Dispatch](har.handle(gra))
+	_, second := find[gateway.Dispatch](har.handle(gra))
 	assert.Assert(t, first)
 	assert.Assert(t, !second)
 }
 
-// An id of an old view can't be granted by hosts that joined since. Where only
-// those coordinate the service, the caller must be told to take a new prefix
-// at once instead of waiting until its deadline.
+// Hosts that joined after a view can't grant its ids. If only such hosts coordinate
+// the service, the client must be told to request a new prefix at once instead of
+// waiting until its deadline.
 func TestIDOfAnOldViewWithoutCoordinatorIsClosedAtOnce(t *testing.T) {
-	ben := newBench(t, 1, member(1, "a"), member(3, "b"))
-	ben.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{
+	har := newHarness(t, 1, member(1, "a"), member(3, "b"))
+	har.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{
 		member(1, "a"), leaving(member(3, "b")), member(4, "b"),
 	}}})
-	ben.handle(gateway.PeerUp{Peer: 4})
-	to, wit, withdrawn := sent[reservation.Withdraw](ben.arrive(ben.idOf(self, "one")))
+	har.handle(gateway.PeerUp{Peer: 4})
+	to, wit, withdrawn := sent[reservation.Withdraw](har.arrive(har.idOf(self, "one")))
 	assert.Assert(t, withdrawn)
 	assert.Assert(t, wit.Close)
 	assert.Equal(t, to, request.Epoch(3))
-	actions := ben.handle(gateway.Received{From: to, Message: reservation.Refuse{ID: wit.ID, Ballot: wit.Ballot, Reason: reservation.ReasonClosed}})
+	actions := har.handle(gateway.Received{From: to, Message: reservation.Refuse{ID: wit.ID, Ballot: wit.Ballot, Reason: reservation.ReasonClosed}})
 	fin, finished := find[gateway.Finish](actions)
 	assert.Assert(t, finished)
 	assert.Equal(t, fin.Final.Cause, gateway.CauseRetired)
@@ -146,35 +146,37 @@
 	return mem
 }
 
-// A granter may have closed a request although its word was lost, and another
-// gateway may have told its caller so. The owner must not run it afterwards.
-func TestRequestIsNotRunAfterAnUnheardClose(t *testing.T) {
-	ben := newBench(t, 4, member(1, "a"), member(2, "b"), member(3, "c"))
-	id := ben.idOf(self, "one")
-	ben.arrive(id)
-	ben.now = ben.now.Add(time.Minute)
-	_, wit, withdrawn := sent[reservation.Withdraw](ben.handle(gateway.Tick{}))
+// A granter may have closed a request although its answer was lost, and another
+// gateway may have reported that to its client. The owner must not run the request
+// afterwards.
+func TestRequestIsNotRunAfterAnUnconfirmedClose(t *testing.T) {
+	har := newHarness(t, 4, member(1, "a"), member(2, "b"), member(3, "c"))
+	id := har.idOf(self, "one")
+	har.arrive(id)
+	har.now = har.now.Add(time.Minute)
+	_, wit, withdrawn := sent[reservation.Withdraw](har.handle(gateway.Tick{}))
 	assert.Assert(t, withdrawn && wit.Close)
-	ben.now = ben.now.Add(gateway.DefaultCloseTimeout)
-	fin, finished := find[gateway.Finish](ben.handle(gateway.Tick{}))
+	har.now = har.now.Add(gateway.DefaultCloseTimeout)
+	fin, finished := find[gateway.Finish](har.handle(gateway.Tick{}))
 	assert.Assert(t, finished)
 	assert.Equal(t, fin.Final.Outcome, request.Unknown)
-	actions := ben.arrive(id)
+	actions := har.arrive(id)
 	_, _, reserved := sent[reservation.Reserve](actions)
 	assert.Assert(t, !reserved)
 	_, wit, withdrawn = sent[reservation.Withdraw](actions)
 	assert.Assert(t, withdrawn && wit.Close)
 }
 
-// A coordinator closes what is overdue by itself, while the gateway may have
-// had a grant from another one: a fence must hear all before it says NotRun.
-func TestFenceThatHearsClosedFirstStillFindsTheGrant(t *testing.T) {
-	ben := newBench(t, 4, member(1, "a"), member(2, "b"), member(3, "c"), member(4, "d"))
-	ben.handle(gateway.PeerLost{Peer: 4})
-	id := ben.idOf(4, "one")
+// A coordinator closes expired requests on its own, while their gateway may have a
+// grant from another coordinator. A fence must get all answers before it reports
+// NotRun.
+func TestFenceResumesGrantAfterClosedAnswer(t *testing.T) {
+	har := newHarness(t, 4, member(1, "a"), member(2, "b"), member(3, "c"), member(4, "d"))
+	har.handle(gateway.PeerLost{Peer: 4})
+	id := har.idOf(4, "one")
 	fences := 0
 	var bal request.Ballot
-	for _, act := range ben.arrive(id) {
+	for _, act := range har.arrive(id) {
 		if ask, isAsk := act.(gateway.AskFence); isAsk {
 			fences++
 			bal = ask.Fence.Ballot
@@ -182,7 +184,7 @@
 	}
 	assert.Equal(t, fences, 3)
 	answer := func(from request.Epoch, sta reservation.Standing) []gateway.Action {
-		return ben.handle(gateway.FenceAnswered{Ballot: bal, Answer: reservation.FenceAnswer{ID: id, From: from, Standing: sta, Engine: "engine-1"}})
+		return har.handle(gateway.FenceAnswered{Ballot: bal, Answer: reservation.FenceAnswer{ID: id, From: from, Standing: sta, Engine: "engine-1"}})
 	}
 	_, early := find[gateway.Finish](answer(2, reservation.StandingClosed))
 	assert.Assert(t, !early)
@@ -191,37 +193,38 @@
 	assert.Equal(t, res.Engine, "engine-1")
 }
 
-// A coordinator that was lost may have granted what others were told it hadn't.
-// It counts for nothing until every voucher has released its vouch.
-func TestLostCoordinatorIsRefusedUntilEveryVouchIsReleased(t *testing.T) {
-	ben := newBench(t, 4, member(1, "a"), member(2, "b"), member(3, "c"))
-	vou, vouched := find[gateway.SendVouch](ben.handle(gateway.PeerLost{Peer: 2}))
-	assert.Assert(t, vouched)
-	assert.Equal(t, vou.To.Epoch, request.Epoch(3))
-	unv, asked := find[gateway.SendUnvouch](ben.handle(gateway.PeerUp{Peer: 2}))
+// A lost coordinator may have granted requests that the attestations about it don't
+// list. Its grants must be rejected until every attestation is revoked.
+func TestLostCoordinatorIsRefusedUntilEveryAttestationIsRevoked(t *testing.T) {
+	har := newHarness(t, 4, member(1, "a"), member(2, "b"), member(3, "c"))
+	att, attested := find[gateway.SendVouch](har.handle(gateway.PeerLost{Peer: 2}))
+	assert.Assert(t, attested)
+	assert.Equal(t, att.To.Epoch, request.Epoch(3))
+	rev, asked := find[gateway.SendUnvouch](har.handle(gateway.PeerUp{Peer: 2}))
 	assert.Assert(t, asked)
 	for num := range 8 {
-		to, _, reserved := sent[reservation.Reserve](ben.arrive(ben.idOf(self, fmt.Sprintf("before-%d", num))))
+		to, _, reserved := sent[reservation.Reserve](har.arrive(har.idOf(self, fmt.Sprintf("before-%d", num))))
 		assert.Assert(t, reserved)
 		assert.Equal(t, to, request.Epoch(3))
 	}
-	ben.handle(gateway.Unvouched{Voucher: 3, Answer: reservation.UnvouchAnswer{VouchKey: unv.Unvouch.VouchKey, Released: true}})
+	har.handle(gateway.Unvouched{Voucher: 3, Answer: reservation.UnvouchAnswer{VouchKey: rev.Unvouch.VouchKey, Released: true}})
 	used := make(map[request.Epoch]bool)
 	for num := range 8 {
-		to, _, _ := sent[reservation.Reserve](ben.arrive(ben.idOf(self, fmt.Sprintf("after-%d", num))))
+		to, _, _ := sent[reservation.Reserve](har.arrive(har.idOf(self, fmt.Sprintf("after-%d", num))))
 		used[to] = true
 	}
 	assert.Assert(t, used[2])
 }
 
-// A grant of a coordinator that the reservation has left is given back.
-func TestGrantOfAFormerCoordinatorIsReturned(t *testing.T) {
-	ben := newBench(t, 4, member(1, "a"), member(2, "b"), member(3, "c"))
-	first, res, _ := sent[reservation.Reserve](ben.arrive(ben.idOf(self, "one")))
+// A grant that arrives after the reservation has moved to another coordinator must be
+// released.
+func TestGrantOfAPreviousCoordinatorIsReturned(t *testing.T) {
+	har := newHarness(t, 4, member(1, "a"), member(2, "b"), member(3, "c"))
+	first, res, _ := sent[reservation.Reserve](har.arrive(har.idOf(self, "one")))
 	refuse := gateway.Received{From: first, Message: reservation.Refuse{ID: res.ID, Ballot: res.Ballot, Reason: reservation.ReasonFull}}
-	second, _, moved := sent[reservation.Reserve](ben.handle(refuse))
+	second, _, moved := sent[reservation.Reserve](har.handle(refuse))
 	assert.Assert(t, moved && second != first)
-	actions := ben.handle(gateway.Received{From: first, Message: reservation.Grant{ID: res.ID, Ballot: res.Ballot, Engine: "engine-0"}})
+	actions := har.handle(gateway.Received{From: first, Message: reservation.Grant{ID: res.ID, Ballot: res.Ballot, Engine: "engine-0"}})
 	_, dispatched := find[gateway.Dispatch](actions)
 	assert.Assert(t, !dispatched)
 	to, rel, returned := sent[reservation.Release](actions)
@@ -229,56 +232,55 @@
 	assert.Equal(t, to, first)
 }
 
-// A request that no coordinator can be asked for is given up soon, with when to
-// come back, instead of being held until its deadline.
-func TestStrandedRequestIsGivenUpSoon(t *testing.T) {
-	ben := newBench(t, 4, member(1, "a"), member(2, "b"))
-	ben.handle(gateway.PeerLost{Peer: 2})
-	ben.arrive(ben.idOf(self, "one"))
-	ben.now = ben.now.Add(gateway.DefaultStrandedTime)
-	ask, asked := find[gateway.AskFence](ben.handle(gateway.Tick{}))
+// A request without an available coordinator must fail after DefaultStrandedTime with a
+// time for the retry, instead of waiting until its deadline.
+func TestRequestWithoutCoordinatorFailsAfterTimeout(t *testing.T) {
+	har := newHarness(t, 4, member(1, "a"), member(2, "b"))
+	har.handle(gateway.PeerLost{Peer: 2})
+	har.arrive(har.idOf(self, "one"))
+	har.now = har.now.Add(gateway.DefaultStrandedTime)
+	ask, asked := find[gateway.AskFence](har.handle(gateway.Tick{}))
 	assert.Assert(t, asked)
-	fin, finished := find[gateway.Finish](ben.handle(gateway.FenceFailed{ID: ask.Fence.ID, Ballot: ask.Fence.Ballot, Peer: 2}))
+	fin, finished := find[gateway.Finish](har.handle(gateway.FenceFailed{ID: ask.Fence.ID, Ballot: ask.Fence.Ballot, Peer: 2}))
 	assert.Assert(t, finished)
 	assert.Equal(t, fin.Final.Outcome, request.Unknown)
 	assert.Assert(t, fin.Final.Retry)
 }
 
-// A host that starts learns past views after the current one; ids of them must
-// then be relayed or fenced, not refused as too old.
-func TestPastViewLearnedLaterCounts(t *testing.T) {
-	ben := &bench{t: t, now: start, core: gateway.New(gateway.Config{Self: self, Started: start})}
-	ben.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{member(1, "a"), member(3, "b")}}})
-	ans, answered := find[gateway.Answer](ben.arrive(ben.idOf(2, "one")))
+// A starting host learns past views after the current one. From then on it must relay
+// or fence their ids instead of refusing them as too old.
+func TestPastViewLearnedLaterIsAccepted(t *testing.T) {
+	har := &harness{t: t, now: start, core: gateway.New(gateway.Config{Self: self, Started: start})}
+	har.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{member(1, "a"), member(3, "b")}}})
+	ans, answered := find[gateway.Answer](har.arrive(har.idOf(2, "one")))
 	assert.Assert(t, answered && ans.Final.Cause == gateway.CauseTooOld)
-	ben.handle(gateway.ViewChanged{View: view.View{Number: 1, Members: []view.Member{member(2, "a"), member(3, "b")}}})
-	rel, relayed := find[gateway.Relay](ben.arrive(ben.idOf(2, "one")))
+	har.handle(gateway.ViewChanged{View: view.View{Number: 1, Members: []view.Member{member(2, "a"), member(3, "b")}}})
+	rel, relayed := find[gateway.Relay](har.arrive(har.idOf(2, "one")))
 	assert.Assert(t, relayed)
 	assert.Equal(t, rel.To.Epoch, request.Epoch(2))
 }
 
-// Every host that could grant an id of an old view has stopped in order. Nobody
-// is left to close the request, and nobody to grant it: the caller is told to
-// take a new prefix, whether the request was to be closed or not.
+// If every granter of an id of an old view has stopped cleanly, no host is left that
+// could close or grant the request. The client must be told to request a new prefix.
 func TestIDWhoseGrantersAllStoppedIsRetired(t *testing.T) {
-	ben := newBench(t, 2, member(1, "a"), member(2, "b"), member(3, "c"))
-	ben.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{
+	har := newHarness(t, 2, member(1, "a"), member(2, "b"), member(3, "c"))
+	har.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{
 		member(1, "a"), member(4, "b"), member(5, "c"),
 	}}})
 	for _, epo := range []request.Epoch{2, 3} {
-		ben.handle(gateway.PeerLost{Peer: epo})
+		har.handle(gateway.PeerLost{Peer: epo})
 	}
 	for _, epo := range []request.Epoch{4, 5} {
-		ben.handle(gateway.PeerUp{Peer: epo})
+		har.handle(gateway.PeerUp{Peer: epo})
 	}
-	actions := ben.arrive(ben.idOf(self, "one"))
+	actions := har.arrive(har.idOf(self, "one"))
 	ask, asked := find[gateway.AskFence](actions)
 	assert.Assert(t, asked)
 	for _, epo := range []request.Epoch{2, 3} {
-		_, early := find[gateway.Finish](ben.handle(gateway.FenceFailed{ID: ask.Fence.ID, Ballot: ask.Fence.Ballot, Peer: epo}))
+		_, early := find[gateway.Finish](har.handle(gateway.FenceFailed{ID: ask.Fence.ID, Ballot: ask.Fence.Ballot, Peer: epo}))
 		assert.Assert(t, !early)
 	}
-	actions = ben.handle(gateway.FenceAnswered{Ballot: ask.Fence.Ballot, Answer: reservation.FenceAnswer{
+	actions = har.handle(gateway.FenceAnswered{Ballot: ask.Fence.Ballot, Answer: reservation.FenceAnswer{
 		ID: ask.Fence.ID, From: 4, Standing: reservation.StandingBystander, Successions: []request.Epoch{2, 3},
 	}})
 	fin, finished := find[gateway.Finish](actions)
@@ -288,25 +290,25 @@
 	assert.Assert(t, fin.Final.Retry)
 }
 
-// This host is the last one that may grant an id which it has taken over, and
-// it takes no grant from its own failure domain. It closes the request in its
-// own ledger, where every later fence reads it, instead of leaving its caller
-// undecided until the deadline.
+// A host that is the last granter of a request that it has taken over can't grant it,
+// because it accepts no grant from its own failure domain. It must close the request in
+// its own ledger, where every later fence reads it, instead of leaving it undecided
+// until the deadline.
 func TestLastGranterClosesWhatItCannotGrantItself(t *testing.T) {
-	ben := newBench(t, 2, member(1, "a"), member(2, "b"), member(3, "c"), member(4, "d"))
-	ben.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{
+	har := newHarness(t, 2, member(1, "a"), member(2, "b"), member(3, "c"), member(4, "d"))
+	har.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{
 		member(1, "a"), member(5, "b"), member(6, "c"), member(7, "d"),
 	}}})
 	for _, epo := range []request.Epoch{2, 3, 4} {
-		ben.handle(gateway.PeerLost{Peer: epo})
+		har.handle(gateway.PeerLost{Peer: epo})
 	}
 	for _, epo := range []request.Epoch{5, 6, 7} {
-		ben.handle(gateway.PeerUp{Peer: epo})
+		har.handle(gateway.PeerUp{Peer: epo})
 	}
-	ask, asked := find[gateway.AskFence](ben.arrive(ben.idOf(4, "one")))
+	ask, asked := find[gateway.AskFence](har.arrive(har.idOf(4, "one")))
 	assert.Assert(t, asked)
 	fenced := func(from request.Epoch, sta reservation.Standing) []gateway.Action {
-		return ben.handle(gateway.FenceAnswered{Ballot: ask.Fence.Ballot, Answer: reservation.FenceAnswer{
+		return har.handle(gateway.FenceAnswered{Ballot: ask.Fence.Ballot, Answer: reservation.FenceAnswer{
 			ID: ask.Fence.ID, From: from, Standing: sta, Successions: []request.Epoch{2, 3, 4},
 		}})
 	}
@@ -314,7 +316,7 @@
 	to, wit, withdrawn := sent[reservation.Withdraw](fenced(self, reservation.StandingPromised))
 	assert.Assert(t, withdrawn && wit.Close)
 	assert.Equal(t, to, self)
-	actions := ben.handle(gateway.Received{From: to, Message: reservation.Refuse{ID: wit.ID, Ballot: wit.Ballot, Reason: reservation.ReasonClosed}})
+	actions := har.handle(gateway.Received{From: to, Message: reservation.Refuse{ID: wit.ID, Ballot: wit.Ballot, Reason: reservation.ReasonClosed}})
 	fin, finished := find[gateway.Finish](actions)
 	assert.Assert(t, finished)
 	assert.Equal(t, fin.Final.Cause, gateway.CauseRetired)
--- a/gateway/dump.go
+++ b/gateway/dump.go
@@ -8,18 +8,18 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// Dump is the state of a gateway.
+// Dump is a snapshot of a gateway's state, encoded as JSON.
 type Dump struct {
 	// Requests counts the remembered requests by phase.
 	Requests map[string]int
 	// InFlight lists the requests without a final answer.
 	InFlight []RequestDump
-	// Lost lists the coordinator epochs whose grants are refused.
+	// Lost lists the coordinator epochs whose grants are rejected.
 	Lost     []LostDump
 	Draining bool
 }
 
-// RequestDump is one request in flight.
+// RequestDump describes one request in flight.
 type RequestDump struct {
 	ID          request.ID
 	Phase       string
@@ -31,34 +31,36 @@
 	Callers     int
 	Coordinator request.Epoch
 	Engine      string
-	// Cause is why the request is being given up, while it is.
+	// Cause is why the request is being closed; empty unless it is.
 	Cause Cause `json:",omitempty"`
 }
 
-// LostDump is a coordinator epoch whose grants are refused.
+// LostDump describes a coordinator epoch whose grants are rejected.
 type LostDump struct {
-	Epoch    request.Epoch
-	Vouchers []request.Epoch
-	Gone     bool
+	Epoch request.Epoch
+	// Vouchers are the coordinators that hold an attestation about the epoch.
+	Vouchers []request.Epoch `json:"Vouchers"`
+	// Gone is set if the grants are rejected for good.
+	Gone bool `json:"Gone"`
 }
 
-// Dump returns the state of the gateway.
+// Dump returns a snapshot of the gateway's state.
 func (gat *Core) Dump(now time.Time) Dump {
 	dum := Dump{Requests: make(map[string]int), Draining: gat.draining}
-	for _, ent := range inOrder(gat.table.byID) {
+	for _, ent := range sortedByID(gat.table.byID) {
 		dum.Requests[ent.phase.String()]++
-		if ent.over() {
+		if ent.isFinished() {
 			continue
 		}
 		dum.InFlight = append(dum.InFlight, RequestDump{
 			ID: ent.id, Phase: ent.phase.String(), Service: ent.spec.Service, Tier: ent.spec.Tier, Account: ent.spec.Account,
 			Age: now.Sub(ent.arrived).String(), Remaining: ent.deadline.Sub(now).String(),
-			Callers: ent.callers, Coordinator: ent.coordinator, Engine: ent.engine, Cause: ent.final.Cause,
+			Callers: ent.clients, Coordinator: ent.coordinator, Engine: ent.engine, Cause: ent.final.Cause,
 		})
 	}
 	for _, epo := range slices.Sorted(maps.Keys(gat.lost)) {
 		los := gat.lost[epo]
-		dum.Lost = append(dum.Lost, LostDump{Epoch: epo, Vouchers: slices.Sorted(maps.Keys(los.vouchers)), Gone: los.gone})
+		dum.Lost = append(dum.Lost, LostDump{Epoch: epo, Vouchers: slices.Sorted(maps.Keys(los.attesters)), Gone: los.permanent})
 	}
 	return dum
 }
--- a/gateway/engine.go
+++ b/gateway/engine.go
@@ -7,7 +7,7 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// engineDone takes note of how a dispatch or a resumption ended.
+// engineDone handles the result of a dispatch or a resumption.
 func (gat *Core) engineDone(now time.Time, evt EngineDone) {
 	ent := gat.table.byID[evt.ID]
 	if ent == nil {
@@ -16,15 +16,15 @@
 	switch ent.phase {
 	case phaseRunning:
 		gat.release(ent, evt.Result)
-		gat.ranDone(now, ent, evt.Result)
+		gat.dispatchDone(now, ent, evt.Result)
 	case phaseResuming:
 		gat.resumeDone(ent, evt.Result)
-	case phaseWaiting, phaseEvicting, phaseClosing, phaseFencing, phaseDone, phaseUnclosed, phaseGivenUp:
-		// Nothing runs, so nothing can end.
+	case phaseWaiting, phaseEvicting, phaseClosing, phaseFencing, phaseDone, phaseCloseUnconfirmed, phaseGivenUp:
+		// Nothing is running.
 	}
 }
 
-// release gives the slot back to whoever counts it.
+// release releases the slot at the granter and at the engine's current coordinators.
 func (gat *Core) release(ent *entry, res Result) {
 	rel := reservation.Release{
 		ID: ent.id, Ballot: ent.ballot, Engine: ent.engine, Dispatched: res.Dispatched,
@@ -32,20 +32,20 @@
 		PrefillTokens: res.PrefillTokens, DecodeTokens: res.DecodeTokens,
 		FirstToken: res.FirstToken, Total: res.Total,
 	}
-	told := []request.Epoch{ent.granter}
+	recipients := []request.Epoch{ent.granter}
 	for _, epo := range coordinatorsOf(gat.shares[ent.spec.Service], ent.engine) {
 		if epo != ent.granter {
-			told = append(told, epo)
+			recipients = append(recipients, epo)
 		}
 	}
-	for _, epo := range told {
+	for _, epo := range recipients {
 		if gat.isUp(epo) {
 			gat.send(epo, rel)
 		}
 	}
 }
 
-func (gat *Core) ranDone(now time.Time, ent *entry, res Result) {
+func (gat *Core) dispatchDone(now time.Time, ent *entry, res Result) {
 	switch {
 	case res.Whole:
 		gat.table.enter(ent, phaseDone)
@@ -56,8 +56,8 @@
 	}
 }
 
-// outcomeOf tells of a dispatch without a whole answer whether it ran: without
-// any word of the engine it isn't known.
+// outcomeOf returns the outcome of a dispatch without a complete answer. If the
+// engine sent nothing, whether the request ran is unknown.
 func outcomeOf(res Result) request.Outcome {
 	if res.Answered {
 		return request.Ran
@@ -65,7 +65,7 @@
 	return request.Unknown
 }
 
-// retryDispatch reserves anew after an engine that was never reached.
+// retryDispatch reserves the request again after the engine couldn't be reached.
 func (gat *Core) retryDispatch(now time.Time, ent *entry) {
 	ent.granter = 0
 	ent.engine = ""
@@ -78,8 +78,8 @@
 	gat.reserve(now, ent)
 }
 
-// resumeDone ends a request that another gateway dispatched. What can't be
-// read now may be read by a repeat, so a failure isn't kept.
+// resumeDone ends a request that another gateway dispatched. A failure isn't stored,
+// because a repeat may still be able to read the answer.
 func (gat *Core) resumeDone(ent *entry, res Result) {
 	switch {
 	case res.Whole:
--- a/gateway/entry.go
+++ b/gateway/entry.go
@@ -7,37 +7,40 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// phase is how far a request has come.
+// phase is the processing state of a request.
 type phase uint8
 
 const (
-	// phaseWaiting: it waits for a grant.
+	// phaseWaiting: the request waits for a grant.
 	phaseWaiting phase = iota + 1
-	// phaseEvicting: other coordinators are asked to drop a lower reservation.
+	// phaseEvicting: other coordinators are asked to drop a reservation of a lower rank.
 	phaseEvicting
-	// phaseClosing: a granter is asked to record that it never runs.
+	// phaseClosing: a granter is asked to record that the request never runs.
 	phaseClosing
-	// phaseFencing: it is being taken over from an unreachable gateway.
+	// phaseFencing: the request is being taken over from an unreachable gateway, or
+	// no granter that could close it is connected.
 	phaseFencing
-	// phaseRunning: this gateway dispatched it.
+	// phaseRunning: this gateway dispatched the request.
 	phaseRunning
-	// phaseResuming: it is read from the engine that another gateway sent it to.
+	// phaseResuming: the answer is read from the engine to which another gateway
+	// dispatched the request.
 	phaseResuming
-	// phaseDone: the whole answer has come.
+	// phaseDone: the complete answer has arrived.
 	phaseDone
-	// phaseUnclosed: a granter was asked to close it and nothing was heard.
-	phaseUnclosed
-	// phaseGivenUp: it has a final answer other than a whole one.
+	// phaseCloseUnconfirmed: a granter was asked to close the request and hasn't
+	// confirmed it.
+	phaseCloseUnconfirmed
+	// phaseGivenUp: the request has a final answer other than a complete one.
 	phaseGivenUp
 )
 
-// String returns the phase's name.
+// String returns the phase's name, as in the dump.
 func (pha phase) String() string {
 	names := [...]string{"None", "Waiting", "Evicting", "Closing", "Fencing", "Running", "Resuming", "Done", "Unclosed", "GivenUp"}
 	return names[pha]
 }
 
-// entry is what the gateway remembers of one request.
+// entry is the gateway's state of one request.
 type entry struct {
 	id       request.ID
 	ballot   request.Ballot
@@ -45,37 +48,41 @@
 	phase    phase
 	arrived  time.Time
 	deadline time.Time
-	// callers counts the attached callers; abandoned is since when there is none.
-	callers   int
-	abandoned time.Time
-	// coordinator is whom the reservation or the wish to close was sent to; 0 is nobody.
+	// clients counts the attached clients; abandonedAt is when the last one left,
+	// and zero while there is one.
+	clients     int
+	abandonedAt time.Time
+	// coordinator is the epoch to which the reservation, eviction or close was sent; 0
+	// if to none. reserved is when the current phase's message was sent.
 	coordinator request.Epoch
 	reserved    time.Time
-	// refused are the coordinators that keep nothing lower, since when.
+	// refused maps the coordinators that refused, or can't close, the request to the
+	// time of the refusal.
 	refused map[request.Epoch]time.Time
-	// overflow is set once another coordinator has dropped a lower reservation.
+	// overflow is set once another coordinator has dropped a reservation of a lower
+	// rank for this request, which may then exceed the queue's bound.
 	overflow bool
 	attempts int
-	// granter is the coordinator epoch that granted or closed it.
+	// granter is the coordinator epoch that granted or closed the request.
 	granter request.Epoch
 	engine  string
 	final   Final
-	// closeAsked is set once a granter was asked to record that the request
-	// never runs: from then on it must not run, whatever is heard of it.
+	// closeAsked is set once a granter was asked to record that the request never
+	// runs. From then on this gateway must not run it, whatever the answers.
 	closeAsked bool
-	fence      *fenceState
-	// rounds counts the fences tried.
+	fence      *fenceAttempt
+	// rounds counts the fence rounds.
 	rounds uint32
 }
 
-// hasRefused reports whether the coordinator has said that it keeps nothing
-// lower, or can't close the request.
+// hasRefused reports whether the coordinator has refused the request, holds no
+// reservation of a lower rank, or can't close the request.
 func (ent *entry) hasRefused(epo request.Epoch) bool {
 	_, refused := ent.refused[epo]
 	return refused
 }
 
-// oldestRefusal returns when the first of the refusals was given.
+// oldestRefusal returns the time of the oldest refusal, or now if there is none.
 func (ent *entry) oldestRefusal(now time.Time) time.Time {
 	oldest := now
 	for _, at := range ent.refused {
@@ -86,13 +93,13 @@
 	return oldest
 }
 
-// over reports whether the request has its final answer.
-func (ent *entry) over() bool {
-	return ent.phase == phaseDone || ent.phase == phaseGivenUp || ent.phase == phaseUnclosed
+// isFinished reports whether no further answer to the request is expected.
+func (ent *entry) isFinished() bool {
+	return ent.phase == phaseDone || ent.phase == phaseGivenUp || ent.phase == phaseCloseUnconfirmed
 }
 
-// holds reports whether the request occupies a slot of an engine.
-func (ent *entry) holds() bool {
+// holdsSlot reports whether the request occupies a slot of an engine.
+func (ent *entry) holdsSlot() bool {
 	return ent.phase == phaseRunning
 }
 
@@ -106,9 +113,9 @@
 	}
 }
 
-// record returns what a vouch for the coordinator epoch says of the request,
-// if anything.
-func (ent *entry) record(lost request.Epoch) (reservation.Record, bool) {
+// attestedRecord returns the request's record in an attestation for the lost
+// coordinator epoch, and false if there is none.
+func (ent *entry) attestedRecord(lost request.Epoch) (reservation.Record, bool) {
 	rec := reservation.Record{ID: ent.id, Ballot: ent.ballot}
 	switch {
 	case ent.granter == lost && ent.engine != "":
@@ -116,7 +123,8 @@
 	case ent.granter == lost:
 		rec.Standing = reservation.StandingClosed
 	case ent.closeAsked && ent.granter == 0:
-		// The lost one may have closed it, and somebody may know.
+		// The lost coordinator may have closed the request, and another host may have
+		// relied on that.
 		rec.Standing = reservation.StandingForgotten
 	default:
 		return rec, false
--- a/gateway/event.go
+++ b/gateway/event.go
@@ -9,124 +9,128 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// CallerID numbers one connection of a caller to this process.
+// CallerID identifies one client connection of this process.
 type CallerID uint64
 
-// Spec is what the gateway must know of a request to have it scheduled.
+// Spec holds the properties of a request that scheduling depends on.
 type Spec struct {
 	Service string
 	Tier    string
 	Rank    int
 	Account string
 	Weight  float64
-	// PromptTokens and MaxTokens are estimates of the work.
+	// PromptTokens and MaxTokens are estimates of the prompt's and the answer's length.
 	PromptTokens int
 	MaxTokens    int
-	// PrefixHash names the shared part of the prompt, PrefixTokens long; 0 is none.
+	// PrefixHash identifies the shared prefix of the prompt, which is PrefixTokens
+	// long; 0 means none.
 	PrefixHash   uint64
 	PrefixTokens int
 	// Remaining is the time left until the deadline.
 	Remaining time.Duration
-	// Fingerprint tells requests under one id apart.
+	// Fingerprint distinguishes different requests under the same id.
 	Fingerprint uint64
 }
 
-// Event is something that happened to the gateway.
+// Event is an input to Handle.
 type Event interface {
 	isEvent()
 }
 
-// Arrived brings a caller's request. It always leads to exactly one of Attach,
-// Answer and Relay for the caller.
+// Arrived reports a client's request. It results in exactly one of Attach, Answer
+// and Relay for the client.
 type Arrived struct {
 	Caller CallerID
 	ID     request.ID
 	Spec   Spec
-	// Relayed is set when another gateway passed the request on; it isn't
-	// passed on again.
+	// Relayed is set if another gateway relayed the request. It isn't relayed again.
 	Relayed bool
 }
 
-// CallerLeft says that an attached caller's connection is gone.
+// CallerLeft reports that an attached client has disconnected.
 type CallerLeft struct {
 	ID request.ID
 }
 
-// RelayFailed says that nothing of an answer came from the other gateway.
+// RelayFailed reports that the other gateway sent no part of an answer.
 type RelayFailed struct {
 	Arrived
 	To request.Epoch
 }
 
-// PeerUp says that a session with a coordinator epoch stands.
+// PeerUp reports that a session with a coordinator epoch is established.
 type PeerUp struct{ Peer request.Epoch }
 
-// PeerLost says that the session with a coordinator epoch is lost.
+// PeerLost reports that the session with a coordinator epoch is lost.
 type PeerLost struct{ Peer request.Epoch }
 
-// PeerUnreachable says that no session with a coordinator epoch came to stand.
+// PeerUnreachable reports that no session with a coordinator epoch could be
+// established.
 type PeerUnreachable struct{ Peer request.Epoch }
 
-// Received brings a coordinator's message.
+// Received delivers a coordinator's message. Load.Service is empty if the message
+// carries no load report.
 type Received struct {
 	From    request.Epoch
 	Message reservation.Message
 	Load    reservation.Load
 }
 
-// FenceAnswered brings the answer to AskFence.
+// FenceAnswered delivers the answer to AskFence.
 type FenceAnswered struct {
 	Ballot request.Ballot
 	Answer reservation.FenceAnswer
 }
 
-// FenceFailed says that a host couldn't be asked.
+// FenceFailed reports that a host didn't answer AskFence.
 type FenceFailed struct {
 	ID     request.ID
 	Ballot request.Ballot
 	Peer   request.Epoch
 }
 
-// Unvouched brings the answer to SendUnvouch; Failed says that there was none.
+// Unvouched delivers the answer to SendUnvouch; Failed is set if there was none.
 type Unvouched struct {
 	Voucher request.Epoch
 	Answer  reservation.UnvouchAnswer
 	Failed  bool
 }
 
-// EngineDone says how the dispatch or the resumption of a request ended.
+// EngineDone reports the result of a dispatch or a resumption.
 type EngineDone struct {
 	ID request.ID
 	Result
 }
 
-// Result is how an engine ended a request.
+// Result is the result of a request at an engine.
 type Result struct {
-	// Dispatched is false when the engine certainly never got the request.
+	// Dispatched is false if the engine certainly never received the request.
 	Dispatched bool
-	// Answered is set once the engine has answered at all.
+	// Answered is set if the engine sent any part of an answer.
 	Answered bool
-	// Whole is set when the whole answer came.
+	// Whole is set if the complete answer arrived.
 	Whole bool
-	// NotKnown is set when the engine to resume from knows no such request.
+	// NotKnown is set if the engine to resume from has no such request.
 	NotKnown bool
-	// PrefillTokens, DecodeTokens, FirstToken and Total measure the run.
+	// PrefillTokens and DecodeTokens count the processed tokens; FirstToken and Total
+	// are the times from the dispatch to the first token and to the end.
 	PrefillTokens int
 	DecodeTokens  int
 	FirstToken    time.Duration
 	Total         time.Duration
 }
 
-// ViewChanged brings a newer membership view.
+// ViewChanged delivers a membership view. A view older than the current one only
+// extends the history.
 type ViewChanged struct{ View view.View }
 
-// ConfigurationChanged brings a newer configuration.
+// ConfigurationChanged delivers a newer configuration.
 type ConfigurationChanged struct{ Configuration resource.Configuration }
 
-// Drain says that the host stops: it takes no new request.
+// Drain reports that the host is stopping: it accepts no new requests.
 type Drain struct{}
 
-// Tick lets time pass.
+// Tick triggers timeouts and retries.
 type Tick struct{}
 
 func (Arrived) isEvent()              {}
--- a/gateway/fence.go
+++ b/gateway/fence.go
@@ -9,20 +9,21 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// maxRounds bounds how often a gateway outbids another one for a request.
-const maxRounds = 4
+// maxFenceRounds bounds the fence rounds, each with a higher ballot, in which a
+// gateway competes with others for one request.
+const maxFenceRounds = 4
 
-// fenceState collects the answers about one request.
-type fenceState struct {
-	// granters are the hosts that may have granted it.
+// fenceAttempt collects the answers to one fence round.
+type fenceAttempt struct {
+	// granters are the hosts that may have granted the request.
 	granters []view.Member
-	// open are the hosts that haven't answered.
-	open    map[request.Epoch]bool
+	// pending are the hosts that haven't answered yet.
+	pending map[request.Epoch]bool
 	answers map[request.Epoch]reservation.FenceAnswer
 }
 
-// startFence takes over a request whose gateway can't be reached, if it can be
-// known that nobody has dispatched it.
+// startFence starts to take over a request whose gateway is unreachable. The
+// takeover succeeds only if it is certain that no gateway has dispatched the request.
 func (gat *Core) startFence(now time.Time, arr Arrived) {
 	ent := gat.newEntry(now, arr, request.Ballot{})
 	gat.fenceRound(now, ent, 1)
@@ -30,7 +31,7 @@
 
 func (gat *Core) fenceRound(now time.Time, ent *entry, round uint32) {
 	ent.rounds++
-	if ent.rounds > maxRounds {
+	if ent.rounds > maxFenceRounds {
 		gat.undecided(ent)
 		return
 	}
@@ -38,59 +39,59 @@
 	gat.table.enter(ent, phaseFencing)
 	ent.reserved = now
 	ent.ballot = request.Ballot{Round: round, Holder: gat.cfg.Self}
-	fes := &fenceState{
+	att := &fenceAttempt{
 		granters: vie.Granters(ent.id.Epoch),
-		open:     make(map[request.Epoch]bool),
+		pending:  make(map[request.Epoch]bool),
 		answers:  make(map[request.Epoch]reservation.FenceAnswer),
 	}
-	ent.fence = fes
-	for _, mem := range gat.toAsk(fes.granters, ent.id.Epoch) {
-		fes.open[mem.Epoch] = true
-		gat.act(AskFence{To: mem, Fence: reservation.Fence{ID: ent.id, Ballot: ent.ballot}})
+	ent.fence = att
+	for _, mem := range gat.fenceRecipients(att.granters, ent.id.Epoch) {
+		att.pending[mem.Epoch] = true
+		gat.emit(AskFence{To: mem, Fence: reservation.Fence{ID: ent.id, Ballot: ent.ballot}})
 	}
 }
 
-// toAsk returns the granters, and those newer hosts that may have taken over
-// the ledger of a granter that stopped.
-func (gat *Core) toAsk(granters []view.Member, owner request.Epoch) []view.Member {
-	asked := slices.Clone(granters)
+// fenceRecipients returns the granters and the other current hosts except the owner,
+// which may have taken over the ledger of a stopped granter.
+func (gat *Core) fenceRecipients(granters []view.Member, owner request.Epoch) []view.Member {
+	recipients := slices.Clone(granters)
 	for _, mem := range gat.views.Last().Members {
 		same := func(other view.Member) bool { return other.Epoch == mem.Epoch }
-		if mem.Epoch != owner && !slices.ContainsFunc(asked, same) {
-			asked = append(asked, mem)
+		if mem.Epoch != owner && !slices.ContainsFunc(recipients, same) {
+			recipients = append(recipients, mem)
 		}
 	}
-	return asked
+	return recipients
 }
 
 func (gat *Core) fenceAnswered(now time.Time, evt FenceAnswered) {
-	ent := gat.fencing(evt.Answer.ID, evt.Ballot)
+	ent := gat.fencingEntry(evt.Answer.ID, evt.Ballot)
 	if ent == nil {
 		return
 	}
 	ans := evt.Answer
-	delete(ent.fence.open, ans.From)
+	delete(ent.fence.pending, ans.From)
 	ent.fence.answers[ans.From] = ans
 	switch ans.Standing {
 	case reservation.StandingGranted:
 		gat.resume(ent, ans)
 	case reservation.StandingOutbid:
-		gat.outbid(now, ent, ans)
+		gat.superseded(now, ent, ans)
 	case reservation.StandingClosed, reservation.StandingPromised, reservation.StandingForgotten, reservation.StandingBystander:
-		gat.judgeFence(now, ent)
+		gat.evaluateFence(now, ent)
 	}
 }
 
 func (gat *Core) fenceFailed(now time.Time, evt FenceFailed) {
-	ent := gat.fencing(evt.ID, evt.Ballot)
+	ent := gat.fencingEntry(evt.ID, evt.Ballot)
 	if ent == nil {
 		return
 	}
-	delete(ent.fence.open, evt.Peer)
-	gat.judgeFence(now, ent)
+	delete(ent.fence.pending, evt.Peer)
+	gat.evaluateFence(now, ent)
 }
 
-func (gat *Core) fencing(id request.ID, bal request.Ballot) *entry {
+func (gat *Core) fencingEntry(id request.ID, bal request.Ballot) *entry {
 	ent := gat.table.byID[id]
 	if ent == nil || ent.phase != phaseFencing || !ent.ballot.Same(bal) {
 		return nil
@@ -101,12 +102,12 @@
 func (gat *Core) resume(ent *entry, ans reservation.FenceAnswer) {
 	gat.table.enter(ent, phaseResuming)
 	ent.engine = ans.Engine
-	gat.act(Resume{ID: ent.id, Engine: ans.Engine})
+	gat.emit(Resume{ID: ent.id, Engine: ans.Engine})
 }
 
-// outbid yields to a gateway with a higher ballot where that can be reached,
-// and bids higher where it can't.
-func (gat *Core) outbid(now time.Time, ent *entry, ans reservation.FenceAnswer) {
+// superseded redirects the clients to the gateway with the higher ballot if that is
+// reachable, and otherwise starts a round with a ballot above it.
+func (gat *Core) superseded(now time.Time, ent *entry, ans reservation.FenceAnswer) {
 	holder, known := gat.views.Find(byEpoch(ans.Ballot.Holder))
 	if known && holder.Epoch != gat.cfg.Self && gat.isUp(holder.Epoch) {
 		gat.finish(ent, Final{Cause: CauseMoved, Outcome: request.Unknown, Retry: true, Holder: holder})
@@ -116,51 +117,51 @@
 	gat.fenceRound(now, ent, ans.Ballot.Round+1)
 }
 
-// judgeFence decides once every granter has promised or is vouched for, or
-// nobody is left to answer.
-func (gat *Core) judgeFence(now time.Time, ent *entry) {
-	fes := ent.fence
+// evaluateFence takes the request over once it is settled with every granter. If no
+// answer is pending and some granter isn't settled, the request is undecided.
+func (gat *Core) evaluateFence(now time.Time, ent *entry) {
+	att := ent.fence
 	if gat.allSettled(ent) {
 		gat.takeOver(now, ent)
 		return
 	}
-	if len(fes.open) == 0 {
+	if len(att.pending) == 0 {
 		gat.undecided(ent)
 	}
 }
 
 func (gat *Core) allSettled(ent *entry) bool {
 	for _, mem := range ent.fence.granters {
-		if !ent.fence.settled(mem.Epoch, ent.id.Epoch) {
+		if !ent.fence.isSettled(mem.Epoch, ent.id.Epoch) {
 			return false
 		}
 	}
 	return true
 }
 
-// settled reports whether it is certain that the granter hasn't granted the
-// request and won't under a lower ballot.
-func (fes *fenceState) settled(granter, owner request.Epoch) bool {
-	switch fes.answers[granter].Standing {
+// isSettled reports whether it is certain that the granter hasn't granted the request
+// and never grants it under a lower ballot.
+func (att *fenceAttempt) isSettled(granter, owner request.Epoch) bool {
+	switch att.answers[granter].Standing {
 	case reservation.StandingPromised, reservation.StandingClosed:
 		return true
 	case reservation.StandingGranted, reservation.StandingOutbid, reservation.StandingForgotten, reservation.StandingBystander:
 	}
-	if fes.stopped(granter) {
+	if att.hasStopped(granter) {
 		return true
 	}
-	for _, holder := range fes.holders(owner) {
-		if !fes.vouched(reservation.VouchKey{Lost: granter, Holder: holder}) {
+	for _, holder := range att.holders(owner) {
+		if !att.isAttested(reservation.VouchKey{Lost: granter, Holder: holder}) {
 			return false
 		}
 	}
 	return true
 }
 
-// holders are all gateways that may have been granted the request.
-func (fes *fenceState) holders(owner request.Epoch) []request.Epoch {
+// holders returns the gateways to which the request may have been granted.
+func (att *fenceAttempt) holders(owner request.Epoch) []request.Epoch {
 	all := []request.Epoch{owner}
-	for _, ans := range fes.answers {
+	for _, ans := range att.answers {
 		for _, epo := range ans.Holders {
 			if !slices.Contains(all, epo) {
 				all = append(all, epo)
@@ -170,8 +171,8 @@
 	return all
 }
 
-func (fes *fenceState) stopped(granter request.Epoch) bool {
-	for _, ans := range fes.answers {
+func (att *fenceAttempt) hasStopped(granter request.Epoch) bool {
+	for _, ans := range att.answers {
 		if slices.Contains(ans.Successions, granter) {
 			return true
 		}
@@ -179,11 +180,11 @@
 	return false
 }
 
-// vouched counts only the word of a granter that has promised itself: what it
-// then knows of former claims is complete.
-func (fes *fenceState) vouched(key reservation.VouchKey) bool {
-	for _, mem := range fes.granters {
-		ans := fes.answers[mem.Epoch]
+// isAttested reports whether a granter that has promised holds the attestation. Only
+// such a granter knows of all earlier claims.
+func (att *fenceAttempt) isAttested(key reservation.VouchKey) bool {
+	for _, mem := range att.granters {
+		ans := att.answers[mem.Epoch]
 		if ans.Standing == reservation.StandingPromised && slices.Contains(ans.Vouches, key) {
 			return true
 		}
@@ -191,21 +192,21 @@
 	return false
 }
 
-// words returns what each granter said, for the log.
-func (fes *fenceState) words() []GranterWord {
-	if fes == nil {
+// granterAnswers returns the answer of each granter, for the log.
+func (att *fenceAttempt) granterAnswers() []GranterWord {
+	if att == nil {
 		return nil
 	}
-	words := make([]GranterWord, 0, len(fes.granters))
-	for _, mem := range fes.granters {
-		words = append(words, GranterWord{Granter: mem, Standing: fes.answers[mem.Epoch].Standing, Stopped: fes.stopped(mem.Epoch)})
+	answers := make([]GranterWord, 0, len(att.granters))
+	for _, mem := range att.granters {
+		answers = append(answers, GranterWord{Granter: mem, Standing: att.answers[mem.Epoch].Standing, Stopped: att.hasStopped(mem.Epoch)})
 	}
-	return words
+	return answers
 }
 
-// anyStanding reports whether any host answered with the standing.
-func (fes *fenceState) anyStanding(sta reservation.Standing) bool {
-	for _, ans := range fes.answers {
+// anyState reports whether any host answered with the state.
+func (att *fenceAttempt) anyState(sta reservation.Standing) bool {
+	for _, ans := range att.answers {
 		if ans.Standing == sta {
 			return true
 		}
@@ -213,20 +214,20 @@
 	return false
 }
 
-// takeOver makes this gateway the holder of the request. Where a granter has
-// closed it, somebody may have been told so, and it must not run any more; that
-// word alone isn't enough, since a granter closes what is overdue by itself
-// while its gateway may have had a grant from another.
+// takeOver makes this gateway the holder of the request. If a granter has closed the
+// request, a client may have been told so and it must not run any more. One such
+// answer isn't sufficient before all granters are settled: a granter closes expired
+// requests on its own, while their gateway may have a grant from another granter.
 func (gat *Core) takeOver(now time.Time, ent *entry) {
-	fes := ent.fence
+	att := ent.fence
 	ent.fence = nil
-	closed := fes.anyStanding(reservation.StandingClosed)
-	promised := fes.anyStanding(reservation.StandingPromised)
+	closed := att.anyState(reservation.StandingClosed)
+	promised := att.anyState(reservation.StandingPromised)
 	switch {
-	case !promised && (!closed || gat.closer(ent) == 0):
-		// Every granter has stopped in order without a grant, or has closed the
-		// request: nobody is left to grant it, and nobody to close it either.
-		gat.finish(ent, retired(ent))
+	case !promised && (!closed || gat.closingGranter(ent) == 0):
+		// Every granter has stopped cleanly without a grant or has closed the request:
+		// no granter is left that could grant or close it.
+		gat.finish(ent, retiredFinal(ent))
 	case ent.closeAsked:
 		gat.close(now, ent, ent.final)
 	case closed:
@@ -236,9 +237,9 @@
 	}
 }
 
-// retired is the final answer for a request that no host can grant any more:
-// its caller takes a new id, unless it isn't to come back at all.
-func retired(ent *entry) Final {
+// retiredFinal returns the final answer of a request that no host can grant any more:
+// the client retries with a new id, unless the pending answer forbids a retry.
+func retiredFinal(ent *entry) Final {
 	if ent.closeAsked && !ent.final.Retry {
 		return ent.final
 	}
--- a/gateway/final.go
+++ b/gateway/final.go
@@ -7,7 +7,8 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// Cause says why a request got no whole answer.
+// Cause is the reason why a request got no complete answer. The values are part of
+// the interface to clients.
 type Cause string
 
 // The causes of a final answer.
@@ -26,19 +27,19 @@
 	CauseUndecided     Cause = "NotDecided"
 	CauseEngineFailed  Cause = "EngineFailed"
 	CauseAnswerExpired Cause = "AnswerNoLongerKept"
-	// CauseMoved says that another gateway has taken the request over.
+	// CauseMoved means that another gateway has taken the request over.
 	CauseMoved Cause = "Moved"
 )
 
-// Final is a final answer other than a whole one.
+// Final is a final answer other than a complete one.
 type Final struct {
 	Cause   Cause
 	Outcome request.Outcome
-	// RetryAfter is when to come back; 0 stands for at once. It has a meaning
-	// only when Retry is set.
+	// RetryAfter is the delay before a retry; 0 means immediately. It is valid only if
+	// Retry is set.
 	RetryAfter time.Duration
-	// Retry is set where a later try makes sense.
+	// Retry is set if a retry may succeed.
 	Retry bool
-	// Holder is the gateway that has taken the request over, with CauseMoved.
+	// Holder is the gateway that has taken the request over, for CauseMoved.
 	Holder view.Member
 }
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -7,29 +7,29 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// burst is how many seconds' worth of an account's rate may come at once.
-const burst = 2.0
+// burstSeconds is the capacity of an account's token bucket, in seconds of its rate.
+const burstSeconds = 2.0
 
-// busyRetry is when to come back after the in-flight limit.
-const busyRetry = time.Second
+// inFlightRetryAfter is the Retry-After of a request rejected by the in-flight limit.
+const inFlightRetryAfter = time.Second
 
-// limiter holds client accounts to their limits. Each gateway enforces an even
-// part of a limit, so that no request needs a message for it.
+// limiter enforces the limits of client accounts. Each gateway enforces an equal
+// share of a limit, so that a check needs no message to another host.
 type limiter struct {
 	buckets map[string]*bucket
 }
 
 type bucket struct {
-	tokens float64
-	filled time.Time
+	tokens   float64
+	filledAt time.Time
 }
 
 func newLimiter() *limiter {
 	return &limiter{buckets: make(map[string]*bucket)}
 }
 
-// take counts one request of the account. It returns the final answer for a
-// request over a limit.
+// take counts one request of the account. If the request exceeds a limit, it returns
+// the final answer and true. inFlight includes the request itself.
 func (lim *limiter) take(now time.Time, conf resource.Configuration, account string, gateways, inFlight int) (Final, bool) {
 	acc, known := conf.ClientAccount(account)
 	if !known {
@@ -37,7 +37,7 @@
 	}
 	gateways = max(1, gateways)
 	if acc.MaxInFlight > 0 && inFlight > ceilDiv(acc.MaxInFlight, gateways) {
-		return Final{Cause: CauseAccountBusy, Outcome: request.NotRun, Retry: true, RetryAfter: busyRetry}, true
+		return Final{Cause: CauseAccountBusy, Outcome: request.NotRun, Retry: true, RetryAfter: inFlightRetryAfter}, true
 	}
 	if acc.RequestsPerSecond <= 0 {
 		return Final{}, false
@@ -62,15 +62,16 @@
 	return buc
 }
 
-// take takes one token; it returns 0, or how long until there is one.
+// take takes one token and returns 0, or returns the time until one is available.
+// rate is in tokens per second.
 func (buc *bucket) take(now time.Time, rate float64) time.Duration {
-	full := max(1, rate*burst)
-	if buc.filled.IsZero() {
-		buc.tokens = full
+	capacity := max(1, rate*burstSeconds)
+	if buc.filledAt.IsZero() {
+		buc.tokens = capacity
 	} else {
-		buc.tokens = min(full, buc.tokens+now.Sub(buc.filled).Seconds()*rate)
+		buc.tokens = min(capacity, buc.tokens+now.Sub(buc.filledAt).Seconds()*rate)
 	}
-	buc.filled = now
+	buc.filledAt = now
 	if buc.tokens >= 1 {
 		buc.tokens--
 		return 0
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -8,17 +8,17 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// table holds the remembered requests, and apart from them those that still
-// need looking after, so that finished ones cost nothing.
+// table indexes the remembered requests. Unfinished requests are also indexed
+// separately, so that finished ones add no cost to a tick.
 type table struct {
 	byID map[request.ID]*entry
 	// active are the requests without a final answer.
 	active map[request.ID]*entry
-	// stranded are the active ones that wait for any coordinator to ask.
+	// stranded are the active requests that wait for an available coordinator.
 	stranded map[request.ID]*entry
-	// ended are the finished ones in the order of their ends.
-	ended []*entry
-	// accounts counts the active ones by client account.
+	// finished are the finished requests in the order in which they finished.
+	finished []*entry
+	// accounts counts the active requests by client account.
 	accounts map[string]int
 }
 
@@ -48,43 +48,43 @@
 	}
 }
 
-// enter takes a request to the next phase.
+// enter moves a request to the next phase and updates the indexes.
 func (tab *table) enter(ent *entry, next phase) {
-	wasOver := ent.over()
+	wasOver := ent.isFinished()
 	ent.phase = next
 	delete(tab.stranded, ent.id)
 	switch {
-	case ent.over() && !wasOver:
+	case ent.isFinished() && !wasOver:
 		tab.deactivate(ent)
-		tab.ended = append(tab.ended, ent)
-	case !ent.over() && wasOver:
+		tab.finished = append(tab.finished, ent)
+	case !ent.isFinished() && wasOver:
 		tab.activate(ent)
 	}
 }
 
 func (tab *table) remove(ent *entry) {
 	delete(tab.byID, ent.id)
-	if !ent.over() {
+	if !ent.isFinished() {
 		tab.deactivate(ent)
 	}
 }
 
-// oldest returns the request that ended first of those remembered, or nil.
+// oldest returns the remembered request that finished first, or nil.
 func (tab *table) oldest() *entry {
-	for len(tab.ended) > 0 {
-		ent := tab.ended[0]
-		if tab.byID[ent.id] == ent && ent.over() {
+	for len(tab.finished) > 0 {
+		ent := tab.finished[0]
+		if tab.byID[ent.id] == ent && ent.isFinished() {
 			return ent
 		}
-		tab.ended = tab.ended[1:]
+		tab.finished = tab.finished[1:]
 	}
 	return nil
 }
 
-// inOrder returns some requests by id, so that the order of actions is the same
-// for the same events.
-func inOrder(some map[request.ID]*entry) []*entry {
-	return slices.SortedFunc(maps.Values(some), func(one, two *entry) int {
+// sortedByID returns the requests sorted by id, so that the same events always give
+// the actions in the same order.
+func sortedByID(entries map[request.ID]*entry) []*entry {
+	return slices.SortedFunc(maps.Values(entries), func(one, two *entry) int {
 		return cmp.Or(
 			cmp.Compare(one.id.View, two.id.View),
 			cmp.Compare(one.id.Epoch, two.id.Epoch),
