--- a/coordinator/benchcore_test.go
+++ b/coordinator/benchcore_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// saturatedCore returns a coordinator whose slots are all taken and whose line is full.
+// saturatedCore returns a coordinator without a free slot and with waitingCount
+// reservations in its queue.
 func saturatedCore(waitingCount, engines int) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	cor := New(Config{Self: benchSelf})
@@ -42,7 +43,8 @@
 	return cor, now
 }
 
-// scheduleOnce reserves one request and releases one slot, which grants another.
+// scheduleOnce reserves one request and releases one slot, which is then granted to
+// another request.
 func scheduleOnce(cor *Core, now time.Time, number int) {
 	cor.Handle(now, Received{From: benchGateway, Message: benchReserve(fmt.Sprintf("n%d", number), number%50)})
 	for name, ens := range cor.engines {
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -1,15 +1,16 @@
-// Package coordinator is the pure decision core of the coordinator's job: it
-// holds the waiting line and the slots of the engines that the view gives to
-// this host, and the ledger of what it granted.
+// Package coordinator implements the decision core of the coordinator role: it
+// holds the queues and the slots of the engines that the view assigns to this
+// host, and the ledger of its grants.
 //
 // # Usage
 //
 //	cor := coordinator.New(coordinator.Config{Self: epoch})
 //	actions := cor.Handle(now, coordinator.Received{From: gateway, Message: reserve})
 //
-// Events and time go in, actions come out: there is no clock, goroutine,
-// network or randomness in here, and a Core is for one goroutine at a time.
-// The core never speaks to an engine about a request; that is the gateway's part.
+// The core is a deterministic state machine: it takes events with their time and
+// returns actions. It uses no clock, goroutine, network or randomness, and a Core
+// must not be used by several goroutines at once. Only gateways send requests to
+// engines.
 package coordinator
 
 import (
@@ -24,21 +25,21 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// Config holds what a coordinator is told at its start. Zero durations stand
-// for the defaults.
+// Config configures a Core. Zero durations select the defaults.
 type Config struct {
 	// Self is the epoch of this process.
 	Self request.Epoch
-	// Settle is how long a new coordinator of an engine waits for the gateways
-	// to tell what they hold of it.
+	// Settle is how long a new coordinator of an engine waits for the gateways to
+	// report the slots that they hold.
 	Settle time.Duration
-	// FloorTime is how long a line that shed a rank keeps nothing newly below it.
+	// FloorTime is how long a queue that refused a reservation accepts no
+	// reservation of a lower rank.
 	FloorTime time.Duration
-	// OrphanTime is how long a slot stays taken after its gateway was lost.
+	// OrphanTime is how long a slot stays occupied after its gateway was lost.
 	OrphanTime time.Duration
-	// Retention is how long the ledger remembers a request.
+	// Retention is how long the ledger keeps the record of a request.
 	Retention time.Duration
-	// Order is the order within a tier; the zero value is OrderFair.
+	// Order is the order in which reservations are served; the zero value is OrderFair.
 	Order Order
 }
 
@@ -50,7 +51,7 @@
 	DefaultRetention  = 20 * time.Minute
 )
 
-// Core is the coordinator of one host.
+// Core is the coordinator role of one host.
 type Core struct {
 	cfg      Config
 	ledger   *Ledger
@@ -59,17 +60,17 @@
 	conf     resource.Configuration
 	services map[string]*serviceState
 	engines  map[string]*engineState
-	// lost are the hosts that can't be reachable from here: their engines go to
-	// the next ones, without waiting for a new view.
+	// lost are the hosts that this host can't reach. Their engines are assigned to
+	// other hosts without waiting for a new view.
 	lost     map[request.Epoch]bool
 	draining bool
-	// stopped is set once the ledger was handed over: what it promised after
-	// that would be known to nobody.
+	// stopped is set once the ledger was handed over. Promises after that would be
+	// lost with this process.
 	stopped bool
 	actions []Action
 }
 
-// New returns the core of a process start.
+// New returns a Core for a process that has just started.
 func New(cfg Config) *Core {
 	setDefault(&cfg.Settle, DefaultSettle)
 	setDefault(&cfg.FloorTime, DefaultFloorTime)
@@ -91,7 +92,7 @@
 	}
 }
 
-// Handle takes one event and returns what is to be done about it.
+// Handle applies one event and returns the actions to carry out, in order.
 func (cor *Core) Handle(now time.Time, evt Event) []Action {
 	cor.actions = nil
 	switch evt := evt.(type) {
@@ -120,8 +121,8 @@
 	return cor.actions
 }
 
-// Fence answers a gateway that wants to take over a request. The actions tell
-// the gateway whose waiting reservation the fence ended.
+// Fence answers a gateway that wants to take over a request. The actions refuse the
+// waiting reservation that the fence ends.
 func (cor *Core) Fence(now time.Time, fen reservation.Fence) (reservation.FenceAnswer, []Action) {
 	cor.actions = nil
 	if cor.stopped {
@@ -139,7 +140,7 @@
 	return ans, cor.actions
 }
 
-// dropFenced takes a fenced request out of the line and tells its gateway.
+// dropFenced removes a fenced request from the queues and refuses it.
 func (cor *Core) dropFenced(id request.ID) {
 	for _, svc := range cor.services {
 		wai := svc.queue.byID[id]
@@ -154,24 +155,25 @@
 	}
 }
 
-// Vouch takes over what a lost coordinator epoch granted to a gateway.
+// Vouch stores an attestation: the records of what a lost coordinator epoch granted
+// to a gateway and closed for it.
 func (cor *Core) Vouch(now time.Time, att reservation.Vouch) {
 	cor.ledger.Vouch(now, att)
 }
 
-// Unvouch takes a vouch back.
+// Unvouch revokes an attestation unless a fence has relied on it.
 func (cor *Core) Unvouch(rev reservation.Unvouch) reservation.UnvouchAnswer {
 	return cor.ledger.Unvouch(rev)
 }
 
-// Handover returns the whole ledger, once; from then on the coordinator
-// neither grants nor promises nor closes anything.
+// Handover returns the complete ledger and stops the coordinator: from then on it
+// grants, promises and closes nothing.
 func (cor *Core) Handover() reservation.Handover {
 	cor.stopped = true
 	return cor.ledger.Handover()
 }
 
-// TakeOver joins the ledger of a stopped host into this one.
+// TakeOver merges the ledger of a stopped host into this one.
 func (cor *Core) TakeOver(now time.Time, han reservation.Handover) {
 	cor.ledger.TakeOver(now, han)
 }
@@ -180,15 +182,15 @@
 	cor.views.Add(vie)
 	cor.ledger.ForgetHosts(cor.views.Knows)
 	if vie.Number <= cor.view.Number {
-		// A past view says who may grant what; nothing goes by it otherwise.
+		// A past view only determines the granters of its ids.
 		return
 	}
 	cor.view = vie
 	cor.reassign(now)
 }
 
-// reassign takes the engines that the view and the configuration give to this
-// host, and refuses what waits for a service that it no longer coordinates.
+// reassign recomputes the engines that the view and the configuration assign to this
+// host, and refuses the reservations of services that it no longer coordinates.
 func (cor *Core) reassign(now time.Time) {
 	assigned := cor.myShares()
 	for name := range cor.engines {
@@ -205,7 +207,8 @@
 	}
 }
 
-// sortedServices keeps the order of actions the same for the same events.
+// sortedServices returns the services sorted by name, so that the same events always
+// give the actions in the same order.
 func (cor *Core) sortedServices() []*serviceState {
 	all := slices.Collect(maps.Values(cor.services))
 	slices.SortFunc(all, func(one, two *serviceState) int {
@@ -363,7 +366,7 @@
 	cor.actions = append(cor.actions, act)
 }
 
-// EngineNames returns the engines that the host coordinates, sorted.
+// EngineNames returns the sorted names of the engines that the host coordinates.
 func (cor *Core) EngineNames() []string {
 	return slices.Sorted(maps.Keys(cor.engines))
 }
--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -23,17 +23,17 @@
 	otherEpoch   request.Epoch = 3
 )
 
-// bench drives one coordinator core.
+// harness drives one coordinator core.
 type harness struct {
 	core *coordinator.Core
 	now  time.Time
 }
 
-// harnessConfig says how a bench is set up.
+// harnessConfig configures a harness.
 type harnessConfig struct {
 	slots      int
 	maxWaiting int
-	// second adds another engine, half as fast.
+	// second adds an engine of half the speed.
 	second bool
 }
 
@@ -82,7 +82,7 @@
 	return har.handle(coordinator.Received{From: gatewayEpoch, Message: msg})
 }
 
-// messages returns the messages of the actions in short.
+// messages returns a short text of each sent message.
 func messages(actions []coordinator.Action) []string {
 	var texts []string
 	for _, act := range actions {
@@ -120,8 +120,8 @@
 	assert.DeepEqual(t, messages(har.receive(reserveOf("same", 20))), []string{"Refuse same Full"})
 }
 
-// Once a rank was refused, nothing below it is newly kept for a while, even
-// when there is room: somebody else may be about to drop that rank for good.
+// After a refusal of a rank, no lower rank may be queued for the floor time even if the
+// queue has room: the gateway of the refused request may be about to shed it.
 func TestFloorRefusesLowerTiers(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 1, maxWaiting: 1})
 	har.receive(reserveOf("running", 10))
@@ -177,8 +177,8 @@
 	assert.DeepEqual(t, messages(har.receive(reserveOf("one", 10))), []string{"Grant one"})
 }
 
-// What a coordinator promised after it gave its ledger away would be known to
-// nobody once it has stopped.
+// A promise that a coordinator makes after handing its ledger over would be lost when
+// it stops.
 func TestStoppedLedgerPromisesNothing(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 1})
 	har.handle(coordinator.Drain{})
@@ -189,8 +189,8 @@
 	assert.DeepEqual(t, messages(har.receive(reserveOf("two", 10))), []string{"Refuse two NotGranter"})
 }
 
-// An id whose window was forgotten may have been promised away: it must not be
-// granted as if it were new.
+// An id whose window was forgotten may have been promised to another gateway. It must
+// not be granted as if it were new.
 func TestForgottenWindowIsRefused(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 1})
 	fen := reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}}
@@ -200,9 +200,9 @@
 	assert.DeepEqual(t, messages(har.receive(reserveOf("one", 10))), []string{"Refuse one Forgotten"})
 }
 
-// A grant can be lost with its session. The holder that then closes the request
-// knows that it wasn't dispatched; told that it is "fenced by itself", it would
-// ask again without end.
+// A grant can be lost with its session. When its holder then closes the request, the
+// grant must not count as a conflicting claim: a holder that is refused as fenced by
+// itself would ask again forever.
 func TestCloseRevokesALostGrant(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 1})
 	assert.DeepEqual(t, messages(har.receive(reserveOf("one", 10))), []string{"Grant one"})
@@ -211,8 +211,8 @@
 	assert.DeepEqual(t, messages(har.receive(wit)), []string{"Grant two", "Refuse one Closed"})
 }
 
-// Once a fence has relied on a vouch, the lost epoch must stay refused: what it
-// grants now could come beside what the fence let run.
+// Once a fence has relied on an attestation, the grants of the lost epoch must stay
+// rejected: a new grant could dispatch a request again that the fence allowed to run.
 func TestAttestationUsedByAFenceIsNotRevoked(t *testing.T) {
 	key := reservation.VouchKey{Lost: otherEpoch, Holder: gatewayEpoch}
 	att := reservation.Vouch{VouchKey: key, Sequence: 1}
@@ -240,7 +240,8 @@
 	}
 }
 
-// A vouch that arrives after it was taken back counts for nothing.
+// Messages may arrive out of order: an attestation that arrives after its revocation
+// must be ignored.
 func TestAttestationArrivingAfterRevocationIsIgnored(t *testing.T) {
 	key := reservation.VouchKey{Lost: otherEpoch, Holder: gatewayEpoch}
 	har := newHarness(harnessConfig{slots: 1})
@@ -258,20 +259,21 @@
 	assert.DeepEqual(t, messages(har.receive(reserveOf("high", 20))), []string{"Refuse low Full"})
 }
 
-// What is kept of hosts that are gone must not grow for as long as the process runs.
+// The state of hosts that no view knows any more must be dropped, or memory use grows
+// as long as the process runs.
 func TestAttestationsOfUnknownHostsAreDropped(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 1})
 	har.core.Vouch(har.now, reservation.Vouch{VouchKey: reservation.VouchKey{Lost: otherEpoch, Holder: gatewayEpoch}, Sequence: 1})
 	assert.Equal(t, har.core.Dump(har.now).Vouches, 1)
 	members := []view.Member{{Name: "host-1", Epoch: gatewayEpoch, Domain: "a"}, {Name: "host-2", Epoch: selfEpoch, Domain: "b"}}
 	for number := uint64(2); har.core.Dump(har.now).Vouches > 0; number++ {
-		assert.Assert(t, number < 1000, "the vouch is kept")
+		assert.Assert(t, number < 1000, "attestation still kept after %d views", number)
 		har.handle(coordinator.ViewChanged{View: view.View{Number: number, Members: members}})
 	}
 }
 
-// A short request isn't sent to an engine that still works on a long prompt:
-// its few tokens would wait for that, also on the fastest engine.
+// A short request must not go to an engine with a long pending prefill: its few tokens
+// would wait for the prefill, even on the fastest engine.
 func TestShortRequestAvoidsAnEngineWithALongPrompt(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 4, second: true})
 	long := reserveOf("long", 10)
--- a/coordinator/dump.go
+++ b/coordinator/dump.go
@@ -6,29 +6,29 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// Dump is the state of a coordinator.
+// Dump is a snapshot of a coordinator's state, encoded as JSON.
 type Dump struct {
 	Services []ServiceDump
-	// LedgerRecords counts the requests that the ledger remembers.
+	// LedgerRecords is the number of requests in the ledger.
 	LedgerRecords int
-	// Vouches counts the vouches held for gateways; Successions the stopped
-	// epochs whose ledger was taken over.
-	Vouches     int
+	// Vouches is the number of attestations held for gateways; Successions are the
+	// stopped epochs whose ledgers were taken over.
+	Vouches     int `json:"Vouches"`
 	Successions []request.Epoch
 	Draining    bool
 }
 
-// ServiceDump is one service on a coordinator.
+// ServiceDump describes one service on a coordinator.
 type ServiceDump struct {
 	Name    string
 	Waiting []WaitingDump
 	Engines []EngineDump
-	// FloorRank is the lowest rank newly kept until FloorUntil.
+	// FloorRank is the lowest rank that is queued until FloorUntil.
 	FloorRank  int
 	FloorUntil time.Time
 }
 
-// WaitingDump is one reservation in the line.
+// WaitingDump describes one reservation in the queue.
 type WaitingDump struct {
 	ID      request.ID
 	Gateway request.Epoch
@@ -38,7 +38,7 @@
 	Work    string
 }
 
-// EngineDump is one coordinated engine.
+// EngineDump describes one coordinated engine.
 type EngineDump struct {
 	Name          string
 	Slots         int
@@ -51,7 +51,7 @@
 	KnownPrefixes int
 }
 
-// Dump returns the state of the coordinator.
+// Dump returns a snapshot of the coordinator's state.
 func (cor *Core) Dump(now time.Time) Dump {
 	dum := Dump{
 		LedgerRecords: cor.ledger.Len(), Vouches: len(cor.ledger.attestations),
--- a/coordinator/engine.go
+++ b/coordinator/engine.go
@@ -8,46 +8,46 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// The speeds to start from where the engine's resource names none, in tokens a second.
+// The initial speeds, in tokens per second, of an engine whose resource sets none.
 const (
 	defaultPrefillSpeed = 4000
 	defaultDecodeSpeed  = 40
 )
 
-// learnRate is the weight of a new measurement of an engine's speed.
+// learnRate is the weight of a new speed measurement in the moving average.
 const learnRate = 0.2
 
-// minMeasuredTime is the shortest run whose speed is learned from; shorter ones
-// measure the network.
+// minMeasuredTime is the shortest time from which a speed is learned. Shorter times
+// are dominated by the network.
 const minMeasuredTime = 5 * time.Millisecond
 
-// ejectionTime is for how long an engine that failed gets nothing new.
+// ejectionTime is how long an engine gets no grants after a failure.
 const ejectionTime = time.Second
 
-// engineState is what a coordinator knows of one engine.
+// engineState is the coordinator's state of one engine.
 type engineState struct {
 	engine resource.Engine
 	// slots is this host's share of the engine's slots.
 	slots  int
 	deputy bool
 	held   map[request.ID]*hold
-	// prefill and decode are the learned speeds, in tokens a second.
+	// prefill and decode are the learned speeds, in tokens per second.
 	prefill  float64
 	decode   float64
 	prefixes *prefixSet
-	// ready is when grants may start: before it, a former coordinator's grants
-	// are still being told.
+	// readyAt is when grants may start. Before that, the gateways still report the
+	// grants of the previous coordinator.
 	readyAt      time.Time
 	ejectedUntil time.Time
 	draining     bool
 }
 
-// hold is one slot in use.
+// hold is one occupied slot.
 type hold struct {
 	gateway request.Epoch
-	// prefilled is when the request's prompt is expected to be done.
+	// prefilled is when the request's prefill is expected to finish.
 	prefilled time.Time
-	// orphaned is when the gateway was lost; zero while it is there.
+	// orphaned is when the gateway was lost; zero while it is connected.
 	orphaned time.Time
 }
 
@@ -72,14 +72,15 @@
 	return max(0, ens.slots-len(ens.held))
 }
 
-// predict returns the run time of a request on the engine.
+// predict returns the predicted run time of a request on the engine. prompt, cached
+// and maxTokens are in tokens.
 func (ens *engineState) predict(prompt, cached, maxTokens int) time.Duration {
 	seconds := float64(max(0, prompt-cached))/ens.prefill + float64(maxTokens)/ens.decode
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// pendingPrefillTime is how long the engine is expected to work on prompts that were
-// granted already: until then every stream on it is slow.
+// pendingPrefillTime returns the predicted time to finish the prefills of the running
+// requests. Until then every stream on the engine is slow.
 func (ens *engineState) pendingPrefillTime(now time.Time) time.Duration {
 	var total time.Duration
 	for _, hol := range ens.held {
@@ -88,7 +89,7 @@
 	return total
 }
 
-// prefillTime is how long the engine works on a prompt.
+// prefillTime returns the predicted prefill time of a reservation on the engine.
 func (ens *engineState) prefillTime(res reservation.Reserve) time.Duration {
 	uncached := res.PromptTokens
 	if ens.prefixes.has(res.PrefixHash) {
@@ -97,7 +98,7 @@
 	return ens.predict(uncached, 0, 0)
 }
 
-// learn corrects the engine's speeds by one finished run.
+// learn updates the engine's speeds with one finished run.
 func (ens *engineState) learn(prefillTokens, decodeTokens int, firstToken, total time.Duration) {
 	if prefillTokens > 0 && firstToken >= minMeasuredTime {
 		ens.prefill = blend(ens.prefill, float64(prefillTokens)/firstToken.Seconds())
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -7,50 +7,51 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// Event is something that happened to the coordinator.
+// Event is an input to Handle.
 type Event interface {
 	isEvent()
 }
 
-// ViewChanged brings a newer membership view.
+// ViewChanged delivers a membership view. A view older than the current one only
+// extends the history.
 type ViewChanged struct{ View view.View }
 
-// ConfigurationChanged brings a newer configuration.
+// ConfigurationChanged delivers a newer configuration.
 type ConfigurationChanged struct{ Configuration resource.Configuration }
 
-// GatewayLost says that the session with a gateway epoch is lost.
+// GatewayLost reports that the session with a gateway epoch is lost.
 type GatewayLost struct{ Gateway request.Epoch }
 
-// HostLost says that this host can't reach another one; HostUp that it can again.
+// HostLost reports that this host can't reach another host.
 type HostLost struct{ Host request.Epoch }
 
-// HostUp says that this host reaches another one.
+// HostUp reports that this host can reach another host again.
 type HostUp struct{ Host request.Epoch }
 
-// Received brings a gateway's message.
+// Received delivers a gateway's message.
 type Received struct {
 	From    request.Epoch
 	Message reservation.Message
 }
 
-// Reported brings an engine's own load report, or what the host list says of it.
+// Reported delivers an engine's own load report or its state in the host list.
 type Reported struct {
 	Engine  string
 	Running int
 	Leaving bool
 }
 
-// CacheChanged brings an engine's cache events; late, and with gaps.
+// CacheChanged delivers an engine's cache events, which may be late or incomplete.
 type CacheChanged struct {
 	Engine  string
 	Added   []uint64
 	Evicted []uint64
 }
 
-// Drain says that the host stops: it keeps and grants nothing more.
+// Drain reports that the host is stopping: it queues and grants nothing more.
 type Drain struct{}
 
-// Tick lets time pass.
+// Tick triggers timeouts and scheduling.
 type Tick struct{}
 
 func (ViewChanged) isEvent()          {}
@@ -64,7 +65,7 @@
 func (Drain) isEvent()                {}
 func (Tick) isEvent()                 {}
 
-// Action is something that the coordinator wants done.
+// Action is an effect that the host must carry out.
 type Action interface {
 	isAction()
 }
@@ -73,7 +74,7 @@
 type Send struct {
 	To      request.Epoch
 	Message reservation.Message
-	// Load tells of the service that the message is about.
+	// Load is the load of the service that the message concerns, if any.
 	Load reservation.Load
 }
 
--- a/coordinator/ledger.go
+++ b/coordinator/ledger.go
@@ -9,12 +9,13 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// Ledger remembers which requests the host granted, closed or promised away.
-// It lives in memory only: a new process start has a new epoch and a new ledger.
+// Ledger records which requests the host granted, closed or promised to another
+// gateway. It is kept in memory only: a restarted process has a new epoch and an
+// empty ledger.
 type Ledger struct {
 	self    request.Epoch
 	records map[request.ID]*record
-	// floors are, by gateway epoch, the highest window of a forgotten record.
+	// floors maps a gateway epoch to the highest window of a dropped record.
 	floors       map[request.Epoch]uint64
 	attestations map[reservation.VouchKey]*attestation
 	successions  map[request.Epoch]bool
@@ -31,11 +32,11 @@
 type attestation struct {
 	sequence uint64
 	active   bool
-	// fenced is set once a fence was answered on the strength of the vouch.
+	// fenced is set once a fence has relied on the attestation.
 	fenced bool
 }
 
-// NewLedger returns the empty ledger of a process start.
+// NewLedger returns an empty ledger for the process epoch.
 func NewLedger(self request.Epoch) *Ledger {
 	return &Ledger{
 		self:         self,
@@ -46,13 +47,13 @@
 	}
 }
 
-// Len returns how many requests the ledger remembers.
+// Len returns the number of requests in the ledger.
 func (led *Ledger) Len() int {
 	return len(led.records)
 }
 
-// Check returns 0 when the request may be kept or granted under the ballot,
-// else the reason why not, and who holds it.
+// Check returns 0 if the request may be queued or granted under the ballot,
+// otherwise the reason and, for ReasonFenced, the gateway epoch that holds it.
 func (led *Ledger) Check(id request.ID, bal request.Ballot) (reservation.Reason, request.Epoch) {
 	if led.isForgotten(id) {
 		return reservation.ReasonForgotten, 0
@@ -74,7 +75,7 @@
 	}
 }
 
-// Granted returns the engine that was granted for the request.
+// Granted returns the engine that was granted to the request, and false if none was.
 func (led *Ledger) Granted(id request.ID) (string, bool) {
 	rec := led.records[id]
 	if rec == nil || rec.state != reservation.StandingGranted {
@@ -90,7 +91,7 @@
 	rec.engine = engine
 }
 
-// Ungrant takes back a grant that was certainly not dispatched.
+// Ungrant revokes a grant that was certainly not dispatched.
 func (led *Ledger) Ungrant(id request.ID, bal request.Ballot) {
 	rec := led.records[id]
 	if rec == nil || rec.state != reservation.StandingGranted || !rec.ballot.Same(bal) {
@@ -100,23 +101,23 @@
 	rec.engine = ""
 }
 
-// Close records that the request never runs. It returns 0, or the reason why
-// it can't be closed, and who holds it.
+// Close records that the request never runs. It returns 0, or the reason why the
+// request can't be closed and, for ReasonFenced, the gateway epoch that holds it.
 func (led *Ledger) Close(now time.Time, id request.ID, bal request.Ballot) (reservation.Reason, request.Epoch) {
 	reason, holder := led.Check(id, bal)
 	if reason != 0 {
 		return reason, holder
 	}
-	// A grant under this very ballot was lost on its way: its holder says itself
-	// that it hasn't dispatched the request and won't.
+	// A grant under the same ballot was lost in transit: its holder asks to close the
+	// request, so it hasn't dispatched the request and won't.
 	rec := led.touch(now, id, bal)
 	rec.state = reservation.StandingClosed
 	rec.engine = ""
 	return 0, 0
 }
 
-// Fence answers whether the request was granted and, if not, promises never to
-// grant it under a lower ballot. granter says whether the host may grant it.
+// Fence answers whether the request was granted and, if not, promises never to grant
+// it under a lower ballot. granter is set if the host may grant the request.
 func (led *Ledger) Fence(now time.Time, fen reservation.Fence, granter bool) reservation.FenceAnswer {
 	ans := reservation.FenceAnswer{ID: fen.ID, From: led.self, Successions: led.successionList()}
 	rec := led.records[fen.ID]
@@ -143,8 +144,8 @@
 	return ans
 }
 
-// bystander turns the answer of a host that may not grant the request into one
-// that only tells what it knows: its promise would count for nothing.
+// nonGranterAnswer returns the answer of a host that may not grant the request. Such a
+// host reports grants and closes that it knows of, but its promise has no effect.
 func nonGranterAnswer(ans reservation.FenceAnswer) reservation.FenceAnswer {
 	if ans.Standing == reservation.StandingPromised || ans.Standing == reservation.StandingForgotten {
 		ans.Standing = reservation.StandingBystander
@@ -152,8 +153,8 @@
 	return ans
 }
 
-// useAttestations returns the active vouches about the holders and marks them as
-// relied upon.
+// useAttestations returns the sorted keys of the active attestations about the
+// holders and marks them as relied upon.
 func (led *Ledger) useAttestations(holders []request.Epoch) []reservation.VouchKey {
 	var keys []reservation.VouchKey
 	for key, att := range led.attestations {
@@ -166,7 +167,8 @@
 	return keys
 }
 
-// Vouch takes over what a lost coordinator epoch granted to one gateway.
+// Vouch stores an attestation: it merges the records of what a lost coordinator epoch
+// granted to one gateway. An attestation that isn't newer than the known one is ignored.
 func (led *Ledger) Vouch(now time.Time, att reservation.Vouch) {
 	known := led.attestations[att.VouchKey]
 	if known != nil && known.sequence >= att.Sequence {
@@ -177,13 +179,13 @@
 	led.attestations[att.VouchKey] = &attestation{sequence: att.Sequence, active: true, fenced: fenced}
 }
 
-// Unvouch takes a vouch back unless a fence has relied on it.
+// Unvouch revokes an attestation unless a fence has relied on it.
 func (led *Ledger) Unvouch(rev reservation.Unvouch) reservation.UnvouchAnswer {
 	ans := reservation.UnvouchAnswer{VouchKey: rev.VouchKey, Released: true}
 	known := led.attestations[rev.VouchKey]
 	switch {
 	case known == nil:
-		// A vouch still on its way must not count when it arrives.
+		// An attestation that is still in transit must not count when it arrives.
 		led.attestations[rev.VouchKey] = &attestation{sequence: rev.Sequence}
 	case known.fenced:
 		ans.Released = false
@@ -194,12 +196,12 @@
 	return ans
 }
 
-// Handover returns the whole ledger for the host that follows.
+// Handover returns the complete ledger for the host that takes it over.
 func (led *Ledger) Handover() reservation.Handover {
 	han := reservation.Handover{Stopped: append(led.successionList(), led.self), Floors: maps.Clone(led.floors)}
 	for id, rec := range led.records {
 		for _, holder := range earlierHolders(rec, id) {
-			// A former claim matters to a later fence as a claim of its own.
+			// Later fences must also know the gateways that claimed the request before.
 			bal := request.Ballot{Round: 1, Holder: holder}
 			han.Records = append(han.Records, reservation.Record{ID: id, Ballot: bal, Standing: reservation.StandingPromised})
 		}
@@ -217,7 +219,7 @@
 	})
 }
 
-// TakeOver joins the ledger of a stopped host into this one.
+// TakeOver merges the ledger of a stopped host into this one.
 func (led *Ledger) TakeOver(now time.Time, han reservation.Handover) {
 	led.merge(now, han.Records)
 	for epo, floor := range han.Floors {
@@ -239,8 +241,8 @@
 	}
 }
 
-// Forget drops records last touched before the time given. From then on ids of
-// their windows and older ones are not known.
+// Forget drops the records that were last used before the given time. From then on ids
+// of their windows and of older ones are refused as forgotten.
 func (led *Ledger) Forget(before time.Time) {
 	for id, rec := range led.records {
 		if rec.touchedAt.Before(before) {
@@ -250,8 +252,8 @@
 	}
 }
 
-// ForgetHosts drops vouches and successions about epochs that aren't known any
-// more: no id that is still taken can lead to them.
+// ForgetHosts drops the attestations and successions of epochs that aren't known any
+// more: no id that is still accepted can refer to them.
 func (led *Ledger) ForgetHosts(known func(request.Epoch) bool) {
 	for key := range led.attestations {
 		if !known(key.Lost) {
@@ -270,7 +272,8 @@
 	return known && id.Window <= floor
 }
 
-// touch returns the record of the request, raised to the ballot.
+// touch returns the record of the request, creating it if needed, and raises its
+// ballot to bal.
 func (led *Ledger) touch(now time.Time, id request.ID, bal request.Ballot) *record {
 	rec := led.records[id]
 	if rec == nil {
--- a/coordinator/prefix.go
+++ b/coordinator/prefix.go
@@ -2,11 +2,11 @@
 
 import "container/list"
 
-// prefixCapacity is how many prompt prefixes are remembered of one engine.
+// prefixCapacity is the number of prompt prefixes remembered per engine.
 const prefixCapacity = 512
 
-// prefixSet guesses which prompt prefixes an engine holds in its cache: those
-// granted to it last, corrected by its cache events.
+// prefixSet estimates which prompt prefixes an engine has cached: the most recently
+// granted ones, corrected by the engine's cache events.
 type prefixSet struct {
 	order    *list.List
 	elements map[uint64]*list.Element
--- a/coordinator/queue.go
+++ b/coordinator/queue.go
@@ -10,27 +10,28 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// waiting is one reservation in a line.
+// waiting is one reservation in a queue.
 type waiting struct {
 	reserve reservation.Reserve
 	gateway request.Epoch
 	arrived time.Time
 	// deadline is the request's deadline on this host's clock.
 	deadline time.Time
-	// overdue is when the reservation goes before all others of its tier.
+	// promoteAt is when the reservation goes ahead of all others of its tier.
 	promoteAt time.Time
-	// work is the predicted run time on a middling engine of the service.
+	// work is the predicted run time, averaged over the engines of the service.
 	work    time.Duration
 	index   int
 	element *list.Element
 }
 
-// line holds the waiting reservations of one service: strictly by tier, within
-// a tier by fair share over client accounts, within an account by work.
+// queue holds the waiting reservations of one service. It orders them strictly by
+// tier, within a tier by weighted fair queuing over client accounts, and within an
+// account by the least work.
 type queue struct {
 	byID  map[request.ID]*waiting
 	tiers []*tierQueue
-	// work is the predicted work of all of them.
+	// work is the predicted work of all reservations.
 	work time.Duration
 }
 
@@ -40,7 +41,7 @@
 	arrivals *list.List
 	accounts map[string]*accountQueue
 	active   accountHeap
-	// virtual is the virtual time of the account served last.
+	// virtual is the virtual time of the account served last, in seconds of work.
 	virtual float64
 }
 
@@ -87,7 +88,7 @@
 	return que.tiers[idx]
 }
 
-// remove takes a reservation out, wherever it stands.
+// remove removes and returns a reservation, or returns nil if it isn't in the queue.
 func (que *queue) remove(id request.ID) *waiting {
 	wai := que.byID[id]
 	if wai == nil {
@@ -106,7 +107,8 @@
 	return wai
 }
 
-// resetIfEmpty drops accounts whose past use no longer matters.
+// resetIfEmpty drops the accounts and the virtual time of an empty tier: past use
+// doesn't affect the next reservations.
 func (tiq *tierQueue) resetIfEmpty() {
 	if tiq.arrivals.Len() > 0 {
 		return
@@ -115,7 +117,7 @@
 	tiq.virtual = 0
 }
 
-// next returns the reservation to serve first, without taking it out.
+// next returns the reservation to serve next without removing it, or nil.
 func (que *queue) next(now time.Time) *waiting {
 	for _, tiq := range que.tiers {
 		if tiq.arrivals.Len() == 0 {
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// serve takes the reservation out and charges its account.
+// serve removes the reservation and charges its work to its account.
 func (que *queue) serve(wai *waiting) {
 	tiq := que.tier(wai.reserve.Rank)
 	acq := tiq.accounts[wai.reserve.Account]
@@ -147,8 +149,8 @@
 	return weight
 }
 
-// lowest returns the reservation to drop first: the one of the lowest tier
-// that would be served last. It returns nil when none ranks below the rank.
+// lowestBelow returns the reservation to drop first: the latest arrival of the lowest
+// tier. It returns nil if no reservation ranks below the given rank.
 func (que *queue) lowestBelow(below int) *waiting {
 	for _, tiq := range slices.Backward(que.tiers) {
 		if tiq.rank >= below {
@@ -162,7 +164,7 @@
 	return nil
 }
 
-// all returns every reservation, in no order.
+// all returns all reservations, unordered.
 func (que *queue) all() []*waiting {
 	waits := make([]*waiting, 0, len(que.byID))
 	for _, wai := range que.byID {
@@ -171,7 +173,7 @@
 	return waits
 }
 
-// workHeap orders one account's reservations: the least work first.
+// workHeap is a heap of one account's reservations, the least work first.
 type workHeap []*waiting
 
 func (wkh workHeap) Len() int { return len(wkh) }
@@ -188,14 +190,14 @@
 	wkh[one].index, wkh[two].index = one, two
 }
 
-// Push appends a *waiting; container/heap calls it.
+// Push implements heap.Interface. val is a *waiting.
 func (wkh *workHeap) Push(val any) {
 	wai, _ := val.(*waiting)
 	wai.index = len(*wkh)
 	*wkh = append(*wkh, wai)
 }
 
-// Pop takes the last *waiting off; container/heap calls it.
+// Pop implements heap.Interface. It returns a *waiting.
 func (wkh *workHeap) Pop() any {
 	last := len(*wkh) - 1
 	wai := (*wkh)[last]
@@ -204,7 +206,8 @@
 	return wai
 }
 
-// accountHeap orders the accounts that wait: the least served first.
+// accountHeap is a heap of the accounts with waiting reservations, the least virtual
+// time first.
 type accountHeap []*accountQueue
 
 func (ach accountHeap) Len() int { return len(ach) }
@@ -221,14 +224,14 @@
 	ach[one].index, ach[two].index = one, two
 }
 
-// Push appends an *accountQueue; container/heap calls it.
+// Push implements heap.Interface. val is an *accountQueue.
 func (ach *accountHeap) Push(val any) {
 	acq, _ := val.(*accountQueue)
 	acq.index = len(*ach)
 	*ach = append(*ach, acq)
 }
 
-// Pop takes the last *accountQueue off; container/heap calls it.
+// Pop implements heap.Interface. It returns an *accountQueue.
 func (ach *accountHeap) Pop() any {
 	last := len(*ach) - 1
 	acq := (*ach)[last]
--- a/coordinator/queue_test.go
+++ b/coordinator/queue_test.go
@@ -17,17 +17,17 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The same walks on every run.
+	// A fixed seed makes the random tests repeatable.
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// referenceQueue is a plain list that works everything out anew each time.
+// referenceQueue is a plain list that computes the order from scratch each time.
 type referenceQueue struct {
 	waits []*waiting
-	// virtual and last are the accounts' and the tiers' virtual times.
+	// virtual and last are the virtual times of the accounts and the tiers.
 	virtual map[string]float64
 	last    map[int]float64
 }
@@ -37,13 +37,13 @@
 }
 
 func (ref *referenceQueue) waitingWhere(match func(*waiting) bool) []*waiting {
-	var some []*waiting
+	var matches []*waiting
 	for _, wai := range ref.waits {
 		if match(wai) {
-			some = append(some, wai)
+			matches = append(matches, wai)
 		}
 	}
-	return some
+	return matches
 }
 
 func (ref *referenceQueue) add(wai *waiting) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// The line and the plain list, given the same events, serve the same
-// reservations in the same order.
+// The queue and the reference list must serve the same reservations in the same order
+// for the same events.
 func TestQueueServesInTheReferenceOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		que := newQueue()
@@ -171,8 +171,8 @@
 	ref.serve(want)
 }
 
-// BenchmarkDecision is one reservation through its whole life, with so many
-// waiting already and so many engines.
+// BenchmarkDecision measures one reservation from its arrival to the release of its
+// slot, by the number of waiting reservations and of engines.
 func BenchmarkDecision(b *testing.B) {
 	for _, waitingCount := range []int{10, 100, 1000, 10000} {
 		for _, engines := range []int{2, 10, 100} {
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -10,44 +10,45 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// defaultMaxWaiting bounds a line where the service's resource doesn't.
+// defaultMaxWaiting bounds a queue, in reservations, if the service's resource doesn't.
 const defaultMaxWaiting = 256
 
-// patience is the part of its time to the deadline, one in patience, that a
-// reservation waits before it goes ahead of all others of its tier.
+// promotionDivisor determines when a reservation goes ahead of all others of its tier:
+// after its remaining time divided by promotionDivisor.
 const promotionDivisor = 2
 
-// decodeShare is the part of a request's MaxTokens that it is expected to use.
+// decodeShare is the expected share of a request's MaxTokens that the answer uses.
 const decodeShare = 0.6
 
-// minRetryAfter and maxRetryAfter bound what a refused caller is told.
+// minRetryAfter and maxRetryAfter bound the RetryAfter of a refusal.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = 30 * time.Second
 )
 
-// Order names the order within a tier.
+// Order is the order in which reservations are served.
 type Order uint8
 
-// The orders within a tier.
+// The orders.
 const (
-	// OrderFair shares engines fairly between accounts, shorter work first
-	// within an account.
+	// OrderFair serves higher tiers first, shares engines fairly between the
+	// accounts of a tier, and serves shorter work first within an account.
 	OrderFair Order = iota
-	// OrderArrival serves by arrival over all tiers; a baseline.
+	// OrderArrival serves by arrival across all tiers, as a baseline for comparison.
 	OrderArrival
 )
 
-// serviceState is one service's line and engines on this host.
+// serviceState holds the queue and the engines of one service on this host.
 type serviceState struct {
 	name       string
 	queue      *queue
 	engines    []*engineState
 	maxWaiting int
-	// floorRank is the lowest rank newly kept until floorUntil.
+	// floorRank is the lowest rank that is queued until floorUntil.
 	floorRank  int
 	floorUntil time.Time
-	now        time.Time
+	// now is the time of the last event of the service.
+	now time.Time
 }
 
 func newServiceState(name string) *serviceState {
@@ -100,7 +101,8 @@
 	return loa
 }
 
-// minPendingPrefillTime is the prompt work ahead on the free engine that has the least.
+// minPendingPrefillTime returns the shortest pending prefill time of any engine with a
+// free slot, or 0 if no slot is free.
 func (svc *serviceState) minPendingPrefillTime() time.Duration {
 	least := time.Duration(-1)
 	for _, ens := range svc.engines {
@@ -114,7 +116,7 @@
 	return max(0, least)
 }
 
-// delay is how long a reservation at the end of the line would wait.
+// delay returns the predicted wait of a reservation at the end of the queue.
 func (svc *serviceState) delay() time.Duration {
 	slots := svc.slots()
 	if slots == 0 {
@@ -127,13 +129,14 @@
 	return (svc.queue.work + busy) / time.Duration(slots)
 }
 
-// typicalRunTime is a middling run time on the engine, for a rough delay only.
+// typicalRunTime returns the run time of an average request on the engine, for a rough
+// estimate of the delay.
 func (svc *serviceState) typicalRunTime(ens *engineState) time.Duration {
 	const prompt, answer = 1000, 40
 	return ens.predict(prompt, 0, answer)
 }
 
-// middling returns the predicted run time on an engine of mean speed.
+// meanRunTime returns the predicted run time, averaged over the engines.
 func (svc *serviceState) meanRunTime(res reservation.Reserve) time.Duration {
 	if len(svc.engines) == 0 {
 		return 0
@@ -145,7 +148,7 @@
 	return total / time.Duration(len(svc.engines))
 }
 
-// fastest returns the least predicted run time on any of the engines.
+// minRunTime returns the shortest predicted run time on any of the engines.
 func (svc *serviceState) minRunTime(res reservation.Reserve) time.Duration {
 	best := time.Duration(0)
 	for _, ens := range svc.engines {
@@ -164,7 +167,8 @@
 	return ens.predict(res.PromptTokens, cached, int(float64(res.MaxTokens)*decodeShare))
 }
 
-// pick returns the free engine that would finish the reservation first.
+// fastestEngine returns the engine with a free slot that is predicted to finish the
+// reservation first, or nil if no slot is free.
 func (svc *serviceState) fastestEngine(now time.Time, res reservation.Reserve) *engineState {
 	var best *engineState
 	var bestRun time.Duration
@@ -180,7 +184,7 @@
 	return best
 }
 
-// received takes one message of a gateway.
+// received handles one message from a gateway.
 func (cor *Core) received(now time.Time, from request.Epoch, msg reservation.Message) {
 	switch msg := msg.(type) {
 	case reservation.Reserve:
@@ -196,7 +200,7 @@
 	case reservation.Evict:
 		cor.evict(now, from, msg)
 	case reservation.Grant, reservation.Refuse, reservation.Evicted:
-		// A coordinator sends these; it never gets them.
+		// Only coordinators send these.
 	}
 }
 
@@ -232,7 +236,8 @@
 	cor.schedule(now, svc)
 }
 
-// flatten makes the line serve by arrival alone.
+// orderByArrival puts all reservations into one tier and account with equal work, so
+// that the queue serves them by arrival.
 func orderByArrival(wai *waiting) {
 	wai.reserve.Rank = 0
 	wai.reserve.Account = ""
@@ -247,8 +252,8 @@
 	return cor.ledger.Check(res.ID, res.Ballot)
 }
 
-// makeRoom reports whether the reservation may be kept; it drops a lower one
-// where the line is full.
+// makeRoom reports whether the reservation may be queued. If the queue is full, it
+// drops a reservation of a lower rank.
 func (cor *Core) makeRoom(now time.Time, svc *serviceState, res reservation.Reserve) bool {
 	if now.Before(svc.floorUntil) && res.Rank < svc.floorRank {
 		return false
@@ -259,8 +264,8 @@
 	return cor.dropLower(now, svc, res.Rank)
 }
 
-// dropLower drops one reservation that ranks below the rank. It isn't closed:
-// its gateway first asks the service's other coordinators.
+// dropLower drops one reservation below the rank and reports whether there was one.
+// The request isn't closed: its gateway asks the service's other coordinators first.
 func (cor *Core) dropLower(now time.Time, svc *serviceState, rank int) bool {
 	wai := svc.queue.lowestBelow(rank)
 	if wai == nil {
@@ -271,8 +276,8 @@
 	return true
 }
 
-// refuseFull tells a gateway that nothing lower is kept here, and sees that
-// nothing lower is newly kept for a while.
+// refuseFull refuses a reservation because the queue holds none of a lower rank, and
+// raises the floor so that no lower reservation is queued for the floor time.
 func (cor *Core) refuseFull(now time.Time, wai *waiting, svc *serviceState) {
 	svc.raiseFloor(now, wai.reserve.Rank, cor.cfg.FloorTime)
 	cor.refuse(wai, reservation.ReasonFull, 0, svc)
@@ -295,7 +300,7 @@
 	cor.send(wai.gateway, ref, svc)
 }
 
-// schedule grants while there are both a free slot and a reservation.
+// schedule grants slots as long as there are a free slot and a waiting reservation.
 func (cor *Core) schedule(now time.Time, svc *serviceState) {
 	svc.now = now
 	for {
@@ -333,7 +338,7 @@
 	cor.send(wai.gateway, reservation.Grant{ID: res.ID, Ballot: res.Ballot, Engine: ens.engine.Name}, svc)
 }
 
-// refuseExpired gives a reservation up whose deadline can't be met any more.
+// refuseExpired closes and refuses a request whose deadline can't be met any more.
 func (cor *Core) refuseExpired(now time.Time, wai *waiting, svc *serviceState) {
 	svc.queue.remove(wai.reserve.ID)
 	reason, holder := cor.ledger.Close(now, wai.reserve.ID, wai.reserve.Ballot)
@@ -343,7 +348,7 @@
 	cor.refuse(wai, reason, holder, svc)
 }
 
-// overdue returns the reservations that can't meet their deadline any more, by
+// unattainable returns the reservations whose deadline can't be met any more, sorted by
 // arrival.
 func (svc *serviceState) unattainable(now time.Time) []*waiting {
 	var late []*waiting
@@ -356,7 +361,7 @@
 	return late
 }
 
-// expire gives up every reservation that can't meet its deadline any more.
+// expire refuses every reservation whose deadline can't be met any more.
 func (cor *Core) expire(now time.Time, svc *serviceState) {
 	svc.now = now
 	for _, wai := range svc.unattainable(now) {
@@ -386,7 +391,7 @@
 	cor.refuse(wai, reason, holder, svc)
 }
 
-// freeSlot frees the slot of a grant that was lost on its way.
+// freeSlot releases the slot of a grant that was lost in transit.
 func (cor *Core) freeSlot(now time.Time, id request.ID) {
 	for _, ens := range cor.engines {
 		if _, held := ens.held[id]; held {
@@ -425,8 +430,8 @@
 	}
 }
 
-// hold frees the slots that the gateway doesn't know of: their grants were lost
-// with a former session.
+// reconcileHeld releases the slots that the gateway doesn't list: their grants were
+// lost with an earlier session.
 func (cor *Core) reconcileHeld(now time.Time, from request.Epoch, hol reservation.Hold) {
 	for _, ens := range cor.engines {
 		for id, held := range ens.held {
