--- a/coordinator/engine.go
+++ b/coordinator/engine.go
@@ -28,7 +28,9 @@
 type engineState struct {
 	engine resource.Engine
 	// slots is this host's share of the engine's slots.
-	slots  int
+	slots int
+	// deputy is set if the host grants only to gateways in the failure domain of the
+	// engine's coordinator.
 	deputy bool
 	held   map[request.ID]*hold
 	// prefill and decode are the learned speeds, in tokens per second.
@@ -65,7 +67,7 @@
 	return val
 }
 
-func (ens *engineState) free(now time.Time) int {
+func (ens *engineState) freeSlots(now time.Time) int {
 	if ens.draining || ens.engine.Leaving || now.Before(ens.readyAt) || now.Before(ens.ejectedUntil) {
 		return 0
 	}
--- a/coordinator/ledger.go
+++ b/coordinator/ledger.go
@@ -22,11 +22,12 @@
 }
 
 type record struct {
-	ballot    request.Ballot
-	state     reservation.Standing
-	engine    string
-	holders   []request.Epoch
-	touchedAt time.Time
+	ballot request.Ballot
+	state  reservation.Standing
+	engine string
+	// holders are the gateways that claimed the request by a fence.
+	holders []request.Epoch
+	usedAt  time.Time
 }
 
 type attestation struct {
@@ -245,7 +246,7 @@
 // of their windows and of older ones are refused as forgotten.
 func (led *Ledger) Forget(before time.Time) {
 	for id, rec := range led.records {
-		if rec.touchedAt.Before(before) {
+		if rec.usedAt.Before(before) {
 			led.floors[id.Epoch] = max(led.floors[id.Epoch], id.Window)
 			delete(led.records, id)
 		}
@@ -286,7 +287,7 @@
 	if bal.Round > 0 && !slices.Contains(rec.holders, bal.Holder) {
 		rec.holders = append(rec.holders, bal.Holder)
 	}
-	rec.touchedAt = now
+	rec.usedAt = now
 	return rec
 }
 
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -47,7 +47,7 @@
 	// floorRank is the lowest rank that is queued until floorUntil.
 	floorRank  int
 	floorUntil time.Time
-	// now is the time of the last event of the service.
+	// now is the time of the event that is being handled.
 	now time.Time
 }
 
@@ -90,7 +90,7 @@
 func (svc *serviceState) load() reservation.Load {
 	free := 0
 	for _, ens := range svc.engines {
-		free += ens.free(svc.now)
+		free += ens.freeSlots(svc.now)
 	}
 	loa := reservation.Load{Service: svc.name, FreeSlots: free, Waiting: svc.queue.len()}
 	if free == 0 {
@@ -106,7 +106,7 @@
 func (svc *serviceState) minPendingPrefillTime() time.Duration {
 	least := time.Duration(-1)
 	for _, ens := range svc.engines {
-		if ens.free(svc.now) == 0 {
+		if ens.freeSlots(svc.now) == 0 {
 			continue
 		}
 		if ahead := ens.pendingPrefillTime(svc.now); least < 0 || ahead < least {
@@ -143,7 +143,7 @@
 	}
 	var total time.Duration
 	for _, ens := range svc.engines {
-		total += predictReserve(ens, res)
+		total += predictedRunTime(ens, res)
 	}
 	return total / time.Duration(len(svc.engines))
 }
@@ -152,14 +152,14 @@
 func (svc *serviceState) minRunTime(res reservation.Reserve) time.Duration {
 	best := time.Duration(0)
 	for _, ens := range svc.engines {
-		if run := predictReserve(ens, res); best == 0 || run < best {
+		if run := predictedRunTime(ens, res); best == 0 || run < best {
 			best = run
 		}
 	}
 	return best
 }
 
-func predictReserve(ens *engineState, res reservation.Reserve) time.Duration {
+func predictedRunTime(ens *engineState, res reservation.Reserve) time.Duration {
 	cached := 0
 	if ens.prefixes.has(res.PrefixHash) {
 		cached = res.PrefixTokens
@@ -173,10 +173,10 @@
 	var best *engineState
 	var bestRun time.Duration
 	for _, ens := range svc.engines {
-		if ens.free(now) == 0 {
+		if ens.freeSlots(now) == 0 {
 			continue
 		}
-		run := predictReserve(ens, res) + ens.pendingPrefillTime(now)
+		run := predictedRunTime(ens, res) + ens.pendingPrefillTime(now)
 		if best == nil || run < bestRun {
 			best, bestRun = ens, run
 		}
@@ -276,8 +276,8 @@
 	return true
 }
 
-// refuseFull refuses a reservation because the queue holds none of a lower rank, and
-// raises the floor so that no lower reservation is queued for the floor time.
+// refuseFull refuses a reservation for lack of room and raises the floor to its rank, so
+// that no lower reservation is queued for the floor time.
 func (cor *Core) refuseFull(now time.Time, wai *waiting, svc *serviceState) {
 	svc.raiseFloor(now, wai.reserve.Rank, cor.cfg.FloorTime)
 	cor.refuse(wai, reservation.ReasonFull, 0, svc)
@@ -313,7 +313,7 @@
 			cor.refuse(wai, reason, holder, svc)
 			continue
 		}
-		if isUnattainable(now, wai, svc) {
+		if missesDeadline(now, wai, svc) {
 			cor.refuseExpired(now, wai, svc)
 			continue
 		}
@@ -325,7 +325,7 @@
 	}
 }
 
-func isUnattainable(now time.Time, wai *waiting, svc *serviceState) bool {
+func missesDeadline(now time.Time, wai *waiting, svc *serviceState) bool {
 	return now.Add(svc.minRunTime(wai.reserve)).After(wai.deadline)
 }
 
@@ -350,21 +350,21 @@
 
 // unattainable returns the reservations whose deadline can't be met any more, sorted by
 // arrival.
-func (svc *serviceState) unattainable(now time.Time) []*waiting {
-	var late []*waiting
+func (svc *serviceState) expiredReservations(now time.Time) []*waiting {
+	var expired []*waiting
 	for _, wai := range svc.queue.byID {
-		if isUnattainable(now, wai, svc) {
-			late = append(late, wai)
+		if missesDeadline(now, wai, svc) {
+			expired = append(expired, wai)
 		}
 	}
-	sortByArrival(late)
-	return late
+	sortByArrival(expired)
+	return expired
 }
 
 // expire refuses every reservation whose deadline can't be met any more.
 func (cor *Core) expire(now time.Time, svc *serviceState) {
 	svc.now = now
-	for _, wai := range svc.unattainable(now) {
+	for _, wai := range svc.expiredReservations(now) {
 		cor.refuseExpired(now, wai, svc)
 	}
 }
--- a/gateway/arrive.go
+++ b/gateway/arrive.go
@@ -73,7 +73,7 @@
 		gat.close(now, ent, Final{Cause: CauseDraining, Outcome: request.NotRun, Retry: true})
 		return
 	}
-	if fin, over := gat.limits.take(now, gat.conf, ent.spec.Account, len(gat.views.Last().Active()), gat.table.accounts[ent.spec.Account]); over {
+	if fin, exceeded := gat.limits.take(now, gat.conf, ent.spec.Account, len(gat.views.Last().Active()), gat.table.accounts[ent.spec.Account]); exceeded {
 		gat.close(now, ent, fin)
 		return
 	}
--- a/gateway/entry.go
+++ b/gateway/entry.go
@@ -48,12 +48,13 @@
 	phase    phase
 	arrived  time.Time
 	deadline time.Time
-	// clients counts the attached clients; abandonedAt is when the last one left,
-	// and zero while there is one.
+	// clients counts the attached clients; abandonedAt is when the last one left. It is
+	// zero while a client is attached and after the request was canceled.
 	clients     int
 	abandonedAt time.Time
 	// coordinator is the epoch to which the reservation, eviction or close was sent; 0
-	// if to none. reserved is when the current phase's message was sent.
+	// if there is none. reserved is when the current step (reservation, eviction, close
+	// or fence) started.
 	coordinator request.Epoch
 	reserved    time.Time
 	// refused maps the coordinators that refused, or can't close, the request to the
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -50,14 +50,14 @@
 
 // enter moves a request to the next phase and updates the indexes.
 func (tab *table) enter(ent *entry, next phase) {
-	wasOver := ent.isFinished()
+	wasFinished := ent.isFinished()
 	ent.phase = next
 	delete(tab.stranded, ent.id)
 	switch {
-	case ent.isFinished() && !wasOver:
+	case ent.isFinished() && !wasFinished:
 		tab.deactivate(ent)
 		tab.finished = append(tab.finished, ent)
-	case !ent.isFinished() && wasOver:
+	case !ent.isFinished() && wasFinished:
 		tab.activate(ent)
 	}
 }
