--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -267,7 +267,7 @@
 	assert.Equal(t, har.core.Dump(har.now).Vouches, 1)
 	members := []view.Member{{Name: "host-1", Epoch: gatewayEpoch, Domain: "a"}, {Name: "host-2", Epoch: selfEpoch, Domain: "b"}}
 	for number := uint64(2); har.core.Dump(har.now).Vouches > 0; number++ {
-		assert.Assert(t, number < 1000, "attestation still kept after %d views", number)
+		assert.Assert(t, number < 1000, "attestation still kept after 999 views")
 		har.handle(coordinator.ViewChanged{View: view.View{Number: number, Members: members}})
 	}
 }
--- a/coordinator/queue.go
+++ b/coordinator/queue.go
@@ -31,7 +31,7 @@
 type queue struct {
 	byID  map[request.ID]*waiting
 	tiers []*tierQueue
-	// work is the predicted work of all reservations.
+	// work is the predicted work of all of them.
 	work time.Duration
 }
 
@@ -41,15 +41,15 @@
 	arrivals *list.List
 	accounts map[string]*accountQueue
 	active   accountHeap
-	// virtual is the virtual time of the account served last, in seconds of work.
+	// virtual is the virtual time of the account served last.
 	virtual float64
 }
 
 type accountQueue struct {
-	name         string
-	virtual      float64
-	index        int
-	reservations workHeap
+	name    string
+	virtual float64
+	index   int
+	heap    workHeap
 }
 
 func newQueue() *queue {
@@ -70,11 +70,11 @@
 		acq = &accountQueue{name: wai.reserve.Account}
 		tiq.accounts[acq.name] = acq
 	}
-	if len(acq.reservations) == 0 {
+	if len(acq.heap) == 0 {
 		acq.virtual = max(acq.virtual, tiq.virtual)
 		heap.Push(&tiq.active, acq)
 	}
-	heap.Push(&acq.reservations, wai)
+	heap.Push(&acq.heap, wai)
 }
 
 func (que *queue) tier(rank int) *tierQueue {
@@ -99,8 +99,8 @@
 	tiq := que.tier(wai.reserve.Rank)
 	tiq.arrivals.Remove(wai.element)
 	acq := tiq.accounts[wai.reserve.Account]
-	heap.Remove(&acq.reservations, wai.index)
-	if len(acq.reservations) == 0 {
+	heap.Remove(&acq.heap, wai.index)
+	if len(acq.heap) == 0 {
 		heap.Remove(&tiq.active, acq.index)
 	}
 	tiq.resetIfEmpty()
@@ -117,7 +117,7 @@
 	tiq.virtual = 0
 }
 
-// next returns the reservation to serve next without removing it, or nil.
+// next returns the reservation to serve first, without taking it out.
 func (que *queue) next(now time.Time) *waiting {
 	for _, tiq := range que.tiers {
 		if tiq.arrivals.Len() == 0 {
@@ -127,12 +127,12 @@
 		if !now.Before(oldest.promoteAt) {
 			return oldest
 		}
-		return tiq.active[0].reservations[0]
+		return tiq.active[0].heap[0]
 	}
 	return nil
 }
 
-// serve removes the reservation and charges its work to its account.
+// serve takes the reservation out and charges its account.
 func (que *queue) serve(wai *waiting) {
 	tiq := que.tier(wai.reserve.Rank)
 	acq := tiq.accounts[wai.reserve.Account]
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// all returns all reservations, unordered.
+// all returns every reservation, in no order.
 func (que *queue) all() []*waiting {
 	waits := make([]*waiting, 0, len(que.byID))
 	for _, wai := range que.byID {
@@ -173,7 +173,7 @@
 	return waits
 }
 
-// workHeap is a heap of one account's reservations, the least work first.
+// workHeap orders one account's reservations: the least work first.
 type workHeap []*waiting
 
 func (wkh workHeap) Len() int { return len(wkh) }
@@ -190,14 +190,14 @@
 	wkh[one].index, wkh[two].index = one, two
 }
 
-// Push implements heap.Interface. val is a *waiting.
+// Push appends a *waiting; container/heap calls it.
 func (wkh *workHeap) Push(val any) {
 	wai, _ := val.(*waiting)
 	wai.index = len(*wkh)
 	*wkh = append(*wkh, wai)
 }
 
-// Pop implements heap.Interface. It returns a *waiting.
+// Pop takes the last *waiting off; container/heap calls it.
 func (wkh *workHeap) Pop() any {
 	last := len(*wkh) - 1
 	wai := (*wkh)[last]
@@ -224,14 +224,14 @@
 	ach[one].index, ach[two].index = one, two
 }
 
-// Push implements heap.Interface. val is an *accountQueue.
+// Push appends an *accountQueue; container/heap calls it.
 func (ach *accountHeap) Push(val any) {
 	acq, _ := val.(*accountQueue)
 	acq.index = len(*ach)
 	*ach = append(*ach, acq)
 }
 
-// Pop implements heap.Interface. It returns an *accountQueue.
+// Pop takes the last *accountQueue off; container/heap calls it.
 func (ach *accountHeap) Pop() any {
 	last := len(*ach) - 1
 	acq := (*ach)[last]
