--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -29,7 +29,7 @@
 // Order is the order in which reservations are served.
 type Order uint8
 
-// The orders.
+// The supported orders.
 const (
 	// OrderFair serves higher tiers first, shares engines fairly between the
 	// accounts of a tier, and serves shorter work first within an account.
--- a/gateway/entry.go
+++ b/gateway/entry.go
@@ -70,10 +70,9 @@
 	final   Final
 	// closeAsked is set once a granter was asked to record that the request never
 	// runs. From then on this gateway must not run it, whatever the answers.
-	closeAsked bool
-	fence      *fenceAttempt
-	// rounds counts the fence rounds.
-	rounds uint32
+	closeAsked  bool
+	fence       *fenceAttempt
+	fenceRounds uint32
 }
 
 // hasRefused reports whether the coordinator has refused the request, holds no
--- a/gateway/fence.go
+++ b/gateway/fence.go
@@ -30,8 +30,8 @@
 }
 
 func (gat *Core) fenceRound(now time.Time, ent *entry, round uint32) {
-	ent.rounds++
-	if ent.rounds > maxFenceRounds {
+	ent.fenceRounds++
+	if ent.fenceRounds > maxFenceRounds {
 		gat.undecided(ent)
 		return
 	}
