--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -10,48 +10,49 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// defaultMaxWaiting bounds a line where the service's resource doesn't.
+// defaultMaxWaiting bounds a queue, in reservations, if the service's resource doesn't.
 const defaultMaxWaiting = 256
 
-// patience is the part of its time to the deadline, one in patience, that a
-// reservation waits before it goes ahead of all others of its tier.
-const patience = 2
+// promotionDivisor determines when a reservation goes ahead of all others of its tier:
+// after its remaining time divided by promotionDivisor.
+const promotionDivisor = 2
 
-// decodeShare is the part of a request's MaxTokens that it is expected to use.
+// decodeShare is the expected share of a request's MaxTokens that the answer uses.
 const decodeShare = 0.6
 
-// minRetryAfter and maxRetryAfter bound what a refused caller is told.
+// minRetryAfter and maxRetryAfter bound the RetryAfter of a refusal.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = 30 * time.Second
 )
 
-// Order names the order within a tier.
+// Order is the order in which reservations are served.
 type Order uint8
 
-// The orders within a tier.
+// The supported orders.
 const (
-	// OrderFair shares engines fairly between accounts, shorter work first
-	// within an account.
+	// OrderFair serves higher tiers first, shares engines fairly between the
+	// accounts of a tier, and serves shorter work first within an account.
 	OrderFair Order = iota
-	// OrderArrival serves by arrival over all tiers; a baseline.
+	// OrderArrival serves by arrival across all tiers, as a baseline for comparison.
 	OrderArrival
 )
 
-// serviceState is one service's line and engines on this host.
+// serviceState holds the queue and the engines of one service on this host.
 type serviceState struct {
 	name       string
-	line       *line
+	queue      *queue
 	engines    []*engineState
 	maxWaiting int
-	// floorRank is the lowest rank newly kept until floorUntil.
+	// floorRank is the lowest rank that is queued until floorUntil.
 	floorRank  int
 	floorUntil time.Time
-	now        time.Time
+	// now is the time of the event that is being handled.
+	now time.Time
 }
 
 func newServiceState(name string) *serviceState {
-	return &serviceState{name: name, line: newLine()}
+	return &serviceState{name: name, queue: newQueue()}
 }
 
 func maxWaitingOf(conf resource.Configuration, name string) int {
@@ -66,8 +67,8 @@
 	return cmp.Compare(one.engine.Name, two.engine.Name)
 }
 
-func sortedWaiting(lin *line) []*waiting {
-	waits := lin.all()
+func sortedWaiting(que *queue) []*waiting {
+	waits := que.all()
 	sortByArrival(waits)
 	return waits
 }
@@ -89,32 +90,33 @@
 func (svc *serviceState) load() reservation.Load {
 	free := 0
 	for _, ens := range svc.engines {
-		free += ens.free(svc.now)
+		free += ens.freeSlots(svc.now)
 	}
-	loa := reservation.Load{Service: svc.name, FreeSlots: free, Waiting: svc.line.len()}
+	loa := reservation.Load{Service: svc.name, FreeSlots: free, Waiting: svc.queue.len()}
 	if free == 0 {
 		loa.Delay = svc.delay()
 	} else {
-		loa.Delay = svc.leastPrefillAhead()
+		loa.Delay = svc.minPendingPrefillTime()
 	}
 	return loa
 }
 
-// leastPrefillAhead is the prompt work ahead on the free engine that has the least.
-func (svc *serviceState) leastPrefillAhead() time.Duration {
+// minPendingPrefillTime returns the shortest pending prefill time of any engine with a
+// free slot, or 0 if no slot is free.
+func (svc *serviceState) minPendingPrefillTime() time.Duration {
 	least := time.Duration(-1)
 	for _, ens := range svc.engines {
-		if ens.free(svc.now) == 0 {
+		if ens.freeSlots(svc.now) == 0 {
 			continue
 		}
-		if ahead := ens.prefillAhead(svc.now); least < 0 || ahead < least {
+		if ahead := ens.pendingPrefillTime(svc.now); least < 0 || ahead < least {
 			least = ahead
 		}
 	}
 	return max(0, least)
 }
 
-// delay is how long a reservation at the end of the line would wait.
+// delay returns the predicted wait of a reservation at the end of the queue.
 func (svc *serviceState) delay() time.Duration {
 	slots := svc.slots()
 	if slots == 0 {
@@ -122,41 +124,42 @@
 	}
 	var busy time.Duration
 	for _, ens := range svc.engines {
-		busy += time.Duration(len(ens.held)) * svc.typicalRun(ens) / 2
+		busy += time.Duration(len(ens.held)) * svc.typicalRunTime(ens) / 2
 	}
-	return (svc.line.work + busy) / time.Duration(slots)
+	return (svc.queue.work + busy) / time.Duration(slots)
 }
 
-// typicalRun is a middling run time on the engine, for a rough delay only.
-func (svc *serviceState) typicalRun(ens *engineState) time.Duration {
+// typicalRunTime returns the run time of an average request on the engine, for a rough
+// estimate of the delay.
+func (svc *serviceState) typicalRunTime(ens *engineState) time.Duration {
 	const prompt, answer = 1000, 40
 	return ens.predict(prompt, 0, answer)
 }
 
-// middling returns the predicted run time on an engine of mean speed.
-func (svc *serviceState) middling(res reservation.Reserve) time.Duration {
+// meanRunTime returns the predicted run time, averaged over the engines.
+func (svc *serviceState) meanRunTime(res reservation.Reserve) time.Duration {
 	if len(svc.engines) == 0 {
 		return 0
 	}
 	var total time.Duration
 	for _, ens := range svc.engines {
-		total += predictReserve(ens, res)
+		total += predictedRunTime(ens, res)
 	}
 	return total / time.Duration(len(svc.engines))
 }
 
-// fastest returns the least predicted run time on any of the engines.
-func (svc *serviceState) fastest(res reservation.Reserve) time.Duration {
+// minRunTime returns the shortest predicted run time on any of the engines.
+func (svc *serviceState) minRunTime(res reservation.Reserve) time.Duration {
 	best := time.Duration(0)
 	for _, ens := range svc.engines {
-		if run := predictReserve(ens, res); best == 0 || run < best {
+		if run := predictedRunTime(ens, res); best == 0 || run < best {
 			best = run
 		}
 	}
 	return best
 }
 
-func predictReserve(ens *engineState, res reservation.Reserve) time.Duration {
+func predictedRunTime(ens *engineState, res reservation.Reserve) time.Duration {
 	cached := 0
 	if ens.prefixes.has(res.PrefixHash) {
 		cached = res.PrefixTokens
@@ -164,15 +167,16 @@
 	return ens.predict(res.PromptTokens, cached, int(float64(res.MaxTokens)*decodeShare))
 }
 
-// pick returns the free engine that would finish the reservation first.
-func (svc *serviceState) pick(now time.Time, res reservation.Reserve) *engineState {
+// fastestEngine returns the engine with a free slot that is predicted to finish the
+// reservation first, or nil if no slot is free.
+func (svc *serviceState) fastestEngine(now time.Time, res reservation.Reserve) *engineState {
 	var best *engineState
 	var bestRun time.Duration
 	for _, ens := range svc.engines {
-		if ens.free(now) == 0 {
+		if ens.freeSlots(now) == 0 {
 			continue
 		}
-		run := predictReserve(ens, res) + ens.prefillAhead(now)
+		run := predictedRunTime(ens, res) + ens.pendingPrefillTime(now)
 		if best == nil || run < bestRun {
 			best, bestRun = ens, run
 		}
@@ -180,7 +184,7 @@
 	return best
 }
 
-// received takes one message of a gateway.
+// received handles one message from a gateway.
 func (cor *Core) received(now time.Time, from request.Epoch, msg reservation.Message) {
 	switch msg := msg.(type) {
 	case reservation.Reserve:
@@ -192,18 +196,18 @@
 	case reservation.Adopt:
 		cor.adopt(now, from, msg)
 	case reservation.Hold:
-		cor.hold(now, from, msg)
+		cor.reconcileHeld(now, from, msg)
 	case reservation.Evict:
 		cor.evict(now, from, msg)
 	case reservation.Grant, reservation.Refuse, reservation.Evicted:
-		// A coordinator sends these; it never gets them.
+		// Only coordinators send these.
 	}
 }
 
 func (cor *Core) reserve(now time.Time, from request.Epoch, res reservation.Reserve) {
 	wai := &waiting{reserve: res, gateway: from, arrived: now, deadline: now.Add(res.Remaining)}
 	svc := cor.services[res.Service]
-	if reason, holder := cor.mayKeep(res); reason != 0 {
+	if reason, holder := cor.checkAdmission(res); reason != 0 {
 		cor.refuse(wai, reason, holder, svc)
 		return
 	}
@@ -216,30 +220,31 @@
 		return
 	}
 	svc.now = now
-	if svc.line.byID[res.ID] != nil {
+	if svc.queue.byID[res.ID] != nil {
 		return
 	}
 	if !cor.makeRoom(now, svc, res) {
 		cor.refuseFull(now, wai, svc)
 		return
 	}
-	wai.overdue = now.Add(res.Remaining / patience)
-	wai.work = svc.middling(res)
+	wai.promoteAt = now.Add(res.Remaining / promotionDivisor)
+	wai.work = svc.meanRunTime(res)
 	if cor.cfg.Order == OrderArrival {
-		flatten(wai)
+		orderByArrival(wai)
 	}
-	svc.line.add(wai)
+	svc.queue.add(wai)
 	cor.schedule(now, svc)
 }
 
-// flatten makes the line serve by arrival alone.
-func flatten(wai *waiting) {
+// orderByArrival puts all reservations into one tier and account with equal work, so
+// that the queue serves them by arrival.
+func orderByArrival(wai *waiting) {
 	wai.reserve.Rank = 0
 	wai.reserve.Account = ""
 	wai.work = 0
 }
 
-func (cor *Core) mayKeep(res reservation.Reserve) (reservation.Reason, request.Epoch) {
+func (cor *Core) checkAdmission(res reservation.Reserve) (reservation.Reason, request.Epoch) {
 	vie, known := cor.views.Get(res.ID.View)
 	if cor.stopped || !known || !vie.MayGrant(cor.cfg.Self, res.ID.Epoch) {
 		return reservation.ReasonNotGranter, 0
@@ -247,32 +252,32 @@
 	return cor.ledger.Check(res.ID, res.Ballot)
 }
 
-// makeRoom reports whether the reservation may be kept; it drops a lower one
-// where the line is full.
+// makeRoom reports whether the reservation may be queued. If the queue is full, it
+// drops a reservation of a lower rank.
 func (cor *Core) makeRoom(now time.Time, svc *serviceState, res reservation.Reserve) bool {
 	if now.Before(svc.floorUntil) && res.Rank < svc.floorRank {
 		return false
 	}
-	if res.Overflow || svc.line.len() < svc.maxWaiting {
+	if res.Overflow || svc.queue.len() < svc.maxWaiting {
 		return true
 	}
 	return cor.dropLower(now, svc, res.Rank)
 }
 
-// dropLower drops one reservation that ranks below the rank. It isn't closed:
-// its gateway first asks the service's other coordinators.
+// dropLower drops one reservation below the rank and reports whether there was one.
+// The request isn't closed: its gateway asks the service's other coordinators first.
 func (cor *Core) dropLower(now time.Time, svc *serviceState, rank int) bool {
-	wai := svc.line.lowest(rank)
+	wai := svc.queue.lowestBelow(rank)
 	if wai == nil {
 		return false
 	}
-	svc.line.remove(wai.reserve.ID)
+	svc.queue.remove(wai.reserve.ID)
 	cor.refuseFull(now, wai, svc)
 	return true
 }
 
-// refuseFull tells a gateway that nothing lower is kept here, and sees that
-// nothing lower is newly kept for a while.
+// refuseFull refuses a reservation for lack of room and raises the floor to its rank, so
+// that no lower reservation is queued for the floor time.
 func (cor *Core) refuseFull(now time.Time, wai *waiting, svc *serviceState) {
 	svc.raiseFloor(now, wai.reserve.Rank, cor.cfg.FloorTime)
 	cor.refuse(wai, reservation.ReasonFull, 0, svc)
@@ -295,24 +300,24 @@
 	cor.send(wai.gateway, ref, svc)
 }
 
-// schedule grants while there are both a free slot and a reservation.
+// schedule grants slots as long as there are a free slot and a waiting reservation.
 func (cor *Core) schedule(now time.Time, svc *serviceState) {
 	svc.now = now
 	for {
-		wai := svc.line.next(now)
+		wai := svc.queue.next(now)
 		if wai == nil {
 			return
 		}
 		if reason, holder := cor.ledger.Check(wai.reserve.ID, wai.reserve.Ballot); reason != 0 {
-			svc.line.remove(wai.reserve.ID)
+			svc.queue.remove(wai.reserve.ID)
 			cor.refuse(wai, reason, holder, svc)
 			continue
 		}
-		if tooLate(now, wai, svc) {
+		if missesDeadline(now, wai, svc) {
 			cor.refuseExpired(now, wai, svc)
 			continue
 		}
-		ens := svc.pick(now, wai.reserve)
+		ens := svc.fastestEngine(now, wai.reserve)
 		if ens == nil {
 			return
 		}
@@ -320,12 +325,12 @@
 	}
 }
 
-func tooLate(now time.Time, wai *waiting, svc *serviceState) bool {
-	return now.Add(svc.fastest(wai.reserve)).After(wai.deadline)
+func missesDeadline(now time.Time, wai *waiting, svc *serviceState) bool {
+	return now.Add(svc.minRunTime(wai.reserve)).After(wai.deadline)
 }
 
 func (cor *Core) grant(now time.Time, svc *serviceState, wai *waiting, ens *engineState) {
-	svc.line.serve(wai)
+	svc.queue.serve(wai)
 	res := wai.reserve
 	cor.ledger.Grant(now, res.ID, res.Ballot, ens.engine.Name)
 	ens.held[res.ID] = &hold{gateway: wai.gateway, prefilled: now.Add(ens.prefillTime(res))}
@@ -333,9 +338,9 @@
 	cor.send(wai.gateway, reservation.Grant{ID: res.ID, Ballot: res.Ballot, Engine: ens.engine.Name}, svc)
 }
 
-// refuseExpired gives a reservation up whose deadline can't be met any more.
+// refuseExpired closes and refuses a request whose deadline can't be met any more.
 func (cor *Core) refuseExpired(now time.Time, wai *waiting, svc *serviceState) {
-	svc.line.remove(wai.reserve.ID)
+	svc.queue.remove(wai.reserve.ID)
 	reason, holder := cor.ledger.Close(now, wai.reserve.ID, wai.reserve.Ballot)
 	if reason == 0 {
 		reason = reservation.ReasonExpired
@@ -343,23 +348,23 @@
 	cor.refuse(wai, reason, holder, svc)
 }
 
-// overdue returns the reservations that can't meet their deadline any more, by
+// unattainable returns the reservations whose deadline can't be met any more, sorted by
 // arrival.
-func (svc *serviceState) overdue(now time.Time) []*waiting {
-	var late []*waiting
-	for _, wai := range svc.line.byID {
-		if tooLate(now, wai, svc) {
-			late = append(late, wai)
+func (svc *serviceState) expiredReservations(now time.Time) []*waiting {
+	var expired []*waiting
+	for _, wai := range svc.queue.byID {
+		if missesDeadline(now, wai, svc) {
+			expired = append(expired, wai)
 		}
 	}
-	sortByArrival(late)
-	return late
+	sortByArrival(expired)
+	return expired
 }
 
-// expire gives up every reservation that can't meet its deadline any more.
+// expire refuses every reservation whose deadline can't be met any more.
 func (cor *Core) expire(now time.Time, svc *serviceState) {
 	svc.now = now
-	for _, wai := range svc.overdue(now) {
+	for _, wai := range svc.expiredReservations(now) {
 		cor.refuseExpired(now, wai, svc)
 	}
 }
@@ -367,7 +372,7 @@
 func (cor *Core) withdraw(now time.Time, from request.Epoch, wit reservation.Withdraw) {
 	var svc *serviceState
 	for _, candidate := range cor.services {
-		if candidate.line.remove(wit.ID) != nil {
+		if candidate.queue.remove(wit.ID) != nil {
 			svc = candidate
 		}
 	}
@@ -375,7 +380,7 @@
 		return
 	}
 	wai := &waiting{reserve: reservation.Reserve{ID: wit.ID, Ballot: wit.Ballot}, gateway: from}
-	reason, holder := cor.mayKeep(wai.reserve)
+	reason, holder := cor.checkAdmission(wai.reserve)
 	if reason == 0 {
 		reason, holder = cor.ledger.Close(now, wit.ID, wit.Ballot)
 		cor.freeSlot(now, wit.ID)
@@ -386,7 +391,7 @@
 	cor.refuse(wai, reason, holder, svc)
 }
 
-// freeSlot frees the slot of a grant that was lost on its way.
+// freeSlot releases the slot of a grant that was lost in transit.
 func (cor *Core) freeSlot(now time.Time, id request.ID) {
 	for _, ens := range cor.engines {
 		if _, held := ens.held[id]; held {
@@ -406,7 +411,7 @@
 	}
 	delete(ens.held, rel.ID)
 	if rel.Failed {
-		ens.suspect = now.Add(suspectTime)
+		ens.ejectedUntil = now.Add(ejectionTime)
 	} else if rel.Dispatched {
 		ens.learn(rel.PrefillTokens, rel.DecodeTokens, rel.FirstToken, rel.Total)
 	}
@@ -425,9 +430,9 @@
 	}
 }
 
-// hold frees the slots that the gateway doesn't know of: their grants were lost
-// with a former session.
-func (cor *Core) hold(now time.Time, from request.Epoch, hol reservation.Hold) {
+// reconcileHeld releases the slots that the gateway doesn't list: their grants were
+// lost with an earlier session.
+func (cor *Core) reconcileHeld(now time.Time, from request.Epoch, hol reservation.Hold) {
 	for _, ens := range cor.engines {
 		for id, held := range ens.held {
 			if held.gateway != from {
