--- a/fleet/directory.go
+++ b/fleet/directory.go
@@ -9,17 +9,18 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// Directory is what the store says of engines and hosts. While removals are
-// held, what goes missing stays known until the hold is over: entries lapse
-// while the store is away although their owners live.
+// Directory is a snapshot of the engines and hosts in the store. While removals are held, an
+// entry that disappears from the store stays in the directory until the hold ends: entries
+// expire during an outage of the store although their owners are running.
 type Directory struct {
-	// engines and missingEngines are by the engines' names: one run of each is known.
+	// engines and missingEngines are keyed by engine name; one run of each engine is known.
 	engines map[string]Engine
 	members map[string]Member
-	// missing are entries that are gone from the store and still held.
+	// missingEngines and missingMembers name the entries that have disappeared from the store
+	// and are held.
 	missingEngines map[string]bool
 	missingMembers map[string]bool
-	heldUntil      time.Time
+	holdUntil      time.Time
 }
 
 // NewDirectory returns an empty directory.
@@ -32,12 +33,12 @@
 	}
 }
 
-// Hold keeps what goes missing until the given time.
+// Hold defers removals until the given time.
 func (dir *Directory) Hold(until time.Time) {
-	dir.heldUntil = until
+	dir.holdUntil = until
 }
 
-// Replace takes a whole reading of the store: what it lacks has gone missing.
+// Replace applies a complete reading of the store; entries that it lacks are removed.
 func (dir *Directory) Replace(now time.Time, engines []Engine, members []Member) {
 	for name := range dir.engines {
 		if !slices.ContainsFunc(engines, func(eng Engine) bool { return eng.ID.Name == name }) {
@@ -57,48 +58,50 @@
 	}
 }
 
-// SetEngine takes an engine's entry, and reports whether it is newer than what is known.
-// One that tells no start although the engine did isn't the engine's own: whoever stood
-// there is lost. Where its entry had gone, any of the same run is newer.
+// SetEngine applies an engine's entry and reports whether it was at least as new as the known
+// one. An entry without a start time, of an engine whose start time is known, was written by
+// another process; it has overwritten the engine's entry, so the engine is dropped. If the
+// engine's entry is missing, every entry of the same run is applied.
 func (dir *Directory) SetEngine(now time.Time, eng Engine) bool {
 	name := eng.ID.Name
-	former, known := dir.engines[name]
-	if known && eng.ID.Born.IsZero() && !former.ID.Born.IsZero() {
+	prev, known := dir.engines[name]
+	if known && eng.ID.Born.IsZero() && !prev.ID.Born.IsZero() {
 		dir.DropEngine(name)
 		return false
 	}
-	if known && (former.ID.Follows(eng.ID) || !dir.missingEngines[name] && !eng.Supersedes(former)) {
+	if known && (prev.ID.Follows(eng.ID) || !dir.missingEngines[name] && !eng.Supersedes(prev)) {
 		return false
 	}
-	eng.ColdUntil = coldUntil(now, eng, former)
+	eng.ColdUntil = coldUntil(now, eng, prev)
 	dir.engines[name] = eng
 	delete(dir.missingEngines, name)
 	return true
 }
 
-// coldUntil returns until when an engine is cold by its newest entry. An entry that was read
-// before and is read again tells nothing new: it would keep the engine cold without end.
-func coldUntil(now time.Time, eng, former Engine) time.Time {
-	if eng.ID != former.ID {
+// coldUntil returns the time until which an engine is cold according to its newest entry. An
+// entry that is read a second time doesn't extend it: otherwise repeated readings would keep
+// the engine cold indefinitely.
+func coldUntil(now time.Time, eng, prev Engine) time.Time {
+	if eng.ID != prev.ID {
 		return coldFrom(now, eng.ColdFor)
 	}
-	until := former.ColdUntil
-	if told := coldFrom(now, eng.ColdFor); eng.Sequence != former.Sequence && told.After(until) {
-		until = told
+	until := prev.ColdUntil
+	if reported := coldFrom(now, eng.ColdFor); eng.Sequence != prev.Sequence && reported.After(until) {
+		until = reported
 	}
 	return until
 }
 
-func coldFrom(now time.Time, left time.Duration) time.Time {
-	if left <= 0 {
+func coldFrom(now time.Time, remaining time.Duration) time.Time {
+	if remaining <= 0 {
 		return time.Time{}
 	}
-	return now.Add(left)
+	return now.Add(remaining)
 }
 
-// Chill takes the engines of a failure domain to be cold until a time at least: those that had
-// nothing to do for a while may be, and their entries tell so later than they are used again.
-// coldFor returns for how long engines of a service are cold, 0 for those that never are.
+// Chill marks the engines of a failure domain as cold for at least the duration that coldFor
+// returns for their service; 0 marks none. Engines may have become cold while they were idle,
+// and receive requests again before their entries report it.
 func (dir *Directory) Chill(now time.Time, domain string, coldFor func(service string) time.Duration) {
 	for name, eng := range dir.engines {
 		if eng.Domain != domain {
@@ -111,41 +114,41 @@
 	}
 }
 
-// RemoveEngine takes an engine's entry away, at once or when the hold is over.
+// RemoveEngine removes an engine's entry, either immediately or when the hold ends.
 func (dir *Directory) RemoveEngine(now time.Time, name string) {
-	if _, known := dir.engines[name]; known && now.Before(dir.heldUntil) {
+	if _, known := dir.engines[name]; known && now.Before(dir.holdUntil) {
 		dir.missingEngines[name] = true
 		return
 	}
 	delete(dir.engines, name)
 }
 
-// DropEngine takes an engine away at once, also during a hold: what lies at its key
-// names no engine.
+// DropEngine removes an engine immediately, even during a hold. It is for engines whose key in
+// the store holds no valid entry.
 func (dir *Directory) DropEngine(name string) {
 	delete(dir.engines, name)
 	delete(dir.missingEngines, name)
 }
 
-// SetMember takes a host's newest entry.
+// SetMember applies a host's newest entry.
 func (dir *Directory) SetMember(mem Member) {
 	dir.members[mem.Name] = mem
 	delete(dir.missingMembers, mem.Name)
 }
 
-// RemoveMember takes a host's entry away, at once or when the hold is over.
+// RemoveMember removes a host's entry, either immediately or when the hold ends.
 func (dir *Directory) RemoveMember(now time.Time, name string) {
-	if _, known := dir.members[name]; known && now.Before(dir.heldUntil) {
+	if _, known := dir.members[name]; known && now.Before(dir.holdUntil) {
 		dir.missingMembers[name] = true
 		return
 	}
 	delete(dir.members, name)
 }
 
-// Settle drops what is still missing once the hold is over, and reports whether
-// anything was dropped.
+// Settle removes the missing entries once the hold has ended, and reports whether it removed
+// any.
 func (dir *Directory) Settle(now time.Time) bool {
-	if now.Before(dir.heldUntil) || len(dir.missingEngines)+len(dir.missingMembers) == 0 {
+	if now.Before(dir.holdUntil) || len(dir.missingEngines)+len(dir.missingMembers) == 0 {
 		return false
 	}
 	for name := range dir.missingEngines {
@@ -159,26 +162,26 @@
 	return true
 }
 
-// Engines returns all engines, sorted by their names.
+// Engines returns all engines, sorted by name.
 func (dir *Directory) Engines() []Engine {
 	return slices.SortedFunc(maps.Values(dir.engines), func(one, two Engine) int { return cmp.Compare(one.ID.Name, two.ID.Name) })
 }
 
-// Members returns the hosts, the largest first, and equal ones by their names: after
-// all were lost at once those come first that did before, whom each host that starts
-// knows from the entries that outlasted them.
+// Members returns the hosts by descending capacity, and by name among equals. The order doesn't
+// depend on epochs: after all hosts have failed at once, the same hosts come first as before,
+// and each restarting host knows them from the entries that haven't expired.
 func (dir *Directory) Members() []Member {
 	return slices.SortedFunc(maps.Values(dir.members), func(one, two Member) int {
 		return cmp.Or(cmp.Compare(two.Capacity, one.Capacity), cmp.Compare(one.Name, two.Name))
 	})
 }
 
-// Current returns the hosts in the same order, without those that are missing.
+// Current returns the hosts in the order of Members, without those whose entries are missing.
 func (dir *Directory) Current() []Member {
 	return slices.DeleteFunc(dir.Members(), func(mem Member) bool { return dir.missingMembers[mem.Name] })
 }
 
-// Missing reports whether the host's entry is gone and only held.
+// Missing reports whether the host's entry has disappeared from the store and is held.
 func (dir *Directory) Missing(name string) bool {
 	return dir.missingMembers[name]
 }
--- a/fleet/directory_test.go
+++ b/fleet/directory_test.go
@@ -9,7 +9,7 @@
 	"lynxwell.dev/lynxwell/fleet"
 )
 
-func TestEntriesThatLapseInAnOutageAreKeptForAWhile(t *testing.T) {
+func TestMissingEntriesAreKeptUntilTheHoldEnds(t *testing.T) {
 	now := time.Unix(100, 0)
 	dir := fleet.NewDirectory()
 	dir.SetEngine(now, fleet.Engine{ID: fleet.EngineID{Name: "a"}})
@@ -29,7 +29,7 @@
 	assert.Equal(t, len(dir.Members()), 0)
 }
 
-func TestOnACalmDayRemovalsCountAtOnce(t *testing.T) {
+func TestRemovalsApplyImmediatelyWithoutAHold(t *testing.T) {
 	now := time.Unix(100, 0)
 	dir := fleet.NewDirectory()
 	dir.SetEngine(now, fleet.Engine{ID: fleet.EngineID{Name: "a"}})
@@ -38,7 +38,7 @@
 	assert.Equal(t, len(dir.Engines()), 0)
 }
 
-func TestMembersStandInTheOrderOfTheirSizesAndNames(t *testing.T) {
+func TestMembersAreSortedByCapacityAndName(t *testing.T) {
 	dir := fleet.NewDirectory()
 	dir.SetMember(fleet.Member{Name: "young", Epoch: 9})
 	dir.SetMember(fleet.Member{Name: "old", Epoch: 3})
--- a/fleet/engine.go
+++ b/fleet/engine.go
@@ -7,109 +7,110 @@
 	"time"
 )
 
-// EngineID names one run of an engine or a backend server. An engine may start again
-// under its name: the new run holds and knows nothing of what the former one did. Values
-// are comparable; make them with NewEngineID.
+// EngineID identifies one run of an engine or backend server. An engine may restart under
+// the same name; the new run has no state of the previous one. Values are comparable and are
+// made with NewEngineID.
 type EngineID struct {
 	Name string
-	// Born is when the run started, by the engine's own clock in milliseconds; zero where
-	// it doesn't tell.
+	// Born is the start time of the run by the engine's own clock, in whole milliseconds;
+	// zero if the engine doesn't report it.
 	Born time.Time
 }
 
-// NewEngineID returns the id of the run of the named engine that started at a time; zero
-// for one that isn't known. Two ids of the same run are equal.
-func NewEngineID(name string, born time.Time) EngineID {
-	if born.IsZero() {
+// NewEngineID returns the id of the named engine's run with the given start time, which is
+// zero if unknown. Two ids of the same run are equal.
+func NewEngineID(name string, startTime time.Time) EngineID {
+	if startTime.IsZero() {
 		return EngineID{Name: name}
 	}
-	return EngineID{Name: name, Born: time.UnixMilli(born.UnixMilli()).UTC()}
+	return EngineID{Name: name, Born: time.UnixMilli(startTime.UnixMilli()).UTC()}
 }
 
-// bornSeparator stands between a name and the milliseconds of the start.
-const bornSeparator = "@"
+// startSeparator separates the name from the start time in milliseconds.
+const startSeparator = "@"
 
-// String returns the name, followed by the start where it is known: what hosts tell one
-// another, and what lines of the log hold.
+// String returns the name, followed by the start time if it is known. Messages between hosts
+// and log lines use this form.
 func (eid EngineID) String() string {
-	if eid.Born.IsZero() && !strings.Contains(eid.Name, bornSeparator) {
+	if eid.Born.IsZero() && !strings.Contains(eid.Name, startSeparator) {
 		return eid.Name
 	}
-	born := int64(0)
+	millis := int64(0)
 	if !eid.Born.IsZero() {
-		born = eid.Born.UnixMilli()
+		millis = eid.Born.UnixMilli()
 	}
-	return eid.Name + bornSeparator + strconv.FormatInt(born, 10)
+	return eid.Name + startSeparator + strconv.FormatInt(millis, 10)
 }
 
-// MarshalText writes the id as String does.
+// MarshalText encodes the id in the form of String.
 func (eid EngineID) MarshalText() ([]byte, error) {
 	return []byte(eid.String()), nil
 }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText decodes the form of MarshalText. It never fails.
 func (eid *EngineID) UnmarshalText(text []byte) error {
 	*eid = ParseEngineID(string(text))
 	return nil
 }
 
-// ParseEngineID reads what String wrote. Any text names some engine.
+// ParseEngineID parses the form of String. Every text is a valid id: one without a valid start
+// time is a name.
 func ParseEngineID(text string) EngineID {
-	place := strings.LastIndex(text, bornSeparator)
-	if place < 0 {
+	index := strings.LastIndex(text, startSeparator)
+	if index < 0 {
 		return EngineID{Name: text}
 	}
-	millis, err := strconv.ParseInt(text[place+len(bornSeparator):], 10, 64)
+	millis, err := strconv.ParseInt(text[index+len(startSeparator):], 10, 64)
 	if err != nil {
 		return EngineID{Name: text}
 	}
 	if millis == 0 {
-		return EngineID{Name: text[:place]}
+		return EngineID{Name: text[:index]}
 	}
-	return NewEngineID(text[:place], time.UnixMilli(millis))
+	return NewEngineID(text[:index], time.UnixMilli(millis))
 }
 
-// Follows reports whether this is a later run of the same engine than the other one.
+// Follows reports whether this is a later run of the same engine than other.
 func (eid EngineID) Follows(other EngineID) bool {
 	return eid.Name == other.Name && eid.Born.After(other.Born)
 }
 
-// Engine is an engine, or a backend server of a plain service.
+// Engine is the entry of an engine, or of a backend server of a service without a model.
 type Engine struct {
 	ID      EngineID
 	Service string
 	Address netip.AddrPort
-	// Domain is its failure domain.
+	// Domain is the engine's failure domain.
 	Domain string
-	// Version is that of its software.
+	// Version is the engine's software version.
 	Version string
-	// Slots is how many requests it works on at a time.
+	// Slots is the number of requests that the engine runs concurrently.
 	Slots int
-	// Draining engines get no new work.
+	// Draining is set if the engine accepts no new requests.
 	Draining bool
-	// Emptied says that operators have the engine's failure domain emptied: it gets no new
-	// work either, until they take that back.
-	Emptied bool
-	// ColdFor is for how much longer the engine was cold when it wrote its entry. While it is,
-	// it takes few requests a second, and falls over under many more.
+	// Emptied is set while operators have ordered the evacuation of the engine's failure
+	// domain; the engine gets no new requests until they cancel the order.
+	Emptied bool `json:"Emptied"`
+	// ColdFor is how much longer the engine was going to be cold when it wrote its entry. A
+	// cold engine serves only a few requests per second, and crashes under many more.
 	ColdFor time.Duration
-	// ColdUntil is until when it is taken to be cold, by this host's clock.
+	// ColdUntil is the time until which the engine counts as cold, by this host's clock.
 	ColdUntil time.Time
-	// Sequence counts what this run of the engine has told of itself.
+	// Sequence numbers the entries that this run of the engine has written.
 	Sequence uint64
 }
 
-// Closed reports whether the engine gets no new work, by its own wish or by operators'.
+// Closed reports whether the engine gets no new requests because it drains or is evacuated.
 func (eng Engine) Closed() bool {
 	return eng.Draining || eng.Emptied
 }
 
-// Supersedes reports whether what this entry tells is newer than another one of the same
-// engine: entries may arrive late, after those that were written behind them. A start
-// that isn't known any more, where it was, doesn't come from the engine.
-func (eng Engine) Supersedes(former Engine) bool {
-	if eng.ID.Born.Equal(former.ID.Born) {
-		return eng.Sequence >= former.Sequence
+// Supersedes reports whether this entry is at least as new as prev, another entry of the same
+// engine: entries may arrive out of order. An entry without a start time never supersedes one
+// that has it, since the engine didn't write it.
+func (eng Engine) Supersedes(prev Engine) bool {
+	if eng.ID.Born.Equal(prev.ID.Born) {
+		return eng.Sequence >= prev.Sequence
 	}
-	return eng.ID.Follows(former.ID)
+	return eng.ID.Follows(prev.ID)
 }
--- a/fleet/engine_test.go
+++ b/fleet/engine_test.go
@@ -11,44 +11,44 @@
 )
 
 func engineAt(millis int64, sequence uint64) fleet.Engine {
-	born := time.Time{}
+	startTime := time.Time{}
 	if millis != 0 {
-		born = time.UnixMilli(millis)
+		startTime = time.UnixMilli(millis)
 	}
-	return fleet.Engine{ID: fleet.NewEngineID("e", born), Service: "s", Slots: int(millis) + int(sequence), Sequence: sequence}
+	return fleet.Engine{ID: fleet.NewEngineID("e", startTime), Service: "s", Slots: int(millis) + int(sequence), Sequence: sequence}
 }
 
-func TestEngineIDIsReadAsItWasWritten(t *testing.T) {
+func TestEngineIDTextRoundTrip(t *testing.T) {
 	assert.Equal(t, fleet.EngineID{Name: "i-1"}.String(), "i-1")
 	assert.Equal(t, engineAt(1764720000123, 1).ID.String(), "e@1764720000123")
 	rapid.Check(t, func(rt *rapid.T) {
 		name := rapid.StringMatching(`[a-z@0-9-]{1,8}`).Draw(rt, "name")
-		born := time.Time{}
+		startTime := time.Time{}
 		if millis := rapid.Int64Range(0, 1<<42).Draw(rt, "born"); millis > 0 {
-			born = time.UnixMilli(millis)
+			startTime = time.UnixMilli(millis)
 		}
-		eid := fleet.NewEngineID(name, born)
+		eid := fleet.NewEngineID(name, startTime)
 		if got := fleet.ParseEngineID(eid.String()); got != eid {
 			rt.Fatalf("%q: %v, want %v", eid.String(), got, eid)
 		}
 	})
 }
 
-// Entries may arrive in any order: of each engine the newest of the latest run counts,
-// and what arrives late changes nothing.
-func TestEntriesThatArriveLateChangeNothing(t *testing.T) {
+// Entries may arrive out of order. For each engine the newest entry of the latest run applies;
+// an older one that arrives later must change nothing.
+func TestStaleEntriesAreIgnored(t *testing.T) {
 	for _, tst := range []struct {
 		name        string
 		known, next fleet.Engine
 		newer       bool
 	}{
-		{"a later run, whose counts start anew", engineAt(1000, 9), engineAt(2000, 1), true},
+		{"a later run, whose sequence starts again", engineAt(1000, 9), engineAt(2000, 1), true},
 		{"an older run", engineAt(2000, 1), engineAt(1000, 9), false},
-		{"the same run goes on", engineAt(1000, 3), engineAt(1000, 4), true},
-		{"the same run, written before", engineAt(1000, 4), engineAt(1000, 3), false},
-		{"the same run again, as in a whole reading", engineAt(1000, 4), engineAt(1000, 4), true},
-		{"an engine that tells no start", engineAt(0, 4), engineAt(0, 5), true},
-		{"it tells its start now", engineAt(0, 4), engineAt(1000, 1), true},
+		{"the next entry of the same run", engineAt(1000, 3), engineAt(1000, 4), true},
+		{"an earlier entry of the same run", engineAt(1000, 4), engineAt(1000, 3), false},
+		{"the same entry, as in a complete reading", engineAt(1000, 4), engineAt(1000, 4), true},
+		{"an engine that reports no start time", engineAt(0, 4), engineAt(0, 5), true},
+		{"an engine that reports its start time now", engineAt(0, 4), engineAt(1000, 1), true},
 	} {
 		t.Run(tst.name, func(t *testing.T) {
 			dir := fleet.NewDirectory()
@@ -64,9 +64,9 @@
 	}
 }
 
-// An entry that tells no start, at the key of an engine that told one, is another
-// writer's.
-func TestEntryWithoutAStartIsNotTheEngines(t *testing.T) {
+// An entry without a start time, at the key of an engine that reported one, was written by
+// another process: the engine is dropped until its own entry is back.
+func TestEntryWithoutStartTimeDropsTheEngine(t *testing.T) {
 	dir := fleet.NewDirectory()
 	dir.SetEngine(time.Unix(100, 0), engineAt(1000, 4))
 	dir.SetEngine(time.Unix(100, 0), fleet.Engine{ID: fleet.EngineID{Name: "other"}})
@@ -76,15 +76,16 @@
 	assert.Equal(t, len(dir.Engines()), 2)
 }
 
-// A run whose entry lapsed in an outage isn't kept alive by what its former run wrote.
-func TestLateEntryDoesNotBringBackWhatLapsed(t *testing.T) {
+// A late entry of an earlier run must not keep an engine in the directory whose entry expired
+// during an outage of the store.
+func TestStaleEntryDoesNotRestoreAnExpiredOne(t *testing.T) {
 	now := time.Unix(100, 0)
 	dir := fleet.NewDirectory()
 	dir.SetEngine(time.Unix(100, 0), engineAt(2000, 1))
 	dir.Hold(now.Add(time.Second))
 	dir.RemoveEngine(now, "e")
 	assert.Assert(t, !dir.SetEngine(time.Unix(100, 0), engineAt(1000, 7)))
-	assert.Assert(t, dir.SetEngine(time.Unix(100, 0), engineAt(2000, 0)), "the run enters again")
+	assert.Assert(t, dir.SetEngine(time.Unix(100, 0), engineAt(2000, 0)), "the run registers again")
 	dir.RemoveEngine(now, "e")
 	assert.Assert(t, !dir.SetEngine(time.Unix(100, 0), engineAt(1000, 7)))
 	assert.Assert(t, dir.Settle(now.Add(time.Second)))
@@ -92,9 +93,8 @@
 	assert.Assert(t, dir.SetEngine(time.Unix(100, 0), engineAt(3000, 1)))
 }
 
-// In whichever order entries of runs arrive, the last one known is the latest run's
-// newest.
-func TestAnyOrderOfEntriesEndsWithTheNewest(t *testing.T) {
+// In whatever order entries arrive, the directory ends with the newest entry of the latest run.
+func TestNewestEntryIsKeptInAnyOrderOfArrival(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir := fleet.NewDirectory()
 		var newest fleet.Engine
@@ -106,14 +106,15 @@
 			dir.SetEngine(time.Unix(100, 0), eng)
 		}
 		if got := dir.Engines()[0]; got.ID != newest.ID || got.Sequence != newest.Sequence {
-			rt.Fatalf("known %v %d, newest %v %d", got.ID, got.Sequence, newest.ID, newest.Sequence)
+			rt.Fatalf("directory holds %v %d, newest is %v %d", got.ID, got.Sequence, newest.ID, newest.Sequence)
 		}
 	})
 }
 
-// An entry tells for how much longer its engine is cold when it is written: read again it tells
-// nothing new, and a later one of the same run doesn't make it warm sooner.
-func TestEntryThatIsReadAgainKeepsNoEngineCold(t *testing.T) {
+// An entry holds how much longer the engine was going to be cold when it was written. Reading
+// the same entry again must not extend that time, and a later entry of the same run must not
+// shorten it.
+func TestRepeatedEntryDoesNotExtendColdTime(t *testing.T) {
 	now := time.Unix(100, 0)
 	cold := engineAt(1000, 1)
 	cold.ColdFor = 3 * time.Second
@@ -130,7 +131,7 @@
 	dir.SetEngine(later, cold)
 	assert.Equal(t, dir.Engines()[0].ColdUntil, later.Add(3*time.Second), "cold again")
 	dir.SetEngine(later, engineAt(2000, 1))
-	assert.Assert(t, dir.Engines()[0].ColdUntil.IsZero(), "another run, that is warm")
+	assert.Assert(t, dir.Engines()[0].ColdUntil.IsZero(), "a later run, which is warm")
 	dir.Chill(later, "", func(string) time.Duration { return time.Minute })
 	assert.Equal(t, dir.Engines()[0].ColdUntil, later.Add(time.Minute))
 	dir.Chill(later, "elsewhere", func(string) time.Duration { return time.Hour })
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet holds what a host knows of the others: the engines and backend
-// servers that it may send work to, and the hosts that share the work.
+// Package fleet holds a host's view of the other processes of the system: the engines and
+// backend servers that it may send requests to, and the hosts that share the load.
 //
 // # Usage
 //
@@ -9,7 +9,8 @@
 //	for _, eng := range dir.Engines() { ... }
 //	mem, found := dir.Coordinator(reachable)
 //
-// A Directory is pure: it is told what the store says, and the time.
+// A Directory does no I/O: its user passes in the entries of the store and the time. It is
+// not safe for concurrent use.
 package fleet
 
 import (
@@ -18,16 +19,16 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// Member is a host that shares the work.
+// Member is a host's entry in the store.
 type Member struct {
 	Name string
-	// Epoch numbers the process start; later starts have higher ones.
+	// Epoch identifies the process start; later starts have higher values.
 	Epoch  request.Epoch
 	Domain string
-	// CallerAddress is where callers connect.
+	// CallerAddress is where clients connect.
 	CallerAddress netip.AddrPort
 	// PeerAddress is where other hosts connect.
 	PeerAddress netip.AddrPort
-	// Capacity is the host's processor, in usual cores.
+	// Capacity is the host's processing capacity, in reference cores.
 	Capacity float64
 }
--- a/fleet/notices.go
+++ b/fleet/notices.go
@@ -5,72 +5,76 @@
 	"time"
 )
 
-// unlistedFor is for how long a notice is kept of a run that isn't listed: an entry that
-// lapsed in an outage is back within about two seconds of its end, and one that was held up
-// on its way as late as the longest outage that was seen, half a minute.
-const unlistedFor = time.Minute
+// unregisteredRetention is how long the notices of an unregistered run are kept. An entry that
+// expired in an outage of the store is registered again within about two seconds of the end of
+// the outage; a delayed one may take as long as the longest outage, half a minute.
+const unregisteredRetention = time.Minute
 
-// Notices are what engines have said of themselves in their answers to one host. An answer
-// comes straight from the engine, also while the store is away or hasn't taken what the
-// engine wrote there, so it goes before the engine's entry: a run that said it leaves is
-// leaving, whatever an entry of the same run says, since entries are late and answers
-// aren't. Another run is another engine, also under the same name or at the same address.
+// Notices holds the signals that one host has received in engines' responses. A response comes
+// directly from the engine, even while the store is unavailable or hasn't stored the engine's
+// latest entry. Notices therefore take precedence over entries: a run that has signaled that it
+// drains is draining, whatever an entry of the same run says. Another run is another engine,
+// even under the same name or at the same address.
+//
+// Notices is not safe for concurrent use.
 type Notices struct {
-	// gone are the runs that leave or are replaced, by what they said.
-	gone map[EngineID]Word
-	// pauses are until when runs want nothing.
-	pauses map[EngineID]time.Time
-	// limits are the rates that runs take.
+	// final holds the signal of each run that drains or is replaced; it doesn't expire.
+	final map[EngineID]Word
+	// backoffUntil holds the end of each run's backoff.
+	backoffUntil map[EngineID]time.Time
+	// limits holds each run's rate limit.
 	limits map[EngineID]NamedLimit
-	// cold is until when runs have said to be cold.
-	cold map[EngineID]time.Time
-	// listed is when each run with a notice was last listed.
-	listed map[EngineID]time.Time
+	// coldUntil holds the end of each run's warm-up.
+	coldUntil map[EngineID]time.Time
+	// lastRegistered holds the time at which each run with a notice was last known to be
+	// registered, or sent its latest notice.
+	lastRegistered map[EngineID]time.Time
 }
 
-// NamedLimit is a rate, and when the run last named it.
+// NamedLimit is a rate limit and the time at which the run last sent it.
 type NamedLimit struct {
 	RateLimit
 	At time.Time
 }
 
-// NewNotices returns the notices of a host that has heard nothing yet.
+// NewNotices returns an empty set of notices.
 func NewNotices() *Notices {
 	return &Notices{
-		gone: make(map[EngineID]Word), pauses: make(map[EngineID]time.Time),
-		limits: make(map[EngineID]NamedLimit), cold: make(map[EngineID]time.Time), listed: make(map[EngineID]time.Time),
+		final: make(map[EngineID]Word), backoffUntil: make(map[EngineID]time.Time),
+		limits: make(map[EngineID]NamedLimit), coldUntil: make(map[EngineID]time.Time), lastRegistered: make(map[EngineID]time.Time),
 	}
 }
 
-// Take notes what a run said now, and reports whether it is news: its leave for the first
-// time, a pause where none was kept, a rate where none or another one was. A shorter pause
-// doesn't end a longer one, and that it leaves doesn't lapse with a pause.
+// Take stores a notice received at now and reports whether it changes the state of the run:
+// the first signal that it drains or is replaced, a backoff or warm-up while none was in
+// effect, or a new or different rate limit. A shorter backoff doesn't end a longer one, and a
+// draining run stays so after its backoff has expired.
 func (ntc *Notices) Take(now time.Time, not Notice) bool {
 	if not.Word == nil {
 		return false
 	}
-	ntc.listed[not.Run] = now
-	switch wrd := not.Word.(type) {
+	ntc.lastRegistered[not.Run] = now
+	switch sig := not.Word.(type) {
 	case Leaving, Replaced:
-		_, known := ntc.gone[not.Run]
-		ntc.gone[not.Run] = wrd
+		_, known := ntc.final[not.Run]
+		ntc.final[not.Run] = sig
 		return !known
 	case Pause:
-		former := ntc.pauses[not.Run]
-		if until := now.Add(wrd.Left); until.After(former) {
-			ntc.pauses[not.Run] = until
+		prev := ntc.backoffUntil[not.Run]
+		if until := now.Add(sig.Left); until.After(prev) {
+			ntc.backoffUntil[not.Run] = until
 		}
-		return !now.Before(former)
+		return !now.Before(prev)
 	case RateLimit:
-		former, known := ntc.limits[not.Run]
-		ntc.limits[not.Run] = NamedLimit{RateLimit: wrd, At: now}
-		return !known || former.RateLimit != wrd
+		prev, known := ntc.limits[not.Run]
+		ntc.limits[not.Run] = NamedLimit{RateLimit: sig, At: now}
+		return !known || prev.RateLimit != sig
 	case Cold:
-		former := ntc.cold[not.Run]
-		if until := now.Add(wrd.Left); until.After(former) {
-			ntc.cold[not.Run] = until
+		prev := ntc.coldUntil[not.Run]
+		if until := now.Add(sig.Left); until.After(prev) {
+			ntc.coldUntil[not.Run] = until
 		}
-		return !now.Before(former)
+		return !now.Before(prev)
 	case Unlimited:
 		_, known := ntc.limits[not.Run]
 		delete(ntc.limits, not.Run)
@@ -80,70 +84,71 @@
 	}
 }
 
-// Bar returns the word that keeps this host from sending anything to a run, with what is left
-// of a pause; nil for none.
+// Bar returns the signal that forbids sending requests to the run, with the remaining time of a
+// backoff; nil if requests may be sent.
 func (ntc *Notices) Bar(now time.Time, run EngineID) Word {
-	if wrd, gone := ntc.gone[run]; gone {
-		return wrd
+	if sig, final := ntc.final[run]; final {
+		return sig
 	}
-	if left := ntc.pauses[run].Sub(now); left > 0 {
-		return Pause{Left: left}
+	if remaining := ntc.backoffUntil[run].Sub(now); remaining > 0 {
+		return Pause{Left: remaining}
 	}
 	return nil
 }
 
-// ColdFor returns for how much longer a run is cold by its own word.
+// ColdFor returns how much longer the run is cold according to its signals.
 func (ntc *Notices) ColdFor(now time.Time, run EngineID) time.Duration {
-	return max(0, ntc.cold[run].Sub(now))
+	return max(0, ntc.coldUntil[run].Sub(now))
 }
 
-// Limit returns the rate that a run last named, and whether it holds.
+// Limit returns the rate limit that the run last sent, and whether one is in effect.
 func (ntc *Notices) Limit(run EngineID) (NamedLimit, bool) {
-	lim, holds := ntc.limits[run]
-	return lim, holds
+	lim, active := ntc.limits[run]
+	return lim, active
 }
 
-// EndsLimit reports whether an answer without a rate, to a request that was sent at a time,
-// ends the one that the run had named. An answer to what was sent before that may be older.
+// EndsLimit reports whether a response without a rate limit, to a request sent at the given
+// time, removes the run's rate limit. The response to a request that was sent before the limit
+// was received may be older than the limit.
 func (ntc *Notices) EndsLimit(run EngineID, sent time.Time) bool {
 	lim, known := ntc.limits[run]
 	return known && sent.After(lim.At)
 }
 
-// Current returns all that holds now, in no order.
+// Current returns the notices in effect, in no particular order.
 func (ntc *Notices) Current(now time.Time) []Notice {
 	var current []Notice
-	for run := range ntc.listed {
-		if wrd := ntc.Bar(now, run); wrd != nil {
-			current = append(current, Notice{Run: run, Word: wrd})
+	for run := range ntc.lastRegistered {
+		if sig := ntc.Bar(now, run); sig != nil {
+			current = append(current, Notice{Run: run, Word: sig})
 		}
-		if lim, holds := ntc.Limit(run); holds {
+		if lim, active := ntc.Limit(run); active {
 			current = append(current, Notice{Run: run, Word: lim.RateLimit})
 		}
-		if left := ntc.ColdFor(now, run); left > 0 {
-			current = append(current, Notice{Run: run, Word: Cold{Left: left}})
+		if remaining := ntc.ColdFor(now, run); remaining > 0 {
+			current = append(current, Notice{Run: run, Word: Cold{Left: remaining}})
 		}
 	}
 	return current
 }
 
-// Forget drops what has lapsed, and the notices of runs that aren't listed any more.
-func (ntc *Notices) Forget(now time.Time, isListed func(EngineID) bool) {
-	lapsed := func(_ EngineID, until time.Time) bool { return !now.Before(until) }
-	maps.DeleteFunc(ntc.pauses, lapsed)
-	maps.DeleteFunc(ntc.cold, lapsed)
-	for run, last := range ntc.listed {
-		_, gone := ntc.gone[run]
-		_, pauses := ntc.pauses[run]
+// Forget drops expired notices, and those of runs that have been unregistered for some time.
+func (ntc *Notices) Forget(now time.Time, isRegistered func(EngineID) bool) {
+	expired := func(_ EngineID, until time.Time) bool { return !now.Before(until) }
+	maps.DeleteFunc(ntc.backoffUntil, expired)
+	maps.DeleteFunc(ntc.coldUntil, expired)
+	for run, last := range ntc.lastRegistered {
+		_, final := ntc.final[run]
+		_, backoff := ntc.backoffUntil[run]
 		_, limited := ntc.limits[run]
 		switch {
-		case !gone && !pauses && !limited && ntc.ColdFor(now, run) == 0:
-			delete(ntc.listed, run)
-		case isListed(run):
-			ntc.listed[run] = now
-		case now.Sub(last) >= unlistedFor && !pauses:
-			delete(ntc.listed, run)
-			delete(ntc.gone, run)
+		case !final && !backoff && !limited && ntc.ColdFor(now, run) == 0:
+			delete(ntc.lastRegistered, run)
+		case isRegistered(run):
+			ntc.lastRegistered[run] = now
+		case now.Sub(last) >= unregisteredRetention && !backoff:
+			delete(ntc.lastRegistered, run)
+			delete(ntc.final, run)
 			delete(ntc.limits, run)
 		}
 	}
--- a/fleet/notices_test.go
+++ b/fleet/notices_test.go
@@ -10,22 +10,22 @@
 	"lynxwell.dev/lynxwell/fleet"
 )
 
-func run(name string, born int64) fleet.EngineID {
-	return fleet.NewEngineID(name, time.UnixMilli(born))
+func run(name string, startMillis int64) fleet.EngineID {
+	return fleet.NewEngineID(name, time.UnixMilli(startMillis))
 }
 
-func TestNoticesHoldForTheRunThatSpoke(t *testing.T) {
+func TestNoticesApplyToTheRunThatSentThem(t *testing.T) {
 	now := time.Unix(100, 0)
 	ntc := fleet.NewNotices()
 	assert.Assert(t, ntc.Take(now, fleet.Notice{Run: run("e", 1), Word: fleet.Leaving{}}))
-	assert.Assert(t, !ntc.Take(now, fleet.Notice{Run: run("e", 1), Word: fleet.Leaving{}}), "said before")
+	assert.Assert(t, !ntc.Take(now, fleet.Notice{Run: run("e", 1), Word: fleet.Leaving{}}), "repeated")
 	assert.Equal(t, ntc.Bar(now, run("e", 1)), fleet.Leaving{})
 	assert.Equal(t, ntc.Bar(now, run("e", 2)), nil, "a later run of the same name")
 	assert.Equal(t, ntc.Bar(now, run("f", 1)), nil)
-	assert.Assert(t, !ntc.Take(now, fleet.Notice{Run: run("f", 1)}), "nothing said")
+	assert.Assert(t, !ntc.Take(now, fleet.Notice{Run: run("f", 1)}), "no signal")
 }
 
-func TestLongerPauseHolds(t *testing.T) {
+func TestLongerBackoffPrevails(t *testing.T) {
 	now := time.Unix(100, 0)
 	eng := run("e", 1)
 	ntc := fleet.NewNotices()
@@ -33,11 +33,12 @@
 	assert.Assert(t, !ntc.Take(now.Add(time.Second), fleet.Notice{Run: eng, Word: fleet.Pause{Left: time.Second}}))
 	assert.Equal(t, ntc.Bar(now.Add(2*time.Second), eng), fleet.Pause{Left: time.Second})
 	assert.Equal(t, ntc.Bar(now.Add(3*time.Second), eng), nil)
-	assert.Assert(t, ntc.Take(now.Add(3*time.Second), fleet.Notice{Run: eng, Word: fleet.Pause{Left: time.Second}}), "another pause")
+	assert.Assert(t, ntc.Take(now.Add(3*time.Second), fleet.Notice{Run: eng, Word: fleet.Pause{Left: time.Second}}), "another backoff")
 }
 
-// What was said is gone with the run, and not while its entry has lapsed for a moment.
-func TestNoticesAreForgottenWithTheRun(t *testing.T) {
+// The notices of a run are dropped after it has been unregistered for a minute, and not while
+// its entry has expired for a shorter time.
+func TestNoticesAreDroppedWithTheRun(t *testing.T) {
 	now := time.Unix(100, 0)
 	eng := run("e", 1)
 	ntc := fleet.NewNotices()
@@ -48,19 +49,19 @@
 	assert.Equal(t, len(ntc.Current(now.Add(30*time.Second))), 1)
 	ntc.Forget(now.Add(50*time.Second), func(fleet.EngineID) bool { return true })
 	ntc.Forget(now.Add(100*time.Second), none)
-	assert.Equal(t, ntc.Bar(now.Add(100*time.Second), eng), fleet.Leaving{}, "listed 50 s ago")
+	assert.Equal(t, ntc.Bar(now.Add(100*time.Second), eng), fleet.Leaving{}, "registered 50 s ago")
 	ntc.Forget(now.Add(110*time.Second), none)
 	assert.Equal(t, ntc.Bar(now.Add(110*time.Second), eng), nil)
 	assert.Equal(t, len(ntc.Current(now.Add(110*time.Second))), 0)
 }
 
-// In whichever order notices come, a run is barred exactly while one of them holds, and
-// Current tells all of that.
-func TestAnyOrderOfNoticesBarsWhileOneHolds(t *testing.T) {
+// In whatever order notices arrive, a run is blocked exactly while one of them is in effect, and
+// Current returns one notice for each blocked run.
+func TestRunIsBlockedWhileANoticeIsInEffect(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(100, 0)
 		ntc := fleet.NewNotices()
-		gone := make(map[fleet.EngineID]bool)
+		final := make(map[fleet.EngineID]bool)
 		until := make(map[fleet.EngineID]time.Time)
 		for range rapid.IntRange(1, 30).Draw(rt, "notices") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(rt, "pause")) * time.Millisecond)
@@ -68,65 +69,65 @@
 			not := fleet.Notice{Run: eng}
 			switch rapid.IntRange(0, 3).Draw(rt, "word") {
 			case 1:
-				not.Word, gone[eng] = fleet.Leaving{}, true
+				not.Word, final[eng] = fleet.Leaving{}, true
 			case 2:
-				not.Word, gone[eng] = fleet.Replaced{}, true
+				not.Word, final[eng] = fleet.Replaced{}, true
 			case 3:
-				left := time.Duration(rapid.IntRange(1, 5000).Draw(rt, "left")) * time.Millisecond
-				not.Word = fleet.Pause{Left: left}
-				if end := now.Add(left); end.After(until[eng]) {
+				remaining := time.Duration(rapid.IntRange(1, 5000).Draw(rt, "left")) * time.Millisecond
+				not.Word = fleet.Pause{Left: remaining}
+				if end := now.Add(remaining); end.After(until[eng]) {
 					until[eng] = end
 				}
 			}
 			ntc.Take(now, not)
 			ntc.Forget(now, func(fleet.EngineID) bool { return true })
-			barred := 0
-			for born := range int64(4) {
-				eng := run("e", born+1)
-				want := gone[eng] || now.Before(until[eng])
+			blocked := 0
+			for idx := range int64(4) {
+				eng := run("e", idx+1)
+				want := final[eng] || now.Before(until[eng])
 				if got := ntc.Bar(now, eng) != nil; got != want {
-					rt.Fatalf("run %d barred %v, want %v", born+1, got, want)
+					rt.Fatalf("run %d: blocked is %v, want %v", idx+1, got, want)
 				}
 				if want {
-					barred++
+					blocked++
 				}
 			}
-			if got := len(ntc.Current(now)); got != barred {
-				rt.Fatalf("%d notices hold, want %d", got, barred)
+			if got := len(ntc.Current(now)); got != blocked {
+				rt.Fatalf("%d notices in effect, want %d", got, blocked)
 			}
 		}
 	})
 }
 
-func limitOf(eng fleet.EngineID, perSecond float64) fleet.Notice {
+func limitNotice(eng fleet.EngineID, perSecond float64) fleet.Notice {
 	return fleet.Notice{Run: eng, Word: fleet.RateLimit{PerSecond: perSecond}}
 }
 
-func TestRateHoldsUntilALaterAnswerNamesNone(t *testing.T) {
+func TestRateLimitAppliesUntilALaterResponseHasNone(t *testing.T) {
 	now := time.Unix(100, 0)
 	eng := run("e", 1)
 	ntc := fleet.NewNotices()
-	assert.Assert(t, ntc.Take(now, limitOf(eng, 2)))
-	assert.Assert(t, !ntc.Take(now.Add(time.Second), limitOf(eng, 2)), "named before")
-	assert.Assert(t, ntc.Take(now.Add(2*time.Second), limitOf(eng, 1.5)), "another rate")
-	assert.Assert(t, !ntc.EndsLimit(eng, now.Add(time.Second)), "sent before it was last named")
-	assert.DeepEqual(t, ntc.Current(now), []fleet.Notice{limitOf(eng, 1.5)})
-	assert.Equal(t, ntc.Bar(now, eng), nil, "a rate bars nothing")
-	_, holds := ntc.Limit(run("e", 2))
-	assert.Assert(t, !holds, "a later run of the same name")
-	assert.Assert(t, !ntc.EndsLimit(run("f", 1), now.Add(time.Hour)), "none was named")
+	assert.Assert(t, ntc.Take(now, limitNotice(eng, 2)))
+	assert.Assert(t, !ntc.Take(now.Add(time.Second), limitNotice(eng, 2)), "repeated")
+	assert.Assert(t, ntc.Take(now.Add(2*time.Second), limitNotice(eng, 1.5)), "another limit")
+	assert.Assert(t, !ntc.EndsLimit(eng, now.Add(time.Second)), "request sent before the limit was last received")
+	assert.DeepEqual(t, ntc.Current(now), []fleet.Notice{limitNotice(eng, 1.5)})
+	assert.Equal(t, ntc.Bar(now, eng), nil, "a rate limit doesn't block the run")
+	_, active := ntc.Limit(run("e", 2))
+	assert.Assert(t, !active, "a later run of the same name")
+	assert.Assert(t, !ntc.EndsLimit(run("f", 1), now.Add(time.Hour)), "no limit received")
 	assert.Assert(t, ntc.EndsLimit(eng, now.Add(3*time.Second)))
 	assert.Assert(t, ntc.Take(now.Add(3*time.Second), fleet.Notice{Run: eng, Word: fleet.Unlimited{}}))
 	assert.Equal(t, len(ntc.Current(now)), 0)
 }
 
-func TestRateIsForgottenWithTheRun(t *testing.T) {
+func TestRateLimitIsDroppedWithTheRun(t *testing.T) {
 	now := time.Unix(100, 0)
 	ntc := fleet.NewNotices()
-	ntc.Take(now, limitOf(run("e", 1), 2))
+	ntc.Take(now, limitNotice(run("e", 1), 2))
 	ntc.Forget(now.Add(50*time.Second), func(fleet.EngineID) bool { return true })
 	ntc.Forget(now.Add(100*time.Second), func(fleet.EngineID) bool { return false })
-	assert.Equal(t, len(ntc.Current(now)), 1, "listed 50 s ago")
+	assert.Equal(t, len(ntc.Current(now)), 1, "registered 50 s ago")
 	ntc.Forget(now.Add(110*time.Second), func(fleet.EngineID) bool { return false })
 	assert.Equal(t, len(ntc.Current(now)), 0)
 }
--- a/fleet/presence.go
+++ b/fleet/presence.go
@@ -8,77 +8,80 @@
 )
 
 const (
-	// lostAfter is for how long a host that was reached isn't any more until it counts
-	// as absent: a session that was cut by chance is opened again within 75 ms, and
-	// twice as long where the first try fails too.
-	lostAfter = 300 * time.Millisecond
-	// joinAfter is the same for a host that was never reached: one that starts has its
-	// entry some tenths of a second before its session, a slow one a second.
-	joinAfter = 3 * time.Second
-	// mostAbsent is the part of the other hosts that may be absent. Who reaches fewer than
-	// the rest is taken to be cut off itself, and knows nothing of the others. A herd that
-	// loses its power may be half of all hosts.
-	mostAbsent = 0.75
+	// reconnectGrace is how long a host may be without a session, after it had one, before it
+	// counts as unreachable. A session that was cut is opened again within 75 ms, and within
+	// twice that time if the first attempt fails too.
+	reconnectGrace = 300 * time.Millisecond
+	// joinGrace is the same for a host that never had a session. A starting host has its entry
+	// some tenths of a second before its session, a slow one a second before.
+	joinGrace = 3 * time.Second
+	// maxUnreachableShare is the largest share of the other hosts that may be unreachable. A
+	// host that reaches fewer than the rest is itself assumed to be partitioned, and knows
+	// nothing about the others. A power failure may take out half of all hosts at once.
+	maxUnreachableShare = 0.75
 )
 
-// Presence is which of the hosts with an entry are there, by the sessions that they
-// keep with the one that decides for them. It is what lets entries outlast lost hosts
-// by half a minute, so that hundreds of hosts needn't renew them each second: a host
-// that was killed is known to be absent after 0.3 s, one without power as soon as its
-// session has fallen silent.
+// Presence tracks which of the registered hosts are reachable, from the sessions that they
+// keep with their coordinator. With it, entries may outlive failed hosts by half a minute, so
+// that hundreds of hosts needn't renew them every second: a killed host counts as unreachable
+// after 0.3 s, one without power as soon as its session has timed out.
+//
+// Presence is not safe for concurrent use.
 type Presence struct {
 	self request.Epoch
-	// reached are the hosts with a session, due is when each of the others is absent.
-	reached map[request.Epoch]bool
-	due     map[request.Epoch]time.Time
-	members []Member
+	// reachable holds the hosts with a session, unreachableAt the time at which each of the
+	// others becomes unreachable.
+	reachable     map[request.Epoch]bool
+	unreachableAt map[request.Epoch]time.Time
+	members       []Member
 }
 
-// NewPresence returns the presence of a fleet in which only the host itself is known.
+// NewPresence returns the presence of a fleet of which only the host itself is known.
 func NewPresence(self request.Epoch) *Presence {
-	return &Presence{self: self, reached: make(map[request.Epoch]bool), due: make(map[request.Epoch]time.Time)}
+	return &Presence{self: self, reachable: make(map[request.Epoch]bool), unreachableAt: make(map[request.Epoch]time.Time)}
 }
 
-// SetMembers takes the hosts that have an entry now.
+// SetMembers sets the registered hosts.
 func (pre *Presence) SetMembers(now time.Time, members []Member) {
-	due := make(map[request.Epoch]time.Time, len(pre.due))
+	unreachableAt := make(map[request.Epoch]time.Time, len(pre.unreachableAt))
 	for _, mem := range members {
-		if pre.reached[mem.Epoch] || mem.Epoch == pre.self {
+		if pre.reachable[mem.Epoch] || mem.Epoch == pre.self {
 			continue
 		}
-		due[mem.Epoch] = now.Add(joinAfter)
-		if former, known := pre.due[mem.Epoch]; known {
-			due[mem.Epoch] = former
+		unreachableAt[mem.Epoch] = now.Add(joinGrace)
+		if prev, known := pre.unreachableAt[mem.Epoch]; known {
+			unreachableAt[mem.Epoch] = prev
 		}
 	}
-	pre.due, pre.members = due, members
+	pre.unreachableAt, pre.members = unreachableAt, members
 }
 
-// Reached notes a host's session.
+// Reached records that a host has opened its session.
 func (pre *Presence) Reached(epo request.Epoch) {
-	pre.reached[epo] = true
-	delete(pre.due, epo)
+	pre.reachable[epo] = true
+	delete(pre.unreachableAt, epo)
 }
 
-// Lost notes that a host's session is gone.
+// Lost records that a host's session has ended.
 func (pre *Presence) Lost(now time.Time, epo request.Epoch) {
-	delete(pre.reached, epo)
+	delete(pre.reachable, epo)
 	if epo == pre.self {
 		return
 	}
-	pre.due[epo] = now.Add(lostAfter)
+	pre.unreachableAt[epo] = now.Add(reconnectGrace)
 }
 
-// Absent returns the hosts with an entry that aren't there, in the members' order.
+// Absent returns the registered hosts that are unreachable, in the order of the members; none
+// if the host itself is assumed to be partitioned.
 func (pre *Presence) Absent(now time.Time) []request.Epoch {
-	var absent []request.Epoch
+	var unreachable []request.Epoch
 	for _, mem := range pre.members {
-		if due, waits := pre.due[mem.Epoch]; waits && !now.Before(due) {
-			absent = append(absent, mem.Epoch)
+		if at, pending := pre.unreachableAt[mem.Epoch]; pending && !now.Before(at) {
+			unreachable = append(unreachable, mem.Epoch)
 		}
 	}
-	if others := float64(len(pre.members) - 1); float64(len(absent)) > mostAbsent*others {
+	if others := float64(len(pre.members) - 1); float64(len(unreachable)) > maxUnreachableShare*others {
 		return nil
 	}
-	return slices.Clip(absent)
+	return slices.Clip(unreachable)
 }
--- a/fleet/presence_test.go
+++ b/fleet/presence_test.go
@@ -19,9 +19,9 @@
 	return members
 }
 
-// Host 1 decides for eight; those that go without a word are absent long before their
-// entries lapse, and those that come have time to be met.
-func TestHostsAreAbsentSoonAfterTheirSessionsAreLost(t *testing.T) {
+// Host 1 coordinates eight hosts. A host without a session must become unreachable long before
+// its entry expires, and a starting one must have time to open its session.
+func TestHostsBecomeUnreachableAfterTheirSessionsEnd(t *testing.T) {
 	now := time.Unix(100, 0)
 	pre := fleet.NewPresence(1)
 	pre.SetMembers(now, membersUpTo(8))
@@ -34,17 +34,17 @@
 	assert.Equal(t, len(pre.Absent(now.Add(100*time.Millisecond))), 0, "a session may be opened again")
 	pre.Reached(4)
 	assert.DeepEqual(t, pre.Absent(now.Add(400*time.Millisecond)), []request.Epoch{3})
-	// Two were never met.
+	// Two hosts never had a session.
 	assert.DeepEqual(t, pre.Absent(now.Add(3*time.Second)), []request.Epoch{3, 7, 8})
 	pre.Reached(7)
 	pre.SetMembers(now.Add(3*time.Second), membersUpTo(7))
-	// An entry that is gone needs no word.
+	// A deregistered host is not reported.
 	assert.DeepEqual(t, pre.Absent(now.Add(4*time.Second)), []request.Epoch{3})
 	pre.Reached(3)
 	assert.Equal(t, len(pre.Absent(now.Add(4*time.Second))), 0)
 }
 
-func TestWhoReachesFewKnowsNothingOfTheOthers(t *testing.T) {
+func TestPartitionedHostReportsNoneUnreachable(t *testing.T) {
 	now := time.Unix(100, 0)
 	pre := fleet.NewPresence(1)
 	pre.SetMembers(now, membersUpTo(9))
@@ -54,38 +54,38 @@
 	for epo := range request.Epoch(6) {
 		pre.Lost(now, epo+2)
 	}
-	assert.Equal(t, len(pre.Absent(now.Add(time.Second))), 6, "six of eight others may have lost their power")
+	assert.Equal(t, len(pre.Absent(now.Add(time.Second))), 6, "six of the eight other hosts may have failed at once")
 	pre.Lost(now, 8)
 	assert.Equal(t, len(pre.Absent(now.Add(time.Second))), 0)
-	// Of two hosts that have lost each other neither knows which is cut off.
+	// Of two hosts without a session between them, neither knows which one is partitioned.
 	pair := fleet.NewPresence(1)
 	pair.SetMembers(now, membersUpTo(2))
 	assert.Equal(t, len(pair.Absent(now.Add(time.Minute))), 0)
 }
 
-// Whatever comes in whatever order, nobody is absent who has a session or no entry.
-func TestNobodyWithASessionIsAbsent(t *testing.T) {
+// In any order of events, a host that has a session or is not registered is never reported.
+func TestHostWithASessionIsNeverUnreachable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
 		pre := fleet.NewPresence(1)
-		listed, reached := 0, make(map[request.Epoch]bool)
+		registered, reachable := 0, make(map[request.Epoch]bool)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
 			epo := request.Epoch(rapid.IntRange(1, 9).Draw(t, "host"))
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				listed = rapid.IntRange(0, 9).Draw(t, "listed")
-				pre.SetMembers(now, membersUpTo(listed))
+				registered = rapid.IntRange(0, 9).Draw(t, "listed")
+				pre.SetMembers(now, membersUpTo(registered))
 			case 1:
 				pre.Reached(epo)
-				reached[epo] = true
+				reachable[epo] = true
 			default:
 				pre.Lost(now, epo)
-				delete(reached, epo)
+				delete(reachable, epo)
 			}
-			for _, gone := range pre.Absent(now) {
-				if reached[gone] || int(gone) > listed {
-					t.Fatalf("host %d is absent, with a session: %t, of %d", gone, reached[gone], listed)
+			for _, epo := range pre.Absent(now) {
+				if reachable[epo] || int(epo) > registered {
+					t.Fatalf("host %d is unreachable, with a session: %t, of %d registered", epo, reachable[epo], registered)
 				}
 			}
 		}
