--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -1,45 +1,46 @@
-// Package evacuation decides when a failure domain that operators have ordered to be
-// emptied counts as such: once no host sends anything more to its engines, and once
-// nothing runs there either.
+// Package evacuation determines how far the evacuation of a failure domain has progressed. An
+// operator orders an evacuation; the domain is closed once every host enforces the order, so
+// that no host sends requests to the domain's engines, and empty once no request runs there.
 //
 // # Usage
 //
-//	brd := evacuation.New()
-//	brd.SetStandings(stands)         // what the store holds
-//	brd.SetHosts(epochs)             // who might send something
-//	brd.Take(epoch, orders)          // what a host keeps to
-//	for _, wri := range brd.Writes(now, running) {
-//		// to be written under the condition of wri.Expect
+//	trk := evacuation.New()
+//	trk.SetStates(states)           // the orders and published states in the store
+//	trk.SetHosts(epochs)            // the hosts that may send requests
+//	trk.SetEnforced(epoch, orders)  // the orders that a host enforces
+//	for _, wri := range trk.Writes(now, running) {
+//		// write to the store if the revision there is wri.Expect
 //	}
 //
-// A Board is pure: it is told what the store holds and what hosts say, and the time.
+// A Board does no I/O: its user passes in the contents of the store, the hosts' reports and the
+// time. The types of this package are not safe for concurrent use.
 package evacuation
 
 import "fmt"
 
-// Order asks that nothing more be sent to the engines of a failure domain, until it is taken
-// back.
+// Order is an operator's order to evacuate a failure domain: hosts send no requests to the
+// domain's engines until the order is canceled.
 type Order struct {
 	Domain string
-	// Revision is the store's at which the order was given. One that is taken back and given
-	// again is another order.
+	// Revision is the revision of the store at which the order was given. An order that is
+	// canceled and given again is a different order.
 	Revision uint64
 }
 
-// State is how far an order has been carried out.
+// State is the progress of an evacuation.
 type State uint8
 
-// The states.
+// The states of an evacuation, in the order in which they are reached.
 const (
-	// StateOrdered is that of an order which some host may not keep to yet.
+	// StateOrdered means that some host may not enforce the order yet.
 	StateOrdered State = iota
-	// StateClosed says that no host sends anything more to the domain's engines.
+	// StateClosed means that no host sends requests to the domain's engines.
 	StateClosed
-	// StateEmpty says that nothing runs there either.
+	// StateEmpty means that, in addition, no request runs in the domain.
 	StateEmpty
 )
 
-// String returns the state's name.
+// String returns the name of the state.
 func (sta State) String() string {
 	names := [...]string{"Ordered", "Closed", "Empty"}
 	if int(sta) >= len(names) {
@@ -48,30 +49,32 @@
 	return names[sta]
 }
 
-// Standing is what the store holds of a failure domain.
+// Standing is what the store holds for a failure domain.
 type Standing struct {
-	// Order has Revision 0 where none is given.
+	// Order has Revision 0 if there is no order.
 	Order Order
 	Told  Told
 }
 
-// Told is what operators were told last.
+// PublishedState is the state of an evacuation that was last written to the store, where
+// operators read it.
 type Told struct {
-	// Order is the revision of the order that this is about.
+	// Order is the revision of the order that the state belongs to.
 	Order uint64
 	State State
-	// Revision is the store's; 0 where nothing is told.
+	// Revision is the revision of the published state in the store; 0 if there is none.
 	Revision uint64
 }
 
-// Write is what is to be written of a failure domain.
+// Write is a change to the published state of a failure domain.
 type Write struct {
 	Domain string
-	// Delete takes away what was told of an order that is taken back.
+	// Delete removes the published state of an order that was canceled.
 	Delete bool
 	Order  uint64
 	State  State
-	// Expect is the revision of what was told before, 0 for nothing. Without it two hosts
-	// that believe to decide could each tell something else.
+	// Expect is the revision that the published state must have when it is written, 0 for
+	// none. It keeps two hosts that both act as the coordinator from publishing different
+	// states.
 	Expect uint64
 }
--- a/evacuation/gate.go
+++ b/evacuation/gate.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// Gate keeps one host's requests from failure domains that are being emptied. Whoever is to
-// write a request enters, and leaves when it is written, so that the host can tell when
-// nothing more of its own is on its way there.
+// Gate blocks one host's requests to failure domains that are being evacuated. A request enters
+// the gate before it is written to an engine and leaves it afterwards, so that the host knows
+// when none of its requests to the domain is in transit.
 //
 // A Gate is not safe for concurrent use.
 type Gate struct {
 	orders map[string]Order
-	// writing counts the requests, by domain, that have entered and aren't written yet.
+	// writing counts, by domain, the requests that have entered and aren't written yet.
 	writing map[string]int
 }
 
-// NewGate returns a gate that keeps nothing back.
+// NewGate returns a gate without orders.
 func NewGate() *Gate {
 	return &Gate{orders: make(map[string]Order), writing: make(map[string]int)}
 }
 
-// Set takes the orders that are given now, and reports whether that changed anything.
+// Set replaces the orders and reports whether they changed.
 func (gat *Gate) Set(orders []Order) bool {
 	next := make(map[string]Order, len(orders))
 	changed := len(orders) != len(gat.orders)
@@ -33,14 +33,14 @@
 	return changed
 }
 
-// Closed returns the order that keeps requests from a failure domain.
+// Closed returns the order that blocks requests to a failure domain, and whether there is one.
 func (gat *Gate) Closed(domain string) (Order, bool) {
 	ord, closed := gat.orders[domain]
 	return ord, closed
 }
 
-// Enter reports whether a request to an engine of the domain may be written; if so, Leave is
-// called once it is.
+// Enter reports whether a request to an engine of the domain may be written. If so, the caller
+// calls Leave once the request is written or abandoned.
 func (gat *Gate) Enter(domain string) bool {
 	if _, closed := gat.orders[domain]; closed {
 		return false
@@ -49,8 +49,8 @@
 	return true
 }
 
-// Leave notes that a request that had entered is written, or never will be. It reports
-// whether the host keeps to an order from now on.
+// Leave records that a request that had entered was written, or never will be. It reports
+// whether the host enforces an order for the domain from now on.
 func (gat *Gate) Leave(domain string) bool {
 	gat.writing[domain]--
 	if gat.writing[domain] > 0 {
@@ -61,15 +61,15 @@
 	return closed
 }
 
-// Kept returns the orders that the host keeps to, by domain: none of its requests to these
-// domains is still to be written.
+// Kept returns the orders that the host enforces, sorted by domain: none of its requests to
+// these domains is still to be written.
 func (gat *Gate) Kept() []Order {
-	var kept []Order
+	var enforced []Order
 	for domain, ord := range gat.orders {
 		if gat.writing[domain] == 0 {
-			kept = append(kept, ord)
+			enforced = append(enforced, ord)
 		}
 	}
-	slices.SortFunc(kept, func(one, two Order) int { return cmp.Compare(one.Domain, two.Domain) })
-	return kept
+	slices.SortFunc(enforced, func(one, two Order) int { return cmp.Compare(one.Domain, two.Domain) })
+	return enforced
 }
--- /dev/null
+++ b/evacuation/tracker.go
@@ -0,0 +1,164 @@
+package evacuation
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"lynxwell.dev/lynxwell/request"
+)
+
+// rewriteInterval is the time after which a write is repeated if the store hasn't shown its
+// outcome. A change is usually known within a tenth of that time.
+const rewriteInterval = time.Second
+
+// Board holds one host's view of the failure domains that are being evacuated.
+type Board struct {
+	states map[string]Standing
+	// hosts are those that may send requests; enforced holds the revisions of the orders that
+	// each has reported to enforce, by domain.
+	hosts    map[request.Epoch]bool
+	enforced map[request.Epoch]map[string]uint64
+	// writtenAt holds the time of the last write for each domain.
+	writtenAt map[string]time.Time
+}
+
+// New returns a tracker without domains and hosts.
+func New() *Board {
+	return &Board{
+		states: make(map[string]Standing), hosts: make(map[request.Epoch]bool),
+		enforced: make(map[request.Epoch]map[string]uint64), writtenAt: make(map[string]time.Time),
+	}
+}
+
+// SetStandings replaces the states with those in the store.
+func (trk *Board) SetStandings(states []Standing) {
+	byDomain := make(map[string]Standing, len(states))
+	for _, sta := range states {
+		if sta != trk.states[sta.Order.Domain] {
+			delete(trk.writtenAt, sta.Order.Domain)
+		}
+		byDomain[sta.Order.Domain] = sta
+	}
+	trk.states = byDomain
+}
+
+// SetHosts sets the hosts that may send requests to engines.
+func (trk *Board) SetHosts(hosts []request.Epoch) {
+	clear(trk.hosts)
+	for _, epo := range hosts {
+		trk.hosts[epo] = true
+	}
+	maps.DeleteFunc(trk.enforced, func(epo request.Epoch, _ map[string]uint64) bool { return !trk.hosts[epo] })
+}
+
+// Take replaces the orders that a host has reported to enforce.
+func (trk *Board) Take(host request.Epoch, orders []Order) {
+	enforced := make(map[string]uint64, len(orders))
+	for _, ord := range orders {
+		enforced[ord.Domain] = ord.Revision
+	}
+	trk.enforced[host] = enforced
+}
+
+// Forget drops the report of a host whose session has ended. The host repeats the report in its
+// next session.
+func (trk *Board) Forget(host request.Epoch) {
+	delete(trk.enforced, host)
+}
+
+// missing returns the hosts that haven't reported to enforce the order, sorted by epoch.
+func (trk *Board) missing(ord Order) []request.Epoch {
+	var missing []request.Epoch
+	for epo := range trk.hosts {
+		if trk.enforced[epo][ord.Domain] != ord.Revision {
+			missing = append(missing, epo)
+		}
+	}
+	slices.Sort(missing)
+	return missing
+}
+
+// state returns the progress of an order; runs is the number of requests running in its domain.
+func (trk *Board) state(ord Order, runs int) State {
+	switch {
+	case len(trk.hosts) == 0 || len(trk.missing(ord)) > 0:
+		return StateOrdered
+	case runs > 0:
+		return StateClosed
+	default:
+		return StateEmpty
+	}
+}
+
+// Open reports whether the store holds an order, or the published state of a canceled one.
+func (trk *Board) Open() bool {
+	return len(trk.states) > 0
+}
+
+// Writes returns the changes to publish now; running returns the number of requests that run in
+// a failure domain. The published state of an order never goes back: a host that starts later
+// enforces the order before it sends any request.
+func (trk *Board) Writes(now time.Time, running func(domain string) int) []Write {
+	var writes []Write
+	for _, domain := range slices.Sorted(maps.Keys(trk.states)) {
+		sta := trk.states[domain]
+		wri, needed := trk.write(sta, running)
+		if !needed || now.Sub(trk.writtenAt[domain]) < rewriteInterval {
+			continue
+		}
+		trk.writtenAt[domain] = now
+		writes = append(writes, wri)
+	}
+	return writes
+}
+
+// write returns the change to publish for a domain, and whether one is needed.
+func (trk *Board) write(sta Standing, running func(domain string) int) (Write, bool) {
+	wri := Write{Domain: sta.Order.Domain, Order: sta.Order.Revision, Expect: sta.Told.Revision}
+	if sta.Order.Revision == 0 {
+		wri.Delete = true
+		return wri, sta.Told.Revision > 0
+	}
+	wri.State = trk.state(sta.Order, running(sta.Order.Domain))
+	if sta.Told.Revision > 0 && sta.Told.Order == sta.Order.Revision {
+		return wri, wri.State > sta.Told.State
+	}
+	return wri, wri.State > StateOrdered
+}
+
+// Dump is the state of one failure domain that is being evacuated.
+type Dump struct {
+	Domain string
+	// Order is the revision of the order; 0 if it was canceled and its published state hasn't
+	// been deleted yet.
+	Order uint64
+	// State is the progress as this host sees it; Published is the state in the store.
+	State string
+	Told  string `json:"Told,omitempty"`
+	// Running is the number of requests that run in the domain. Missing names the hosts that
+	// haven't reported to enforce the order.
+	Running int
+	Missing []string `json:",omitempty"`
+}
+
+// Dump returns the failure domains that are being evacuated, sorted by name.
+func (trk *Board) Dump(running func(domain string) int) []Dump {
+	var dumps []Dump
+	for domain, sta := range trk.states {
+		dum := Dump{Domain: domain, Order: sta.Order.Revision, Running: running(domain)}
+		if sta.Order.Revision > 0 {
+			dum.State = trk.state(sta.Order, dum.Running).String()
+			for _, epo := range trk.missing(sta.Order) {
+				dum.Missing = append(dum.Missing, epo.String())
+			}
+		}
+		if sta.Told.Revision > 0 && sta.Told.Order == sta.Order.Revision {
+			dum.Told = sta.Told.State.String()
+		}
+		dumps = append(dumps, dum)
+	}
+	slices.SortFunc(dumps, func(one, two Dump) int { return cmp.Compare(one.Domain, two.Domain) })
+	return dumps
+}
--- /dev/null
+++ b/evacuation/tracker_test.go
@@ -0,0 +1,188 @@
+package evacuation_test
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"pgregory.net/rapid"
+
+	"lynxwell.dev/lynxwell/evacuation"
+	"lynxwell.dev/lynxwell/request"
+)
+
+const domain = "d1"
+
+func noneRunning(string) int { return 0 }
+
+func ordered(revision uint64) evacuation.Standing {
+	return evacuation.Standing{Order: evacuation.Order{Domain: domain, Revision: revision}}
+}
+
+func TestOrderIsPublishedOnceAllHostsEnforceIt(t *testing.T) {
+	now := time.Unix(100, 0)
+	trk := evacuation.New()
+	assert.Assert(t, !trk.Open())
+	trk.SetStandings([]evacuation.Standing{ordered(7)})
+	trk.SetHosts([]request.Epoch{1, 2})
+	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0)
+	trk.Take(1, []evacuation.Order{{Domain: domain, Revision: 7}})
+	trk.Take(2, []evacuation.Order{{Domain: domain, Revision: 5}, {Domain: "d2", Revision: 7}})
+	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0, "an earlier order")
+	assert.DeepEqual(t, trk.Dump(noneRunning), []evacuation.Dump{{Domain: domain, Order: 7, State: "Ordered", Missing: []string{request.Epoch(2).String()}}})
+	trk.Take(2, []evacuation.Order{{Domain: domain, Revision: 7}})
+	runs := 3
+	running := func(string) int { return runs }
+	assert.DeepEqual(t, trk.Writes(now, running), []evacuation.Write{{Domain: domain, Order: 7, State: evacuation.StateClosed}})
+	assert.Equal(t, len(trk.Writes(now, running)), 0, "the outcome of the write isn't known yet")
+	assert.Equal(t, len(trk.Writes(now.Add(time.Second), running)), 1, "the store hasn't shown the write")
+	sta := ordered(7)
+	sta.Told = evacuation.Told{Order: 7, State: evacuation.StateClosed, Revision: 9}
+	trk.SetStandings([]evacuation.Standing{sta})
+	assert.Equal(t, len(trk.Writes(now.Add(time.Minute), running)), 0, "published")
+	runs = 0
+	assert.DeepEqual(t, trk.Writes(now.Add(time.Minute), running), []evacuation.Write{{Domain: domain, Order: 7, State: evacuation.StateEmpty, Expect: 9}})
+}
+
+// The published state of an order must stay while the order is in force, even if a host starts
+// later, and must be deleted with the order.
+func TestPublishedStateStaysWithItsOrder(t *testing.T) {
+	now := time.Unix(100, 0)
+	trk := evacuation.New()
+	sta := ordered(7)
+	sta.Told = evacuation.Told{Order: 7, State: evacuation.StateEmpty, Revision: 9}
+	trk.SetStandings([]evacuation.Standing{sta})
+	trk.SetHosts([]request.Epoch{1})
+	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0, "a host has just started")
+	sta.Order.Revision = 0
+	trk.SetStandings([]evacuation.Standing{sta})
+	assert.DeepEqual(t, trk.Writes(now, noneRunning), []evacuation.Write{{Domain: domain, Delete: true, Expect: 9}})
+	sta.Order.Revision = 12
+	trk.SetStandings([]evacuation.Standing{sta})
+	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0, "another order, which no host enforces yet")
+	trk.Take(1, []evacuation.Order{{Domain: domain, Revision: 12}})
+	assert.DeepEqual(t, trk.Writes(now, noneRunning), []evacuation.Write{{Domain: domain, Order: 12, State: evacuation.StateEmpty, Expect: 9}})
+}
+
+// An order must not wait for a host without an entry and a session, and the report of such a
+// host must not count when the host is back.
+func TestOrderDoesNotWaitForAStoppedHost(t *testing.T) {
+	now := time.Unix(100, 0)
+	trk := evacuation.New()
+	trk.SetStandings([]evacuation.Standing{ordered(7)})
+	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0, "no host is known")
+	trk.SetHosts([]request.Epoch{1, 2})
+	trk.Take(1, []evacuation.Order{{Domain: domain, Revision: 7}})
+	trk.Take(2, []evacuation.Order{{Domain: domain, Revision: 7}})
+	trk.SetHosts([]request.Epoch{1})
+	trk.SetHosts([]request.Epoch{1, 2})
+	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0)
+	trk.SetHosts([]request.Epoch{1})
+	assert.Equal(t, len(trk.Writes(now, noneRunning)), 1)
+}
+
+func TestHostEnforcesAnOrderOnceNoRequestIsInTransit(t *testing.T) {
+	gat := evacuation.NewGate()
+	order := evacuation.Order{Domain: domain, Revision: 7}
+	for _, to := range []string{domain, domain, "d2"} {
+		assert.Assert(t, gat.Enter(to))
+	}
+	assert.Assert(t, gat.Set([]evacuation.Order{order}))
+	assert.Assert(t, !gat.Set([]evacuation.Order{order}))
+	assert.Assert(t, !gat.Enter(domain) && gat.Enter("d2"))
+	assert.Equal(t, len(gat.Kept()), 0)
+	assert.Assert(t, !gat.Leave(domain))
+	assert.Assert(t, gat.Leave(domain))
+	assert.DeepEqual(t, gat.Kept(), []evacuation.Order{order})
+	assert.Assert(t, !gat.Leave("d2"))
+	assert.Assert(t, gat.Set(nil))
+	assert.Assert(t, gat.Enter(domain))
+}
+
+// fakeStore holds the order and published state of one domain, as the store does.
+type fakeStore struct {
+	revision uint64
+	state    evacuation.Standing
+	// published counts, by revision of the order, how often an order was published.
+	published map[uint64]int
+}
+
+func (fst *fakeStore) write(rt *rapid.T, wri evacuation.Write, enforced func(order uint64) bool) {
+	if wri.Expect != fst.state.Told.Revision {
+		return
+	}
+	fst.revision++
+	if wri.Delete {
+		fst.state.Told = evacuation.Told{}
+		return
+	}
+	if wri.Order == fst.state.Order.Revision && fst.state.Told.Order != wri.Order {
+		fst.published[wri.Order]++
+		if fst.published[wri.Order] > 1 {
+			rt.Fatalf("order %d was published twice", wri.Order)
+		}
+		if !enforced(wri.Order) {
+			rt.Fatalf("order %d is published, and some host doesn't enforce it", wri.Order)
+		}
+	}
+	fst.state.Told = evacuation.Told{Order: wri.Order, State: wri.State, Revision: fst.revision}
+}
+
+// Orders are given and canceled, hosts are late or fail, and two coordinators act at once on
+// different states of the store: no order may be published before all hosts enforce it, and
+// none twice.
+func TestOrderIsPublishedOnceAndNotTooEarly(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		now := time.Unix(100, 0)
+		const hosts = 4
+		fst := &fakeStore{revision: 1, state: ordered(0), published: make(map[uint64]int)}
+		trackers := []*evacuation.Board{evacuation.New(), evacuation.New()}
+		var epochs []request.Epoch
+		known := make(map[request.Epoch]evacuation.Order)
+		next := request.Epoch(1)
+		for range hosts {
+			epochs = append(epochs, next)
+			next++
+		}
+		enforcedByAll := func(order uint64) bool {
+			for _, epo := range epochs {
+				if known[epo].Revision != order {
+					return false
+				}
+			}
+			return true
+		}
+		for range rapid.IntRange(5, 120).Draw(rt, "steps") {
+			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(rt, "pause")) * time.Millisecond)
+			trk := trackers[rapid.IntRange(0, 1).Draw(rt, "board")]
+			num := rapid.IntRange(0, hosts-1).Draw(rt, "host")
+			switch rapid.IntRange(0, 6).Draw(rt, "event") {
+			case 0:
+				if fst.state.Order.Revision == 0 {
+					fst.revision++
+					fst.state.Order.Revision = fst.revision
+				} else if rapid.IntRange(0, 3).Draw(rt, "end") == 0 {
+					fst.state.Order.Revision = 0
+				}
+			case 1:
+				known[epochs[num]] = fst.state.Order
+			case 2:
+				trk.SetHosts(epochs)
+				trk.Take(epochs[num], []evacuation.Order{known[epochs[num]]})
+			case 3:
+				// The host fails; another starts, which reads the store before it sends any request.
+				known[next] = fst.state.Order
+				epochs[num] = next
+				next++
+			case 4:
+				trk.SetHosts(epochs)
+				trk.SetStandings([]evacuation.Standing{fst.state})
+			default:
+				trk.SetHosts(epochs)
+				for _, wri := range trk.Writes(now, noneRunning) {
+					fst.write(rt, wri, enforcedByAll)
+				}
+			}
+		}
+	})
+}
--- a/fleet/notices_test.go
+++ b/fleet/notices_test.go
@@ -25,7 +25,7 @@
 	assert.Assert(t, !ntc.Take(now, fleet.Notice{Run: run("f", 1)}), "no signal")
 }
 
-func TestLongerBackoffPrevails(t *testing.T) {
+func TestLongerBackoffNoticePrevails(t *testing.T) {
 	now := time.Unix(100, 0)
 	eng := run("e", 1)
 	ntc := fleet.NewNotices()
