--- a/reservation/emptying.go
+++ b/reservation/emptying.go
@@ -2,9 +2,9 @@
 
 import "lynxwell.dev/lynxwell/evacuation"
 
-// Emptying tells a coordinator to which orders the gateway keeps that failure domains be
-// emptied, all of them each time: it is granted no engine there, and who decides knows when
-// nobody sends anything there any more.
+// Emptying reports to a coordinator all evacuation orders that the gateway enforces. The
+// coordinator grants the gateway no engine in these failure domains, and learns when no gateway
+// sends requests there any more.
 type Emptying struct {
 	Orders []evacuation.Order
 }
--- a/reservation/notice.go
+++ b/reservation/notice.go
@@ -2,9 +2,9 @@
 
 import "lynxwell.dev/lynxwell/fleet"
 
-// EngineNotice tells a coordinator what an engine has said of itself in an answer to the
-// gateway. It goes before whatever the gateway says or asks after that answer, so that the
-// engine isn't granted to it again.
+// EngineNotice passes a signal that the gateway received in an engine's response on to a
+// coordinator. It is sent before every other message that follows the response, so that the
+// coordinator doesn't grant the engine to the gateway once more.
 type EngineNotice struct {
 	fleet.Notice
 }
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -1,10 +1,10 @@
-// Package reservation holds the messages between a gateway and a coordinator.
+// Package reservation defines the messages between a gateway and a coordinator.
 //
 // # Usage
 //
-// A gateway sends Reserve, Withdraw, Release, Adopt and Hold; a coordinator
-// answers with Grant and Refuse. Fence, Vouch, Unvouch and Handover are
-// questions with an answer of their own type:
+// A gateway sends Reserve, Withdraw, Release, Adopt and Hold; a coordinator answers with Grant
+// and Refuse. Fence, Vouch, Unvouch and Handover are remote calls with a result of their own,
+// and not messages of a session. A receiver switches on the type:
 //
 //	switch msg := msg.(type) {
 //	case reservation.Reserve:
@@ -12,7 +12,7 @@
 //	...
 //	}
 //
-// The messages carry metadata only, never a request's body.
+// Messages carry metadata only, never the body of a request.
 package reservation
 
 import (
@@ -23,139 +23,142 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// Message is one of the messages that travel on a session between two hosts.
+// Message is a message of a session between two hosts.
 type Message interface {
-	// isMessage keeps the set of messages closed.
+	// isMessage limits the implementations to this package.
 	isMessage()
 }
 
-// Reserve asks a coordinator for a slot of an engine of the service.
+// Reserve requests a slot of an engine of the service from a coordinator.
 type Reserve struct {
 	ID      request.ID
 	Ballot  request.Ballot
 	Service string
-	// Tier is the tier's name; Rank is its rank, the highest served first.
+	// Tier is the name of the tier, Rank its rank. The highest rank is served first.
 	Tier string
 	Rank int
-	// Account is the client account's name; Weight is its share against others.
+	// Account is the name of the client account, Weight its share relative to other accounts.
 	Account string
 	Weight  float64
-	// PromptTokens and MaxTokens are estimates of the work.
+	// PromptTokens and MaxTokens are the estimated lengths of the prompt and the answer.
 	PromptTokens int
 	MaxTokens    int
-	// PrefixHash names the shared part of the prompt; 0 is none.
+	// PrefixHash identifies the shared prefix of the prompt; 0 for none.
 	PrefixHash uint64
-	// PrefixTokens is the length of the shared part.
+	// PrefixTokens is the length of the shared prefix.
 	PrefixTokens int
-	// Remaining is the time left until the deadline.
+	// Remaining is the time until the deadline.
 	Remaining time.Duration
-	// Overflow asks to be kept beyond the line's bound, in exchange for a
+	// Overflow asks for a position beyond the limit of the queue, in exchange for a
 	// reservation that another coordinator has dropped.
 	Overflow bool
-	// AnswerTokens is a guess at the answer's length; 0 for none.
+	// AnswerTokens is an estimate of the answer's length; 0 for none.
 	AnswerTokens int
-	// Urgency orders requests of the same rank, and those of one client account
-	// whose limit is nearly used up: 0 goes first.
+	// Urgency orders requests of the same rank, and requests of one client account that is
+	// close to its limit; 0 is served first.
 	Urgency int
 	// Domain is the gateway's failure domain.
 	Domain string
-	// Aim is within what time, from now on, the first of the answer is in time; for
-	// a repeat, for how long its caller waits on.
+	// Aim is the time from now within which the first part of the answer should arrive; for a
+	// client's retry, how much longer the client waits.
 	Aim time.Duration
-	// Age is how long the caller had waited before, since its first try; 0 for that.
+	// Age is how long the client has already waited since its first attempt; 0 for the first.
 	Age time.Duration
-	// Cost is what the request takes from the client account's limit.
+	// Cost is the number of units that the request counts against the client account's limit.
 	Cost float64
-	// Route names the route; Repeatable says that it may run again after it may have run.
+	// Route is the name of the route. Repeatable means that the request may be sent to another
+	// engine although it may already have run.
 	Route      string
 	Repeatable bool
-	// Attempt counts the engines that the request was sent to before.
+	// Attempt is the number of engines that the request was sent to before.
 	Attempt int
-	// Exclude names engines that failed the request before.
+	// Exclude names the engines that have failed the request.
 	Exclude []string
-	// Parts make up the prompt, for the engines' caches.
+	// Parts are the parts of the prompt, which engines cache.
 	Parts []call.Part
-	// Digest is the same for the same request under another id; zero for none.
+	// Digest is equal for the same request under different ids; zero for none.
 	Digest call.Digest
-	// Regions are those in which the request may be served; none for all.
+	// Regions are those in which the request may be served; empty for all.
 	Regions []string
-	// Again says that the request was granted before and not sent: it has its place in the
-	// line, and in the budget of repeats, already.
+	// Again means that the request was granted before and not sent. It keeps its position in
+	// the queue, and is not counted against the retry budget a second time.
 	Again bool
 }
 
-// Subject returns the request as far as it matters whether it ends engines.
+// Subject returns the properties of the request by which quarantine tracks poison requests.
 func (res Reserve) Subject() quarantine.Subject {
 	return quarantine.Subject{Digest: res.Digest, Service: res.Service, Account: res.Account, Route: res.Route}
 }
 
-// Grant gives a gateway one slot of an engine for one request.
+// Grant allots one slot of an engine to a gateway for one request.
 type Grant struct {
 	ID     request.ID
 	Ballot request.Ballot
 	Engine string
-	// Rate is what the coordinator knew of a rate that the engine has named.
+	// Rate is what the coordinator knew of the engine's rate limit.
 	Rate GrantRate
-	// Cold says that it knew the engine to be cold, and granted it within what it bears.
+	// Cold means that the coordinator knew the engine to be cold, and granted it within the
+	// rate that a cold engine can serve.
 	Cold bool
 }
 
-// GrantRate is what a coordinator knew, when it granted an engine, of a rate that the engine
-// has named.
+// GrantRate is what a coordinator knew of an engine's rate limit when it granted the engine.
 type GrantRate uint8
 
-// What a coordinator may know. It takes what a gateway tells it in order: it had heard all
-// that the gateway told before it asked.
+// The values of GrantRate. A coordinator handles the messages of a gateway in order: at the
+// time of a grant it has applied all notices that the gateway sent before its Reserve.
 const (
-	// GrantRateUnknown says that it has heard of none.
+	// GrantRateUnknown means that the coordinator knew of no rate limit.
 	GrantRateUnknown GrantRate = iota
-	// GrantRatePaced says that the grant is within it.
+	// GrantRatePaced means that the grant is within the rate limit.
 	GrantRatePaced
-	// GrantRateEnded says that an answer without one came after all that named one.
+	// GrantRateEnded means that a response without a rate limit has come after all responses
+	// with one.
 	GrantRateEnded
 )
 
-// Reason says why a coordinator doesn't keep a reservation.
+// Reason is why a coordinator doesn't keep a reservation.
 type Reason uint8
 
-// The reasons of a Refuse. After ReasonExpired and ReasonClosed the
-// coordinator has recorded that the request never runs.
+// The reasons of a Refuse. With ReasonExpired and ReasonClosed, the coordinator has recorded
+// that the request never runs.
 const (
-	// ReasonFull says that the line is full of nothing lower; try another
-	// coordinator.
+	// ReasonFull means that the queue is full and holds no reservation of a lower rank; another
+	// coordinator may have room.
 	ReasonFull Reason = iota + 1
-	// ReasonMoved says that the host coordinates no engine of the service.
+	// ReasonMoved means that the host coordinates no engine of the service.
 	ReasonMoved
-	// ReasonExpired says that the deadline can't be met any more.
+	// ReasonExpired means that the deadline can no longer be met.
 	ReasonExpired
-	// ReasonClosed says that the request was closed on the gateway's wish.
+	// ReasonClosed means that the request was closed at the gateway's demand.
 	ReasonClosed
-	// ReasonFenced says that another gateway holds the request.
+	// ReasonFenced means that another gateway holds the request.
 	ReasonFenced
-	// ReasonForgotten says that the id is older than the coordinator's memory.
+	// ReasonForgotten means that the id is older than the coordinator's records.
 	ReasonForgotten
-	// ReasonNotGranter says that the host may not grant the request.
+	// ReasonNotGranter means that the host may not grant the request.
 	ReasonNotGranter
-	// ReasonOverload says that no engine has room in time.
+	// ReasonOverload means that no engine has a free slot in time.
 	ReasonOverload
-	// ReasonLimit says that the client account's limit is used up.
+	// ReasonLimit means that the client account has exhausted its limit.
 	ReasonLimit
-	// ReasonBudget says that the service's budget of repeats is used up.
+	// ReasonBudget means that the service's retry budget is exhausted.
 	ReasonBudget
-	// ReasonNoEngine says that no engine of the service is left to try.
+	// ReasonNoEngine means that no engine of the service remains to be tried.
 	ReasonNoEngine
-	// ReasonHeld says that the request ends the engines that run it.
+	// ReasonHeld means that the request is a poison request, which crashes the engines that
+	// run it.
 	ReasonHeld
-	// ReasonBackoff says that all engines that are left have asked for a pause, or leave.
+	// ReasonBackoff means that all remaining engines have requested a backoff or are draining.
 	ReasonBackoff
-	// ReasonRate says that all engines that are left have named the rate that they take, and
-	// those before the request get all of it in its time.
+	// ReasonRate means that all remaining engines have sent a rate limit, and requests ahead of
+	// this one use it up before its deadline.
 	ReasonRate
-	// ReasonRegion says that no engine of the service is in a region that is allowed.
+	// ReasonRegion means that no engine of the service is in an allowed region.
 	ReasonRegion
 )
 
-// String returns the reason's name.
+// String returns the name of the reason.
 func (rea Reason) String() string {
 	names := [...]string{"None", "Full", "Moved", "Expired", "Closed", "Fenced", "Forgotten", "NotGranter", "Overload", "Limit", "Budget", "NoEngine", "Held", "Backoff", "Rate", "Region"}
 	if int(rea) >= len(names) {
@@ -164,158 +167,159 @@
 	return names[rea]
 }
 
-// Refuse ends a reservation without a slot.
+// Refuse ends a reservation without a grant.
 type Refuse struct {
 	ID     request.ID
 	Ballot request.Ballot
 	Reason Reason
 	// Holder is the gateway epoch that holds a fenced request.
 	Holder request.Epoch
-	// RetryAfter is when a new try may find room.
+	// RetryAfter is the time after which a new attempt may succeed.
 	RetryAfter time.Duration
-	// FloorRank is the lowest rank that is newly kept, with ReasonFull.
+	// FloorRank is, with ReasonFull, the lowest rank that the queue still accepts.
 	FloorRank int
 }
 
-// Withdraw ends a waiting reservation. With Close, the coordinator records that
-// the request never runs and answers with a Refuse.
+// Withdraw cancels a waiting reservation. With Close, the coordinator records that the request
+// never runs, and answers with a Refuse.
 type Withdraw struct {
 	ID     request.ID
 	Ballot request.Ballot
 	Close  bool
 }
 
-// Release gives a slot back.
+// Release releases a slot and reports how the attempt on the engine went.
 type Release struct {
 	ID     request.ID
 	Ballot request.Ballot
 	Engine string
-	// Dispatched is false when the engine certainly never got the request.
+	// Dispatched is false if the engine certainly never received the request.
 	Dispatched bool
-	// Failed is set when the engine broke off or couldn't be reached.
+	// Failed is set if the engine aborted its answer or couldn't be reached.
 	Failed bool
-	// Rejected is set when the engine turned the request away.
+	// Rejected is set if the engine rejected the request.
 	Rejected bool
-	// BackedOff is set when the engine asked for a pause in place of an answer, or turned the
-	// request away by the rate that it takes, which tells nothing of its health.
+	// BackedOff is set if the engine requested a backoff instead of answering, or rejected the
+	// request because of its rate limit. Neither is a sign of the engine's health.
 	BackedOff bool
-	// Answered is set when the engine gave its whole answer, a failure of its own too.
+	// Answered is set if the engine's answer is complete, even if it is an error.
 	Answered bool
-	// PrefillTokens, FirstToken, DecodeTokens and Total measure the run.
+	// PrefillTokens, DecodeTokens, FirstToken and Total are measurements of the run: the tokens
+	// processed in each phase, and the times to the first token and to the end.
 	PrefillTokens int
 	DecodeTokens  int
 	FirstToken    time.Duration
 	Total         time.Duration
 }
 
-// Adopt tells an engine's new coordinator of a slot that a former one granted.
+// Adopt reports a slot that a previous coordinator granted to the engine's new coordinator.
 type Adopt struct {
 	ID     request.ID
 	Ballot request.Ballot
 	Engine string
-	// Service, Account and Cost are as in the reservation; Unread is set while
-	// nothing of the answer has come, and PromptTokens is what is left to read.
+	// Service, Account and Cost are as in the Reserve. Unread is set until the first part of
+	// the answer arrives; PromptTokens is the number of prompt tokens left to process.
 	Service      string
 	Account      string
 	Cost         float64
 	Unread       bool
 	PromptTokens int
-	// Route and Digest are as in the reservation.
+	// Route and Digest are as in the Reserve.
 	Route  string
 	Digest call.Digest
 }
 
-// Subject returns the request as far as it matters whether it ends engines.
+// Subject returns the properties of the request by which quarantine tracks poison requests.
 func (ado Adopt) Subject() quarantine.Subject {
 	return quarantine.Subject{Digest: ado.Digest, Service: ado.Service, Account: ado.Account, Route: ado.Route}
 }
 
-// Progress says that the first of an answer has come.
+// Progress reports that the first part of an answer has arrived.
 type Progress struct {
 	ID request.ID
-	// FirstToken is the time from the dispatch on.
+	// FirstToken is the time from the dispatch to the first token.
 	FirstToken time.Duration
 }
 
-// Spent tells a coordinator that begins to decide for a gateway what the gateway's
-// requests still owe a client account's limit, whoever decided: what they cost, less
-// the gateway's equal part of the rate since. A gateway that learns of more hosts, or
-// fewer, soon after its start tells again.
+// Spent reports to a coordinator that starts to schedule for a gateway how much the gateway's
+// requests still owe to a client account's limit, whichever host scheduled them: their cost,
+// less the gateway's equal share of the rate in the meantime. A gateway that learns soon after
+// its start that there are more or fewer hosts sends the report once more.
 type Spent struct {
 	Account string
 	Debt    float64
-	// Share is the gateway's equal part of what all hosts together may spend at once,
-	// by the hosts that it knows; it doesn't change with time.
+	// Share is the gateway's equal share of the burst that all hosts together may spend, by the
+	// number of hosts that it knows; it doesn't change over time.
 	Share float64
 }
 
-// Appoint tells a coordinator whether the gateway has it decide from now on. A
-// gateway keeps sessions with hosts that don't, and says nothing for long while it has
-// no requests, so neither a session nor its silence tells.
+// Appoint tells a coordinator whether the gateway delegates scheduling to it from now on. A
+// gateway also has sessions with hosts to which it doesn't delegate, and may be silent for long
+// while it has no requests, so neither a session nor silence shows this.
 type Appoint struct {
 	Decides bool
 }
 
-// Leader tells a gateway which host the sender knows to decide for more than half of
-// all hosts; 0 where it knows of none.
+// Leader tells a gateway which host, to the sender's knowledge, schedules for more than half of
+// all hosts; 0 if the sender knows of none.
 type Leader struct {
 	Host request.Epoch
 }
 
-// Absent tells a gateway which hosts the coordinator doesn't reach, all of them each
-// time: callers aren't sent there, although their entries last for a while.
+// Absent tells a gateway the complete list of hosts that the coordinator can't reach. Clients
+// aren't directed to them, although their entries in the store haven't expired yet.
 type Absent struct {
 	Hosts []request.Epoch
 }
 
-// EngineEnded tells a coordinator that an engine ended while it ran a request of the
-// gateway's. It goes before the request's Release.
+// EngineEnded reports to a coordinator that an engine crashed while it ran a request of the
+// gateway. It is sent before the Release of the request.
 type EngineEnded struct {
 	ID request.ID
 	quarantine.Observation
-	// Uncertain says that the gateway saw the connection end and doesn't know whether the
-	// engine did.
+	// Uncertain is set if the gateway saw the connection end and doesn't know whether the
+	// engine crashed.
 	Uncertain bool
 }
 
-// CaseReport tells what is known against a request that ends engines: a gateway its new
-// coordinator, and a coordinator the gateways that it decides for.
+// CaseReport passes on the crashes recorded against a poison request. A gateway sends it to its
+// new coordinator, and a coordinator to the gateways that it schedules for.
 type CaseReport struct {
 	quarantine.Report
 }
 
-// Hold lists everything that the gateway holds from the coordinator; it opens
-// a session. Grants that it doesn't list were never dispatched and never will be.
+// Hold lists all grants that the gateway holds from the coordinator. It opens a session. Grants
+// that it doesn't list were never dispatched and never will be.
 type Hold struct {
 	IDs []request.ID
 }
 
-// Evict asks a coordinator that can't grant to the gateway to drop one
-// reservation of a lower rank, so that another coordinator may keep a higher one.
+// Evict asks a coordinator that has no grant for the gateway to drop one reservation of a lower
+// rank, so that another coordinator may keep one of a higher rank.
 type Evict struct {
 	ID      request.ID
 	Service string
 	Rank    int
 }
 
-// Evicted answers Evict.
+// Evicted is the answer to an Evict.
 type Evicted struct {
 	ID request.ID
-	// Done is set when a lower reservation was dropped.
+	// Done is set if a reservation of a lower rank was dropped.
 	Done bool
-	// FloorRank is the lowest rank that is newly kept when none was dropped.
+	// FloorRank is, if none was dropped, the lowest rank that the queue still accepts.
 	FloorRank int
 }
 
-// Load is what a coordinator tells of one service, on its messages.
+// Load is the load of one service, which a coordinator attaches to its messages.
 type Load struct {
 	Service string
-	// FreeSlots is how many requests could start at once.
+	// FreeSlots is the number of requests that could start immediately.
 	FreeSlots int
-	// Waiting is how many reservations wait.
+	// Waiting is the number of waiting reservations.
 	Waiting int
-	// Delay is how long a new reservation of middling size would wait; with free
-	// slots, for prompts that the least busy engine still works on.
+	// Delay is how long a new reservation of average size would wait: for a slot or, if slots
+	// are free, for the prompts that the least busy engine still has to process.
 	Delay time.Duration
 }
 
