--- a/evacuation/board.go
+++ b/evacuation/board.go
@@ -62,8 +62,8 @@
 	trk.enforced[host] = enforced
 }
 
-// Forget drops the report of a host whose session has ended. The host repeats the report in its
-// next session.
+// Forget drops the report of a host whose session has ended. The host repeats the
+// report in its next session.
 func (trk *Board) Forget(host request.Epoch) {
 	delete(trk.enforced, host)
 }
--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -12,8 +12,8 @@
 //		// write to the store if the revision there is wri.Expect
 //	}
 //
-// A Board does no I/O: its user passes in the contents of the store, the hosts' reports and the
-// time. The types of this package are not safe for concurrent use.
+// A Board does no I/O: its user passes in the contents of the store, the hosts' reports and
+// the time. The types of this package are not safe for concurrent use.
 package evacuation
 
 import "fmt"
--- a/evacuation/gate.go
+++ b/evacuation/gate.go
@@ -61,8 +61,8 @@
 	return closed
 }
 
-// Kept returns the orders that the host enforces, sorted by domain: none of its requests to
-// these domains is still to be written.
+// Kept returns the orders that the host enforces, sorted by domain: none of its requests
+// to these domains is still to be written.
 func (gat *Gate) Kept() []Order {
 	var enforced []Order
 	for domain, ord := range gat.orders {
--- a/fleet/directory.go
+++ b/fleet/directory.go
@@ -99,9 +99,9 @@
 	return now.Add(remaining)
 }
 
-// Chill marks the engines of a failure domain as cold for at least the duration that coldFor
-// returns for their service; 0 marks none. Engines may have become cold while they were idle,
-// and receive requests again before their entries report it.
+// Chill marks the engines of a failure domain as cold for at least the duration that
+// coldFor returns for their service; 0 marks none. Engines may have become cold while they
+// were idle, and receive requests again before their entries report it.
 func (dir *Directory) Chill(now time.Time, domain string, coldFor func(service string) time.Duration) {
 	for name, eng := range dir.engines {
 		if eng.Domain != domain {
@@ -145,8 +145,8 @@
 	delete(dir.members, name)
 }
 
-// Settle removes the missing entries once the hold has ended, and reports whether it removed
-// any.
+// Settle removes the missing entries once the hold has ended, and reports whether it
+// removed any.
 func (dir *Directory) Settle(now time.Time) bool {
 	if now.Before(dir.holdUntil) || len(dir.missingEngines)+len(dir.missingMembers) == 0 {
 		return false
--- a/fleet/notices.go
+++ b/fleet/notices.go
@@ -46,9 +46,9 @@
 }
 
 // Take stores a notice received at now and reports whether it changes the state of the run:
-// the first signal that it drains or is replaced, a backoff or warm-up while none was in
-// effect, or a new or different rate limit. A shorter backoff doesn't end a longer one, and a
-// draining run stays so after its backoff has expired.
+// the first signal that the run drains or is replaced, a backoff or warm-up while none was in
+// effect, a new or different rate limit, or the end of one. A shorter backoff doesn't end a
+// longer one, and a draining run stays so after its backoff has expired.
 func (ntc *Notices) Take(now time.Time, not Notice) bool {
 	if not.Word == nil {
 		return false
@@ -84,8 +84,8 @@
 	}
 }
 
-// Bar returns the signal that forbids sending requests to the run, with the remaining time of a
-// backoff; nil if requests may be sent.
+// Bar returns the signal that forbids sending requests to the run, with the
+// remaining time of a backoff; nil if requests may be sent.
 func (ntc *Notices) Bar(now time.Time, run EngineID) Word {
 	if sig, final := ntc.final[run]; final {
 		return sig
--- a/fleet/presence.go
+++ b/fleet/presence.go
@@ -71,8 +71,8 @@
 	pre.unreachableAt[epo] = now.Add(reconnectGrace)
 }
 
-// Absent returns the registered hosts that are unreachable, in the order of the members; none
-// if the host itself is assumed to be partitioned.
+// Absent returns the registered hosts that are unreachable, in the order of the
+// members; none if the host itself is assumed to be partitioned.
 func (pre *Presence) Absent(now time.Time) []request.Epoch {
 	var unreachable []request.Epoch
 	for _, mem := range pre.members {
--- a/route/region.go
+++ b/route/region.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// Scope is where a request may be served and held. The zero Scope is anywhere.
+// Scope is the set of regions in which a request may be served and held. The zero Scope allows
+// all regions.
 type Scope struct {
-	// Bounded says that there is a bound; Regions are those that are allowed, which may be none.
+	// Bounded is set if only Regions are allowed, which may be empty.
 	Bounded bool
 	Regions []string
 }
 
-// Scope returns where requests of the route for the client account may be served and held:
-// where both name regions, in those that both name.
+// Scope returns the regions in which requests of the client account to the route may be served
+// and held. If both the route and the account name regions, these are the common ones.
 func (rou Route) Scope(acc Account) Scope {
 	switch {
 	case len(rou.Regions) == 0:
@@ -18,7 +19,7 @@
 	case len(acc.Regions) == 0:
 		return scopeOf(rou.Regions)
 	default:
-		return Scope{Bounded: true, Regions: common(rou.Regions, acc.Regions)}
+		return Scope{Bounded: true, Regions: intersect(rou.Regions, acc.Regions)}
 	}
 }
 
@@ -26,7 +27,7 @@
 	return Scope{Bounded: len(regions) > 0, Regions: regions}
 }
 
-func common(one, two []string) []string {
+func intersect(one, two []string) []string {
 	var both []string
 	for _, region := range one {
 		if slices.Contains(two, region) {
@@ -36,8 +37,8 @@
 	return both
 }
 
-// HostRegions returns the regions in which requests to a host name may be held whichever of its
-// routes they are of, and whether any of these names some.
+// HostRegions returns the regions in which requests to a host name may be held, whichever of its
+// routes they match. The scope is unbounded if none of the routes names regions.
 func (tab *Table) HostRegions(host string) Scope {
 	var sco Scope
 	for _, rou := range tab.routesOf(host) {
@@ -46,60 +47,60 @@
 		case !sco.Bounded:
 			sco = scopeOf(rou.Regions)
 		default:
-			sco.Regions = common(sco.Regions, rou.Regions)
+			sco.Regions = intersect(sco.Regions, rou.Regions)
 		}
 	}
 	return sco
 }
 
-// NowhereError reports a route and a client account that leave no region for their requests.
+// NowhereError reports a route and a client account without a common region.
 type NowhereError struct {
 	Route   string
 	Account string
-	// Field is the field of the account that shares nothing with the route's.
+	// Field is the path of the account's field.
 	Field string
 }
 
-// Error names both, and the field.
+// Error returns the field, the route and the account.
 func (ner *NowhereError) Error() string {
-	return "configuration: " + ner.Field + ": shares no region with route " + ner.Route + ", so requests of account " + ner.Account + " there are refused"
+	return "configuration: " + ner.Field + ": shares no region with route " + ner.Route + "; requests of account " + ner.Account + " to this route are rejected"
 }
 
-// maxNowhere bounds the pairs that are told of.
-const maxNowhere = 16
+// maxReported bounds the number of conflicts and of fields that are reported.
+const maxReported = 16
 
-// Nowhere returns the routes and client accounts that leave no region for their requests, no
-// more than a few.
+// Nowhere returns the pairs of a route and a client account without a common region, at
+// most 16.
 func (tab *Table) Nowhere() []*NowhereError {
-	var nowhere []*NowhereError
+	var conflicts []*NowhereError
 	for idx, acc := range tab.configuration.Accounts {
 		if len(acc.Regions) == 0 {
 			continue
 		}
 		for _, rou := range tab.configuration.Routes {
-			if sco := rou.Scope(acc); sco.Bounded && len(sco.Regions) == 0 && len(nowhere) < maxNowhere {
-				nowhere = append(nowhere, &NowhereError{Route: rou.Name, Account: acc.Name, Field: accountField(idx, "Regions")})
+			if sco := rou.Scope(acc); sco.Bounded && len(sco.Regions) == 0 && len(conflicts) < maxReported {
+				conflicts = append(conflicts, &NowhereError{Route: rou.Name, Account: acc.Name, Field: accountField(idx, "Regions")})
 			}
 		}
 	}
-	return nowhere
+	return conflicts
 }
 
-// UnknownRegions returns the fields that name a region which isn't among the known ones.
+// UnknownRegions returns the paths of the fields that name an unknown region, at most 16.
 func (tab *Table) UnknownRegions(known func(region string) bool) []string {
 	var fields []string
-	strange := func(regions []string) bool {
+	hasUnknown := func(regions []string) bool {
 		return slices.ContainsFunc(regions, func(region string) bool { return !known(region) })
 	}
 	for idx, rou := range tab.configuration.Routes {
-		if strange(rou.Regions) {
+		if hasUnknown(rou.Regions) {
 			fields = append(fields, routeField(idx, "Regions"))
 		}
 	}
 	for idx, acc := range tab.configuration.Accounts {
-		if strange(acc.Regions) {
+		if hasUnknown(acc.Regions) {
 			fields = append(fields, accountField(idx, "Regions"))
 		}
 	}
-	return fields[:min(maxNowhere, len(fields))]
+	return fields[:min(maxReported, len(fields))]
 }
--- a/route/region_test.go
+++ b/route/region_test.go
@@ -8,16 +8,16 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-func TestScopeIsWhatRouteAndAccountBothAllow(t *testing.T) {
+func TestScopeIsTheCommonRegionsOfRouteAndAccount(t *testing.T) {
 	for _, tst := range []struct {
 		name           string
 		route, account []string
 		want           route.Scope
 	}{
 		{"neither names any", nil, nil, route.Scope{}},
-		{"an empty list is none", []string{}, []string{}, route.Scope{Regions: []string{}}},
-		{"the route", []string{"a", "b"}, nil, route.Scope{Bounded: true, Regions: []string{"a", "b"}}},
-		{"the account", nil, []string{"b"}, route.Scope{Bounded: true, Regions: []string{"b"}}},
+		{"empty lists", []string{}, []string{}, route.Scope{Regions: []string{}}},
+		{"only the route", []string{"a", "b"}, nil, route.Scope{Bounded: true, Regions: []string{"a", "b"}}},
+		{"only the account", nil, []string{"b"}, route.Scope{Bounded: true, Regions: []string{"b"}}},
 		{"both", []string{"a", "b"}, []string{"b", "c"}, route.Scope{Bounded: true, Regions: []string{"b"}}},
 		{"nothing in common", []string{"a"}, []string{"c"}, route.Scope{Bounded: true}},
 	} {
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestHostNamesRegionsAreThoseOfAllItsRoutes(t *testing.T) {
+func TestHostRegionsAreCommonToAllItsRoutes(t *testing.T) {
 	path := func(prefix string, regions ...string) route.Route {
 		return route.Route{Name: prefix, Host: "menus", PathPrefix: prefix, Shares: []route.Share{{Service: "s", Weight: 1}}, Timeout: 1, MaxAttempts: 1, Regions: regions}
 	}
@@ -39,8 +39,8 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, tab.HostRegions("MENUS:80"), route.Scope{Bounded: true, Regions: []string{"y"}})
 	assert.DeepEqual(t, tab.HostRegions("other"), route.Scope{})
-	nowhere := tab.Nowhere()
-	assert.Equal(t, len(nowhere), 1)
-	assert.DeepEqual(t, *nowhere[0], route.NowhereError{Route: "/c/", Account: "strange", Field: "Accounts[1].Regions"})
+	conflicts := tab.Nowhere()
+	assert.Equal(t, len(conflicts), 1)
+	assert.DeepEqual(t, *conflicts[0], route.NowhereError{Route: "/c/", Account: "strange", Field: "Accounts[1].Regions"})
 	assert.DeepEqual(t, tab.UnknownRegions(func(region string) bool { return region != "nowhere" && region != "z" }), []string{"Routes[2].Regions", "Accounts[1].Regions"})
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds the configuration that operators put in force for the
-// hosts: which service answers which requests, for whom, and within what.
+// Package route holds the configuration that operators set for all hosts: which service
+// answers which requests, for which client accounts, and within which limits.
 //
 // # Usage
 //
@@ -8,28 +8,28 @@
 //	svc := rou.Pick(point)
 //	acc, known := tab.Account(key)
 //
-// A Table is immutable: a newer configuration makes a new one.
+// A Table is immutable and safe for concurrent use; each configuration has its own.
 package route
 
 import (
 	"time"
 )
 
-// Kind says how often a request of a route may be run.
+// Kind is how often a request of a route may run.
 type Kind uint8
 
 // The kinds of requests.
 const (
-	// KindUnsafe may run at most once for each request.
+	// KindUnsafe requests may run at most once.
 	KindUnsafe Kind = iota
-	// KindSafe may run more than once.
+	// KindSafe requests may run more than once.
 	KindSafe
-	// KindStreaming answers with a stream of events, and counts as unsafe unless
-	// its route is resumable.
+	// KindStreaming requests are answered with a stream of events. They are unsafe unless the
+	// route is resumable.
 	KindStreaming
 )
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (kin Kind) String() string {
 	switch kin {
 	case KindUnsafe:
@@ -43,51 +43,52 @@
 	}
 }
 
-// Share is a service's part of a route's requests.
+// Share is the share of a route's requests that one service gets.
 type Share struct {
 	Service string
-	// Weight is compared with the other shares' weights.
+	// Weight is relative to the weights of the route's other shares.
 	Weight uint32
 }
 
-// Route says how the requests under one host name and path are served.
+// Route defines how the requests for one host name and path prefix are served.
 type Route struct {
 	Name string
-	// Host is the host name that callers ask for, without a port.
+	// Host is the host name that clients request, without a port.
 	Host string
 	// PathPrefix starts and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Shares are the services that answer; there is at least one.
+	// Shares are the services that answer the requests; there is at least one.
 	Shares []Share
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the longest time for which a request may be held.
 	Timeout time.Duration
-	// Aim is within what time an answer, or its first event, is in time.
+	// Aim is the time within which an answer, or the first event of a stream, should arrive.
 	Aim time.Duration
-	// PauseAim is the longest pause between events of a stream in time; 0 where
-	// the route doesn't stream.
+	// PauseAim is the longest gap that should occur between events of a stream; 0 if the route
+	// doesn't stream.
 	PauseAim time.Duration
-	// Rank orders requests that wait: 0 goes first.
+	// Rank orders waiting requests; 0 is served first.
 	Rank int
-	// MaxAttempts is how many engines one request may be sent to.
+	// MaxAttempts is the number of engines that one request may be sent to.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public is set if requests need no key.
 	Public bool
-	// Sticky routes name the parts of their prompts, which engines cache.
+	// Sticky is set if requests identify the parts of their prompts, which engines cache.
 	Sticky bool
-	// Resumable streams may go on at another engine after the last event.
+	// Resumable is set if another engine may continue a stream after its last event.
 	Resumable bool
-	// Regions are those in which requests may be served and held; none for all.
+	// Regions are those in which requests may be served and held; empty for all.
 	Regions []string
 }
 
-// Repeatable reports whether a request may run again after it may have run.
+// Repeatable reports whether a request may be sent to another engine although it may already
+// have run.
 func (rou Route) Repeatable() bool {
 	return rou.Kind == KindSafe || (rou.Kind == KindStreaming && rou.Resumable)
 }
 
-// Pick returns the service for a point of the request, any number that is spread
-// evenly over the requests, as a hash of the id.
+// Pick returns the service that answers a request, in proportion to the weights. point is a
+// number that is evenly distributed over the requests, such as a hash of the id.
 func (rou Route) Pick(point uint64) string {
 	var total uint64
 	for _, sha := range rou.Shares {
@@ -96,61 +97,61 @@
 	if total == 0 {
 		return rou.Shares[0].Service
 	}
-	left := point % total
+	rest := point % total
 	for _, sha := range rou.Shares {
-		if left < uint64(sha.Weight) {
+		if rest < uint64(sha.Weight) {
 			return sha.Service
 		}
-		left -= uint64(sha.Weight)
+		rest -= uint64(sha.Weight)
 	}
 	return rou.Shares[0].Service
 }
 
-// Service is what operators say of a service's engines or backend servers.
+// Service is the configuration of a service's engines or backend servers.
 type Service struct {
 	Name string
-	// MaxConnections is how many connections one of its servers takes from all
-	// hosts together.
+	// MaxConnections is the number of connections that one server accepts from all hosts
+	// together.
 	MaxConnections int
-	// Model is set for services of language-model engines.
+	// Model is set for services with language-model engines.
 	Model *Model
-	// ColdFor is for how long an engine is cold after its start, and ColdRate how many requests
-	// a second it bears meanwhile; 0 where that is no matter.
+	// ColdFor is how long an engine is cold after its start. ColdRate is the number of requests
+	// per second that a cold engine can serve. Both are 0 if engines need no warm-up.
 	ColdFor  time.Duration
 	ColdRate float64
 }
 
-// Model is what operators say of the engines of a service.
+// Model is the configuration of the language-model engines of a service.
 type Model struct {
-	// Slots is how many requests an engine works on at a time.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// CacheTokens is how many tokens an engine's memory holds, running requests
-	// and cached parts together.
+	// CacheTokens is the capacity of an engine's memory in tokens, shared by running requests
+	// and cached prompt parts.
 	CacheTokens int
-	// EventTokens is how many tokens an event of a stream holds.
+	// EventTokens is the number of tokens in an event of a stream.
 	EventTokens int
 }
 
-// Account is a client account: who holds which keys, and how much it may ask for.
+// Account is a client account, with its keys and its limits.
 type Account struct {
 	Name string
 	Keys []string
-	// Rank replaces the route's rank where it is set.
+	// Rank overrides the rank of the route if it is set.
 	Rank *int
-	// Rate and Burst limit the account over all hosts, in units a second and in
-	// units; Rate 0 is no limit.
+	// Rate and Burst limit the account's requests over all hosts, in units per second and in
+	// units; Rate 0 means no limit.
 	Rate  float64
 	Burst float64
-	// ByTokens has a request count its tokens, else it counts 1.
+	// ByTokens is set if the units are tokens; otherwise each request counts as 1.
 	ByTokens bool
-	// PlainTokens is what a request counts that tells no tokens.
+	// PlainTokens is the cost of a request that doesn't state its tokens.
 	PlainTokens int
-	// Regions are those in which its requests may be served and held; none for all.
+	// Regions are those in which the account's requests may be served and held; empty for all.
 	Regions []string
 }
 
-// Cost returns how many units of the account's limit a request takes; tokens is
-// 0 where the request tells none.
+// Cost returns the number of units that a request counts against the account's limit; tokens is
+// 0 if the request doesn't state them.
 func (acc Account) Cost(tokens int) float64 {
 	switch {
 	case !acc.ByTokens:
@@ -162,7 +163,7 @@
 	}
 }
 
-// Limits bound what callers may send and how long they may be idle.
+// Limits bounds the size of clients' requests and the time that clients may take.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -170,9 +171,9 @@
 	IdleTimeout    time.Duration
 }
 
-// Configuration is one whole version of what operators have put in force.
+// Configuration is one complete version of the operators' configuration.
 type Configuration struct {
-	// Version grows with each change, in uneven steps.
+	// Version increases with each change, not necessarily by 1.
 	Version  uint64
 	Routes   []Route
 	Services []Service
--- a/route/table.go
+++ b/route/table.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// FieldError reports a configuration that can't be put in force.
+// FieldError reports an invalid configuration.
 type FieldError struct {
-	// Field is the path of the field, for example "Routes[2].Shares".
+	// Field is the path of the invalid field, for example "Routes[2].Shares".
 	Field  string
 	Reason string
 }
 
-// Error names the field and the reason.
+// Error returns the field and the reason.
 func (fer *FieldError) Error() string {
 	return "configuration: " + fer.Field + ": " + fer.Reason
 }
 
-// Table answers what a request needs to know of one configuration.
+// Table is an index of one configuration for serving requests.
 type Table struct {
 	configuration Configuration
 	byHost        map[string][]Route
@@ -29,8 +29,8 @@
 	byAccount     map[string]Account
 }
 
-// NewTable checks the configuration and returns its table; it returns a
-// *FieldError that names the first field that can't be used.
+// NewTable validates the configuration and returns its table. The error is a *FieldError for
+// the first invalid field.
 func NewTable(con Configuration) (*Table, error) {
 	tab := &Table{
 		configuration: con,
@@ -85,8 +85,8 @@
 		}
 		tab.byAccount[acc.Name] = acc
 		for _, key := range acc.Keys {
-			if former, taken := tab.byKey[key]; taken && former.Name != acc.Name {
-				return fieldError(idx, "Accounts", "Keys", "a key is held by "+former.Name+" too")
+			if prev, taken := tab.byKey[key]; taken && prev.Name != acc.Name {
+				return fieldError(idx, "Accounts", "Keys", "a key is assigned to account "+prev.Name+" as well")
 			}
 			tab.byKey[key] = acc
 		}
@@ -106,18 +106,18 @@
 
 func accountField(idx int, field string) string { return listField(idx, "Accounts", field) }
 
-// Configuration returns what the table was made from.
+// Configuration returns the configuration that the table was made from.
 func (tab *Table) Configuration() Configuration {
 	return tab.configuration
 }
 
-// Version returns the configuration's version.
+// Version returns the version of the configuration.
 func (tab *Table) Version() uint64 {
 	return tab.configuration.Version
 }
 
-// Match returns the route with the longest prefix of the path under the host
-// name, which may carry a port.
+// Match returns the route of the host name with the longest matching path prefix, and whether
+// there is one. The host name may include a port.
 func (tab *Table) Match(host, path string) (Route, bool) {
 	for _, rou := range tab.routesOf(host) {
 		if strings.HasPrefix(path, rou.PathPrefix) {
@@ -127,7 +127,7 @@
 	return Route{}, false
 }
 
-// routesOf returns the routes of a host name, which may carry a port.
+// routesOf returns the routes of a host name, which may include a port.
 func (tab *Table) routesOf(host string) []Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -135,7 +135,8 @@
 	return tab.byHost[strings.ToLower(host)]
 }
 
-// HasAccounts reports whether requests need keys at all.
+// HasAccounts reports whether any client account is configured; without accounts, no request
+// needs a key.
 func (tab *Table) HasAccounts() bool {
 	return len(tab.configuration.Accounts) > 0
 }
@@ -146,13 +147,13 @@
 	return acc, known
 }
 
-// AccountNamed returns the client account with the name.
+// AccountNamed returns the client account with the given name.
 func (tab *Table) AccountNamed(name string) (Account, bool) {
 	acc, known := tab.byAccount[name]
 	return acc, known
 }
 
-// Service returns the service with the name.
+// Service returns the service with the given name.
 func (tab *Table) Service(name string) (Service, bool) {
 	svc, known := tab.byService[name]
 	return svc, known
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestLongestPrefixOfTheHostNameWins(t *testing.T) {
+func TestMatchReturnsTheLongestPrefixOfTheHost(t *testing.T) {
 	tab, err := route.NewTable(sample())
 	assert.NilError(t, err)
 	for target, want := range map[[2]string]string{
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestBadConfigurationsNameTheirField(t *testing.T) {
+func TestNewTableReportsTheInvalidField(t *testing.T) {
 	for field, change := range map[string]func(*route.Configuration){
 		"Services[1].Name":      func(con *route.Configuration) { con.Services[1].Name = "" },
 		"Routes[0].Host":        func(con *route.Configuration) { con.Routes[0].Host = "" },
@@ -66,14 +66,14 @@
 	}
 }
 
-func TestCost(t *testing.T) {
+func TestCostIsInTokensOrRequests(t *testing.T) {
 	acc := route.Account{ByTokens: true, PlainTokens: 200}
 	assert.Equal(t, acc.Cost(1500), 1500.0)
 	assert.Equal(t, acc.Cost(0), 200.0)
 	assert.Equal(t, route.Account{}.Cost(1500), 1.0)
 }
 
-// Each share gets its part of the points.
+// Over all points, each service is picked as often as its weight.
 func TestPickFollowsTheWeights(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Uint32Range(0, 50), 1, 5).Draw(rt, "weights")
