--- a/call/call.go
+++ b/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds a caller's request and an engine's answer as the hosts see
-// them, whatever they are named on the wire.
+// Package call defines a client's request and an engine's answer as the hosts process them,
+// independent of their form on the wire.
 //
 // # Usage
 //
@@ -12,84 +12,85 @@
 	"time"
 )
 
-// Part is one part of a prompt; an engine that holds it, and all parts before
-// it, doesn't read it again.
+// Part is one part of a prompt. An engine that has cached it, and all parts before it, doesn't
+// process it again.
 type Part struct {
-	// ID is the same for the same text.
+	// ID is equal for equal texts.
 	ID     uint64
 	Tokens int
 }
 
-// Request is one attempt of a caller.
+// Request is one attempt of a client.
 type Request struct {
-	// ID is the attempt's own; a caller's repeat has another one.
+	// ID identifies the attempt; a client's retry has a different one.
 	ID string
 	// Host and Path select the route.
 	Host string
 	Path string
-	// Method and Target are what the engine gets, unaltered.
+	// Method and Target are passed on to the engine unchanged.
 	Method string
 	Target string
-	// Key is the caller's key; empty where it sent none.
+	// Key is the client's key; empty for none.
 	Key string
-	// Deadline is how long the caller waits from now on; 0 where it told nothing.
+	// Deadline is how long the client waits from now on; 0 if it sent no deadline.
 	Deadline time.Duration
-	// PromptTokens and MaxTokens are the length of the prompt and the most that
-	// may be answered; 0 for requests without a prompt.
+	// PromptTokens is the length of the prompt, MaxTokens the maximum length of the answer;
+	// both are 0 for requests without a prompt.
 	PromptTokens int
 	MaxTokens    int
-	// HintTokens is the caller's guess at the answer's length; 0 for none.
+	// HintTokens is the client's estimate of the answer's length; 0 for none.
 	HintTokens int
-	// Parts make up the prompt, in their order.
+	// Parts are the parts of the prompt, in order.
 	Parts []Part
-	// LastEvent is the last event that the caller has of a stream it resumes; 0
-	// for none.
+	// LastEvent is the last event that the client has received of the stream that it resumes;
+	// 0 for none.
 	LastEvent int64
-	// Header goes on to the engine, without what concerns one connection only.
+	// Header is passed on to the engine, without the hop-by-hop headers.
 	Header http.Header
 	Body   []byte
 }
 
-// Tokens returns what the request counts against a limit by tokens; 0 where it
-// tells none.
+// Tokens returns the number of tokens that the request counts against a limit by tokens; 0 if it
+// doesn't state them.
 func (req Request) Tokens() int {
 	return req.PromptTokens + req.MaxTokens
 }
 
-// AnswerHead is what the head of an engine's answer says.
+// AnswerHead is the decoded status and headers of an engine's answer.
 type AnswerHead struct {
-	// ID is the request that the answer belongs to; empty where it names none.
+	// ID is the id of the request that the answer belongs to; empty if it carries none.
 	ID string
-	// Signed answers come from the engine's work; a success without it isn't one.
+	// Signed is set if the answer carries the engine's signature, which shows that the engine
+	// produced it. A success without a signature isn't accepted as one.
 	Signed bool
-	// NotRun says that the engine did not run the request.
+	// NotRun is set if the engine didn't run the request.
 	NotRun bool
-	// Running, Waiting and Slots tell the engine's load where HasLoad is set.
+	// Running, Waiting and Slots are the engine's load if HasLoad is set.
 	HasLoad bool
 	Running int
 	Waiting int
 	Slots   int
-	// IdleLimit is how long the connection may be idle; 0 where it isn't told.
+	// IdleLimit is how long the connection may be idle; 0 if the answer doesn't state it.
 	IdleLimit time.Duration
-	// Misdirected says that the request was meant for another engine than the one that
-	// answers, and Instance names that one; empty where it doesn't say.
+	// Misdirected is set if the request was intended for another engine than the one that
+	// answers. Instance identifies the answering engine; empty if the answer doesn't state it.
 	Misdirected bool
 	Instance    string
-	// Draining says that the engine leaves.
+	// Draining is set if the engine is draining.
 	Draining bool
-	// Backoff is for how long the engine wants nothing more from this host; 0 for no wish.
-	// UnreadBackoff is the beginning of such a wish that can't be taken as it stands.
+	// Backoff is how long this host should send the engine no requests; 0 for no backoff.
+	// UnreadBackoff is the beginning of a header value that isn't a valid backoff.
 	Backoff       time.Duration
 	UnreadBackoff string
-	// HasRate says that the engine names a rate: Rate is the most requests a second that it
-	// takes from all hosts together. UnreadRate is the beginning of one that can't be taken.
+	// HasRate is set if the answer carries a rate limit. Rate is the limit in requests per
+	// second, from all hosts together. UnreadRate is the beginning of an invalid value.
 	HasRate    bool
 	Rate       float64
 	UnreadRate string
-	// Cold is for how much longer the engine is cold; 0 for one that doesn't say so. UnreadCold
-	// is the beginning of such a word that can't be taken.
+	// Cold is how much longer the engine is cold; 0 if it doesn't report to be. UnreadCold is
+	// the beginning of an invalid value.
 	Cold       time.Duration
 	UnreadCold string
-	// Unknown are the names of headers that nobody reads, in no order.
+	// Unknown are the names of unrecognized headers, in no particular order.
 	Unknown []string
 }
--- a/call/digest.go
+++ b/call/digest.go
@@ -8,13 +8,13 @@
 	"io"
 )
 
-// Digest stands for what a request asks and who asks it: two requests of the same client
-// account with the same method, host name, target and body have the same digest, whatever
-// their ids and whichever hosts took them. It holds nothing of the body. The zero value
-// stands for none.
+// Digest identifies the content of a request and its client account: two requests of the same
+// account with the same method, host name, target and body have the same digest, whatever their
+// ids and whichever hosts received them. The body can't be recovered from it. The zero value
+// stands for no digest.
 type Digest [16]byte
 
-// String returns the digest in hexadecimal; empty for none.
+// String returns the digest as 32 hexadecimal digits; empty for none.
 func (dig Digest) String() string {
 	if dig == (Digest{}) {
 		return ""
@@ -22,12 +22,12 @@
 	return hex.EncodeToString(dig[:])
 }
 
-// MarshalText writes the digest as String does.
+// MarshalText encodes the digest in the form of String.
 func (dig Digest) MarshalText() ([]byte, error) {
 	return []byte(dig.String()), nil
 }
 
-// UnmarshalText reads what MarshalText wrote. It returns a *DigestError for anything else.
+// UnmarshalText decodes the form of MarshalText. The error is a *DigestError.
 func (dig *Digest) UnmarshalText(text []byte) error {
 	parsed, err := ParseDigest(string(text))
 	if err != nil {
@@ -37,18 +37,18 @@
 	return nil
 }
 
-// DigestError reports a text that isn't a digest.
+// DigestError reports a text that isn't a valid digest.
 type DigestError struct {
 	Text string
 }
 
-// Error names the text and what is wanted.
+// Error returns the text and the expected form.
 func (der *DigestError) Error() string {
 	return "digest " + der.Text + ": want 32 hexadecimal digits"
 }
 
-// ParseDigest reads what String wrote. It returns a *DigestError for anything else; the
-// empty text stands for none.
+// ParseDigest parses the form of String. The empty text stands for no digest. The error is a
+// *DigestError.
 func ParseDigest(text string) (Digest, error) {
 	var dig Digest
 	if text == "" {
@@ -62,29 +62,29 @@
 	return dig, nil
 }
 
-// Digest returns the digest of the request as the named client account sends it; the
-// account is empty on public routes, whose callers can't be told apart. The body must have
-// been read to its end: of a part of it nothing can be said. Half of a SHA-256 is enough
-// that no two requests meet by chance or by a caller's search, and costs a microsecond for
-// each KB of body beside the six of a decision (BenchmarkDigest).
+// Digest returns the digest of the request for the named client account, which is empty on
+// public routes, where clients can't be distinguished. The body must have been read to its end:
+// a digest of a part of it would be meaningless. Half of a SHA-256 is long enough that two
+// requests collide neither by accident nor through a client's search. It takes a microsecond
+// for each KB of body, compared with six for a scheduling decision (BenchmarkDigest).
 func (req Request) Digest(account string) Digest {
 	sum := sha256.New()
 	for _, field := range []string{account, req.Method, req.Host, req.Target} {
 		writeField(sum, field)
 	}
-	// A hash takes any bytes without an error.
+	// Writing to a hash never fails.
 	_, _ = sum.Write(req.Body)
 	var dig Digest
 	copy(dig[:], sum.Sum(nil))
 	return dig
 }
 
-// writeField writes a text behind its length, so that no two lists of fields are written
-// alike.
+// writeField writes a text preceded by its length, so that different lists of fields are never
+// encoded alike.
 func writeField(sum hash.Hash, field string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
-	// A hash takes any bytes without an error.
+	// Writing to a hash never fails.
 	_, _ = sum.Write(length[:])
 	_, _ = io.WriteString(sum, field)
 }
--- a/call/digest_test.go
+++ b/call/digest_test.go
@@ -14,7 +14,7 @@
 	return call.Request{ID: "one", Method: "POST", Host: "menus.example", Target: "/stream/x?q=1", Path: "/stream/x", Body: []byte("a week of meals")}
 }
 
-func TestDigestIsOfWhatIsAskedAndByWhom(t *testing.T) {
+func TestDigestDependsOnContentAndAccount(t *testing.T) {
 	usual := sample().Digest("kitchen")
 	cases := map[string]struct {
 		change  func(*call.Request)
@@ -40,7 +40,8 @@
 	}
 }
 
-// Where one field ends and the next begins must not be for a caller to choose.
+// Without separation of the fields, a client could move text from one field to the next and
+// produce another request's digest.
 func TestDigestsOfDifferentFieldsDiffer(t *testing.T) {
 	text := rapid.StringMatching(`[a-c]{0,3}`)
 	rapid.Check(t, func(t *rapid.T) {
@@ -57,7 +58,7 @@
 	})
 }
 
-func TestDigestIsReadAsItIsWritten(t *testing.T) {
+func TestDigestTextRoundTrip(t *testing.T) {
 	dig := sample().Digest("kitchen")
 	read, err := call.ParseDigest(dig.String())
 	assert.NilError(t, err)
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,20 +1,20 @@
-// Package clock tells by what time a host's rights last and lapse: leases, ages of what it
-// knows, deadlines, holds.
+// Package clock provides the time by which a host checks leases, deadlines, holds and the age of
+// its snapshots.
 //
-// A host may be suspended for seconds. The steady clock of the operating system stands
-// still meanwhile, and so do all timers; the time of day goes on, but may be set at any
-// moment. A Clock goes on like the former and counts what the host was suspended, so that
-// a host that wakes up knows what has lapsed.
+// A host may be suspended for seconds. The monotonic clock of the operating system and all
+// timers stop during a suspension. The wall clock doesn't, but it may be set at any time. A
+// Clock follows the monotonic clock and adds the time for which the host was suspended, so that
+// a resumed host knows what has expired.
 //
 // # Usage
 //
 //	clk := clock.New(clock.Config{Suspended: func(dur time.Duration) { ... }})
 //	lease := clk.Now().Add(ttl)
 //	ctx, cancel := clk.WithDeadline(ctx, clk.Now().Add(wait))
-//	go clk.Watch(ctx) // notices a suspension while nobody asks for the time
+//	go clk.Watch(ctx) // detects suspensions while the clock isn't read
 //
-// Its times hold no reading of the steady clock, so they are compared with one another
-// only, never with time.Now. What only measures, such as how long an answer took, keeps to
+// The times of a Clock carry no monotonic reading: compare them only with one another, never
+// with time.Now. Code that only measures a duration, such as the time that an answer took, uses
 // time.Since.
 package clock
 
@@ -26,57 +26,58 @@
 )
 
 const (
-	// minSuspended is the least suspension that counts: readings of two clocks, one after the
-	// other, differ by less.
+	// minSuspended is the shortest suspension that counts. Consecutive readings of two clocks
+	// differ by less.
 	minSuspended = 2 * time.Millisecond
-	// drift is by how much the time of day may part from the steady clock before the clock
-	// that counts suspensions is asked: a clock that is disciplined by the network parts by
-	// half a millisecond a second at most, one that was set or a host that was suspended at
-	// once. So that one, which costs a system call, is hardly ever asked.
-	drift = 5 * time.Millisecond
-	// watchInterval is how often a Clock that nobody asks looks for a suspension: a
-	// quarter of the second after which callers go elsewhere.
+	// maxDrift is how far the wall clock may diverge from the monotonic clock before the
+	// boot-time clock is read. A clock disciplined by NTP diverges by at most half a
+	// millisecond per second; one that is set diverges at once, and so does the clock of a
+	// suspended host. The boot-time clock, which takes a system call, is thus rarely read.
+	maxDrift = 5 * time.Millisecond
+	// watchInterval is how often Watch checks for a suspension: a quarter of the second after
+	// which clients switch to another host.
 	watchInterval = 250 * time.Millisecond
 )
 
-// Source are the clocks of the operating system.
+// Source provides the readings of the operating system's clocks.
 type Source interface {
-	// Now returns the steady clock's time since some start, and the time of day.
-	Now() (steady time.Duration, day time.Time)
-	// Boot returns the time since some start, with what the host was suspended.
+	// Now returns the monotonic clock's time since some fixed point, and the wall clock's time.
+	Now() (monotonic time.Duration, wall time.Time)
+	// Boot returns the boot-time clock's time since some fixed point, including the time for
+	// which the host was suspended.
 	Boot() (time.Duration, error)
 }
 
-// Config holds what a Clock is made from.
+// Config holds the settings of a Clock.
 type Config struct {
 	// Source is nil for the operating system's clocks.
 	Source Source
-	// Suspended is called after each suspension, with its length; nil for nobody. It must
-	// not wait.
+	// Suspended is called after each suspension, with its length. It may be nil and must not
+	// block.
 	Suspended func(time.Duration)
-	// Failed is called where the clock that counts suspensions can't be read; nil for
-	// nobody.
+	// Failed is called with the error if the boot-time clock can't be read. It may be nil.
 	Failed func(error)
 }
 
-// Clock tells the time; it is safe for use by several goroutines.
+// Clock is a clock that counts suspensions. It is safe for concurrent use.
 type Clock struct {
 	cfg Config
-	// base is the time of day at the start, steady and boot are the clocks' readings then.
-	base   time.Time
-	steady time.Duration
-	boot   time.Duration
-	// suspended is for how long the host was suspended since.
+	// base is the wall clock's time at the start, monotonic and boot are the readings of the
+	// other clocks then.
+	base      time.Time
+	monotonic time.Duration
+	boot      time.Duration
+	// suspended is the total suspension since the start, in nanoseconds.
 	suspended atomic.Int64
-	// parted is by how much the time of day had parted from the steady clock when
-	// suspensions were last looked for.
-	parted atomic.Int64
+	// divergence is by how much the wall clock had diverged from the monotonic clock at the
+	// last check for a suspension, in nanoseconds.
+	divergence atomic.Int64
 
 	mutex     sync.Mutex
 	deadlines map[*deadline]struct{}
 }
 
-// New returns a clock that begins with the time of day.
+// New returns a clock that starts at the current time of the wall clock.
 func New(cfg Config) *Clock {
 	if cfg.Source == nil {
 		cfg.Source = newSystem()
@@ -88,8 +89,8 @@
 		cfg.Failed = func(error) {}
 	}
 	clk := &Clock{cfg: cfg, deadlines: make(map[*deadline]struct{})}
-	steady, day := cfg.Source.Now()
-	clk.steady, clk.base = steady, day.Round(0)
+	monotonic, wall := cfg.Source.Now()
+	clk.monotonic, clk.base = monotonic, wall.Round(0)
 	boot, err := cfg.Source.Boot()
 	if err != nil {
 		cfg.Failed(err)
@@ -98,52 +99,52 @@
 	return clk
 }
 
-// Now returns the time. It never goes back.
+// Now returns the time. It never goes backwards.
 func (clk *Clock) Now() time.Time {
-	steady, day := clk.cfg.Source.Now()
-	steady -= clk.steady
-	parted := int64(day.Round(0).Sub(clk.base) - steady)
-	if moved := time.Duration(parted - clk.parted.Load()); moved > drift || moved < -drift {
-		clk.look(parted)
+	monotonic, wall := clk.cfg.Source.Now()
+	monotonic -= clk.monotonic
+	divergence := int64(wall.Round(0).Sub(clk.base) - monotonic)
+	if drift := time.Duration(divergence - clk.divergence.Load()); drift > maxDrift || drift < -maxDrift {
+		clk.checkSuspension(divergence)
 	}
-	return clk.base.Add(steady + time.Duration(clk.suspended.Load()))
+	return clk.base.Add(monotonic + time.Duration(clk.suspended.Load()))
 }
 
-// known returns the time by what is known of suspensions, without looking for another.
-func (clk *Clock) known() time.Time {
-	steady, _ := clk.cfg.Source.Now()
-	return clk.base.Add(steady - clk.steady + time.Duration(clk.suspended.Load()))
+// nowUnchecked returns the time without checking for a suspension.
+func (clk *Clock) nowUnchecked() time.Time {
+	monotonic, _ := clk.cfg.Source.Now()
+	return clk.base.Add(monotonic - clk.monotonic + time.Duration(clk.suspended.Load()))
 }
 
-// Since returns how long ago a time of this clock was.
+// Since returns the duration since a time of this clock.
 func (clk *Clock) Since(at time.Time) time.Duration {
 	return clk.Now().Sub(at)
 }
 
-// Until returns how far off a time of this clock is.
+// Until returns the duration until a time of this clock.
 func (clk *Clock) Until(at time.Time) time.Duration {
 	return at.Sub(clk.Now())
 }
 
-// look asks for how long the host was suspended.
-func (clk *Clock) look(parted int64) {
-	clk.parted.Store(parted)
+// checkSuspension reads the boot-time clock and records a suspension if there was one.
+func (clk *Clock) checkSuspension(divergence int64) {
+	clk.divergence.Store(divergence)
 	boot, err := clk.cfg.Source.Boot()
 	if err != nil {
 		clk.cfg.Failed(err)
 		return
 	}
-	steady, _ := clk.cfg.Source.Now()
-	total := boot - clk.boot - (steady - clk.steady)
-	before := time.Duration(clk.suspended.Load())
-	if total-before < minSuspended || !clk.suspended.CompareAndSwap(int64(before), int64(total)) {
+	monotonic, _ := clk.cfg.Source.Now()
+	total := boot - clk.boot - (monotonic - clk.monotonic)
+	known := time.Duration(clk.suspended.Load())
+	if total-known < minSuspended || !clk.suspended.CompareAndSwap(int64(known), int64(total)) {
 		return
 	}
 	clk.moveDeadlines()
-	clk.cfg.Suspended(total - before)
+	clk.cfg.Suspended(total - known)
 }
 
-// Watch looks for suspensions until the context ends.
+// Watch checks for suspensions until the context is canceled, and returns the context's error.
 func (clk *Clock) Watch(ctx context.Context) error {
 	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -13,8 +13,8 @@
 	"lynxwell.dev/lynxwell/clocktest"
 )
 
-// Whatever happens to the clocks, in whatever order, time goes on by what passed and by
-// what the host was suspended; setting the time of day changes nothing.
+// In any order of events, the clock must advance by the time that passed and the time for which
+// the host was suspended. Setting the wall clock must change nothing.
 func TestClockCountsSuspensionsAndNothingElse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		src := clocktest.NewStopped()
@@ -39,21 +39,21 @@
 	})
 }
 
-func TestClockTellsOfASuspension(t *testing.T) {
+func TestClockReportsASuspensionOnce(t *testing.T) {
 	src := clocktest.NewStopped()
-	var told []time.Duration
-	clk := clock.New(clock.Config{Source: src, Suspended: func(dur time.Duration) { told = append(told, dur) }})
+	var reported []time.Duration
+	clk := clock.New(clock.Config{Source: src, Suspended: func(dur time.Duration) { reported = append(reported, dur) }})
 	src.Set(time.Hour)
 	clk.Now()
 	src.Suspend(3 * time.Second)
 	clk.Now()
 	clk.Now()
-	assert.DeepEqual(t, told, []time.Duration{3 * time.Second})
+	assert.DeepEqual(t, reported, []time.Duration{3 * time.Second})
 }
 
-// The clock that counts suspensions costs a system call: it is asked when the time of day
-// and the steady clock have parted, and not for each reading.
-func TestSuspensionsAreLookedForSeldom(t *testing.T) {
+// Reading the boot-time clock takes a system call. It must be read only when the wall clock and
+// the monotonic clock have diverged, and not on each reading of the time.
+func TestBootTimeClockIsRarelyRead(t *testing.T) {
 	src := clocktest.NewStopped()
 	clk := clock.New(clock.Config{Source: src})
 	before := src.Boots()
@@ -65,7 +65,7 @@
 	assert.Assert(t, src.Boots()-before <= 20, src.Boots())
 }
 
-func TestClockGoesOnWithoutTheOneThatCountsSuspensions(t *testing.T) {
+func TestClockAdvancesWithoutTheBootTimeClock(t *testing.T) {
 	src := clocktest.NewStopped()
 	var failed error
 	clk := clock.New(clock.Config{Source: src, Failed: func(err error) { failed = err }})
@@ -77,7 +77,7 @@
 	assert.Error(t, failed, "not there")
 }
 
-func TestDeadlineEndsInASuspension(t *testing.T) {
+func TestDeadlinePassesDuringASuspension(t *testing.T) {
 	src := clocktest.NewSource()
 	clk := clock.New(clock.Config{Source: src})
 	ctx, cancel := clk.WithDeadline(t.Context(), clk.Now().Add(time.Hour))
@@ -86,41 +86,41 @@
 	defer cancelLater()
 	src.Suspend(2 * time.Hour)
 	clk.Now()
-	awaitEnd(ctx, t)
+	awaitCancel(ctx, t)
 	assert.Assert(t, errors.Is(context.Cause(ctx), context.DeadlineExceeded))
 	assert.NilError(t, later.Err())
 }
 
-func TestDeadlineEndsWithoutASuspension(t *testing.T) {
+func TestDeadlinePassesWithoutASuspension(t *testing.T) {
 	clk := clock.New(clock.Config{})
 	ctx, cancel := clk.WithDeadline(t.Context(), clk.Now().Add(time.Millisecond))
 	defer cancel()
-	awaitEnd(ctx, t)
+	awaitCancel(ctx, t)
 	assert.Assert(t, errors.Is(context.Cause(ctx), context.DeadlineExceeded))
 }
 
-func awaitEnd(ctx context.Context, t *testing.T) {
+func awaitCancel(ctx context.Context, t *testing.T) {
 	t.Helper()
 	select {
 	case <-ctx.Done():
 	case <-time.After(10 * time.Second):
-		t.Fatal("it doesn't end")
+		t.Fatal("the context isn't canceled within 10 s")
 	}
 }
 
-func TestWatchNoticesASuspensionWhileNobodyAsks(t *testing.T) {
+func TestWatchDetectsASuspensionWhileTheClockIsNotRead(t *testing.T) {
 	src := clocktest.NewSource()
-	noticed := make(chan time.Duration, 1)
-	clk := clock.New(clock.Config{Source: src, Suspended: func(dur time.Duration) { noticed <- dur }})
+	detected := make(chan time.Duration, 1)
+	clk := clock.New(clock.Config{Source: src, Suspended: func(dur time.Duration) { detected <- dur }})
 	ctx, cancel := context.WithCancel(t.Context())
 	end := make(chan error, 1)
 	go func() { end <- clk.Watch(ctx) }()
 	src.Suspend(time.Minute)
 	select {
-	case dur := <-noticed:
+	case dur := <-detected:
 		assert.Equal(t, dur.Round(time.Second), time.Minute)
 	case <-time.After(10 * time.Second):
-		t.Fatal("it isn't noticed")
+		t.Fatal("the suspension isn't detected within 10 s")
 	}
 	cancel()
 	assert.Assert(t, errors.Is(<-end, context.Canceled))
--- a/clock/deadline.go
+++ b/clock/deadline.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// deadline ends a context at a time of the clock.
+// deadline cancels a context at a time of the clock.
 type deadline struct {
 	at     time.Time
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// WithDeadline returns a context that ends at a time of this clock, also where the host was
-// suspended meanwhile, with context.DeadlineExceeded as its cause.
+// WithDeadline returns a context that is canceled at a time of this clock, even if the host is
+// suspended in the meantime. Its cause is then context.DeadlineExceeded.
 func (clk *Clock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	dea := &deadline{at: at, cancel: cancel}
@@ -31,11 +31,11 @@
 	}
 }
 
-// moveDeadlines lets all timers end sooner after a suspension, in which they stood still.
+// moveDeadlines resets all timers after a suspension, during which they didn't run.
 func (clk *Clock) moveDeadlines() {
 	clk.mutex.Lock()
 	defer clk.mutex.Unlock()
-	now := clk.known()
+	now := clk.nowUnchecked()
 	for dea := range clk.deadlines {
 		dea.timer.Reset(max(0, dea.at.Sub(now)))
 	}
--- a/clock/system.go
+++ b/clock/system.go
@@ -7,14 +7,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// system are the clocks of the operating system.
+// system reads the clocks of the operating system.
 type system struct {
 	start time.Time
 }
 
 func newSystem() *system { return &system{start: time.Now()} }
 
-// Now implements Source; both readings come of one call without a system call.
+// Now implements Source. Both readings come from one time.Now, which needs no system call.
 func (sys *system) Now() (time.Duration, time.Time) {
 	now := time.Now()
 	return now.Sub(sys.start), now
@@ -24,7 +24,7 @@
 func (sys *system) Boot() (time.Duration, error) {
 	var spec unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &spec); err != nil {
-		return 0, errors.Wrap(err, "clock that counts suspensions")
+		return 0, errors.Wrap(err, "read CLOCK_BOOTTIME")
 	}
 	return time.Duration(spec.Nano()), nil
 }
--- a/clocktest/source.go
+++ b/clocktest/source.go
@@ -1,11 +1,11 @@
-// Package clocktest is a stand-in of a host's clocks, which a test may suspend and set.
+// Package clocktest provides a fake of a host's clocks, which a test may suspend and set.
 //
 // # Usage
 //
 //	src := clocktest.NewSource()
 //	clk := clock.New(clock.Config{Source: src})
-//	src.Suspend(10 * time.Second) // the steady clock doesn't notice
-//	src.Set(-2 * time.Second)     // somebody sets the time of day
+//	src.Suspend(10 * time.Second)        // the monotonic clock doesn't count this time
+//	src.ShiftWallClock(-2 * time.Second) // as when the wall clock is set
 package clocktest
 
 import (
@@ -13,83 +13,84 @@
 	"time"
 )
 
-// Source goes on as the real clocks do, beside what the test does to it.
+// Source is a fake of the operating system's clocks. It is safe for concurrent use.
 type Source struct {
 	start     time.Time
 	mutex     sync.Mutex
 	suspended time.Duration
-	set       time.Duration
-	// stopped has the steady clock stand at a time that Advance moves.
-	stopped bool
-	steady  time.Duration
-	boots   int
-	err     error
+	shift     time.Duration
+	// stopped is set if the monotonic clock reads the time in monotonic, which Advance moves,
+	// instead of the real time.
+	stopped   bool
+	monotonic time.Duration
+	bootReads int
+	err       error
 }
 
-// NewSource returns clocks that go on by themselves.
+// NewSource returns clocks that follow the real time.
 func NewSource() *Source {
 	return &Source{start: time.Now()}
 }
 
-// NewStopped returns clocks that Advance moves, and nothing else.
+// NewStopped returns clocks that only move through Advance, Suspend and Set.
 func NewStopped() *Source {
 	return &Source{start: time.Unix(1_000_000, 0), stopped: true}
 }
 
-// Suspend lets time pass that the steady clock doesn't count.
+// Suspend lets time pass that the monotonic clock doesn't count.
 func (src *Source) Suspend(dur time.Duration) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
 	src.suspended += dur
 }
 
-// Set moves the time of day, forward or back.
+// Set moves the wall clock forward, or back by a negative duration.
 func (src *Source) Set(by time.Duration) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
-	src.set += by
+	src.shift += by
 }
 
-// Advance lets time pass on stopped clocks.
+// Advance lets time pass on the clocks of NewStopped.
 func (src *Source) Advance(dur time.Duration) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
-	src.steady += dur
+	src.monotonic += dur
 }
 
-// Fail has the clock that counts suspensions fail from now on; nil has it work.
+// Fail makes the boot-time clock fail with the error from now on; nil makes it work again.
 func (src *Source) Fail(err error) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
 	src.err = err
 }
 
-// Boots returns how often the clock that counts suspensions was read.
+// Boots returns the number of reads of the boot-time clock.
 func (src *Source) Boots() int {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
-	return src.boots
+	return src.bootReads
 }
 
 // Now implements clock.Source.
 func (src *Source) Now() (time.Duration, time.Time) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
-	steady := src.elapsed()
-	return steady, src.start.Round(0).Add(steady + src.suspended + src.set)
+	monotonic := src.elapsed()
+	return monotonic, src.start.Round(0).Add(monotonic + src.suspended + src.shift)
 }
 
 // Boot implements clock.Source.
 func (src *Source) Boot() (time.Duration, error) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
-	src.boots++
+	src.bootReads++
 	return src.elapsed() + src.suspended, src.err
 }
 
 func (src *Source) elapsed() time.Duration {
 	if src.stopped {
-		return src.steady
+		return src.monotonic
 	}
 	return time.Since(src.start)
 }
--- a/request/ballot.go
+++ b/request/ballot.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Ballot orders the gateways that claim one request. The gateway that the id
-// names holds the zero ballot; one that fences the request takes a higher one.
+// Ballot orders the claims of gateways to one request. The gateway that the id names has a
+// ballot of round 0; a gateway that fences the request uses a higher ballot.
 type Ballot struct {
-	// Round counts how often the request has been fenced.
+	// Round is the number of times that the request has been fenced.
 	Round uint32
 	// Holder is the gateway epoch that claims the request; it breaks ties.
 	Holder Epoch
 }
 
-// Less reports whether the ballot comes before other.
+// Less reports whether the ballot is lower than other. Among ballots of round 0, none is lower.
 func (bal Ballot) Less(other Ballot) bool {
 	if bal.Round != other.Round {
 		return bal.Round < other.Round
@@ -19,7 +19,7 @@
 	return bal.Round > 0 && bal.Holder < other.Holder
 }
 
-// Same reports whether the two ballots stand for the same claim.
+// Same reports whether both ballots are for the same claim.
 func (bal Ballot) Same(other Ballot) bool {
 	return bal.Round == other.Round && bal.Holder == other.Holder
 }
--- a/request/id.go
+++ b/request/id.go
@@ -1,15 +1,15 @@
-// Package request holds the identity of a request and what may be told about it.
+// Package request defines the identity of a request and the outcomes reported for it.
 //
 // # Usage
 //
-// A caller builds an id from the prefix that the addresses answer carries for
-// an address, and a part of its own:
+// A client builds an id from the prefix that GET /v1/addresses returns for an address, and a
+// unique part of its own:
 //
 //	id := request.ID{Prefix: prefix, Unique: "tray-4711"}
 //	header.Set("Idempotency-Key", id.String())
 //
-// The prefix names the view, the gateway epoch and the window, so the id itself
-// says which gateway decides it and which hosts may grant it.
+// The prefix holds the view, the gateway epoch and the window, so that the id determines which
+// gateway decides the outcome of the request and which hosts may grant it.
 package request
 
 import (
@@ -18,10 +18,10 @@
 	"strings"
 )
 
-// MaxUniqueLen is the longest unique part that is taken, in bytes.
+// MaxUniqueLen is the maximum length of the unique part, in bytes.
 const MaxUniqueLen = 64
 
-// Epoch numbers one start of one host's process; it is never used again.
+// Epoch identifies one start of one host's process. It is never reused.
 type Epoch uint64
 
 // String returns the epoch as sixteen hexadecimal digits.
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("%016x", uint64(epo))
 }
 
-// ParseEpoch reads an epoch written by String.
+// ParseEpoch parses the form of String. The error is an *IDError.
 func ParseEpoch(text string) (Epoch, error) {
 	if len(text) != 16 || strings.ToLower(text) != text {
 		return 0, &IDError{Text: text, Part: "epoch", Reason: "want sixteen lower-case hexadecimal digits"}
@@ -41,12 +41,12 @@
 	return Epoch(val), nil
 }
 
-// MarshalText writes the epoch as String does.
+// MarshalText encodes the epoch in the form of String.
 func (epo Epoch) MarshalText() ([]byte, error) {
 	return []byte(epo.String()), nil
 }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText decodes the form of MarshalText. The error is an *IDError.
 func (epo *Epoch) UnmarshalText(text []byte) error {
 	val, err := ParseEpoch(string(text))
 	if err != nil {
@@ -56,39 +56,41 @@
 	return nil
 }
 
-// Prefix is the part of an id that the system hands out.
+// Prefix is the part of an id that the system assigns.
 type Prefix struct {
-	// View numbers the membership view that fixes who may grant the request.
+	// View is the number of the membership view, which determines the hosts that may grant the
+	// request.
 	View uint64
-	// Epoch is the gateway epoch that decides the request.
+	// Epoch is the epoch of the gateway that decides the outcome of the request.
 	Epoch Epoch
-	// Window numbers the gateway's time window; it bounds what it must remember.
+	// Window is the number of the gateway's time window. It bounds the number of ids that the
+	// gateway has to keep.
 	Window uint64
 }
 
-// String returns the prefix as it stands in an id, without the last hyphen.
+// String returns the prefix in the form that it has in an id, without the final hyphen.
 func (pre Prefix) String() string {
 	return strconv.FormatUint(pre.View, 10) + "-" + pre.Epoch.String() + "-" + strconv.FormatUint(pre.Window, 10)
 }
 
-// ID is the whole identity of a request; it is comparable.
+// ID is the complete identity of a request. Values are comparable.
 type ID struct {
 	Prefix
-	// Unique is the caller's own part.
+	// Unique is the part that the client chooses, of 1 to MaxUniqueLen bytes.
 	Unique string
 }
 
-// String returns the id as it stands in the Idempotency-Key header.
+// String returns the id in the form of the Idempotency-Key header.
 func (id ID) String() string {
 	return id.Prefix.String() + "-" + id.Unique
 }
 
-// MarshalText writes the id as String does.
+// MarshalText encodes the id in the form of String.
 func (id ID) MarshalText() ([]byte, error) {
 	return []byte(id.String()), nil
 }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText decodes the form of MarshalText. The error is an *IDError.
 func (id *ID) UnmarshalText(text []byte) error {
 	val, err := ParseID(string(text))
 	if err != nil {
@@ -98,13 +100,13 @@
 	return nil
 }
 
-// IDError reports an id or a part of one that can't be read.
+// IDError reports an invalid id, or an invalid part of one.
 type IDError struct {
-	// Text is what was given.
+	// Text is the text that was parsed.
 	Text string
-	// Part names the part: "id", "view", "epoch", "window" or "unique part".
+	// Part is the invalid part: "id", "view", "epoch", "window" or "unique part".
 	Part string
-	// Reason says what was expected.
+	// Reason is what was expected.
 	Reason string
 }
 
@@ -113,8 +115,7 @@
 	return fmt.Sprintf("request id: %s %q: %s", ier.Part, ier.Text, ier.Reason)
 }
 
-// ParseID reads an id; it returns an *IDError for anything that String can't
-// have written.
+// ParseID parses the form of ID.String. The error is an *IDError.
 func ParseID(text string) (ID, error) {
 	parts := strings.SplitN(text, "-", 4)
 	if len(parts) != 4 {
--- a/request/outcome.go
+++ b/request/outcome.go
@@ -1,16 +1,14 @@
 package request
 
-// Outcome is what a caller is told of whether its request ran.
+// Outcome reports to a client whether its request ran.
 type Outcome string
 
-// The outcomes of a request that got no whole answer. They stand in the
-// Lynxwell-Outcome header.
+// The outcomes of a request without a complete answer, as sent in the Lynxwell-Outcome header.
 const (
-	// NotRun is said only when no engine got the request or ever will under
-	// this id.
+	// NotRun means that no engine has received the request, and none ever will under this id.
 	NotRun Outcome = "NotRun"
-	// Ran is said when an engine certainly got the request.
+	// Ran means that an engine has certainly received the request.
 	Ran Outcome = "Ran"
-	// Unknown is said when it can't be known.
+	// Unknown means that the request may or may not have run.
 	Unknown Outcome = "Unknown"
 )
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -9,7 +9,7 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-func TestParseID(t *testing.T) {
+func TestParseIDReportsTheInvalidPart(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		part string
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestBallotOrder(t *testing.T) {
+func TestBallotsAreOrderedByRoundAndHolder(t *testing.T) {
 	owner := request.Ballot{Holder: 9}
 	low, high := request.Ballot{Round: 1, Holder: 3}, request.Ballot{Round: 1, Holder: 4}
 	assert.Assert(t, owner.Less(low) && low.Less(high) && high.Less(request.Ballot{Round: 2, Holder: 1}))
