--- a/reservation/fence.go
+++ b/reservation/fence.go
@@ -56,8 +56,8 @@
 	Successions []request.Epoch
 }
 
-// VouchKey identifies the subject of an attestation: all grants of the lost coordinator epoch
-// to the holder, which is a gateway epoch.
+// VouchKey identifies the subject of an attestation: all grants of the lost coordinator
+// epoch to the holder, which is a gateway epoch.
 type VouchKey struct {
 	Lost   request.Epoch
 	Holder request.Epoch
@@ -73,8 +73,8 @@
 	Engine   string
 }
 
-// Vouch reports to a coordinator all requests that a lost coordinator epoch granted to the
-// gateway or closed for it. Afterwards the gateway accepts no grant of that epoch.
+// Vouch reports to a coordinator all requests that a lost coordinator epoch granted to
+// the gateway or closed for it. Afterwards the gateway accepts no grant of that epoch.
 type Vouch struct {
 	VouchKey
 	// Sequence orders the attestations and revocations of one key.
@@ -89,7 +89,7 @@
 	Sequence uint64
 }
 
-// UnvouchAnswer is a coordinator's answer to an Unvouch.
+// UnvouchAnswer is a coordinator's answer to Unvouch.
 type UnvouchAnswer struct {
 	VouchKey
 	// Released is false if a request of the holder was fenced on the basis of the attestation;
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -3,8 +3,8 @@
 // # Usage
 //
 // A gateway sends Reserve, Withdraw, Release, Adopt and Hold; a coordinator answers with Grant
-// and Refuse. Fence, Vouch, Unvouch and Handover are remote calls with a result of their own,
-// and not messages of a session. A receiver switches on the type:
+// and Refuse. Fence, Vouch, Unvouch and Handover are separate remote calls, and not
+// messages of a session. A receiver of messages switches on the type:
 //
 //	switch msg := msg.(type) {
 //	case reservation.Reserve:
@@ -59,10 +59,11 @@
 	Urgency int
 	// Domain is the gateway's failure domain.
 	Domain string
-	// Aim is the time from now within which the first part of the answer should arrive; for a
-	// client's retry, how much longer the client waits.
+	// Aim is the time from now within which the first part of the answer should
+	// arrive; for a client's retry, how much longer the client waits.
 	Aim time.Duration
-	// Age is how long the client has already waited since its first attempt; 0 for the first.
+	// Age is how long the client has already waited since its first attempt; 0 for the
+	// first.
 	Age time.Duration
 	// Cost is the number of units that the request counts against the client account's limit.
 	Cost float64
@@ -217,8 +218,8 @@
 	ID     request.ID
 	Ballot request.Ballot
 	Engine string
-	// Service, Account and Cost are as in the Reserve. Unread is set until the first part of
-	// the answer arrives; PromptTokens is the number of prompt tokens left to process.
+	// Service, Account and Cost are as in the Reserve. Unread is set until the first
+	// part of the answer arrives; PromptTokens is the number of prompt tokens left to process.
 	Service      string
 	Account      string
 	Cost         float64
@@ -241,10 +242,10 @@
 	FirstToken time.Duration
 }
 
-// Spent reports to a coordinator that starts to schedule for a gateway how much the gateway's
-// requests still owe to a client account's limit, whichever host scheduled them: their cost,
-// less the gateway's equal share of the rate in the meantime. A gateway that learns soon after
-// its start that there are more or fewer hosts sends the report once more.
+// Spent reports to a coordinator that starts to schedule for a gateway how much the
+// gateway's requests still owe to a client account's limit, whichever host scheduled them: their
+// cost, less the gateway's equal share of the rate in the meantime. A gateway that learns soon
+// after its start that there are more or fewer hosts sends the report once more.
 type Spent struct {
 	Account string
 	Debt    float64
--- a/route/region.go
+++ b/route/region.go
@@ -62,15 +62,15 @@
 }
 
 // Error returns the field, the route and the account.
-func (ner *NowhereError) Error() string {
-	return "configuration: " + ner.Field + ": shares no region with route " + ner.Route + "; requests of account " + ner.Account + " to this route are rejected"
+func (rce *NowhereError) Error() string {
+	return "configuration: " + rce.Field + ": shares no region with route " + rce.Route + "; requests of account " + rce.Account + " to this route are rejected"
 }
 
 // maxReported bounds the number of conflicts and of fields that are reported.
 const maxReported = 16
 
-// Nowhere returns the pairs of a route and a client account without a common region, at
-// most 16.
+// Nowhere returns the pairs of a route and a client account without a common region,
+// at most 16.
 func (tab *Table) Nowhere() []*NowhereError {
 	var conflicts []*NowhereError
 	for idx, acc := range tab.configuration.Accounts {
--- a/route/route.go
+++ b/route/route.go
@@ -62,10 +62,11 @@
 	Shares []Share
 	// Timeout is the longest time for which a request may be held.
 	Timeout time.Duration
-	// Aim is the time within which an answer, or the first event of a stream, should arrive.
+	// Aim is the time within which an answer, or the first event of a stream, should
+	// arrive.
 	Aim time.Duration
-	// PauseAim is the longest gap that should occur between events of a stream; 0 if the route
-	// doesn't stream.
+	// PauseAim is the longest gap that should occur between events of a stream; 0 if the
+	// route doesn't stream.
 	PauseAim time.Duration
 	// Rank orders waiting requests; 0 is served first.
 	Rank int
