--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -40,7 +40,8 @@
 	// Account is the name of the client account, Weight its share relative to other accounts.
 	Account string
 	Weight  float64
-	// PromptTokens and MaxTokens are the estimated lengths of the prompt and the answer.
+	// PromptTokens and MaxTokens estimate the work: the length of the prompt and the maximum
+	// length of the answer.
 	PromptTokens int
 	MaxTokens    int
 	// PrefixHash identifies the shared prefix of the prompt; 0 for none.
