--- a/evacuation/board.go
+++ b/evacuation/board.go
@@ -9,68 +9,70 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// writeAgain is after what time a write is made again whose outcome the store hasn't shown:
-// a change is known within a tenth of that.
-const writeAgain = time.Second
+// rewriteInterval is the time after which a write is repeated if the store hasn't shown its
+// outcome. A change is usually known within a tenth of that time.
+const rewriteInterval = time.Second
 
-// Board is what one host knows of the failure domains that are being emptied.
+// Board holds one host's view of the failure domains that are being evacuated.
 type Board struct {
-	standings map[string]Standing
-	// hosts are those that might send something, kept what each has said to keep to.
-	hosts map[request.Epoch]bool
-	kept  map[request.Epoch]map[string]uint64
-	// written is when something was last written of a domain.
-	written map[string]time.Time
+	states map[string]Standing
+	// hosts are those that may send requests; enforced holds the revisions of the orders that
+	// each has reported to enforce, by domain.
+	hosts    map[request.Epoch]bool
+	enforced map[request.Epoch]map[string]uint64
+	// writtenAt holds the time of the last write for each domain.
+	writtenAt map[string]time.Time
 }
 
-// New returns a board that knows nothing.
+// New returns a tracker without domains and hosts.
 func New() *Board {
 	return &Board{
-		standings: make(map[string]Standing), hosts: make(map[request.Epoch]bool),
-		kept: make(map[request.Epoch]map[string]uint64), written: make(map[string]time.Time),
+		states: make(map[string]Standing), hosts: make(map[request.Epoch]bool),
+		enforced: make(map[request.Epoch]map[string]uint64), writtenAt: make(map[string]time.Time),
 	}
 }
 
-// SetStandings takes what the store holds now.
-func (brd *Board) SetStandings(stands []Standing) {
-	standings := make(map[string]Standing, len(stands))
-	for _, std := range stands {
-		if std != brd.standings[std.Order.Domain] {
-			delete(brd.written, std.Order.Domain)
+// SetStandings replaces the states with those in the store.
+func (trk *Board) SetStandings(states []Standing) {
+	byDomain := make(map[string]Standing, len(states))
+	for _, sta := range states {
+		if sta != trk.states[sta.Order.Domain] {
+			delete(trk.writtenAt, sta.Order.Domain)
 		}
-		standings[std.Order.Domain] = std
+		byDomain[sta.Order.Domain] = sta
 	}
-	brd.standings = standings
+	trk.states = byDomain
 }
 
-// SetHosts takes who might send something to engines now.
-func (brd *Board) SetHosts(hosts []request.Epoch) {
-	clear(brd.hosts)
+// SetHosts sets the hosts that may send requests to engines.
+func (trk *Board) SetHosts(hosts []request.Epoch) {
+	clear(trk.hosts)
 	for _, epo := range hosts {
-		brd.hosts[epo] = true
+		trk.hosts[epo] = true
 	}
-	maps.DeleteFunc(brd.kept, func(epo request.Epoch, _ map[string]uint64) bool { return !brd.hosts[epo] })
+	maps.DeleteFunc(trk.enforced, func(epo request.Epoch, _ map[string]uint64) bool { return !trk.hosts[epo] })
 }
 
-// Take notes which orders a host keeps to, all of them each time.
-func (brd *Board) Take(host request.Epoch, orders []Order) {
-	kept := make(map[string]uint64, len(orders))
+// Take replaces the orders that a host has reported to enforce.
+func (trk *Board) Take(host request.Epoch, orders []Order) {
+	enforced := make(map[string]uint64, len(orders))
 	for _, ord := range orders {
-		kept[ord.Domain] = ord.Revision
+		enforced[ord.Domain] = ord.Revision
 	}
-	brd.kept[host] = kept
+	trk.enforced[host] = enforced
 }
 
-// Forget drops what a host has said: its session is gone, and it says so again with the next one.
-func (brd *Board) Forget(host request.Epoch) {
-	delete(brd.kept, host)
+// Forget drops the report of a host whose session has ended. The host repeats the
+// report in its next session.
+func (trk *Board) Forget(host request.Epoch) {
+	delete(trk.enforced, host)
 }
 
-// missing returns the hosts that haven't said to keep to an order.
-func (brd *Board) missing(ord Order) []request.Epoch {
+// missing returns the hosts that haven't reported to enforce the order, sorted by epoch.
+func (trk *Board) missing(ord Order) []request.Epoch {
 	var missing []request.Epoch
-	for epo := range brd.hosts {
-		if brd.kept[epo][ord.Domain] != ord.Revision {
+	for epo := range trk.hosts {
+		if trk.enforced[epo][ord.Domain] != ord.Revision {
 			missing = append(missing, epo)
 		}
 	}
@@ -78,10 +80,10 @@
 	return missing
 }
 
-// state returns how far an order has been carried out; runs counts what runs in its domain.
-func (brd *Board) state(ord Order, runs int) State {
+// state returns the progress of an order; runs is the number of requests running in its domain.
+func (trk *Board) state(ord Order, runs int) State {
 	switch {
-	case len(brd.hosts) == 0 || len(brd.missing(ord)) > 0:
+	case len(trk.hosts) == 0 || len(trk.missing(ord)) > 0:
 		return StateOrdered
 	case runs > 0:
 		return StateClosed
@@ -90,67 +92,70 @@
 	}
 }
 
-// Open reports whether anything is ordered, or told of what was.
-func (brd *Board) Open() bool {
-	return len(brd.standings) > 0
+// Open reports whether the store holds an order, or the published state of a canceled one.
+func (trk *Board) Open() bool {
+	return len(trk.states) > 0
 }
 
-// Writes returns what is to be told now; running returns how much runs in a failure domain.
-// What was told of an order is never taken back: a host that comes later keeps to the order
-// before it sends anything.
-func (brd *Board) Writes(now time.Time, running func(domain string) int) []Write {
+// Writes returns the changes to publish now; running returns the number of requests that run in
+// a failure domain. The published state of an order never goes back: a host that starts later
+// enforces the order before it sends any request.
+func (trk *Board) Writes(now time.Time, running func(domain string) int) []Write {
 	var writes []Write
-	for _, domain := range slices.Sorted(maps.Keys(brd.standings)) {
-		std := brd.standings[domain]
-		wri, wanted := brd.write(std, running)
-		if !wanted || now.Sub(brd.written[domain]) < writeAgain {
+	for _, domain := range slices.Sorted(maps.Keys(trk.states)) {
+		sta := trk.states[domain]
+		wri, needed := trk.write(sta, running)
+		if !needed || now.Sub(trk.writtenAt[domain]) < rewriteInterval {
 			continue
 		}
-		brd.written[domain] = now
+		trk.writtenAt[domain] = now
 		writes = append(writes, wri)
 	}
 	return writes
 }
 
-func (brd *Board) write(std Standing, running func(domain string) int) (Write, bool) {
-	wri := Write{Domain: std.Order.Domain, Order: std.Order.Revision, Expect: std.Told.Revision}
-	if std.Order.Revision == 0 {
+// write returns the change to publish for a domain, and whether one is needed.
+func (trk *Board) write(sta Standing, running func(domain string) int) (Write, bool) {
+	wri := Write{Domain: sta.Order.Domain, Order: sta.Order.Revision, Expect: sta.Told.Revision}
+	if sta.Order.Revision == 0 {
 		wri.Delete = true
-		return wri, std.Told.Revision > 0
+		return wri, sta.Told.Revision > 0
 	}
-	wri.State = brd.state(std.Order, running(std.Order.Domain))
-	if std.Told.Revision > 0 && std.Told.Order == std.Order.Revision {
-		return wri, wri.State > std.Told.State
+	wri.State = trk.state(sta.Order, running(sta.Order.Domain))
+	if sta.Told.Revision > 0 && sta.Told.Order == sta.Order.Revision {
+		return wri, wri.State > sta.Told.State
 	}
 	return wri, wri.State > StateOrdered
 }
 
-// Dump is one failure domain that is being emptied.
+// Dump is the state of one failure domain that is being evacuated.
 type Dump struct {
 	Domain string
-	// Order is the order's revision, 0 where it is taken back and what was told is not yet.
+	// Order is the revision of the order; 0 if it was canceled and its published state hasn't
+	// been deleted yet.
 	Order uint64
-	// State is how far it is, Told what operators were told of it.
+	// State is the progress as this host sees it; Published is the state in the store.
 	State string
-	Told  string `json:",omitempty"`
-	// Running is how much still runs there, Missing the hosts that haven't said to keep to it.
+	Told  string `json:"Told,omitempty"`
+	// Running is the number of requests that run in the domain. Missing names the hosts that
+	// haven't reported to enforce the order.
 	Running int
 	Missing []string `json:",omitempty"`
 }
 
-// Dump returns the failure domains that are being emptied, by their names.
-func (brd *Board) Dump(running func(domain string) int) []Dump {
+// Dump returns the failure domains that are being evacuated, sorted by name.
+func (trk *Board) Dump(running func(domain string) int) []Dump {
 	var dumps []Dump
-	for domain, std := range brd.standings {
-		dum := Dump{Domain: domain, Order: std.Order.Revision, Running: running(domain)}
-		if std.Order.Revision > 0 {
-			dum.State = brd.state(std.Order, dum.Running).String()
-			for _, epo := range brd.missing(std.Order) {
+	for domain, sta := range trk.states {
+		dum := Dump{Domain: domain, Order: sta.Order.Revision, Running: running(domain)}
+		if sta.Order.Revision > 0 {
+			dum.State = trk.state(sta.Order, dum.Running).String()
+			for _, epo := range trk.missing(sta.Order) {
 				dum.Missing = append(dum.Missing, epo.String())
 			}
 		}
-		if std.Told.Revision > 0 && std.Told.Order == std.Order.Revision {
-			dum.Told = std.Told.State.String()
+		if sta.Told.Revision > 0 && sta.Told.Order == sta.Order.Revision {
+			dum.Told = sta.Told.State.String()
 		}
 		dumps = append(dumps, dum)
 	}
--- a/fleet/word.go
+++ b/fleet/word.go
@@ -2,70 +2,72 @@
 
 import "time"
 
-// Word is what an engine says of itself in an answer to a host: Leaving, Replaced, Pause,
-// RateLimit, Unlimited or Cold.
+// Word is an engine's statement about its own state in a response to a host: one of Leaving,
+// Replaced, Pause, RateLimit, Unlimited and Cold.
 type Word interface {
-	// String returns the word's name.
+	// String returns the name of the signal.
 	String() string
-	// isWord keeps the set of words closed.
-	isWord()
+	// isSignal limits the implementations to this package.
+	isSignal()
 }
 
-// Leaving is the word of an engine that takes nothing new until it ends.
+// Leaving is sent by an engine that accepts no new requests and is about to stop.
 type Leaving struct{}
 
-// Replaced is the word of another engine that answers at the engine's address.
+// Replaced reports that another engine responds at the engine's address.
 type Replaced struct{}
 
-// Pause is the word of an engine that wants nothing from the host that it asked.
+// Pause asks the receiving host to send the engine no requests for some time.
 type Pause struct {
-	// Left is for how much longer.
+	// Left is the time until requests may be sent again.
 	Left time.Duration
 }
 
-// RateLimit is the word of an engine that bounds what it takes from all hosts together. It
-// holds until an answer comes without it.
+// RateLimit is the rate that an engine accepts from all hosts together. It applies until a
+// response carries no rate limit.
 type RateLimit struct {
-	// PerSecond is in requests.
+	// PerSecond is the limit in requests per second.
 	PerSecond float64
 }
 
-// Unlimited is said by an answer without a rate, where one was named before.
+// Unlimited removes the rate limit of an engine. It stands for a response without a rate
+// limit after one that carried it.
 type Unlimited struct{}
 
-// Cold is the word of an engine that isn't warm yet, or not any more. It is also told by a host
-// that knows so from the engine's entry, to one that grants it as if it were warm.
+// Cold reports that an engine needs to warm up, after its start or after an idle period. A host
+// that knows this from the engine's entry also sends it to a coordinator that grants the engine
+// as if it were warm.
 type Cold struct {
-	// Left is for how much longer.
+	// Left is the time until the engine is warm.
 	Left time.Duration
 }
 
-func (Leaving) isWord()   {}
-func (Replaced) isWord()  {}
-func (Pause) isWord()     {}
-func (RateLimit) isWord() {}
-func (Unlimited) isWord() {}
-func (Cold) isWord()      {}
+func (Leaving) isSignal()   {}
+func (Replaced) isSignal()  {}
+func (Pause) isSignal()     {}
+func (RateLimit) isSignal() {}
+func (Unlimited) isSignal() {}
+func (Cold) isSignal()      {}
 
-// String returns the word's name.
+// String returns the name of the signal.
 func (Leaving) String() string { return "Draining" }
 
-// String returns the word's name.
+// String returns the name of the signal.
 func (Replaced) String() string { return "Replaced" }
 
-// String returns the word's name.
+// String returns the name of the signal.
 func (Pause) String() string { return "Backoff" }
 
-// String returns the word's name.
+// String returns the name of the signal.
 func (RateLimit) String() string { return "RateLimit" }
 
-// String returns the word's name.
+// String returns the name of the signal.
 func (Unlimited) String() string { return "Unlimited" }
 
-// String returns the word's name.
+// String returns the name of the signal.
 func (Cold) String() string { return "Cold" }
 
-// Notice is what a run of an engine has said of itself in an answer.
+// Notice is a signal together with the engine run that sent it.
 type Notice struct {
 	Run  EngineID
 	Word Word
