--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -20,12 +20,12 @@
 	status  int
 	header  http.Header
 	// kept holds the answer from the byte with the number base on.
-	kept    []byte
-	base    int
-	readers map[*Reader]int
-	over    bool
-	whole   bool
-	final   *gateway.Final
+	kept     []byte
+	base     int
+	readers  map[*Reader]int
+	ended    bool
+	complete bool
+	final    *gateway.Final
 }
 
 // Progress is what a reader sees at one time.
@@ -64,7 +64,7 @@
 	}
 	exc.status = status
 	exc.header = header
-	exc.wake()
+	exc.notifyReaders()
 }
 
 // Data implements backend.Sink: it adds to the answer. Where the answer has
@@ -73,7 +73,7 @@
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
 	exc.kept = append(exc.kept, data...)
-	exc.wake()
+	exc.notifyReaders()
 	for len(exc.kept) > MaxKeptBytes && !exc.trim() {
 		changed := exc.changed
 		exc.mutex.Unlock()
@@ -100,19 +100,19 @@
 func (exc *Exchange) End(whole bool) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	exc.over = true
-	exc.whole = whole
-	exc.wake()
+	exc.ended = true
+	exc.complete = whole
+	exc.notifyReaders()
 }
 
 // Fail closes the exchange with a final answer.
 func (exc *Exchange) Fail(fin gateway.Final) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	exc.over = true
-	exc.whole = false
+	exc.ended = true
+	exc.complete = false
 	exc.final = &fin
-	exc.wake()
+	exc.notifyReaders()
 }
 
 // Size returns the bytes kept.
@@ -126,13 +126,13 @@
 func (exc *Exchange) Drop() {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	if exc.over && len(exc.readers) == 0 {
+	if exc.ended && len(exc.readers) == 0 {
 		exc.base += len(exc.kept)
 		exc.kept = nil
 	}
 }
 
-func (exc *Exchange) wake() {
+func (exc *Exchange) notifyReaders() {
 	close(exc.changed)
 	exc.changed = make(chan struct{})
 }
@@ -152,13 +152,13 @@
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
 	delete(exc.readers, rea)
-	exc.wake()
+	exc.notifyReaders()
 }
 
 // Next waits until there is something new, or the context ends.
 func (rea *Reader) Next(ctx context.Context) (Progress, error) {
 	for {
-		pro, fresh, changed := rea.look()
+		pro, fresh, changed := rea.poll()
 		if fresh {
 			return pro, nil
 		}
@@ -170,11 +170,11 @@
 	}
 }
 
-func (rea *Reader) look() (Progress, bool, <-chan struct{}) {
+func (rea *Reader) poll() (Progress, bool, <-chan struct{}) {
 	exc := rea.exchange
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	pro := Progress{Status: exc.status, Header: exc.header, Over: exc.over, Whole: exc.whole, Final: exc.final}
+	pro := Progress{Status: exc.status, Header: exc.header, Over: exc.ended, Whole: exc.complete, Final: exc.final}
 	if exc.final != nil && rea.offset == 0 {
 		// Whoever hasn't had any of a broken answer gets the error alone.
 		pro.Status = 0
@@ -189,8 +189,8 @@
 		rea.offset += len(fresh)
 		exc.readers[rea] = rea.offset
 		if len(exc.kept) > MaxKeptBytes {
-			exc.wake()
+			exc.notifyReaders()
 		}
 	}
-	return pro, len(pro.Data) > 0 || exc.over, exc.changed
+	return pro, len(pro.Data) > 0 || exc.ended, exc.changed
 }
--- a/caller/output.go
+++ b/caller/output.go
@@ -19,11 +19,11 @@
 	sub        *submission
 	started    bool
 	// held is a stream that the caller wants in one piece.
-	held bytes.Buffer
+	buffered bytes.Buffer
 }
 
 // ending says how an answer to a caller ended.
-type ending struct {
+type result struct {
 	status  int
 	code    string
 	outcome request.Outcome
@@ -32,13 +32,13 @@
 }
 
 // take writes what is new; it returns how the answer ended, or nil.
-func (out *output) take(pro Progress) *ending {
+func (out *output) apply(pro Progress) *result {
 	if pro.Trimmed {
 		return out.fail(gateway.Final{Cause: gateway.CauseAnswerExpired, Outcome: request.Ran})
 	}
 	if pro.Status != 0 && len(pro.Data) > 0 {
 		if err := out.data(pro); err != nil {
-			return &ending{status: pro.Status, code: "CallerLeft", abort: true}
+			return &result{status: pro.Status, code: "CallerLeft", abort: true}
 		}
 	}
 	switch {
@@ -53,14 +53,14 @@
 	}
 }
 
-// inOnePiece reports whether the answer is a stream that the caller doesn't want as one.
-func (out *output) inOnePiece(status int) bool {
+// isBuffered reports whether the answer is a stream that the caller doesn't want as one.
+func (out *output) isBuffered(status int) bool {
 	return !out.sub.stream && status == http.StatusOK
 }
 
 func (out *output) data(pro Progress) error {
-	if out.inOnePiece(pro.Status) {
-		out.held.Write(pro.Data)
+	if out.isBuffered(pro.Status) {
+		out.buffered.Write(pro.Data)
 		return nil
 	}
 	out.start(pro)
@@ -83,29 +83,29 @@
 	out.writer.WriteHeader(pro.Status)
 }
 
-func (out *output) end(pro Progress) *ending {
-	if out.inOnePiece(pro.Status) {
-		return out.endInOnePiece()
+func (out *output) end(pro Progress) *result {
+	if out.isBuffered(pro.Status) {
+		return out.endBuffered()
 	}
 	out.start(pro)
-	return &ending{status: pro.Status, code: "Whole", outcome: request.Ran}
+	return &result{status: pro.Status, code: "Whole", outcome: request.Ran}
 }
 
-func (out *output) endInOnePiece() *ending {
-	chu, ok := joinStream(out.held.Bytes())
+func (out *output) endBuffered() *result {
+	chu, ok := joinStream(out.buffered.Bytes())
 	if !ok {
 		return out.fail(gateway.Final{Cause: gateway.CauseEngineFailed, Outcome: request.Ran})
 	}
 	_ = out.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	sendJSON(out.writer, http.StatusOK, chu)
-	return &ending{status: http.StatusOK, code: "Whole", outcome: request.Ran}
+	return &result{status: http.StatusOK, code: "Whole", outcome: request.Ran}
 }
 
 // fail tells the caller of a final answer. Where part of an answer has gone
 // out, it ends so that it can't be taken for a whole one.
-func (out *output) fail(fin gateway.Final) *ending {
+func (out *output) fail(fin gateway.Final) *result {
 	pro := problemOf(fin)
-	end := &ending{status: pro.status, code: string(fin.Cause), outcome: fin.Outcome}
+	end := &result{status: pro.status, code: string(fin.Cause), outcome: fin.Outcome}
 	if !out.started {
 		sendProblem(out.writer, pro)
 		return end
--- a/caller/read.go
+++ b/caller/read.go
@@ -109,14 +109,14 @@
 	path := "/" + strings.TrimPrefix(mux.Vars(req)["rest"], "/")
 	sub.work = PlainWork{
 		Method: req.Method, Path: path, Query: req.URL.RawQuery,
-		Header: withoutOwn(backend.EndToEnd(req.Header)), Body: body,
+		Header: withoutLynxwellHeaders(backend.EndToEnd(req.Header)), Body: body,
 	}
 	sub.stream = true
 	return sub, nil
 }
 
-// withoutOwn drops the headers that are about this system alone.
-func withoutOwn(header http.Header) http.Header {
+// withoutLynxwellHeaders drops the headers that are about this system alone.
+func withoutLynxwellHeaders(header http.Header) http.Header {
 	for _, name := range []string{HeaderDeadline, HeaderTier, HeaderOnce, HeaderRelayed, HeaderID, "Authorization"} {
 		header.Del(name)
 	}
@@ -133,13 +133,13 @@
 	if pro != nil {
 		return nil, pro
 	}
-	id, pro := srv.idOf(req)
+	id, pro := srv.requestID(req)
 	if pro != nil {
 		return nil, pro
 	}
 	sub := &submission{body: body, account: acc.Name}
 	sub.arrived = gateway.Arrived{
-		Caller: gateway.CallerID(srv.last.Add(1)), ID: id, Relayed: req.Header.Get(HeaderRelayed) != "",
+		Caller: gateway.CallerID(srv.lastClient.Add(1)), ID: id, Relayed: req.Header.Get(HeaderRelayed) != "",
 		Spec: gateway.Spec{
 			Service: ser.Name, Tier: tier.Name, Rank: tier.Rank, Account: acc.Name, Weight: acc.Weight,
 			Remaining: remaining, Fingerprint: fingerprint(req, acc.Name, body),
@@ -149,7 +149,7 @@
 	return sub, nil
 }
 
-func (srv *Server) idOf(req *http.Request) (request.ID, *problem) {
+func (srv *Server) requestID(req *http.Request) (request.ID, *problem) {
 	text := req.Header.Get(HeaderID)
 	once, pro := onceOf(req.Header.Get(HeaderOnce))
 	if pro != nil {
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -14,19 +14,19 @@
 // relayChunk is how much of a relayed answer is passed on at once.
 const relayChunk = 16 << 10
 
-// passOn relays a request to the gateway that decides it, and its answer back.
-func (srv *Server) passOn(wri http.ResponseWriter, req *http.Request, sub *submission, to view.Member) {
+// relayRequest relays a request to the gateway that decides it, and its answer back.
+func (srv *Server) relayRequest(wri http.ResponseWriter, req *http.Request, sub *submission, to view.Member) {
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
-	watched := srv.watchAlive(ctx, cancel, to)
-	rep, err := srv.sendOn(ctx, req, sub, to)
+	watched := srv.watchPeer(ctx, cancel, to)
+	rep, err := srv.sendRelayed(ctx, req, sub, to)
 	if err != nil {
 		cancel()
 		<-watched
-		if stopped(req.Context()) {
+		if isDone(req.Context()) {
 			return
 		}
-		srv.relayFailed(wri, req, sub, Relayed{To: to})
+		srv.retryRelay(wri, req, sub, Relayed{To: to})
 		return
 	}
 	defer rep.Body.Close()
@@ -43,9 +43,9 @@
 	}
 }
 
-// watchAlive ends the relay when the other host stops answering. The channel
+// watchPeer ends the relay when the other host stops answering. The channel
 // reports the end of the watch.
-func (srv *Server) watchAlive(ctx context.Context, cancel context.CancelFunc, to view.Member) <-chan error {
+func (srv *Server) watchPeer(ctx context.Context, cancel context.CancelFunc, to view.Member) <-chan error {
 	end := make(chan error, 1)
 	go func() {
 		err := srv.cfg.Backend.Alive(ctx, to)
@@ -55,7 +55,7 @@
 	return end
 }
 
-func (srv *Server) sendOn(ctx context.Context, req *http.Request, sub *submission, to view.Member) (*http.Response, error) {
+func (srv *Server) sendRelayed(ctx context.Context, req *http.Request, sub *submission, to view.Member) (*http.Response, error) {
 	url := "http://" + to.CallerAddress.String() + req.URL.RequestURI()
 	out, err := http.NewRequestWithContext(ctx, req.Method, url, bytes.NewReader(sub.body))
 	if err != nil {
@@ -64,7 +64,7 @@
 	out.Header = backend.EndToEnd(req.Header)
 	out.Header.Set(HeaderRelayed, srv.cfg.HostName)
 	out.Header.Set(HeaderID, sub.arrived.ID.String())
-	return srv.relay.Do(out)
+	return srv.relayClient.Do(out)
 }
 
 func copyFlushed(wri http.ResponseWriter, body io.Reader) error {
--- a/caller/server.go
+++ b/caller/server.go
@@ -23,10 +23,10 @@
 
 // Server serves callers.
 type Server struct {
-	cfg     ServerConfig
-	relay   *http.Client
-	last    atomic.Uint64
-	serving atomic.Int64
+	cfg         ServerConfig
+	relayClient *http.Client
+	lastClient  atomic.Uint64
+	serving     atomic.Int64
 }
 
 // NewServer returns a server.
@@ -35,12 +35,12 @@
 		cfg.MaxRequests = defaultMaxRequests
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute, DisableCompression: true}
-	return &Server{cfg: cfg, relay: &http.Client{Transport: transport}}
+	return &Server{cfg: cfg, relayClient: &http.Client{Transport: transport}}
 }
 
 // Close drops the idle connections to other hosts.
 func (srv *Server) Close() {
-	srv.relay.CloseIdleConnections()
+	srv.relayClient.CloseIdleConnections()
 }
 
 // HTTPServer returns an HTTP server with limits against slow callers.
@@ -52,16 +52,16 @@
 func (srv *Server) Handler() http.Handler {
 	rou := mux.NewRouter().UseEncodedPath()
 	rou.HandleFunc("/v1/addresses", srv.serveAddresses).Methods(http.MethodGet)
-	rou.HandleFunc("/v1/chat/completions", srv.limited(srv.serveChat)).Methods(http.MethodPost)
+	rou.HandleFunc("/v1/chat/completions", srv.limitConcurrency(srv.serveChat)).Methods(http.MethodPost)
 	rou.HandleFunc("/v1/ready", srv.serveReady).Methods(http.MethodGet)
-	rou.HandleFunc("/services/{service}{rest:(?:/.*)?}", srv.limited(srv.servePlain))
+	rou.HandleFunc("/services/{service}{rest:(?:/.*)?}", srv.limitConcurrency(srv.servePlain))
 	rou.NotFoundHandler = http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		sendProblem(wri, problem{status: http.StatusNotFound, code: "NoSuchPath", message: "no such path: " + req.URL.Path})
 	})
 	return rou
 }
 
-func (srv *Server) limited(next http.HandlerFunc) http.HandlerFunc {
+func (srv *Server) limitConcurrency(next http.HandlerFunc) http.HandlerFunc {
 	return func(wri http.ResponseWriter, req *http.Request) {
 		defer srv.serving.Add(-1)
 		if srv.serving.Add(1) > int64(srv.cfg.MaxRequests) {
@@ -131,42 +131,42 @@
 	wri.Header().Set(HeaderRequestID, sub.arrived.ID.String())
 	dec, err := srv.cfg.Backend.Arrive(req.Context(), sub.arrived, sub.work)
 	if err != nil {
-		srv.sendStopped(wri, err)
+		srv.sendHostStopped(wri, err)
 		return
 	}
-	srv.follow(wri, req, sub, dec)
+	srv.sendDecision(wri, req, sub, dec)
 }
 
-func (srv *Server) sendStopped(wri http.ResponseWriter, err error) {
+func (srv *Server) sendHostStopped(wri http.ResponseWriter, err error) {
 	sendProblem(wri, problem{
 		status: http.StatusServiceUnavailable, code: "HostStopped", message: err.Error(),
 		outcome: request.Unknown, retry: true,
 	})
 }
 
-func (srv *Server) follow(wri http.ResponseWriter, req *http.Request, sub *submission, dec Decision) {
+func (srv *Server) sendDecision(wri http.ResponseWriter, req *http.Request, sub *submission, dec Decision) {
 	switch dec := dec.(type) {
 	case Attached:
 		srv.sendExchange(wri, req, sub, dec.Exchange)
 	case Answered:
 		srv.sendFinal(wri, sub, dec.Final)
 	case Relayed:
-		srv.passOn(wri, req, sub, dec.To)
+		srv.relayRequest(wri, req, sub, dec.To)
 	}
 }
 
-// relayFailed asks the gateway again after a relay that brought nothing.
-func (srv *Server) relayFailed(wri http.ResponseWriter, req *http.Request, sub *submission, rel Relayed) {
+// retryRelay asks the gateway again after a relay that brought nothing.
+func (srv *Server) retryRelay(wri http.ResponseWriter, req *http.Request, sub *submission, rel Relayed) {
 	dec, err := srv.cfg.Backend.RelayFailed(req.Context(), sub.arrived, rel.To, sub.work)
 	if err != nil {
-		srv.sendStopped(wri, err)
+		srv.sendHostStopped(wri, err)
 		return
 	}
 	if _, again := dec.(Relayed); again {
 		srv.sendFinal(wri, sub, gateway.Final{Cause: gateway.CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: time.Second})
 		return
 	}
-	srv.follow(wri, req, sub, dec)
+	srv.sendDecision(wri, req, sub, dec)
 }
 
 func (srv *Server) sendFinal(wri http.ResponseWriter, sub *submission, fin gateway.Final) {
@@ -188,10 +188,10 @@
 			return
 		}
 		if pro.Final != nil && pro.Final.Cause == gateway.CauseMoved && !out.started && sub.work != nil {
-			srv.passOn(wri, req, sub, pro.Final.Holder)
+			srv.relayRequest(wri, req, sub, pro.Final.Holder)
 			return
 		}
-		if end := out.take(pro); end != nil {
+		if end := out.apply(pro); end != nil {
 			srv.logEnd(sub, end.status, end.code, end.outcome)
 			if end.abort {
 				panic(http.ErrAbortHandler)
@@ -249,6 +249,6 @@
 }
 
 // stopped reports whether the context has ended.
-func stopped(ctx context.Context) bool {
+func isDone(ctx context.Context) bool {
 	return ctx.Err() != nil
 }
--- a/credential/credential.go
+++ b/credential/credential.go
@@ -31,15 +31,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// seedBytes is the length of a secret: as long as the keys made from it.
-const seedBytes = 32
+// secretBytes is the length of a secret: as long as the keys made from it.
+const secretBytes = 32
 
 // Secret is what the hosts share. Its text is base64 in JSON.
 type Secret []byte
 
 // NewSecret returns a secret at random.
 func NewSecret() (Secret, error) {
-	sec := make(Secret, seedBytes)
+	sec := make(Secret, secretBytes)
 	_, err := rand.Read(sec)
 	return sec, errors.Wrap(err, "make secret")
 }
@@ -74,11 +74,11 @@
 
 // Check returns a *FieldError that names the first field that can't be used.
 func (rin Ring) Check() error {
-	if len(rin.Current) != seedBytes {
+	if len(rin.Current) != secretBytes {
 		return &FieldError{Field: "Current", Reason: "want 32 bytes"}
 	}
 	for field, sec := range map[string]Secret{"Next": rin.Next, "Former": rin.Former} {
-		if len(sec) != 0 && len(sec) != seedBytes {
+		if len(sec) != 0 && len(sec) != secretBytes {
 			return &FieldError{Field: field, Reason: "want 32 bytes or none"}
 		}
 	}
@@ -90,17 +90,17 @@
 		rin.Changed.Equal(other.Changed)
 }
 
-// settleTime is for how long a next secret is accepted before it is shown: changes reach
+// activationDelay is for how long a next secret is accepted before it is shown: changes reach
 // every host that reaches the store or another host within seconds, and one that was cut
 // off for minutes still knows the next one.
-const settleTime = 5 * time.Minute
+const activationDelay = 5 * time.Minute
 
 // Renewal returns the ring's next step if it is due: a next secret after the given time,
 // which is shown some minutes later.
 func (rin Ring) Renewal(now time.Time, every time.Duration) (Ring, bool, error) {
 	age := now.Sub(rin.Changed)
 	switch {
-	case len(rin.Next) > 0 && age >= min(settleTime, every):
+	case len(rin.Next) > 0 && age >= min(activationDelay, every):
 		return Ring{Current: rin.Next, Former: rin.Current, Changed: now}, true, nil
 	case len(rin.Next) == 0 && age >= every:
 		next, err := NewSecret()
@@ -117,17 +117,17 @@
 }
 
 // purpose keeps keys made from the same secret for other ends apart.
-const purpose = "lynxwell hosts"
+const keyPurpose = "lynxwell hosts"
 
 func newIdentity(sec Secret) (identity, error) {
-	seed, err := hkdf.Key(sha256.New, sec, nil, purpose, ed25519.SeedSize)
+	seed, err := hkdf.Key(sha256.New, sec, nil, keyPurpose, ed25519.SeedSize)
 	if err != nil {
 		return identity{}, errors.Wrap(err, "derive key")
 	}
 	private := ed25519.NewKeyFromSeed(seed)
 	public, _ := private.Public().(ed25519.PublicKey)
 	// The certificate only carries the key: its names and times are never looked at.
-	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: purpose}, NotBefore: time.Unix(0, 0), NotAfter: time.Unix(1<<33, 0)}
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: keyPurpose}, NotBefore: time.Unix(0, 0), NotAfter: time.Unix(1<<33, 0)}
 	raw, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
 	if err != nil {
 		return identity{}, errors.Wrap(err, "make certificate")
@@ -136,9 +136,9 @@
 }
 
 // known is a ring with the identities made from it.
-type known struct {
+type keySet struct {
 	ring     Ring
-	shown    identity
+	own      identity
 	accepted []ed25519.PublicKey
 }
 
@@ -151,8 +151,8 @@
 
 // Keeper holds the ring that is in force. It may be used by several goroutines.
 type Keeper struct {
-	cfg   Config
-	known atomic.Pointer[known]
+	cfg  Config
+	keys atomic.Pointer[keySet]
 }
 
 // NewKeeper returns a keeper that knows no secret yet, and accepts nobody.
@@ -169,7 +169,7 @@
 		// Each whole reading of the store brings it again; keys cost 0.1 ms each to make.
 		return nil
 	}
-	kno := &known{ring: rin}
+	kno := &keySet{ring: rin}
 	for _, sec := range []Secret{rin.Current, rin.Next, rin.Former} {
 		if len(sec) == 0 {
 			continue
@@ -178,18 +178,18 @@
 		if err != nil {
 			return err
 		}
-		if kno.shown.public == nil {
-			kno.shown = idt
+		if kno.own.public == nil {
+			kno.own = idt
 		}
 		kno.accepted = append(kno.accepted, idt.public)
 	}
-	kee.known.Store(kno)
+	kee.keys.Store(kno)
 	return nil
 }
 
 // Ring returns the ring in force; false for none.
 func (kee *Keeper) Ring() (Ring, bool) {
-	kno := kee.known.Load()
+	kno := kee.keys.Load()
 	if kno == nil {
 		return Ring{}, false
 	}
@@ -224,32 +224,32 @@
 		InsecureSkipVerify:     true, //nolint:gosec // VerifyConnection checks the other side's key.
 		ClientAuth:             tls.RequestClientCert,
 		SessionTicketsDisabled: true,
-		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return kee.shown() },
-		GetClientCertificate:   func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return kee.shown() },
+		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return kee.certificate() },
+		GetClientCertificate:   func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return kee.certificate() },
 		VerifyConnection:       kee.verify,
 	}
 }
 
-func (kee *Keeper) shown() (*tls.Certificate, error) {
-	kno := kee.known.Load()
+func (kee *Keeper) certificate() (*tls.Certificate, error) {
+	kno := kee.keys.Load()
 	if kno == nil {
 		return nil, &UnknownError{}
 	}
-	return &kno.shown.certificate, nil
+	return &kno.own.certificate, nil
 }
 
 // verify accepts a host whose key is made from one of the ring's secrets. That it has the
 // private one is proved by the handshake.
 func (kee *Keeper) verify(sta tls.ConnectionState) error {
-	err := kee.judge(sta)
+	err := kee.checkPeer(sta)
 	if err != nil && kee.cfg.Refused != nil {
 		kee.cfg.Refused(err)
 	}
 	return err
 }
 
-func (kee *Keeper) judge(sta tls.ConnectionState) error {
-	kno := kee.known.Load()
+func (kee *Keeper) checkPeer(sta tls.ConnectionState) error {
+	kno := kee.keys.Load()
 	if kno == nil {
 		return &UnknownError{}
 	}
--- a/credential/credential_test.go
+++ b/credential/credential_test.go
@@ -23,7 +23,7 @@
 	return rin
 }
 
-func keeperOf(t testing.TB, rin credential.Ring) *credential.Keeper {
+func newAuthenticator(t testing.TB, rin credential.Ring) *credential.Keeper {
 	t.Helper()
 	kee := credential.NewKeeper(credential.Config{})
 	assert.NilError(t, kee.Take(rin))
@@ -31,7 +31,7 @@
 }
 
 // meet opens a connection between two hosts and returns both sides' errors.
-func meet(t testing.TB, client, server *tls.Config) (clientErr, serverErr error) {
+func handshake(t testing.TB, client, server *tls.Config) (clientErr, serverErr error) {
 	t.Helper()
 	one, two := net.Pipe()
 	defer one.Close()
@@ -60,7 +60,7 @@
 
 // Two hosts meet if each shows a secret that the other accepts, in every step of a
 // renewal and beside hosts that have missed one.
-func TestHostsKnowOneAnotherThroughARenewal(t *testing.T) {
+func TestHostsAuthenticateDuringRenewal(t *testing.T) {
 	first := newRing(t)
 	_, due, err := first.Renewal(start.Add(time.Minute), time.Hour)
 	assert.NilError(t, err)
@@ -88,31 +88,31 @@
 		{"first", "third", false},
 	} {
 		for _, pair := range [][2]string{{tst.one, tst.two}, {tst.two, tst.one}} {
-			client, server := meet(t, keeperOf(t, rings[pair[0]]).TLS(), keeperOf(t, rings[pair[1]]).TLS())
+			client, server := handshake(t, newAuthenticator(t, rings[pair[0]]).TLS(), newAuthenticator(t, rings[pair[1]]).TLS())
 			assert.Equal(t, client == nil && server == nil, tst.meets, "%v: %v, %v", pair, client, server)
 		}
 	}
 }
 
 // A stranger is refused whatever it shows, by servers and by clients, and told of.
-func TestStrangersAreRefused(t *testing.T) {
+func TestUnauthenticatedPeersAreRejected(t *testing.T) {
 	ring := newRing(t)
 	var refused []error
 	kee := credential.NewKeeper(credential.Config{Refused: func(err error) { refused = append(refused, err) }})
 	assert.NilError(t, kee.Take(ring))
-	other := keeperOf(t, newRing(t)).TLS()
-	_, err := meet(t, other, kee.TLS())
+	other := newAuthenticator(t, newRing(t)).TLS()
+	_, err := handshake(t, other, kee.TLS())
 	assert.Assert(t, err != nil)
 	noCertificate := other.Clone()
 	noCertificate.GetClientCertificate = nil
 	noCertificate.VerifyConnection = nil
-	_, err = meet(t, noCertificate, kee.TLS())
+	_, err = handshake(t, noCertificate, kee.TLS())
 	assert.Assert(t, err != nil)
 	believes := other.Clone()
 	believes.VerifyConnection = nil
-	_, err = meet(t, believes, kee.TLS())
+	_, err = handshake(t, believes, kee.TLS())
 	assert.Assert(t, err != nil, "one that accepts anybody is let in by nobody")
-	err, _ = meet(t, kee.TLS(), believes)
+	err, _ = handshake(t, kee.TLS(), believes)
 	assert.Assert(t, err != nil, "a server of another secret")
 	var stranger *credential.StrangerError
 	assert.Assert(t, len(refused) >= 3)
@@ -122,15 +122,15 @@
 }
 
 // Before the secret is known nobody is let in.
-func TestHostThatKnowsNoSecretAcceptsNobody(t *testing.T) {
+func TestHostWithoutSecretRejectsAllPeers(t *testing.T) {
 	unknowing := credential.NewKeeper(credential.Config{})
-	client, server := meet(t, keeperOf(t, newRing(t)).TLS(), unknowing.TLS())
+	client, server := handshake(t, newAuthenticator(t, newRing(t)).TLS(), unknowing.TLS())
 	assert.Assert(t, client != nil && server != nil)
 	_, knows := unknowing.Ring()
 	assert.Assert(t, !knows)
 }
 
-func TestBadRingsNameTheirField(t *testing.T) {
+func TestInvalidKeyRingNamesField(t *testing.T) {
 	good := newRing(t)
 	data, err := json.Marshal(good)
 	assert.NilError(t, err)
@@ -161,9 +161,9 @@
 
 // What both sides of a handshake cost together.
 func BenchmarkHandshake(b *testing.B) {
-	cfg := keeperOf(b, newRing(b)).TLS()
+	cfg := newAuthenticator(b, newRing(b)).TLS()
 	for b.Loop() {
-		if client, server := meet(b, cfg, cfg); client != nil || server != nil {
+		if client, server := handshake(b, cfg, cfg); client != nil || server != nil {
 			b.Fatal(client, server)
 		}
 	}
--- a/embedded/caller_test.go
+++ b/embedded/caller_test.go
@@ -57,12 +57,12 @@
 }
 
 // ask is one request of a caller.
-type ask struct {
+type clientRequest struct {
 	method, path, body string
 	header             map[string]string
 }
 
-func (ask ask) send(t *testing.T, sys *embedded.System) (*http.Response, string) {
+func (ask clientRequest) send(t *testing.T, sys *embedded.System) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), ask.method, "http://"+sys.Entries()[0].String()+ask.path, strings.NewReader(ask.body))
 	assert.NilError(t, err)
@@ -80,14 +80,14 @@
 
 const chat = `{"model": "menus", "messages": [{"role": "user", "content": "is it safe?"}], "max_tokens": 3}`
 
-func TestRefusalsNameWhatIsWrong(t *testing.T) {
+func TestErrorsNameInvalidInput(t *testing.T) {
 	sys := startSystem(t)
-	post := func(path, body string, header ...string) ask {
-		return ask{http.MethodPost, path, body, pairs(header)}
+	post := func(path, body string, header ...string) clientRequest {
+		return clientRequest{http.MethodPost, path, body, headerMap(header)}
 	}
 	const chatPath = "/v1/chat/completions"
 	cases := map[string]struct {
-		ask     ask
+		ask     clientRequest
 		status  int
 		code    string
 		message string
@@ -121,7 +121,7 @@
 	assert.Equal(t, len(sys.Dispatches()), 0)
 }
 
-func pairs(header []string) map[string]string {
+func headerMap(header []string) map[string]string {
 	all := make(map[string]string)
 	for idx := 0; idx+1 < len(header); idx += 2 {
 		all[header[idx]] = header[idx+1]
@@ -129,35 +129,35 @@
 	return all
 }
 
-func TestChatInOnePieceAndAsAStream(t *testing.T) {
+func TestChatBufferedAndStreamed(t *testing.T) {
 	sys := startSystem(t)
-	rep, body := ask{http.MethodPost, "/v1/chat/completions", chat, nil}.send(t, sys)
+	rep, body := clientRequest{http.MethodPost, "/v1/chat/completions", chat, nil}.send(t, sys)
 	assert.Equal(t, rep.StatusCode, http.StatusOK, body)
 	assert.Assert(t, rep.Header.Get(caller.HeaderRequestID) != "")
 	assert.Assert(t, strings.Contains(body, `"object":"chat.completion"`) && strings.Contains(body, `"completion_tokens":3`), body)
-	rep, body = ask{http.MethodPost, "/v1/chat/completions", strings.Replace(chat, "{", `{"stream": true, `, 1), nil}.send(t, sys)
+	rep, body = clientRequest{http.MethodPost, "/v1/chat/completions", strings.Replace(chat, "{", `{"stream": true, `, 1), nil}.send(t, sys)
 	assert.Equal(t, rep.Header.Get("Content-Type"), "text/event-stream")
 	assert.Assert(t, strings.HasSuffix(body, "data: [DONE]\n\n"), body)
 }
 
 // A repeat gets the same whole answer; another request under the id is refused.
-func TestRepeatAndOtherBodyUnderOneID(t *testing.T) {
+func TestRepeatedIDWithSameAndOtherBody(t *testing.T) {
 	sys := startSystem(t)
 	known, err := load.NewClient(load.ClientConfig{Entries: sys.Entries()}).Addresses(t.Context())
 	assert.NilError(t, err)
 	header := map[string]string{caller.HeaderID: known.Addresses[1].Prefix + "-one"}
-	_, first := ask{http.MethodPost, "/v1/chat/completions", chat, header}.send(t, sys)
-	_, again := ask{http.MethodPost, "/v1/chat/completions", chat, header}.send(t, sys)
+	_, first := clientRequest{http.MethodPost, "/v1/chat/completions", chat, header}.send(t, sys)
+	_, again := clientRequest{http.MethodPost, "/v1/chat/completions", chat, header}.send(t, sys)
 	assert.Equal(t, first, again)
-	rep, _ := ask{http.MethodPost, "/v1/chat/completions", strings.Replace(chat, "safe", "late", 1), header}.send(t, sys)
+	rep, _ := clientRequest{http.MethodPost, "/v1/chat/completions", strings.Replace(chat, "safe", "late", 1), header}.send(t, sys)
 	assert.Equal(t, rep.StatusCode, http.StatusUnprocessableEntity)
 	assert.Equal(t, len(sys.Dispatches()), 1)
 }
 
-func TestPlainServiceIsPassedThrough(t *testing.T) {
+func TestPlainServiceIsProxied(t *testing.T) {
 	sys := startSystem(t)
 	for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodDelete} {
-		rep, body := ask{method, "/services/labels/a%2Fb/c?x=1&y=", "label", map[string]string{"X-Own": "kept", "Te": "trailers"}}.send(t, sys)
+		rep, body := clientRequest{method, "/services/labels/a%2Fb/c?x=1&y=", "label", map[string]string{"X-Own": "kept", "Te": "trailers"}}.send(t, sys)
 		assert.Equal(t, rep.StatusCode, http.StatusOK, body)
 		var echo backendtest.Echo
 		assert.NilError(t, json.Unmarshal([]byte(body), &echo))
--- a/embedded/embedded.go
+++ b/embedded/embedded.go
@@ -170,22 +170,22 @@
 // The loopback addresses of one process lie in a network of their own, and
 // their ports below those that outgoing connections take.
 const (
-	firstPort     = 7001
-	addressesAnIP = 20
-	ipsANetwork   = 250
+	firstPort      = 7001
+	addressesPerIP = 20
+	ipsPerNetwork  = 250
 )
 
-var addressesTaken atomic.Uint32
+var addressCount atomic.Uint32
 
 // NextAddress returns a loopback address that no other part of this process
 // has, and no other process that takes its addresses so.
 func NextAddress() netip.AddrPort {
-	count := int(addressesTaken.Add(1)) - 1
+	count := int(addressCount.Add(1)) - 1
 	pid := os.Getpid()
 	ip := netip.AddrFrom4([4]byte{
-		127, byte(1 + pid%ipsANetwork), byte(1 + pid/ipsANetwork%ipsANetwork), byte(1 + count/addressesAnIP%ipsANetwork),
+		127, byte(1 + pid%ipsPerNetwork), byte(1 + pid/ipsPerNetwork%ipsPerNetwork), byte(1 + count/addressesPerIP%ipsPerNetwork),
 	})
-	return netip.AddrPortFrom(ip, uint16(firstPort+count%addressesAnIP))
+	return netip.AddrPortFrom(ip, uint16(firstPort+count%addressesPerIP))
 }
 
 func (sys *System) startHosts(ctx context.Context) error {
@@ -254,8 +254,8 @@
 	return operator.NewClient(operator.ClientConfig{Address: sys.settings[idx].OperatorAddress, Key: OperatorKey})
 }
 
-// waitStep is how often a wait looks again.
-const waitStep = 10 * time.Millisecond
+// pollInterval is how often a wait looks again.
+const pollInterval = 10 * time.Millisecond
 
 // WaitView returns when every running host has a view of so many members and
 // is connected to each.
@@ -290,7 +290,7 @@
 }
 
 func (sys *System) wait(ctx context.Context, what string, holds func() bool) error {
-	ticker := time.NewTicker(waitStep)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for !holds() {
 		select {
--- a/embedded/slow_test.go
+++ b/embedded/slow_test.go
@@ -11,23 +11,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowCallers is how many broken callers the test has at once.
-const slowCallers = 50
+// slowClients is how many broken callers the test has at once.
+const slowClients = 50
 
 // Callers that send half a request and stop must neither stand in the way of
 // others nor leave anything behind when their connection ends.
-func TestHalfSentRequestsStandInNobodysWay(t *testing.T) {
+func TestIncompleteRequestsDoNotBlockOthers(t *testing.T) {
 	sys := startSystem(t)
 	var dialer net.Dialer
 	var half []net.Conn
-	for range slowCallers {
+	for range slowClients {
 		con, err := dialer.DialContext(t.Context(), "tcp", sys.Entries()[0].String())
 		assert.NilError(t, err)
 		_, err = fmt.Fprintf(con, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n{\"model\"", accountKey)
 		assert.NilError(t, err)
 		half = append(half, con)
 	}
-	rep, body := ask{"POST", "/v1/chat/completions", chat, nil}.send(t, sys)
+	rep, body := clientRequest{"POST", "/v1/chat/completions", chat, nil}.send(t, sys)
 	assert.Equal(t, rep.StatusCode, 200, body)
 	for _, con := range half {
 		assert.NilError(t, con.Close())
@@ -36,7 +36,7 @@
 }
 
 // A body longer than announced limits is refused without being read to its end.
-func TestEndlessBodyIsRefused(t *testing.T) {
+func TestEndlessBodyIsRejected(t *testing.T) {
 	sys := startSystem(t)
 	var dialer net.Dialer
 	con, err := dialer.DialContext(t.Context(), "tcp", sys.Entries()[0].String())
--- a/peer/client.go
+++ b/peer/client.go
@@ -16,17 +16,18 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// ClientConfig holds what a Client is made from.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	Security Security
 	Timing   Timing
-	// Self returns the header to send.
+	// Self returns this host's header, which is sent with every message.
 	Self func() Header
-	// Meter counts the bytes; nil counts none.
+	// Meter counts the bytes on the client's connections; nil disables counting.
 	Meter *Meter
 }
 
-// Client reaches the other hosts.
+// Client sends requests and opens sessions to the other hosts. It is safe for
+// concurrent use.
 type Client struct {
 	cfg   ClientConfig
 	http  *http.Client
@@ -34,8 +35,8 @@
 	stubs map[netip.AddrPort]peerpbconnect.PeerServiceClient
 }
 
-// State is what a host fetches from a peer: views, oldest first, and a
-// configuration's head and parts as they stand on the platform.
+// State is the answer to FetchState: views, oldest first, and a configuration's
+// head and parts in the encoding in which the platform stores them.
 type State struct {
 	Header Header
 	Views  [][]byte
@@ -43,7 +44,7 @@
 	Parts  map[string][]byte
 }
 
-// NewClient returns a client without any connection yet.
+// NewClient returns a client. It connects to a host on first use.
 func NewClient(cfg ClientConfig) *Client {
 	var protocols http.Protocols
 	protocols.SetHTTP2(cfg.Security.TLS != nil)
@@ -56,7 +57,7 @@
 		Protocols:       &protocols,
 		TLSClientConfig: cfg.Security.TLS,
 		IdleConnTimeout: time.Minute,
-		HTTP2:           pings(cfg.Timing),
+		HTTP2:           pingConfig(cfg.Timing),
 	}
 	return &Client{
 		cfg:   cfg,
@@ -65,14 +66,15 @@
 	}
 }
 
-// pings has a connection that fell silent closed: a lost session alone leaves it
-// in use, and every later one would be opened on it. Sessions that beat need no
-// ping; one goes out after half the time that a session may be silent.
-func pings(tim Timing) *http.HTTP2Config {
+// pingConfig returns the HTTP/2 settings that close an unresponsive connection.
+// Ending a session leaves its connection in the pool, and without pings every
+// later session would be opened on that connection. Sessions with heartbeats need no
+// ping: one is sent only after half of the session timeout without a frame.
+func pingConfig(tim Timing) *http.HTTP2Config {
 	return &http.HTTP2Config{SendPingTimeout: tim.Timeout / 2, PingTimeout: tim.Timeout}
 }
 
-// Close drops the connections that aren't in use.
+// Close closes idle connections.
 func (cli *Client) Close() {
 	cli.http.CloseIdleConnections()
 }
@@ -86,36 +88,39 @@
 		if cli.cfg.Security.TLS != nil {
 			scheme = "https://"
 		}
-		stub = peerpbconnect.NewPeerServiceClient(cli.http, scheme+adr.String(), connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressFrom))
+		stub = peerpbconnect.NewPeerServiceClient(cli.http, scheme+adr.String(), connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressMinBytes))
 		cli.stubs[adr] = stub
 	}
 	return stub
 }
 
-// Received is a frame's content.
+// Received is one message of a frame with the frame's header. Message is nil where
+// only the header is delivered.
 type Received struct {
 	Header  Header
 	Message reservation.Message
 	Load    reservation.Load
 }
 
-// Session runs one session with the member until it is lost. up is called once
-// the member has answered with the epoch meant; deliver is called for each
-// message, and with a nil message for each frame's header.
+// Session runs one session with the member and blocks until the session ends. It
+// calls up once, when the first frame arrives and carries the expected epoch, and
+// deliver for each received message, and with a nil message for each frame's header.
+// A member with another epoch ends the session with an *EpochError, a missed
+// heartbeat with a *SilenceError.
 func (cli *Client) Session(ctx context.Context, mem view.Member, que *Queue, up func(), deliver func(Received)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream := cli.stub(mem.PeerAddress).Session(ctx)
-	cli.cfg.Security.sign(stream.RequestHeader())
-	var wrong *EpochError
+	cli.cfg.Security.setAuthorization(stream.RequestHeader())
+	var mismatch *EpochError
 	first := true
-	pum := &pump{stream: clientStream{stream}, queue: que.out, timing: cli.cfg.Timing, self: cli.cfg.Self}
-	// The transport doesn't look at the context while it waits for more to send.
-	pum.unblock = func() { _ = stream.CloseRequest() }
-	pum.deliver = func(frame *peerpb.Frame) {
+	ses := &session{stream: clientStream{stream}, queue: que.out, timing: cli.cfg.Timing, self: cli.cfg.Self}
+	// The HTTP/2 transport ignores the context while it waits for request data.
+	ses.unblock = func() { _ = stream.CloseRequest() }
+	ses.deliver = func(frame *peerpb.Frame) {
 		hea := headerFromWire(frame.GetHeader())
 		if hea.Epoch != mem.Epoch {
-			wrong = &EpochError{Want: mem.Epoch, Got: hea.Epoch}
+			mismatch = &EpochError{Want: mem.Epoch, Got: hea.Epoch}
 			cancel()
 			return
 		}
@@ -123,22 +128,23 @@
 			first = false
 			up()
 		}
-		spread(frame, deliver)
+		deliverFrame(frame, deliver)
 	}
-	err := pum.run(ctx, cancel)
-	if wrong != nil {
-		return wrong
+	err := ses.run(ctx, cancel)
+	if mismatch != nil {
+		return mismatch
 	}
 	return err
 }
 
-// clientStream gives the client's end the shape of the server's.
+// clientStream adapts the client's end of a stream to the stream interface.
 type clientStream struct {
 	*connect.BidiStreamForClient[peerpb.Frame, peerpb.Frame]
 }
 
-// spread delivers a frame's header and then each of its messages.
-func spread(frame *peerpb.Frame, deliver func(Received)) {
+// deliverFrame delivers a frame's header and then each of its messages. It skips
+// messages of unknown kinds.
+func deliverFrame(frame *peerpb.Frame, deliver func(Received)) {
 	hea := headerFromWire(frame.GetHeader())
 	deliver(Received{Header: hea})
 	for _, env := range frame.GetEnvelopes() {
@@ -149,53 +155,55 @@
 	}
 }
 
-func signed[T any](cli *Client, msg *T) *connect.Request[T] {
+func newRequest[T any](cli *Client, msg *T) *connect.Request[T] {
 	req := connect.NewRequest(msg)
-	cli.cfg.Security.sign(req.Header())
+	cli.cfg.Security.setAuthorization(req.Header())
 	return req
 }
 
-// Fence asks the member about a request.
+// Fence sends a fencing request for one request id to the member and returns the
+// member's answer.
 func (cli *Client) Fence(ctx context.Context, mem view.Member, fen reservation.Fence) (reservation.FenceAnswer, error) {
 	msg := &peerpb.FenceRequest{Header: headerToWire(cli.cfg.Self()), Id: idToWire(fen.ID), Ballot: ballotToWire(fen.Ballot)}
-	res, err := cli.stub(mem.PeerAddress).Fence(ctx, signed(cli, msg))
+	res, err := cli.stub(mem.PeerAddress).Fence(ctx, newRequest(cli, msg))
 	if err != nil {
 		return reservation.FenceAnswer{}, err
 	}
-	if err := sameEpoch(mem, res.Msg.GetHeader()); err != nil {
+	if err := checkEpoch(mem, res.Msg.GetHeader()); err != nil {
 		return reservation.FenceAnswer{}, err
 	}
-	return answerFromWire(res.Msg), nil
+	return fenceAnswerFromWire(res.Msg), nil
 }
 
-func sameEpoch(mem view.Member, whe *peerpb.Header) error {
+func checkEpoch(mem view.Member, whe *peerpb.Header) error {
 	if got := request.Epoch(whe.GetEpoch()); got != mem.Epoch {
 		return &EpochError{Want: mem.Epoch, Got: got}
 	}
 	return nil
 }
 
-// Vouch tells the member what a lost coordinator epoch had granted.
-func (cli *Client) Vouch(ctx context.Context, mem view.Member, vou reservation.Vouch) error {
+// Vouch sends the member an attestation of what a lost coordinator epoch had
+// granted.
+func (cli *Client) Vouch(ctx context.Context, mem view.Member, att reservation.Vouch) error {
 	msg := &peerpb.VouchRequest{
-		Header: headerToWire(cli.cfg.Self()), Key: keyToWire(vou.VouchKey),
-		Sequence: vou.Sequence, Records: recordsToWire(vou.Records),
+		Header: headerToWire(cli.cfg.Self()), Key: attestationKeyToWire(att.VouchKey),
+		Sequence: att.Sequence, Records: recordsToWire(att.Records),
 	}
-	_, err := cli.stub(mem.PeerAddress).Vouch(ctx, signed(cli, msg))
+	_, err := cli.stub(mem.PeerAddress).Vouch(ctx, newRequest(cli, msg))
 	return err
 }
 
-// Unvouch takes a vouch back.
-func (cli *Client) Unvouch(ctx context.Context, mem view.Member, unv reservation.Unvouch) (reservation.UnvouchAnswer, error) {
-	msg := &peerpb.UnvouchRequest{Header: headerToWire(cli.cfg.Self()), Key: keyToWire(unv.VouchKey), Sequence: unv.Sequence}
-	res, err := cli.stub(mem.PeerAddress).Unvouch(ctx, signed(cli, msg))
+// Unvouch revokes an attestation that was sent to the member.
+func (cli *Client) Unvouch(ctx context.Context, mem view.Member, rev reservation.Unvouch) (reservation.UnvouchAnswer, error) {
+	msg := &peerpb.UnvouchRequest{Header: headerToWire(cli.cfg.Self()), Key: attestationKeyToWire(rev.VouchKey), Sequence: rev.Sequence}
+	res, err := cli.stub(mem.PeerAddress).Unvouch(ctx, newRequest(cli, msg))
 	if err != nil {
 		return reservation.UnvouchAnswer{}, err
 	}
-	return reservation.UnvouchAnswer{VouchKey: keyFromWire(res.Msg.GetKey()), Released: res.Msg.GetReleased()}, nil
+	return reservation.UnvouchAnswer{VouchKey: attestationKeyFromWire(res.Msg.GetKey()), Released: res.Msg.GetReleased()}, nil
 }
 
-// Handover gives the member the ledger of this stopping host.
+// Handover transfers the ledger of this stopping host to the member.
 func (cli *Client) Handover(ctx context.Context, mem view.Member, han reservation.Handover) error {
 	msg := &peerpb.HandoverRequest{
 		Header: headerToWire(cli.cfg.Self()), Stopped: epochsToWire(han.Stopped), Records: recordsToWire(han.Records),
@@ -204,15 +212,15 @@
 	for epo, floor := range han.Floors {
 		msg.Floors[uint64(epo)] = floor
 	}
-	_, err := cli.stub(mem.PeerAddress).Handover(ctx, signed(cli, msg))
+	_, err := cli.stub(mem.PeerAddress).Handover(ctx, newRequest(cli, msg))
 	return err
 }
 
-// FetchState fetches views from a number on and, if the peer has one above the
-// revision, its configuration.
+// FetchState fetches the views with numbers of at least viewsFrom and, if the peer's
+// configuration is newer than aboveRevision, that configuration.
 func (cli *Client) FetchState(ctx context.Context, adr netip.AddrPort, viewsFrom, aboveRevision uint64) (State, error) {
 	msg := &peerpb.FetchStateRequest{Header: headerToWire(cli.cfg.Self()), ViewsFrom: viewsFrom, AboveRevision: aboveRevision}
-	res, err := cli.stub(adr).FetchState(ctx, signed(cli, msg))
+	res, err := cli.stub(adr).FetchState(ctx, newRequest(cli, msg))
 	if err != nil {
 		return State{}, err
 	}
@@ -222,13 +230,14 @@
 	}, nil
 }
 
-// Probe asks whether the member lives, and returns its header.
+// Probe checks that the member responds and has the expected epoch, and returns its
+// header.
 func (cli *Client) Probe(ctx context.Context, mem view.Member) (Header, error) {
-	res, err := cli.stub(mem.PeerAddress).Probe(ctx, signed(cli, &peerpb.ProbeRequest{Header: headerToWire(cli.cfg.Self())}))
+	res, err := cli.stub(mem.PeerAddress).Probe(ctx, newRequest(cli, &peerpb.ProbeRequest{Header: headerToWire(cli.cfg.Self())}))
 	if err != nil {
 		return Header{}, err
 	}
-	if err := sameEpoch(mem, res.Msg.GetHeader()); err != nil {
+	if err := checkEpoch(mem, res.Msg.GetHeader()); err != nil {
 		return Header{}, err
 	}
 	return headerFromWire(res.Msg.GetHeader()), nil
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -18,7 +18,8 @@
 	return request.ID{Prefix: pre, Unique: wid.GetUnique()}
 }
 
-// ballotToWire leaves out the zero ballot, which is the id's own gateway's.
+// ballotToWire omits the zero ballot: ballotFromWire restores it from the request
+// id, since its holder is the gateway that the id names.
 func ballotToWire(bal request.Ballot) *peerpb.Ballot {
 	if bal.Round == 0 {
 		return nil
@@ -53,7 +54,7 @@
 	return epochs
 }
 
-// toWire returns the message as it travels, with the load beside it.
+// toWire encodes the message and the load that is sent with it.
 func toWire(out Outgoing) *peerpb.Envelope {
 	env := &peerpb.Envelope{}
 	switch msg := out.Message.(type) {
@@ -89,13 +90,13 @@
 	case reservation.Leader:
 		env.Message = &peerpb.Envelope_Leader{Leader: &peerpb.Leader{Host: uint64(msg.Host)}}
 	case reservation.EngineEnded:
-		env.Message = &peerpb.Envelope_EngineEnded{EngineEnded: endedToWire(msg)}
+		env.Message = &peerpb.Envelope_EngineEnded{EngineEnded: crashToWire(msg)}
 	case reservation.CaseReport:
-		env.Message = &peerpb.Envelope_CaseReport{CaseReport: reportToWire(msg.Report)}
+		env.Message = &peerpb.Envelope_CaseReport{CaseReport: caseReportToWire(msg.Report)}
 	case reservation.EngineNotice:
 		env.Message = &peerpb.Envelope_EngineNotice{EngineNotice: noticeToWire(msg)}
 	case reservation.Emptying:
-		env.Message = &peerpb.Envelope_Emptying{Emptying: emptyingToWire(msg)}
+		env.Message = &peerpb.Envelope_Emptying{Emptying: enforcedOrdersToWire(msg)}
 	case reservation.Progress:
 		env.Message = &peerpb.Envelope_Progress{Progress: &peerpb.Progress{
 			Id: idToWire(msg.ID), FirstTokenUs: msg.FirstToken.Microseconds(),
@@ -168,8 +169,8 @@
 	}
 }
 
-// fromWire returns the message that travelled; it is nil for a kind that this
-// program doesn't know.
+// fromWire decodes the message and its load. The message is nil for a kind that
+// this version doesn't know.
 func fromWire(env *peerpb.Envelope) (reservation.Message, reservation.Load) {
 	return messageFromWire(env), loadFromWire(env.GetLoad())
 }
@@ -212,13 +213,13 @@
 	case *peerpb.Envelope_Evicted:
 		return reservation.Evicted{ID: idFromWire(wms.Evicted.GetId()), Done: wms.Evicted.GetDone(), FloorRank: int(wms.Evicted.GetFloorRank())}
 	case *peerpb.Envelope_EngineEnded:
-		return endedFromWire(wms.EngineEnded)
+		return crashFromWire(wms.EngineEnded)
 	case *peerpb.Envelope_EngineNotice:
 		return noticeFromWire(wms.EngineNotice)
 	case *peerpb.Envelope_Emptying:
-		return emptyingFromWire(wms.Emptying)
+		return enforcedOrdersFromWire(wms.Emptying)
 	case *peerpb.Envelope_CaseReport:
-		return reservation.CaseReport{Report: reportFromWire(wms.CaseReport)}
+		return reservation.CaseReport{Report: caseReportFromWire(wms.CaseReport)}
 	default:
 		return nil
 	}
@@ -300,33 +301,33 @@
 	return records
 }
 
-func keyToWire(key reservation.VouchKey) *peerpb.VouchKey {
+func attestationKeyToWire(key reservation.VouchKey) *peerpb.VouchKey {
 	return &peerpb.VouchKey{Lost: uint64(key.Lost), Holder: uint64(key.Holder)}
 }
 
-func keyFromWire(wke *peerpb.VouchKey) reservation.VouchKey {
+func attestationKeyFromWire(wke *peerpb.VouchKey) reservation.VouchKey {
 	return reservation.VouchKey{Lost: request.Epoch(wke.GetLost()), Holder: request.Epoch(wke.GetHolder())}
 }
 
-func answerToWire(ans reservation.FenceAnswer) *peerpb.FenceResponse {
+func fenceAnswerToWire(ans reservation.FenceAnswer) *peerpb.FenceResponse {
 	res := &peerpb.FenceResponse{
 		Id: idToWire(ans.ID), Standing: uint32(ans.Standing), Ballot: ballotToWire(ans.Ballot), Engine: ans.Engine,
 		Holders: epochsToWire(ans.Holders), Successions: epochsToWire(ans.Successions),
 	}
 	for _, key := range ans.Vouches {
-		res.Vouches = append(res.Vouches, keyToWire(key))
+		res.Vouches = append(res.Vouches, attestationKeyToWire(key))
 	}
 	return res
 }
 
-func answerFromWire(res *peerpb.FenceResponse) reservation.FenceAnswer {
+func fenceAnswerFromWire(res *peerpb.FenceResponse) reservation.FenceAnswer {
 	ans := reservation.FenceAnswer{
 		ID: idFromWire(res.GetId()), From: request.Epoch(res.GetHeader().GetEpoch()),
 		Standing: reservation.Standing(res.GetStanding()), Ballot: ballotFromWire(res.GetBallot(), res.GetId()), Engine: res.GetEngine(),
 		Holders: epochsFromWire(res.GetHolders()), Successions: epochsFromWire(res.GetSuccessions()),
 	}
 	for _, wke := range res.GetVouches() {
-		ans.Vouches = append(ans.Vouches, keyFromWire(wke))
+		ans.Vouches = append(ans.Vouches, attestationKeyFromWire(wke))
 	}
 	return ans
 }
--- a/peer/convertcase.go
+++ b/peer/convertcase.go
@@ -9,8 +9,8 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// digestFromWire returns none for what isn't a digest: a host that sends another length
-// speaks of something that this one doesn't know.
+// digestFromWire returns the zero digest for data of another length: a host that sends
+// one uses a kind of digest that this version doesn't know.
 func digestFromWire(raw []byte) call.Digest {
 	var dig call.Digest
 	if len(raw) == len(dig) {
@@ -27,102 +27,103 @@
 	return quarantine.Subject{Digest: digestFromWire(wsu.GetDigest()), Service: wsu.GetService(), Account: wsu.GetAccount(), Route: wsu.GetRoute()}
 }
 
-// The numbers of engines' words.
+// The wire numbers of engine signals.
 const (
-	wordLeaving uint32 = iota + 1
-	wordReplaced
-	wordPause
-	wordRateLimit
-	wordUnlimited
-	wordCold
+	signalDraining uint32 = iota + 1
+	signalReplaced
+	signalBackoff
+	signalRateLimit
+	signalUnlimited
+	signalCold
 )
 
 func noticeToWire(msg reservation.EngineNotice) *peerpb.EngineNotice {
 	wno := &peerpb.EngineNotice{Engine: msg.Run.String()}
-	switch wrd := msg.Word.(type) {
+	switch sig := msg.Word.(type) {
 	case fleet.Leaving:
-		wno.Word = wordLeaving
+		wno.Word = signalDraining
 	case fleet.Replaced:
-		wno.Word = wordReplaced
+		wno.Word = signalReplaced
 	case fleet.Pause:
-		wno.Word, wno.LeftUs = wordPause, wrd.Left.Microseconds()
+		wno.Word, wno.LeftUs = signalBackoff, sig.Left.Microseconds()
 	case fleet.RateLimit:
-		wno.Word, wno.PerSecond = wordRateLimit, wrd.PerSecond
+		wno.Word, wno.PerSecond = signalRateLimit, sig.PerSecond
 	case fleet.Unlimited:
-		wno.Word = wordUnlimited
+		wno.Word = signalUnlimited
 	case fleet.Cold:
-		wno.Word, wno.LeftUs = wordCold, wrd.Left.Microseconds()
+		wno.Word, wno.LeftUs = signalCold, sig.Left.Microseconds()
 	}
 	return wno
 }
 
-// noticeFromWire returns no word for one that this program doesn't know.
+// noticeFromWire returns a notice without a signal for a number that this version
+// doesn't know.
 func noticeFromWire(wno *peerpb.EngineNotice) reservation.EngineNotice {
 	not := fleet.Notice{Run: fleet.ParseEngineID(wno.GetEngine())}
 	switch wno.GetWord() {
-	case wordLeaving:
+	case signalDraining:
 		not.Word = fleet.Leaving{}
-	case wordReplaced:
+	case signalReplaced:
 		not.Word = fleet.Replaced{}
-	case wordPause:
+	case signalBackoff:
 		not.Word = fleet.Pause{Left: fromMicros(wno.GetLeftUs())}
-	case wordRateLimit:
+	case signalRateLimit:
 		not.Word = fleet.RateLimit{PerSecond: wno.GetPerSecond()}
-	case wordUnlimited:
+	case signalUnlimited:
 		not.Word = fleet.Unlimited{}
-	case wordCold:
+	case signalCold:
 		not.Word = fleet.Cold{Left: fromMicros(wno.GetLeftUs())}
 	}
 	return reservation.EngineNotice{Notice: not}
 }
 
-func emptyingToWire(msg reservation.Emptying) *peerpb.Emptying {
-	wem := &peerpb.Emptying{}
+func enforcedOrdersToWire(msg reservation.Emptying) *peerpb.Emptying {
+	weo := &peerpb.Emptying{}
 	for _, ord := range msg.Orders {
-		wem.Orders = append(wem.Orders, &peerpb.Emptying_Order{Domain: ord.Domain, Revision: ord.Revision})
+		weo.Orders = append(weo.Orders, &peerpb.Emptying_Order{Domain: ord.Domain, Revision: ord.Revision})
 	}
-	return wem
+	return weo
 }
 
-func emptyingFromWire(wem *peerpb.Emptying) reservation.Emptying {
+func enforcedOrdersFromWire(weo *peerpb.Emptying) reservation.Emptying {
 	var msg reservation.Emptying
-	for _, ord := range wem.GetOrders() {
+	for _, ord := range weo.GetOrders() {
 		msg.Orders = append(msg.Orders, evacuation.Order{Domain: ord.GetDomain(), Revision: ord.GetRevision()})
 	}
 	return msg
 }
 
-func endedToWire(msg reservation.EngineEnded) *peerpb.EngineEnded {
+func crashToWire(msg reservation.EngineEnded) *peerpb.EngineEnded {
 	return &peerpb.EngineEnded{
 		Id: idToWire(msg.ID), Subject: subjectToWire(msg.Subject), Engine: msg.Engine, Uncertain: msg.Uncertain, Alone: msg.Alone, RanUs: msg.Ran.Microseconds(),
 	}
 }
 
-func endedFromWire(wen *peerpb.EngineEnded) reservation.EngineEnded {
+func crashFromWire(wcr *peerpb.EngineEnded) reservation.EngineEnded {
 	return reservation.EngineEnded{
-		ID: idFromWire(wen.GetId()), Uncertain: wen.GetUncertain(),
-		Observation: quarantine.Observation{Subject: subjectFromWire(wen.GetSubject()), Engine: wen.GetEngine(), Alone: wen.GetAlone(), Ran: fromMicros(wen.GetRanUs())},
+		ID: idFromWire(wcr.GetId()), Uncertain: wcr.GetUncertain(),
+		Observation: quarantine.Observation{Subject: subjectFromWire(wcr.GetSubject()), Engine: wcr.GetEngine(), Alone: wcr.GetAlone(), Ran: fromMicros(wcr.GetRanUs())},
 	}
 }
 
-func reportToWire(rep quarantine.Report) *peerpb.CaseReport {
+func caseReportToWire(rep quarantine.Report) *peerpb.CaseReport {
 	wre := &peerpb.CaseReport{
 		Subject: subjectToWire(rep.Subject), Held: rep.Held, ForGood: rep.ForGood, LeftUs: rep.Left.Microseconds(),
 		Trials: uint32(rep.Trials), Cleared: rep.Cleared,
 	}
-	for _, end := range rep.Ends {
-		wre.Ends = append(wre.Ends, &peerpb.CaseReport_End{Engine: end.Engine, Alone: end.Alone, Again: uint32(end.Again)})
+	for _, cra := range rep.Ends {
+		wre.Ends = append(wre.Ends, &peerpb.CaseReport_End{Engine: cra.Engine, Alone: cra.Alone, Again: uint32(cra.Again)})
 	}
 	return wre
 }
 
-func reportFromWire(wre *peerpb.CaseReport) quarantine.Report {
+func caseReportFromWire(wre *peerpb.CaseReport) quarantine.Report {
 	rep := quarantine.Report{
 		Subject: subjectFromWire(wre.GetSubject()), Held: wre.GetHeld(), ForGood: wre.GetForGood(), Left: fromMicros(wre.GetLeftUs()),
 		Trials: int(wre.GetTrials()), Cleared: wre.GetCleared(),
 	}
-	for _, wen := range wre.GetEnds() {
-		rep.Ends = append(rep.Ends, quarantine.End{Engine: wen.GetEngine(), Alone: wen.GetAlone(), Again: int(wen.GetAgain())})
+	for _, wcr := range wre.GetEnds() {
+		rep.Ends = append(rep.Ends, quarantine.End{Engine: wcr.GetEngine(), Alone: wcr.GetAlone(), Again: int(wcr.GetAgain())})
 	}
 	return rep
 }
--- a/peer/follow.go
+++ b/peer/follow.go
@@ -12,46 +12,50 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// Following is what a host passes on of the store.
+// Following is a set of changes of the store that a host serves to its peers.
 type Following struct {
-	// Whole has the changes replace all that was known before.
+	// Whole reports that Changes is a full snapshot, which replaces the receiver's
+	// copy.
 	Whole   bool
 	Changes store.Changes
-	// Confirmed is when the store last showed this to be current, counted from
-	// the question; it may be negative.
+	// Confirmed is the time, relative to the start of the request, at which the
+	// store last confirmed that the copy was current; it is negative for a time
+	// before the request.
 	Confirmed time.Duration
 }
 
-// Mirror is what a host offers to those who read the store through it.
+// Mirror is a copy of the store that peers read through this host.
 type Mirror interface {
-	// Follow waits up to the given time for changes after the revision; after 0
-	// everything is told.
+	// Follow waits up to the given time for changes after the revision. For
+	// revision 0 it returns a full snapshot.
 	Follow(ctx context.Context, after store.Revision, wait time.Duration) (Following, error)
 }
 
-// Unready is an error of a Mirror that has nothing to pass on yet, and soon may.
+// Unready is implemented by errors of a Mirror that has no copy of the store yet but
+// may have one soon.
 type Unready interface {
 	error
 	Unready()
 }
 
-// UnreadyError reports a host that has nothing to pass on yet.
+// UnreadyError reports that a host has no copy of the store yet.
 type UnreadyError struct {
-	// Cause is what the host said.
+	// Cause is the host's error.
 	Cause error
 }
 
-// Error says so.
+// Error implements error.
 func (une *UnreadyError) Error() string {
-	return "nothing to follow yet: " + une.Cause.Error()
+	return "peer has no copy of the store yet: " + une.Cause.Error()
 }
 
-// Follow asks the host at the address for changes after the revision. The time
-// in the answer counts from this call, which is sooner than the question's
-// arrival: what is taken from it errs towards old.
+// Follow requests the changes after the revision from the host at the address. It
+// waits up to the given time for changes. The answer's Confirmed time is to be counted
+// from this call, which precedes the arrival of the request at the peer: the copy is
+// therefore never taken for newer than it is.
 func (cli *Client) Follow(ctx context.Context, adr netip.AddrPort, after store.Revision, wait time.Duration) (Following, error) {
 	msg := &peerpb.FollowRequest{Header: headerToWire(cli.cfg.Self()), After: uint64(after), WaitUs: wait.Microseconds()}
-	res, err := cli.stub(adr).Follow(ctx, signed(cli, msg))
+	res, err := cli.stub(adr).Follow(ctx, newRequest(cli, msg))
 	if connect.CodeOf(err) == connect.CodeFailedPrecondition {
 		return Following{}, &UnreadyError{Cause: err}
 	}
@@ -69,7 +73,7 @@
 	return fol, nil
 }
 
-// Follow implements the generated service.
+// Follow implements peerpbconnect.PeerServiceHandler.
 func (srv *Server) Follow(ctx context.Context, req *connect.Request[peerpb.FollowRequest]) (*connect.Response[peerpb.FollowResponse], error) {
 	if srv.cfg.Mirror == nil {
 		return nil, errNoMirror
--- a/peer/meter.go
+++ b/peer/meter.go
@@ -9,31 +9,32 @@
 	"lynxwell.dev/lynxwell/transport"
 )
 
-// Meter counts the bytes between this host and the others.
+// Meter counts the bytes on the connections between this host and the others.
 type Meter struct {
 	received atomic.Uint64
 	sent     atomic.Uint64
 }
 
-// Received returns the bytes received so far.
+// Received returns the number of bytes received.
 func (met *Meter) Received() uint64 {
 	return met.received.Load()
 }
 
-// Sent returns the bytes sent so far.
+// Sent returns the number of bytes sent.
 func (met *Meter) Sent() uint64 {
 	return met.sent.Load()
 }
 
-// liveness ends connections between hosts of which the other end is gone without
-// a word; the sessions on them notice silence by themselves, and sooner.
+// liveness closes connections whose other end has disappeared without closing them.
+// Sessions on such a connection detect this themselves, and earlier, by missed
+// heartbeats.
 var liveness = transport.Liveness{Limit: 1500 * time.Millisecond}
 
-// dialTimeout bounds a connection to another host: a lost opening packet is sent
-// again after a second, and a host that is cut off says nothing.
+// dialTimeout bounds the time to connect to another host. It allows for one lost SYN
+// packet, which is sent again after 1 s; a partitioned host doesn't answer at all.
 const dialTimeout = 2 * time.Second
 
-// Listener returns a listener whose connections are counted.
+// Listener wraps lis so that the bytes on its connections are counted.
 func (met *Meter) Listener(lis net.Listener) net.Listener {
 	return &meteredListener{Listener: lis, meter: met}
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,18 +1,17 @@
-// Package peer speaks the connect-go protocol between the hosts of the system.
+// Package peer implements the protocol between hosts, on connect-go.
 //
 // # Usage
 //
-// A host serves the others with a Server, and reaches each of them with a
-// Client:
+// A host serves its peers with a Server and calls them with a Client:
 //
 //	srv := peer.NewServer(peer.ServerConfig{Backend: hos, Security: sec, Timing: tim})
 //	cli := peer.NewClient(peer.ClientConfig{Security: sec, Timing: tim, Self: hos.Header})
-//	err := cli.Session(ctx, member, queue, deliver) // until it is lost
+//	err := cli.Session(ctx, member, queue, up, deliver) // blocks until the session ends
 //
-// A session is one long-lived stream: a gateway's messages go one way and a
-// coordinator's the other, batched into frames. Every frame and every question
-// carries the sender's epoch, view and configuration revision. A peer without
-// the shared key gets no answer.
+// A session is one long-lived bidirectional stream: the gateway's messages go one
+// way and the coordinator's the other, batched into frames. Every frame and every
+// unary request carries a Header with the sender's epoch, view and configuration
+// revision. Requests without the shared key are rejected with status 401.
 package peer
 
 import (
@@ -27,21 +26,21 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// queueLen bounds the messages that wait for one session; a peer that falls
-// further behind loses the session.
+// queueLen is the number of messages that may be queued for one session. The session
+// of a peer that falls further behind is closed.
 const queueLen = 512
 
-// maxBatch bounds the messages of one frame.
+// maxBatch is the maximum number of messages in one frame.
 const maxBatch = 256
 
-// compressFrom is the size from which messages are compressed: small ones only
-// grow by it.
-const compressFrom = 4096
+// compressMinBytes is the size from which messages are compressed. Compression makes
+// smaller messages larger.
+const compressMinBytes = 4096
 
-// maxMessageBytes bounds one message between hosts.
+// maxMessageBytes is the maximum size of one message between hosts.
 const maxMessageBytes = 8 << 20
 
-// Header says who speaks, and how far its view and configuration are.
+// Header identifies the sending host, with the versions of its view and configuration.
 type Header struct {
 	Epoch    request.Epoch
 	Name     string
@@ -50,67 +49,69 @@
 	Window   uint64
 }
 
-// Outgoing is a message with the load that it tells.
+// Outgoing is a message to send, with the load that is reported with it.
 type Outgoing struct {
 	Message reservation.Message
 	Load    reservation.Load
 }
 
-// Timing holds the clocks of sessions.
+// Timing holds the heartbeat interval and the timeout of sessions.
 type Timing struct {
-	// Heartbeat is how often an idle session says that it lives.
+	// Heartbeat is the interval between heartbeats of a busy session.
 	Heartbeat time.Duration
-	// Timeout is after how much silence a session counts as lost.
+	// Timeout is how long a busy session may go without a received frame before it
+	// is considered lost.
 	Timeout time.Duration
 }
 
-// idleFactor is how much slower a session beats, and how much longer it may be
-// silent, while nothing but heartbeats travels on it.
+// idleFactor multiplies the heartbeat interval and the timeout of a session on which
+// only heartbeats are sent.
 const idleFactor = 6
 
-// idleAfter is how many heartbeats beyond the timeout a session stays busy after
-// a message.
-const idleAfter = 1
+// busyHeartbeats is how many heartbeat intervals beyond the timeout a session stays
+// busy after a message.
+const busyHeartbeats = 1
 
-// Security says how hosts know one another.
+// Security configures how hosts authenticate one another.
 type Security struct {
-	// Key is shared by all hosts; it may be empty with TLS.
+	// Key is the bearer key that all hosts share. It may be empty if TLS is set.
 	Key string
-	// TLS, when set, has both sides show a certificate.
+	// TLS enables mutual TLS; nil disables TLS.
 	TLS *tls.Config
 }
 
-func (sec Security) sign(header http.Header) {
+func (sec Security) setAuthorization(header http.Header) {
 	header.Set("Authorization", "Bearer "+sec.Key)
 }
 
-func (sec Security) admits(header http.Header) bool {
+func (sec Security) isAuthorized(header http.Header) bool {
 	if sec.TLS != nil && sec.Key == "" {
-		// Both sides have shown their certificates by now.
+		// The TLS handshake has verified the certificates of both sides.
 		return true
 	}
-	given := []byte(header.Get("Authorization"))
-	return subtle.ConstantTimeCompare(given, []byte("Bearer "+sec.Key)) == 1
+	got := []byte(header.Get("Authorization"))
+	return subtle.ConstantTimeCompare(got, []byte("Bearer "+sec.Key)) == 1
 }
 
-// SilenceError reports a session whose peer said nothing for too long.
+// SilenceError reports a session that ended because no frame arrived in time.
 type SilenceError struct {
-	// After is how long it was silent.
+	// After is the timeout that was exceeded.
 	After time.Duration
 }
 
-// Error names the time of silence.
+// Error implements error.
 func (ser *SilenceError) Error() string {
-	return fmt.Sprintf("peer was silent for %s", ser.After)
+	return fmt.Sprintf("no frame from the peer within %s", ser.After)
 }
 
-// EpochError reports a peer that isn't the process that was meant.
+// EpochError reports that another process than the expected one answered: its epoch
+// differs, for example because the host has restarted.
 type EpochError struct {
 	Want request.Epoch
 	Got  request.Epoch
 }
 
-// Error names both epochs.
+// Error implements error.
 func (eer *EpochError) Error() string {
 	return fmt.Sprintf("peer has epoch %s, want %s", eer.Got, eer.Want)
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -19,8 +19,8 @@
 
 const key = "a key for the tests of peers"
 
-// backend is a host as small as can be: it answers each message with a grant,
-// and floods a session when asked to.
+// backend is a minimal peer.Backend. It answers each Reserve with 1,000 grants, more
+// than the session's queue holds.
 type backend struct {
 	mutex    sync.Mutex
 	epoch    request.Epoch
@@ -72,8 +72,8 @@
 
 func (bac *backend) Vouch(context.Context, reservation.Vouch) error { return nil }
 
-func (bac *backend) Unvouch(_ context.Context, unv reservation.Unvouch) (reservation.UnvouchAnswer, error) {
-	return reservation.UnvouchAnswer{VouchKey: unv.VouchKey, Released: true}, nil
+func (bac *backend) Unvouch(_ context.Context, rev reservation.Unvouch) (reservation.UnvouchAnswer, error) {
+	return reservation.UnvouchAnswer{VouchKey: rev.VouchKey, Released: true}, nil
 }
 
 func (bac *backend) Handover(context.Context, reservation.Handover) error { return nil }
@@ -84,18 +84,18 @@
 
 var timing = peer.Timing{Heartbeat: 20 * time.Millisecond, Timeout: 500 * time.Millisecond}
 
-// serve returns the member that a new server with the backend is.
+// serve starts a server with the backend and returns its member entry.
 func serve(t *testing.T, bac *backend) view.Member {
 	t.Helper()
 	var cfg net.ListenConfig
 	lis, err := cfg.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	srv := peer.NewServer(peer.ServerConfig{Backend: bac, Security: peer.Security{Key: key}, Timing: timing}).HTTPServer()
-	end := make(chan error, 1)
-	go func() { end <- srv.Serve(lis) }()
+	served := make(chan error, 1)
+	go func() { served <- srv.Serve(lis) }()
 	t.Cleanup(func() {
 		_ = srv.Close()
-		<-end
+		<-served
 	})
 	return view.Member{Name: "host", Epoch: bac.epoch, PeerAddress: netip.MustParseAddrPort(lis.Addr().String())}
 }
@@ -112,7 +112,8 @@
 	return request.ID{Prefix: request.Prefix{View: 3, Epoch: 1, Window: 2}, Unique: "u"}
 }
 
-// A session may end at any moment, also while either side is sending.
+// Guards against a data race or a hang when a session is cancelled while both sides
+// are sending.
 func TestSessionEndsWhileBothSidesSend(t *testing.T) {
 	bac := newBackend(5)
 	mem := serve(t, bac)
@@ -137,27 +138,27 @@
 	}
 }
 
-func TestSessionWithAnotherProcessIsRefused(t *testing.T) {
+func TestSessionWithOtherEpochIsRejected(t *testing.T) {
 	mem := serve(t, newBackend(5))
 	mem.Epoch = 6
-	err := newClient(t, key).Session(t.Context(), mem, peer.NewQueue(), func() { t.Error("session came to stand") }, func(peer.Received) {})
+	err := newClient(t, key).Session(t.Context(), mem, peer.NewQueue(), func() { t.Error("session was established") }, func(peer.Received) {})
 	var eer *peer.EpochError
 	assert.Assert(t, errors.As(err, &eer), "%v", err)
 	assert.DeepEqual(t, eer, &peer.EpochError{Want: 6, Got: 5})
 }
 
-func TestPeerWithoutTheKeyGetsNoAnswer(t *testing.T) {
+func TestPeerWithoutKeyIsRejected(t *testing.T) {
 	mem := serve(t, newBackend(5))
 	cli := newClient(t, "some other key of the same kind")
 	_, err := cli.Probe(t.Context(), mem)
 	assert.ErrorContains(t, err, "unauthenticated")
 	_, err = cli.Fence(t.Context(), mem, reservation.Fence{ID: testID()})
 	assert.ErrorContains(t, err, "unauthenticated")
-	err = cli.Session(t.Context(), mem, peer.NewQueue(), func() { t.Error("session came to stand") }, func(peer.Received) {})
+	err = cli.Session(t.Context(), mem, peer.NewQueue(), func() { t.Error("session was established") }, func(peer.Received) {})
 	assert.Assert(t, err != nil)
 }
 
-func TestQuestionsCarryEveryField(t *testing.T) {
+func TestCallsCarryEveryField(t *testing.T) {
 	mem := serve(t, newBackend(5))
 	cli := newClient(t, key)
 	fen := reservation.Fence{ID: testID(), Ballot: request.Ballot{Round: 2, Holder: 3}}
@@ -171,13 +172,14 @@
 	assert.NilError(t, err)
 	assert.Equal(t, string(sta.Parts["p"]), "part")
 	assert.Equal(t, sta.Header.View, uint64(3))
-	unv, err := cli.Unvouch(t.Context(), mem, reservation.Unvouch{VouchKey: reservation.VouchKey{Lost: 1, Holder: 2}, Sequence: 3})
+	rev, err := cli.Unvouch(t.Context(), mem, reservation.Unvouch{VouchKey: reservation.VouchKey{Lost: 1, Holder: 2}, Sequence: 3})
 	assert.NilError(t, err)
-	assert.Assert(t, unv.Released && unv.Lost == 1 && unv.Holder == 2)
+	assert.Assert(t, rev.Released && rev.Lost == 1 && rev.Holder == 2)
 }
 
-// The zero ballot is left out on the way and comes back as the id's gateway's.
-func TestZeroBallotComesBack(t *testing.T) {
+// The zero ballot is omitted on the wire and restored from the request id, with the
+// id's gateway as its holder.
+func TestZeroBallotRoundTrips(t *testing.T) {
 	mem := serve(t, newBackend(5))
 	fen := reservation.Fence{ID: testID(), Ballot: request.Ballot{Holder: testID().Epoch}}
 	ans, err := newClient(t, key).Fence(t.Context(), mem, fen)
--- a/peer/pulse.go
+++ b/peer/pulse.go
@@ -5,80 +5,82 @@
 	"time"
 )
 
-// pulse decides how fast a session beats, and how long the other end may be
-// silent. A gateway that has sent something waits for a sign of life of the
-// coordinator, and so the coordinator beats fast for a while after each message.
-// All other beats are slow: nobody waits for them.
-type pulse struct {
+// heartbeat determines when a session sends heartbeats and when it has timed out. A
+// gateway that has sent a message has to learn quickly whether the coordinator is
+// still alive, so the coordinator sends heartbeats at the short interval for a while
+// after each message. All other heartbeats use the long interval, since no component
+// waits for them.
+type heartbeat struct {
 	mutex sync.Mutex
-	// answers is set at the coordinator's end.
-	answers bool
-	// last is when something was heard; beaten when a frame was sent.
-	last   time.Time
-	beaten time.Time
-	// busySince is when the session last became busy, busyUntil when it is idle again.
+	// atCoordinator is set at the coordinator's end of the session.
+	atCoordinator bool
+	// lastReceived and lastSent are the times of the last received and sent frame.
+	lastReceived time.Time
+	lastSent     time.Time
+	// busySince is when the session last became busy, busyUntil when it becomes idle
+	// again.
 	busySince time.Time
 	busyUntil time.Time
 }
 
-func (pul *pulse) begin(now time.Time) {
-	pul.mutex.Lock()
-	defer pul.mutex.Unlock()
-	pul.last, pul.beaten = now, now
+func (hbt *heartbeat) start(now time.Time) {
+	hbt.mutex.Lock()
+	defer hbt.mutex.Unlock()
+	hbt.lastReceived, hbt.lastSent = now, now
 }
 
-// busy takes note of a message from the gateway.
-func (pul *pulse) busy(now time.Time, tim Timing) {
-	if now.After(pul.busyUntil) {
-		pul.busySince = now
+// markBusy records a message from the gateway. The caller holds the mutex.
+func (hbt *heartbeat) markBusy(now time.Time, tim Timing) {
+	if now.After(hbt.busyUntil) {
+		hbt.busySince = now
 	}
-	pul.busyUntil = now.Add(tim.Timeout + idleAfter*tim.Heartbeat)
+	hbt.busyUntil = now.Add(tim.Timeout + busyHeartbeats*tim.Heartbeat)
 }
 
-func (pul *pulse) heard(now time.Time, message bool, tim Timing) {
-	pul.mutex.Lock()
-	defer pul.mutex.Unlock()
-	pul.last = now
-	if message && pul.answers {
-		pul.busy(now, tim)
+func (hbt *heartbeat) recordReceived(now time.Time, message bool, tim Timing) {
+	hbt.mutex.Lock()
+	defer hbt.mutex.Unlock()
+	hbt.lastReceived = now
+	if message && hbt.atCoordinator {
+		hbt.markBusy(now, tim)
 	}
 }
 
-func (pul *pulse) sent(now time.Time, tim Timing) {
-	pul.mutex.Lock()
-	defer pul.mutex.Unlock()
-	pul.beaten = now
-	if !pul.answers {
-		pul.busy(now, tim)
+func (hbt *heartbeat) recordSent(now time.Time, tim Timing) {
+	hbt.mutex.Lock()
+	defer hbt.mutex.Unlock()
+	hbt.lastSent = now
+	if !hbt.atCoordinator {
+		hbt.markBusy(now, tim)
 	}
 }
 
-// due reports whether a heartbeat should be sent now, and takes it as sent.
-func (pul *pulse) due(now time.Time, tim Timing) bool {
-	pul.mutex.Lock()
-	defer pul.mutex.Unlock()
+// due reports whether a heartbeat is to be sent now, and records it as sent if so.
+func (hbt *heartbeat) due(now time.Time, tim Timing) bool {
+	hbt.mutex.Lock()
+	defer hbt.mutex.Unlock()
 	interval := idleFactor * tim.Heartbeat
-	if pul.answers && !now.After(pul.busyUntil) {
+	if hbt.atCoordinator && !now.After(hbt.busyUntil) {
 		interval = tim.Heartbeat
 	}
-	if now.Sub(pul.beaten) < interval-tim.Heartbeat/2 {
+	if now.Sub(hbt.lastSent) < interval-tim.Heartbeat/2 {
 		return false
 	}
-	pul.beaten = now
+	hbt.lastSent = now
 	return true
 }
 
-// silent reports whether the other end has been silent for too long, and for
-// how long it may be.
-func (pul *pulse) silent(now time.Time, tim Timing) (bool, time.Duration) {
-	pul.mutex.Lock()
-	defer pul.mutex.Unlock()
+// timedOut reports whether no frame has arrived within the current timeout, and
+// returns that timeout.
+func (hbt *heartbeat) timedOut(now time.Time, tim Timing) (bool, time.Duration) {
+	hbt.mutex.Lock()
+	defer hbt.mutex.Unlock()
 	limit := tim.Timeout
-	since := pul.last
-	if pul.answers || now.After(pul.busyUntil) {
+	since := hbt.lastReceived
+	if hbt.atCoordinator || now.After(hbt.busyUntil) {
 		limit *= idleFactor
-	} else if pul.busySince.After(since) {
-		since = pul.busySince
+	} else if hbt.busySince.After(since) {
+		since = hbt.busySince
 	}
 	return now.Sub(since) > limit, limit
 }
--- a/peer/pump.go
+++ b/peer/pump.go
@@ -7,58 +7,61 @@
 	"lynxwell.dev/lynxwell/peer/peerpb"
 )
 
-// stream is either end of a session.
+// stream is either end of a session's stream.
 type stream interface {
 	Send(frame *peerpb.Frame) error
 	Receive() (*peerpb.Frame, error)
 }
 
-// pump moves messages both ways until the session is lost, and returns why.
-type pump struct {
+// session runs one end of a session: it sends queued messages and heartbeats, and
+// delivers received frames.
+type session struct {
 	stream  stream
 	queue   <-chan Outgoing
 	timing  Timing
 	self    func() Header
 	deliver func(*peerpb.Frame)
-	// unblock ends a send or a receive that waits.
-	unblock func()
-	pulse   pulse
+	// unblock aborts a blocked send or receive.
+	unblock   func()
+	heartbeat heartbeat
 }
 
-// run returns when either direction ends or the peer falls silent, and both
-// goroutines have ended: a stream must not be used once its handler is over.
-func (pum *pump) run(ctx context.Context, cancel context.CancelFunc) error {
-	pum.pulse.begin(time.Now())
+// run blocks until either direction ends, the peer times out or the context is
+// cancelled, and returns the reason. It waits for both of its goroutines, because a
+// stream must not be used after its handler has returned.
+func (ses *session) run(ctx context.Context, cancel context.CancelFunc) error {
+	ses.heartbeat.start(time.Now())
 	readEnd := make(chan error, 1)
 	go func() {
-		readEnd <- pum.read()
+		readEnd <- ses.read()
 		close(readEnd)
 	}()
 	writeEnd := make(chan error, 1)
 	go func() {
-		writeEnd <- pum.write(ctx)
+		writeEnd <- ses.write(ctx)
 		close(writeEnd)
 	}()
-	err := pum.watch(ctx, readEnd, writeEnd)
+	err := ses.watch(ctx, readEnd, writeEnd)
 	cancel()
-	pum.unblock()
+	ses.unblock()
 	<-readEnd
 	<-writeEnd
 	return err
 }
 
-// watch waits for the first end of either direction, or for silence.
-func (pum *pump) watch(ctx context.Context, readEnd, writeEnd <-chan error) error {
-	look := time.NewTicker(pum.timing.Heartbeat)
-	defer look.Stop()
+// watch waits until either direction ends, the peer times out or the context is
+// cancelled.
+func (ses *session) watch(ctx context.Context, readEnd, writeEnd <-chan error) error {
+	ticker := time.NewTicker(ses.timing.Heartbeat)
+	defer ticker.Stop()
 	for {
 		select {
 		case err := <-readEnd:
 			return err
 		case err := <-writeEnd:
 			return err
-		case now := <-look.C:
-			if silent, limit := pum.pulse.silent(now, pum.timing); silent {
+		case now := <-ticker.C:
+			if expired, limit := ses.heartbeat.timedOut(now, ses.timing); expired {
 				return &SilenceError{After: limit}
 			}
 		case <-ctx.Done():
@@ -67,52 +70,53 @@
 	}
 }
 
-func (pum *pump) read() error {
+func (ses *session) read() error {
 	for {
-		frame, err := pum.stream.Receive()
+		frame, err := ses.stream.Receive()
 		if err != nil {
 			return err
 		}
-		pum.pulse.heard(time.Now(), len(frame.GetEnvelopes()) > 0, pum.timing)
-		pum.deliver(frame)
+		ses.heartbeat.recordReceived(time.Now(), len(frame.GetEnvelopes()) > 0, ses.timing)
+		ses.deliver(frame)
 	}
 }
 
-func (pum *pump) write(ctx context.Context) error {
-	beat := time.NewTicker(pum.timing.Heartbeat)
-	defer beat.Stop()
-	opening := &peerpb.Frame{Header: headerToWire(pum.self())}
-	if err := pum.stream.Send(opening); err != nil {
+func (ses *session) write(ctx context.Context) error {
+	ticker := time.NewTicker(ses.timing.Heartbeat)
+	defer ticker.Stop()
+	opening := &peerpb.Frame{Header: headerToWire(ses.self())}
+	if err := ses.stream.Send(opening); err != nil {
 		return err
 	}
 	for {
 		var batch []*peerpb.Envelope
 		select {
-		case out, open := <-pum.queue:
+		case out, open := <-ses.queue:
 			if !open {
 				return nil
 			}
-			batch = pum.gather(out)
-			pum.pulse.sent(time.Now(), pum.timing)
-		case now := <-beat.C:
-			if !pum.pulse.due(now, pum.timing) {
+			batch = ses.collectBatch(out)
+			ses.heartbeat.recordSent(time.Now(), ses.timing)
+		case now := <-ticker.C:
+			if !ses.heartbeat.due(now, ses.timing) {
 				continue
 			}
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if err := pum.stream.Send(pum.frame(batch)); err != nil {
+		if err := ses.stream.Send(ses.newFrame(batch)); err != nil {
 			return err
 		}
 	}
 }
 
-// gather takes along what else waits already.
-func (pum *pump) gather(first Outgoing) []*peerpb.Envelope {
+// collectBatch returns the first message and those that are already queued, up to
+// maxBatch.
+func (ses *session) collectBatch(first Outgoing) []*peerpb.Envelope {
 	batch := []*peerpb.Envelope{toWire(first)}
 	for len(batch) < maxBatch {
 		select {
-		case out, open := <-pum.queue:
+		case out, open := <-ses.queue:
 			if !open {
 				return batch
 			}
@@ -124,9 +128,10 @@
 	return batch
 }
 
-// frame leaves the name out, which the first frame has told.
-func (pum *pump) frame(batch []*peerpb.Envelope) *peerpb.Frame {
-	hea := pum.self()
+// newFrame returns a frame without the host's name, which only the first frame of a
+// session carries.
+func (ses *session) newFrame(batch []*peerpb.Envelope) *peerpb.Frame {
+	hea := ses.self()
 	hea.Name = ""
 	return &peerpb.Frame{Header: headerToWire(hea), Envelopes: batch}
 }
--- a/peer/queue.go
+++ b/peer/queue.go
@@ -1,6 +1,6 @@
 package peer
 
-// Queue holds the messages that wait to be sent on one session.
+// Queue holds the messages to be sent on one session. It is safe for concurrent use.
 type Queue struct {
 	out chan Outgoing
 }
@@ -10,8 +10,8 @@
 	return &Queue{out: make(chan Outgoing, queueLen)}
 }
 
-// Put adds a message without waiting. It returns false when the queue is full;
-// then the session must be ended, since a message is missing.
+// Put adds a message without blocking. It returns false if the queue is full; the
+// session must then be closed, since the message is lost.
 func (que *Queue) Put(out Outgoing) bool {
 	select {
 	case que.out <- out:
@@ -21,7 +21,8 @@
 	}
 }
 
-// Take removes the oldest message without waiting; false where there is none.
+// Take removes and returns the oldest message without blocking. It returns false if
+// the queue is empty.
 func (que *Queue) Take() (Outgoing, bool) {
 	select {
 	case out := <-que.out:
@@ -31,7 +32,7 @@
 	}
 }
 
-// Len returns how many messages wait.
+// Len returns the number of queued messages.
 func (que *Queue) Len() int {
 	return len(que.out)
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -15,43 +15,48 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// Sessions is what a host offers to the gateways of others.
+// Sessions handles the sessions that the gateways of other hosts open.
 type Sessions interface {
-	// Header returns the header to send.
+	// Header returns this host's header, which is sent with every message.
 	Header() Header
-	// SessionUp says that a gateway has opened a session. Messages for it go to
-	// the queue; cancel ends the session. It returns a number for the session.
+	// SessionUp is called when a gateway has opened a session. The queue takes the
+	// messages to send on it, and cancel ends it. SessionUp returns the session's
+	// number.
 	SessionUp(from Header, que *Queue, cancel context.CancelFunc) uint64
-	// SessionMessage brings one message of a session, or a header alone.
+	// SessionMessage is called for each message of a session, and with a nil message
+	// for each frame's header.
 	SessionMessage(session uint64, rec Received)
-	// SessionLost says that a session has ended.
+	// SessionLost is called when a session has ended.
 	SessionLost(session uint64)
 }
 
-// Backend is what a host offers to the others where request ids name gateways.
+// Backend handles the sessions and calls of peers on a host whose request ids name
+// their gateway.
 type Backend interface {
 	Sessions
-	// Fence, Vouch, Unvouch and Handover answer the questions of that name.
+	// Fence, Vouch, Unvouch and Handover handle the RPCs of these names.
 	Fence(ctx context.Context, fen reservation.Fence) (reservation.FenceAnswer, error)
-	Vouch(ctx context.Context, vou reservation.Vouch) error
-	Unvouch(ctx context.Context, unv reservation.Unvouch) (reservation.UnvouchAnswer, error)
+	Vouch(ctx context.Context, att reservation.Vouch) error
+	Unvouch(ctx context.Context, rev reservation.Unvouch) (reservation.UnvouchAnswer, error)
 	Handover(ctx context.Context, han reservation.Handover) error
-	// State returns what a peer that is behind fetches.
+	// State returns the views from viewsFrom on and, if it is newer than
+	// aboveRevision, the configuration.
 	State(ctx context.Context, viewsFrom, aboveRevision uint64) (State, error)
 }
 
-// ServerConfig holds what a Server is made from.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// Backend answers everything; without it, Sessions alone are served.
+	// Backend handles all RPCs except Follow. If it is nil, only sessions, handled by
+	// Sessions, and Probe are served.
 	Backend  Backend
 	Sessions Sessions
-	// Mirror passes the store's changes on; nil passes nothing on.
+	// Mirror serves the store's changes; nil disables Follow.
 	Mirror   Mirror
 	Security Security
 	Timing   Timing
 }
 
-// Server serves the other hosts.
+// Server serves the RPCs and sessions of the other hosts.
 type Server struct {
 	cfg ServerConfig
 }
@@ -64,12 +69,13 @@
 	return &Server{cfg: cfg}
 }
 
-// Handler returns the HTTP handler; requests without the shared key get 401.
+// Handler returns the HTTP handler. It rejects requests without the shared key with
+// status 401.
 func (srv *Server) Handler() http.Handler {
-	_, handler := peerpbconnect.NewPeerServiceHandler(srv, connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressFrom))
+	_, handler := peerpbconnect.NewPeerServiceHandler(srv, connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressMinBytes))
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
-		if !srv.cfg.Security.admits(req.Header) {
-			http.Error(wri, "peer key missing or wrong", http.StatusUnauthorized)
+		if !srv.cfg.Security.isAuthorized(req.Header) {
+			http.Error(wri, "Authorization: missing or unknown peer key", http.StatusUnauthorized)
 			return
 		}
 		controller := http.NewResponseController(wri)
@@ -77,10 +83,11 @@
 	})
 }
 
-// controllerKey is the context's key of a request's response controller.
+// controllerKey is the context key of a request's *http.ResponseController.
 type controllerKey struct{}
 
-// unblocker returns a function that ends any use of the request's stream that waits.
+// unblocker returns a function that aborts blocked reads and writes of the request's
+// stream.
 func unblocker(ctx context.Context) func() {
 	controller, known := ctx.Value(controllerKey{}).(*http.ResponseController)
 	return func() {
@@ -88,13 +95,13 @@
 			return
 		}
 		past := time.Now().Add(-time.Second)
-		// A stream that takes no deadline has ended already.
+		// A stream that accepts no deadline has already ended.
 		_ = controller.SetReadDeadline(past)
 		_ = controller.SetWriteDeadline(past)
 	}
 }
 
-// HTTPServer returns an HTTP server that speaks HTTP/2, as sessions need.
+// HTTPServer returns an HTTP server for HTTP/2, which sessions require.
 func (srv *Server) HTTPServer() *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP2(srv.cfg.Security.TLS != nil)
@@ -102,8 +109,8 @@
 	return &http.Server{Handler: srv.Handler(), Protocols: &protocols, TLSConfig: srv.cfg.Security.TLS, ReadHeaderTimeout: headerTimeout}
 }
 
-// Serve serves the listener, with TLS where the security asks for it, until the
-// HTTP server is closed.
+// Serve serves the listener, with TLS if it is configured, until the HTTP server is
+// closed.
 func (srv *Server) Serve(lis net.Listener, server *http.Server) error {
 	if srv.cfg.Security.TLS != nil {
 		return server.ServeTLS(lis, "", "")
@@ -111,10 +118,10 @@
 	return server.Serve(lis)
 }
 
-// headerTimeout bounds how long a connection may take to say what it wants.
+// headerTimeout bounds the time to read a request's headers.
 const headerTimeout = 10 * time.Second
 
-// Session implements the generated service.
+// Session implements peerpbconnect.PeerServiceHandler.
 func (srv *Server) Session(ctx context.Context, str *connect.BidiStream[peerpb.Frame, peerpb.Frame]) error {
 	if srv.cfg.Sessions == nil {
 		return errNoSessions
@@ -129,28 +136,28 @@
 	num := srv.cfg.Sessions.SessionUp(headerFromWire(first.GetHeader()), que, cancel)
 	defer srv.cfg.Sessions.SessionLost(num)
 	deliver := func(rec Received) { srv.cfg.Sessions.SessionMessage(num, rec) }
-	spread(first, deliver)
-	pum := &pump{
-		stream: str, queue: que.out, timing: srv.cfg.Timing, self: srv.cfg.Sessions.Header, unblock: unblocker(ctx), pulse: pulse{answers: true},
-		deliver: func(frame *peerpb.Frame) { spread(frame, deliver) },
+	deliverFrame(first, deliver)
+	ses := &session{
+		stream: str, queue: que.out, timing: srv.cfg.Timing, self: srv.cfg.Sessions.Header, unblock: unblocker(ctx), heartbeat: heartbeat{atCoordinator: true},
+		deliver: func(frame *peerpb.Frame) { deliverFrame(frame, deliver) },
 	}
-	err = pum.run(ctx, cancel)
+	err = ses.run(ctx, cancel)
 	if errors.Is(err, context.Canceled) {
 		return connect.NewError(connect.CodeCanceled, err)
 	}
 	return err
 }
 
-// errSessionsOnly answers what a host without request ledgers can't.
-var errSessionsOnly = connect.NewError(connect.CodeUnimplemented, errors.New("this host serves sessions only"))
+// errSessionsOnly is the answer to RPCs that need a Backend.
+var errSessionsOnly = connect.NewError(connect.CodeUnimplemented, errors.New("this host serves no RPC other than Session, Probe and Follow"))
 
-// errNoSessions answers those who want this host to decide.
-var errNoSessions = connect.NewError(connect.CodeUnimplemented, errors.New("this host serves no sessions"))
+// errNoSessions is the answer to Session on a host without a session handler.
+var errNoSessions = connect.NewError(connect.CodeUnimplemented, errors.New("this host accepts no sessions"))
 
-// errNoMirror answers those who want to read the store through this host.
-var errNoMirror = connect.NewError(connect.CodeUnimplemented, errors.New("this host passes nothing on"))
+// errNoMirror is the answer to Follow on a host without a mirror of the store.
+var errNoMirror = connect.NewError(connect.CodeUnimplemented, errors.New("this host has no mirror of the store"))
 
-// Fence implements the generated service.
+// Fence implements peerpbconnect.PeerServiceHandler.
 func (srv *Server) Fence(ctx context.Context, req *connect.Request[peerpb.FenceRequest]) (*connect.Response[peerpb.FenceResponse], error) {
 	if srv.cfg.Backend == nil {
 		return nil, errSessionsOnly
@@ -160,39 +167,39 @@
 	if err != nil {
 		return nil, err
 	}
-	res := answerToWire(ans)
+	res := fenceAnswerToWire(ans)
 	res.Header = headerToWire(srv.cfg.Backend.Header())
 	return connect.NewResponse(res), nil
 }
 
-// Vouch implements the generated service.
+// Vouch implements peerpbconnect.PeerServiceHandler.
 func (srv *Server) Vouch(ctx context.Context, req *connect.Request[peerpb.VouchRequest]) (*connect.Response[peerpb.VouchResponse], error) {
 	if srv.cfg.Backend == nil {
 		return nil, errSessionsOnly
 	}
-	vou := reservation.Vouch{
-		VouchKey: keyFromWire(req.Msg.GetKey()), Sequence: req.Msg.GetSequence(), Records: recordsFromWire(req.Msg.GetRecords()),
+	att := reservation.Vouch{
+		VouchKey: attestationKeyFromWire(req.Msg.GetKey()), Sequence: req.Msg.GetSequence(), Records: recordsFromWire(req.Msg.GetRecords()),
 	}
-	if err := srv.cfg.Backend.Vouch(ctx, vou); err != nil {
+	if err := srv.cfg.Backend.Vouch(ctx, att); err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&peerpb.VouchResponse{}), nil
 }
 
-// Unvouch implements the generated service.
+// Unvouch implements peerpbconnect.PeerServiceHandler.
 func (srv *Server) Unvouch(ctx context.Context, req *connect.Request[peerpb.UnvouchRequest]) (*connect.Response[peerpb.UnvouchResponse], error) {
 	if srv.cfg.Backend == nil {
 		return nil, errSessionsOnly
 	}
-	unv := reservation.Unvouch{VouchKey: keyFromWire(req.Msg.GetKey()), Sequence: req.Msg.GetSequence()}
-	ans, err := srv.cfg.Backend.Unvouch(ctx, unv)
+	rev := reservation.Unvouch{VouchKey: attestationKeyFromWire(req.Msg.GetKey()), Sequence: req.Msg.GetSequence()}
+	ans, err := srv.cfg.Backend.Unvouch(ctx, rev)
 	if err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(&peerpb.UnvouchResponse{Key: keyToWire(ans.VouchKey), Released: ans.Released}), nil
+	return connect.NewResponse(&peerpb.UnvouchResponse{Key: attestationKeyToWire(ans.VouchKey), Released: ans.Released}), nil
 }
 
-// Handover implements the generated service.
+// Handover implements peerpbconnect.PeerServiceHandler.
 func (srv *Server) Handover(ctx context.Context, req *connect.Request[peerpb.HandoverRequest]) (*connect.Response[peerpb.HandoverResponse], error) {
 	if srv.cfg.Backend == nil {
 		return nil, errSessionsOnly
@@ -210,7 +217,7 @@
 	return connect.NewResponse(&peerpb.HandoverResponse{}), nil
 }
 
-// FetchState implements the generated service.
+// FetchState implements peerpbconnect.PeerServiceHandler.
 func (srv *Server) FetchState(ctx context.Context, req *connect.Request[peerpb.FetchStateRequest]) (*connect.Response[peerpb.FetchStateResponse], error) {
 	if srv.cfg.Backend == nil {
 		return nil, errSessionsOnly
@@ -224,7 +231,7 @@
 	}), nil
 }
 
-// Probe implements the generated service.
+// Probe implements peerpbconnect.PeerServiceHandler.
 func (srv *Server) Probe(context.Context, *connect.Request[peerpb.ProbeRequest]) (*connect.Response[peerpb.ProbeResponse], error) {
 	return connect.NewResponse(&peerpb.ProbeResponse{Header: headerToWire(srv.cfg.Sessions.Header())}), nil
 }
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -12,29 +12,29 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// A connection that goes silent for good must not be taken for the next session:
-// new connections work.
-func TestSessionComesBackWhenItsConnectionFallsSilent(t *testing.T) {
+// Guards against opening the next session on a connection that no longer transmits
+// anything, while new connections to the same host work.
+func TestSessionReconnectsAfterConnectionStalls(t *testing.T) {
 	bac := newBackend(5)
 	mem := serve(t, bac)
 	lnk := processtest.NewLink(t, mem.PeerAddress)
 	mem.PeerAddress = lnk.Address
 	cli := newClient(t, key)
 	ups := make(chan request.Epoch, 1)
-	end := make(chan struct{})
+	stopped := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		defer close(end)
+		defer close(stopped)
 		for ctx.Err() == nil {
-			opening, done := context.WithTimeout(ctx, 10*time.Second)
-			// The session is lost and opened again until the test ends.
-			_ = cli.Session(opening, mem, peer.NewQueue(), func() { ups <- mem.Epoch }, func(peer.Received) {})
+			attempt, done := context.WithTimeout(ctx, 10*time.Second)
+			// The session ends with an error and is opened again until the test ends.
+			_ = cli.Session(attempt, mem, peer.NewQueue(), func() { ups <- mem.Epoch }, func(peer.Received) {})
 			done()
 		}
 	}()
 	defer func() {
 		cancel()
-		<-end
+		<-stopped
 	}()
 	<-ups
 	lnk.SilenceOpen()
--- a/peer/tls_test.go
+++ b/peer/tls_test.go
@@ -22,7 +22,7 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// newAuthority returns an authority that signs hosts' certificates, and its file.
+// newAuthority returns a certificate authority, its key and the path of its PEM file.
 func newAuthority(t *testing.T) (*x509.Certificate, *ecdsa.PrivateKey, string) {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -45,7 +45,7 @@
 	return file
 }
 
-// newFiles returns a host's files, signed by a new authority unless one is given.
+// newFiles returns a host's PEM files with a certificate signed by the authority.
 func newFiles(t *testing.T, authority *x509.Certificate, signer *ecdsa.PrivateKey, authorityFile string) *settings.TLSFiles {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -72,7 +72,7 @@
 	return cli
 }
 
-func TestMutualTLSInPlaceOfTheKey(t *testing.T) {
+func TestMutualTLSWithoutPeerKey(t *testing.T) {
 	authority, signer, file := newAuthority(t)
 	cfg, err := newFiles(t, authority, signer, file).Config()
 	assert.NilError(t, err)
@@ -81,11 +81,11 @@
 	assert.NilError(t, err)
 	srv := peer.NewServer(peer.ServerConfig{Backend: newBackend(5), Security: peer.Security{TLS: cfg}, Timing: timing})
 	server := srv.HTTPServer()
-	end := make(chan error, 1)
-	go func() { end <- srv.Serve(lis, server) }()
+	served := make(chan error, 1)
+	go func() { served <- srv.Serve(lis, server) }()
 	t.Cleanup(func() {
 		_ = server.Close()
-		<-end
+		<-served
 	})
 	mem := view.Member{Name: "host", Epoch: 5, PeerAddress: netip.MustParseAddrPort(lis.Addr().String())}
 
@@ -95,7 +95,7 @@
 
 	other, otherSigner, _ := newAuthority(t)
 	_, err = tlsClient(t, newFiles(t, other, otherSigner, file)).Probe(t.Context(), mem)
-	assert.Assert(t, err != nil, "a host of another authority was let in")
+	assert.Assert(t, err != nil, "a host with a certificate of another authority was accepted")
 	_, err = newClient(t, key).Probe(t.Context(), mem)
-	assert.Assert(t, err != nil, "a host without a certificate was let in")
+	assert.Assert(t, err != nil, "a host without a certificate was accepted")
 }
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -147,27 +147,27 @@
 		return Entry{}, err
 	}
 	ent.Bounds = ent.Bounds.withDefaults()
-	fillNumber(&ent.Cores, 1)
-	fillNumber(&ent.CoreSpeed, 1)
+	setDefaultNumber(&ent.Cores, 1)
+	setDefaultNumber(&ent.CoreSpeed, 1)
 	return ent, nil
 }
 
 func (bou Bounds) withDefaults() Bounds {
-	fillNumber(&bou.RevokeMilliseconds, defaultRevokeMilliseconds)
-	fillNumber(&bou.GraceSeconds, defaultGraceSeconds)
-	fillNumber(&bou.MaxKeepSeconds, defaultMaxKeepSeconds)
-	fillNumber(&bou.RepeatRatio, defaultRepeatRatio)
-	fillNumber(&bou.RepeatWindowSeconds, defaultRepeatWindowSeconds)
-	fillNumber(&bou.RepeatSlack, defaultRepeatSlack)
-	fillNumber(&bou.LimitSlack, defaultLimitSlack)
-	fillNumber(&bou.LimitWindowSeconds, defaultLimitWindowSeconds)
-	fillNumber(&bou.ExposureShare, defaultExposureShare)
-	fillNumber(&bou.ExposureSlack, defaultExposureSlack)
-	fillNumber(&bou.RenewSecretSeconds, defaultRenewSecretSeconds)
+	setDefaultNumber(&bou.RevokeMilliseconds, defaultRevokeMilliseconds)
+	setDefaultNumber(&bou.GraceSeconds, defaultGraceSeconds)
+	setDefaultNumber(&bou.MaxKeepSeconds, defaultMaxKeepSeconds)
+	setDefaultNumber(&bou.RepeatRatio, defaultRepeatRatio)
+	setDefaultNumber(&bou.RepeatWindowSeconds, defaultRepeatWindowSeconds)
+	setDefaultNumber(&bou.RepeatSlack, defaultRepeatSlack)
+	setDefaultNumber(&bou.LimitSlack, defaultLimitSlack)
+	setDefaultNumber(&bou.LimitWindowSeconds, defaultLimitWindowSeconds)
+	setDefaultNumber(&bou.ExposureShare, defaultExposureShare)
+	setDefaultNumber(&bou.ExposureSlack, defaultExposureSlack)
+	setDefaultNumber(&bou.RenewSecretSeconds, defaultRenewSecretSeconds)
 	return bou
 }
 
-func fillNumber(value *float64, def float64) {
+func setDefaultNumber(value *float64, def float64) {
 	if *value == 0 {
 		*value = def
 	}
@@ -185,24 +185,24 @@
 		{usable(ent.MetricsAddress), "MetricsAddress", wantAddress},
 		{usable(ent.StoreAddress), "StoreAddress", wantAddress},
 		{ent.PeerKey == "" || len(ent.PeerKey) >= minKeyLen, "PeerKey", "want a key of 16 bytes or more, or none"},
-		{ent.Cores >= 0, "Cores", wantPositive},
-		{ent.CoreSpeed >= 0, "CoreSpeed", wantPositive},
+		{ent.Cores >= 0, "Cores", wantNonNegative},
+		{ent.CoreSpeed >= 0, "CoreSpeed", wantNonNegative},
 	}, ent.Bounds.checks()...))
 }
 
-const wantPositive = "want 0 or more"
+const wantNonNegative = "want 0 or more"
 
 func (bou Bounds) checks() []fieldCheck {
 	return []fieldCheck{
-		{bou.RevokeMilliseconds >= 0, "Bounds.RevokeMilliseconds", wantPositive},
+		{bou.RevokeMilliseconds >= 0, "Bounds.RevokeMilliseconds", wantNonNegative},
 		{bou.RevocationIsStrict.valid(), "Bounds.RevocationIsStrict", wantToggle},
-		{bou.GraceSeconds >= 0, "Bounds.GraceSeconds", wantPositive},
-		{bou.MaxKeepSeconds >= 0, "Bounds.MaxKeepSeconds", wantPositive},
-		{bou.RepeatRatio >= 0, "Bounds.RepeatRatio", wantPositive},
-		{bou.RepeatWindowSeconds >= 0, "Bounds.RepeatWindowSeconds", wantPositive},
-		{bou.RepeatSlack >= 0, "Bounds.RepeatSlack", wantPositive},
-		{bou.LimitSlack >= 0, "Bounds.LimitSlack", wantPositive},
-		{bou.LimitWindowSeconds >= 0, "Bounds.LimitWindowSeconds", wantPositive},
+		{bou.GraceSeconds >= 0, "Bounds.GraceSeconds", wantNonNegative},
+		{bou.MaxKeepSeconds >= 0, "Bounds.MaxKeepSeconds", wantNonNegative},
+		{bou.RepeatRatio >= 0, "Bounds.RepeatRatio", wantNonNegative},
+		{bou.RepeatWindowSeconds >= 0, "Bounds.RepeatWindowSeconds", wantNonNegative},
+		{bou.RepeatSlack >= 0, "Bounds.RepeatSlack", wantNonNegative},
+		{bou.LimitSlack >= 0, "Bounds.LimitSlack", wantNonNegative},
+		{bou.LimitWindowSeconds >= 0, "Bounds.LimitWindowSeconds", wantNonNegative},
 		{bou.LimitOvershoot >= 0 && bou.LimitOvershoot <= 1, "Bounds.LimitOvershoot", "want 0 to 1"},
 		{bou.ExposureShare >= 0 && bou.ExposureShare <= 1, "Bounds.ExposureShare", "want 0 to 1"},
 		{bou.ExposureSlack >= 0, "Bounds.ExposureSlack", "want 0 or more"},
--- a/settings/entry_test.go
+++ b/settings/entry_test.go
@@ -12,7 +12,7 @@
 	"lynxwell.dev/lynxwell/settings"
 )
 
-const goodEntry = `{
+const validEntry = `{
   "Name": "host-1", "Domain": "a", "PeerKey": "0123456789abcdef",
   "CallerAddress": "127.0.0.1:7001", "ReadyAddress": "127.0.0.1:7002", "DirectoryAddress": "127.0.0.1:7003",
   "PeerAddress": "127.0.0.1:7004", "MetricsAddress": "127.0.0.1:7005", "StoreAddress": "127.0.0.1:7100",
@@ -20,10 +20,10 @@
 }`
 
 func withBounds(text string) []byte {
-	return []byte(strings.Replace(goodEntry, "BOUNDS", text, 1))
+	return []byte(strings.Replace(validEntry, "BOUNDS", text, 1))
 }
 
-func TestBoundsThatAreNotToldAreSafe(t *testing.T) {
+func TestUnsetBoundsHaveSafeDefaults(t *testing.T) {
 	for name, text := range map[string]string{"left out": "", "empty": `"RevocationIsStrict": ""`} {
 		t.Run(name, func(t *testing.T) {
 			set, err := settings.ParseEntry("entry.json", withBounds(text))
@@ -43,7 +43,7 @@
 	assert.Equal(t, set.Bounds.LimitOvershoot, 0.1)
 }
 
-func TestBadBoundsAreNamed(t *testing.T) {
+func TestInvalidBoundsNameField(t *testing.T) {
 	for text, field := range map[string]string{
 		`"RevocationIsStrict": "perhaps"`: "Bounds.RevocationIsStrict",
 		`"RevocationIsStrict": 1`:         "Bounds.RevocationIsStrict",
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -117,17 +117,17 @@
 
 // WithDefaults returns the timing with every zero replaced by its default.
 func (tim Timing) WithDefaults() Timing {
-	fill(&tim.Lease, defaultLease)
-	fill(&tim.Heartbeat, defaultHeartbeat)
-	fill(&tim.PeerTimeout, defaultPeerTimeout)
-	fill(&tim.Window, defaultWindow)
-	fill(&tim.KeepAddresses, defaultKeepAddresses)
-	fill(&tim.OrphanGrace, defaultOrphanGrace)
-	fill(&tim.DrainLimit, defaultDrainLimit)
+	setDefault(&tim.Lease, defaultLease)
+	setDefault(&tim.Heartbeat, defaultHeartbeat)
+	setDefault(&tim.PeerTimeout, defaultPeerTimeout)
+	setDefault(&tim.Window, defaultWindow)
+	setDefault(&tim.KeepAddresses, defaultKeepAddresses)
+	setDefault(&tim.OrphanGrace, defaultOrphanGrace)
+	setDefault(&tim.DrainLimit, defaultDrainLimit)
 	return tim
 }
 
-func fill(dur *format.Duration, def time.Duration) {
+func setDefault(dur *format.Duration, def time.Duration) {
 	if *dur == 0 {
 		*dur = format.Duration(def)
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"lynxwell.dev/lynxwell/settings"
 )
 
-const good = `{
+const validSettings = `{
   // One host.
   "Name": "host-1", "Domain": "a",
   "CallerAddress": "127.0.0.1:7001", "PeerAddress": "127.0.0.1:7002",
@@ -19,15 +19,15 @@
   "PeerKey": "0123456789abcdef", "OperatorKey": "fedcba9876543210",
 }`
 
-func TestDefaultsAreFilledIn(t *testing.T) {
-	set, err := settings.Parse("host.json", []byte(good))
+func TestDefaultsAreSet(t *testing.T) {
+	set, err := settings.Parse("host.json", []byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, set.Timing.Lease.Std(), 10*time.Second)
 	assert.Equal(t, set.CallerAddress.Port(), uint16(7001))
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{"Timing": {"Lease": "1s"}, "Seeds": ["[::1]:1"]}`))
 	f.Add([]byte(`{"Name": 1}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -29,14 +29,14 @@
 )
 
 const (
-	// askTimeout bounds a question for addresses, maxAsked how many hosts are asked.
-	askTimeout = time.Second
-	maxAsked   = 3
+	// directoryTimeout bounds a question for addresses, maxDirectories how many hosts are asked.
+	directoryTimeout = time.Second
+	maxDirectories   = 3
 	// connectTimeout bounds a new connection.
 	connectTimeout = time.Second
-	// waitShare is the part of the time left that a caller waits when told to come
+	// maxWaitShare is the part of the time left that a caller waits when told to come
 	// back later.
-	waitShare = 1.0 / 3
+	maxWaitShare = 1.0 / 3
 	// maxAnswerBytes bounds an answer.
 	maxAnswerBytes = 16 << 20
 )
@@ -63,9 +63,9 @@
 	transport *http.Transport
 	mutex     sync.Mutex
 	addresses []netip.AddrPort
-	until     time.Time
+	expires   time.Time
 	failed    map[netip.AddrPort]bool
-	number    int
+	attempts  int
 }
 
 // Request is what a visitor wants.
@@ -166,7 +166,7 @@
 		if len(res.Attempts) > req.Retries || !mayRepeat(req, att) || ctx.Err() != nil {
 			return res
 		}
-		task.Sleep(ctx, min(retryAfter(att.Header), time.Duration(waitShare*float64(req.Deadline-res.Took))))
+		task.Sleep(ctx, min(retryAfter(att.Header), time.Duration(maxWaitShare*float64(req.Deadline-res.Took))))
 	}
 }
 
@@ -200,7 +200,7 @@
 	vis.exchange(ctx, req, left, &att)
 	att.Took = time.Since(att.Sent)
 	if att.Err != nil {
-		vis.fail(adr)
+		vis.markFailed(adr)
 	}
 	return att
 }
@@ -208,8 +208,8 @@
 func (vis *Visitor) nextID() string {
 	vis.mutex.Lock()
 	defer vis.mutex.Unlock()
-	vis.number++
-	return fmt.Sprintf("%s-%d", vis.cfg.Prefix, vis.number)
+	vis.attempts++
+	return fmt.Sprintf("%s-%d", vis.cfg.Prefix, vis.attempts)
 }
 
 func (vis *Visitor) exchange(ctx context.Context, req Request, left time.Duration, att *Attempt) {
@@ -258,7 +258,7 @@
 // address returns one of the addresses by chance, leaving out those that failed.
 func (vis *Visitor) address(ctx context.Context) (netip.AddrPort, error) {
 	vis.mutex.Lock()
-	fresh := time.Now().Before(vis.until)
+	fresh := time.Now().Before(vis.expires)
 	vis.mutex.Unlock()
 	if !fresh {
 		vis.refresh(ctx)
@@ -281,35 +281,35 @@
 	return usable[vis.cfg.Random.IntN(len(usable))], nil
 }
 
-func (vis *Visitor) fail(adr netip.AddrPort) {
+func (vis *Visitor) markFailed(adr netip.AddrPort) {
 	vis.mutex.Lock()
 	defer vis.mutex.Unlock()
 	vis.failed[adr] = true
 }
 
-// longerTimes is how much longer some callers keep an answer.
-const longerTimes = 3
+// longCacheFactor is how much longer some callers keep an answer.
+const longCacheFactor = 3
 
 // refresh asks some hosts for addresses; with no answer the former ones stay.
 func (vis *Visitor) refresh(ctx context.Context) {
-	for _, adr := range vis.cfg.Directories[:min(maxAsked, len(vis.cfg.Directories))] {
-		addresses, keep, err := vis.ask(ctx, adr)
+	for _, adr := range vis.cfg.Directories[:min(maxDirectories, len(vis.cfg.Directories))] {
+		addresses, keep, err := vis.queryAddresses(ctx, adr)
 		if err != nil || len(addresses) == 0 {
 			continue
 		}
 		if vis.cfg.KeepsLonger {
-			keep *= longerTimes
+			keep *= longCacheFactor
 		}
 		vis.mutex.Lock()
-		vis.addresses, vis.until = addresses, time.Now().Add(keep)
+		vis.addresses, vis.expires = addresses, time.Now().Add(keep)
 		clear(vis.failed)
 		vis.mutex.Unlock()
 		return
 	}
 }
 
-func (vis *Visitor) ask(ctx context.Context, adr netip.AddrPort) ([]netip.AddrPort, time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (vis *Visitor) queryAddresses(ctx context.Context, adr netip.AddrPort) ([]netip.AddrPort, time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	target := platform.AddressesTarget(platform.AddressesQuery{Host: vis.cfg.HostName, Region: vis.cfg.Region, Domain: vis.cfg.Domain})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+adr.String()+target, http.NoBody)
