--- a/credential/credential.go
+++ b/credential/credential.go
@@ -1,18 +1,17 @@
-// Package credential has the hosts of a deployment know one another by a secret that
-// they share: each proves that it has it by the handshake of TLS, both ways, and never
-// sends it.
+// Package credential authenticates the hosts of a deployment to one another by a shared
+// secret. Each side proves in the TLS handshake that it has the secret, without sending it.
 //
 // # Usage
 //
-//	rin, err := credential.NewRing(now) // by the first host, kept where all hosts read it
-//	kee := credential.NewKeeper(credential.Config{Refused: func(err error) { ... }})
-//	err = kee.Take(rin)
-//	cfg := kee.TLS() // for clients and servers
+//	rin, err := credential.NewRing(now) // once, by the first host; stored where all hosts read it
+//	aut := credential.NewKeeper(credential.Config{Refused: func(err error) { ... }})
+//	err = aut.Take(rin)
+//	cfg := aut.TLS() // for clients and servers
 //	next, due, err := rin.Renewal(now, every)
 //
-// A secret is renewed in two steps, so that there is no gap: the next one is accepted by
-// all hosts before any shows it, and the former one is accepted for as long as it takes
-// until the next renewal.
+// A secret is rotated in two steps, so that hosts with adjacent versions of the key ring can
+// always connect: hosts accept the next secret some minutes before any host uses it, and
+// accept the former one until the next renewal.
 package credential
 
 import (
@@ -31,48 +30,50 @@
 	"github.com/cockroachdb/errors"
 )
 
-// secretBytes is the length of a secret: as long as the keys made from it.
+// secretBytes is the length of a secret. It equals the length of the seed of the key
+// that is derived from it.
 const secretBytes = 32
 
-// Secret is what the hosts share. Its text is base64 in JSON.
+// Secret is a secret shared by all hosts. It is encoded as base64 in JSON.
 type Secret []byte
 
-// NewSecret returns a secret at random.
+// NewSecret returns a random secret of 32 bytes.
 func NewSecret() (Secret, error) {
 	sec := make(Secret, secretBytes)
 	_, err := rand.Read(sec)
-	return sec, errors.Wrap(err, "make secret")
+	return sec, errors.Wrap(err, "generate secret")
 }
 
-// Ring is what is kept of the secrets of a deployment.
+// Ring holds the secrets of a deployment in their stored form.
 type Ring struct {
-	// Current is what hosts show one another.
+	// Current is the secret by which hosts authenticate themselves.
 	Current Secret
-	// Next is accepted already, and Former still; both may be empty.
+	// Next and Former are the secrets after and before Current. Both are accepted from
+	// peers, and both may be empty.
 	Next   Secret `json:",omitempty"`
 	Former Secret `json:",omitempty"`
-	// Changed is when the ring was last changed, by the clock of the host that did.
+	// Changed is the time of the last change, by the clock of the host that made it.
 	Changed time.Time
 }
 
-// NewRing returns a ring of one secret.
+// NewRing returns a key ring with one new secret.
 func NewRing(now time.Time) (Ring, error) {
 	sec, err := NewSecret()
 	return Ring{Current: sec, Changed: now}, err
 }
 
-// FieldError reports a ring that can't be used.
+// FieldError reports an invalid field of a key ring.
 type FieldError struct {
 	Field  string
 	Reason string
 }
 
-// Error names the field and the reason.
+// Error implements error.
 func (fer *FieldError) Error() string {
-	return "ring of secrets: " + fer.Field + ": " + fer.Reason
+	return "key ring: " + fer.Field + ": " + fer.Reason
 }
 
-// Check returns a *FieldError that names the first field that can't be used.
+// Check returns a *FieldError for an invalid field, or nil.
 func (rin Ring) Check() error {
 	if len(rin.Current) != secretBytes {
 		return &FieldError{Field: "Current", Reason: "want 32 bytes"}
@@ -90,13 +91,15 @@
 		rin.Changed.Equal(other.Changed)
 }
 
-// activationDelay is for how long a next secret is accepted before it is shown: changes reach
-// every host that reaches the store or another host within seconds, and one that was cut
-// off for minutes still knows the next one.
+// activationDelay is how long the next secret is accepted before it becomes the current
+// one. Changes reach every host that can connect to the store or to another host within
+// seconds; with this delay, a host that was partitioned for some minutes already has the
+// secret when others start to use it.
 const activationDelay = 5 * time.Minute
 
-// Renewal returns the ring's next step if it is due: a next secret after the given time,
-// which is shown some minutes later.
+// Renewal returns the key ring after the next step of its rotation, and whether that step
+// is due. A next secret is added when the interval every has passed since the last change,
+// and becomes the current one 5 minutes later, or after the interval if that is shorter.
 func (rin Ring) Renewal(now time.Time, every time.Duration) (Ring, bool, error) {
 	age := now.Sub(rin.Changed)
 	switch {
@@ -110,13 +113,14 @@
 	}
 }
 
-// identity is the key pair that is made from a secret, with its certificate.
+// identity is the key pair that is derived from a secret, with its certificate.
 type identity struct {
 	public      ed25519.PublicKey
 	certificate tls.Certificate
 }
 
-// purpose keeps keys made from the same secret for other ends apart.
+// keyPurpose is the context of the key derivation, so that keys derived from the same
+// secret for other purposes differ.
 const keyPurpose = "lynxwell hosts"
 
 func newIdentity(sec Secret) (identity, error) {
@@ -126,50 +130,53 @@
 	}
 	private := ed25519.NewKeyFromSeed(seed)
 	public, _ := private.Public().(ed25519.PublicKey)
-	// The certificate only carries the key: its names and times are never looked at.
+	// The certificate only carries the public key. Its names and times aren't verified.
 	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: keyPurpose}, NotBefore: time.Unix(0, 0), NotAfter: time.Unix(1<<33, 0)}
 	raw, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
 	if err != nil {
-		return identity{}, errors.Wrap(err, "make certificate")
+		return identity{}, errors.Wrap(err, "create certificate")
 	}
 	return identity{public: public, certificate: tls.Certificate{Certificate: [][]byte{raw}, PrivateKey: private}}, nil
 }
 
-// known is a ring with the identities made from it.
+// keySet is a key ring with the keys that are derived from its secrets.
 type keySet struct {
 	ring     Ring
 	own      identity
 	accepted []ed25519.PublicKey
 }
 
-// Config holds what a Keeper is made from.
+// Config configures a Keeper.
 type Config struct {
-	// Refused is told of each host that didn't prove to have a secret of the ring; nil for
-	// nobody.
+	// Refused is called with the error of each handshake in which the peer did not
+	// authenticate itself. It may be nil.
 	Refused func(err error)
 }
 
-// Keeper holds the ring that is in force. It may be used by several goroutines.
+// Keeper authenticates peers by the secrets of a key ring. It is safe for concurrent use.
 type Keeper struct {
 	cfg  Config
 	keys atomic.Pointer[keySet]
 }
 
-// NewKeeper returns a keeper that knows no secret yet, and accepts nobody.
+// NewKeeper returns a Keeper without a key ring. It rejects every peer until Take sets
+// one.
 func NewKeeper(cfg Config) *Keeper {
 	return &Keeper{cfg: cfg}
 }
 
-// Take puts a ring in force for connections that are opened from now on.
-func (kee *Keeper) Take(rin Ring) error {
+// Take replaces the key ring. The new one applies to connections that are opened
+// afterwards; open connections stay. It returns a *FieldError for an invalid key ring.
+func (aut *Keeper) Take(rin Ring) error {
 	if err := rin.Check(); err != nil {
 		return err
 	}
-	if former, known := kee.Ring(); known && former.equal(rin) {
-		// Each whole reading of the store brings it again; keys cost 0.1 ms each to make.
+	if old, found := aut.Ring(); found && old.equal(rin) {
+		// Each full snapshot of the store contains the same key ring again, and deriving a
+		// key takes 0.1 ms.
 		return nil
 	}
-	kno := &keySet{ring: rin}
+	kst := &keySet{ring: rin}
 	for _, sec := range []Secret{rin.Current, rin.Next, rin.Former} {
 		if len(sec) == 0 {
 			continue
@@ -178,79 +185,81 @@
 		if err != nil {
 			return err
 		}
-		if kno.own.public == nil {
-			kno.own = idt
+		if kst.own.public == nil {
+			kst.own = idt
 		}
-		kno.accepted = append(kno.accepted, idt.public)
+		kst.accepted = append(kst.accepted, idt.public)
 	}
-	kee.keys.Store(kno)
+	aut.keys.Store(kst)
 	return nil
 }
 
-// Ring returns the ring in force; false for none.
-func (kee *Keeper) Ring() (Ring, bool) {
-	kno := kee.keys.Load()
-	if kno == nil {
+// Ring returns the key ring in use; false if there is none yet.
+func (aut *Keeper) Ring() (Ring, bool) {
+	kst := aut.keys.Load()
+	if kst == nil {
 		return Ring{}, false
 	}
-	return kno.ring, true
+	return kst.ring, true
 }
 
-// UnknownError reports that this host knows no secret yet.
+// UnknownError reports that this host has no key ring yet.
 type UnknownError struct{}
 
-// Error says so.
-func (*UnknownError) Error() string { return "the secret of the deployment isn't known yet" }
+// Error implements error.
+func (*UnknownError) Error() string { return "no key ring has been loaded yet" }
 
-// StrangerError reports a host that doesn't have the deployment's secret.
+// StrangerError reports a peer that did not authenticate itself with a secret of the key
+// ring.
 type StrangerError struct {
-	// Reason says what it showed.
+	// Reason is why the peer's certificate was rejected.
 	Reason string
 }
 
-// Error names what was shown.
-func (ser *StrangerError) Error() string { return "not a host of this deployment: " + ser.Reason }
+// Error implements error.
+func (ser *StrangerError) Error() string { return "unauthenticated peer: " + ser.Reason }
 
-// TLS returns the configuration for clients and servers. Handshakes cost 0.4 ms of a
-// usual core on each side, by BenchmarkHandshake; a host opens a few a minute, and one
-// that decides for 300 hosts as many when all of them start.
-func (kee *Keeper) TLS() *tls.Config {
+// TLS returns the TLS configuration for clients and servers. By BenchmarkHandshake, a
+// handshake takes 0.4 ms of processor time on each side. A host opens a few connections a
+// minute, and the leader of 300 hosts accepts 300 when all of them start.
+func (aut *Keeper) TLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// One exchange of keys; the larger hybrid one doubles the time of a handshake.
+		// X25519 alone: the hybrid post-quantum key exchange doubles the handshake time.
 		CurvePreferences: []tls.CurveID{tls.X25519},
 		NextProtos:       []string{"h2"},
-		// Addresses tell nothing; verify compares the keys, both ways.
+		// Certificates aren't bound to addresses. VerifyConnection compares the keys on
+		// both sides instead.
 		InsecureSkipVerify:     true, //nolint:gosec // VerifyConnection checks the other side's key.
 		ClientAuth:             tls.RequestClientCert,
 		SessionTicketsDisabled: true,
-		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return kee.certificate() },
-		GetClientCertificate:   func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return kee.certificate() },
-		VerifyConnection:       kee.verify,
+		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return aut.certificate() },
+		GetClientCertificate:   func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return aut.certificate() },
+		VerifyConnection:       aut.verify,
 	}
 }
 
-func (kee *Keeper) certificate() (*tls.Certificate, error) {
-	kno := kee.keys.Load()
-	if kno == nil {
+func (aut *Keeper) certificate() (*tls.Certificate, error) {
+	kst := aut.keys.Load()
+	if kst == nil {
 		return nil, &UnknownError{}
 	}
-	return &kno.own.certificate, nil
+	return &kst.own.certificate, nil
 }
 
-// verify accepts a host whose key is made from one of the ring's secrets. That it has the
-// private one is proved by the handshake.
-func (kee *Keeper) verify(sta tls.ConnectionState) error {
-	err := kee.checkPeer(sta)
-	if err != nil && kee.cfg.Refused != nil {
-		kee.cfg.Refused(err)
+// verify accepts a peer whose public key is derived from one of the key ring's secrets. The
+// handshake itself proves that the peer has the private key.
+func (aut *Keeper) verify(sta tls.ConnectionState) error {
+	err := aut.checkPeer(sta)
+	if err != nil && aut.cfg.Refused != nil {
+		aut.cfg.Refused(err)
 	}
 	return err
 }
 
-func (kee *Keeper) checkPeer(sta tls.ConnectionState) error {
-	kno := kee.keys.Load()
-	if kno == nil {
+func (aut *Keeper) checkPeer(sta tls.ConnectionState) error {
+	kst := aut.keys.Load()
+	if kst == nil {
 		return &UnknownError{}
 	}
 	if len(sta.PeerCertificates) == 0 {
@@ -258,12 +267,12 @@
 	}
 	public, isKey := sta.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
 	if !isKey {
-		return &StrangerError{Reason: "a key of another kind"}
+		return &StrangerError{Reason: "certificate without an Ed25519 key"}
 	}
-	for _, accepted := range kno.accepted {
+	for _, accepted := range kst.accepted {
 		if accepted.Equal(public) {
 			return nil
 		}
 	}
-	return &StrangerError{Reason: "another secret"}
+	return &StrangerError{Reason: "key of an unknown secret"}
 }
--- a/credential/credential_test.go
+++ b/credential/credential_test.go
@@ -25,12 +25,12 @@
 
 func newAuthenticator(t testing.TB, rin credential.Ring) *credential.Keeper {
 	t.Helper()
-	kee := credential.NewKeeper(credential.Config{})
-	assert.NilError(t, kee.Take(rin))
-	return kee
+	aut := credential.NewKeeper(credential.Config{})
+	assert.NilError(t, aut.Take(rin))
+	return aut
 }
 
-// meet opens a connection between two hosts and returns both sides' errors.
+// handshake opens a connection between two hosts and returns both sides' errors.
 func handshake(t testing.TB, client, server *tls.Config) (clientErr, serverErr error) {
 	t.Helper()
 	one, two := net.Pipe()
@@ -38,7 +38,7 @@
 	defer two.Close()
 	assert.NilError(t, one.SetDeadline(time.Now().Add(5*time.Second)))
 	assert.NilError(t, two.SetDeadline(time.Now().Add(5*time.Second)))
-	ended := make(chan error, 1)
+	served := make(chan error, 1)
 	go func() {
 		con := tls.Server(two, server)
 		err := con.HandshakeContext(t.Context())
@@ -46,7 +46,7 @@
 			_, err = con.Write([]byte("x"))
 		}
 		_ = two.Close()
-		ended <- err
+		served <- err
 	}()
 	con := tls.Client(one, client)
 	clientErr = con.HandshakeContext(t.Context())
@@ -55,11 +55,11 @@
 		_, clientErr = io.ReadFull(con, buf[:])
 	}
 	_ = one.Close()
-	return clientErr, <-ended
+	return clientErr, <-served
 }
 
-// Two hosts meet if each shows a secret that the other accepts, in every step of a
-// renewal and beside hosts that have missed one.
+// Hosts must be able to connect in every step of a rotation, also to hosts that have
+// missed the last step. Hosts that are two steps apart can't connect.
 func TestHostsAuthenticateDuringRenewal(t *testing.T) {
 	first := newRing(t)
 	_, due, err := first.Renewal(start.Add(time.Minute), time.Hour)
@@ -71,7 +71,7 @@
 	assert.DeepEqual(t, second.Current, first.Current)
 	_, due, err = second.Renewal(start.Add(time.Hour+time.Minute), time.Hour)
 	assert.NilError(t, err)
-	assert.Assert(t, !due, "before all know it")
+	assert.Assert(t, !due, "next secret activated before all hosts have it")
 	third, due, err := second.Renewal(start.Add(2*time.Hour), time.Hour)
 	assert.NilError(t, err)
 	assert.Assert(t, due)
@@ -79,7 +79,7 @@
 	rings := map[string]credential.Ring{"first": first, "second": second, "third": third}
 	for _, tst := range []struct {
 		one, two string
-		meets    bool
+		accepted bool
 	}{
 		{"first", "first", true},
 		{"first", "second", true},
@@ -89,56 +89,57 @@
 	} {
 		for _, pair := range [][2]string{{tst.one, tst.two}, {tst.two, tst.one}} {
 			client, server := handshake(t, newAuthenticator(t, rings[pair[0]]).TLS(), newAuthenticator(t, rings[pair[1]]).TLS())
-			assert.Equal(t, client == nil && server == nil, tst.meets, "%v: %v, %v", pair, client, server)
+			assert.Equal(t, client == nil && server == nil, tst.accepted, "%v: %v, %v", pair, client, server)
 		}
 	}
 }
 
-// A stranger is refused whatever it shows, by servers and by clients, and told of.
+// A peer without a secret of the key ring must be rejected whatever certificate it
+// presents, by servers and by clients, and each rejection must be reported.
 func TestUnauthenticatedPeersAreRejected(t *testing.T) {
 	ring := newRing(t)
-	var refused []error
-	kee := credential.NewKeeper(credential.Config{Refused: func(err error) { refused = append(refused, err) }})
-	assert.NilError(t, kee.Take(ring))
+	var rejected []error
+	aut := credential.NewKeeper(credential.Config{Refused: func(err error) { rejected = append(rejected, err) }})
+	assert.NilError(t, aut.Take(ring))
 	other := newAuthenticator(t, newRing(t)).TLS()
-	_, err := handshake(t, other, kee.TLS())
+	_, err := handshake(t, other, aut.TLS())
 	assert.Assert(t, err != nil)
 	noCertificate := other.Clone()
 	noCertificate.GetClientCertificate = nil
 	noCertificate.VerifyConnection = nil
-	_, err = handshake(t, noCertificate, kee.TLS())
+	_, err = handshake(t, noCertificate, aut.TLS())
 	assert.Assert(t, err != nil)
-	believes := other.Clone()
-	believes.VerifyConnection = nil
-	_, err = handshake(t, believes, kee.TLS())
-	assert.Assert(t, err != nil, "one that accepts anybody is let in by nobody")
-	err, _ = handshake(t, kee.TLS(), believes)
-	assert.Assert(t, err != nil, "a server of another secret")
-	var stranger *credential.StrangerError
-	assert.Assert(t, len(refused) >= 3)
-	for _, err := range refused {
-		assert.Assert(t, errors.As(err, &stranger), "%v", err)
+	trusting := other.Clone()
+	trusting.VerifyConnection = nil
+	_, err = handshake(t, trusting, aut.TLS())
+	assert.Assert(t, err != nil, "a client that accepts every server was accepted itself")
+	err, _ = handshake(t, aut.TLS(), trusting)
+	assert.Assert(t, err != nil, "a server with another secret was accepted")
+	var rejection *credential.StrangerError
+	assert.Assert(t, len(rejected) >= 3)
+	for _, err := range rejected {
+		assert.Assert(t, errors.As(err, &rejection), "%v", err)
 	}
 }
 
-// Before the secret is known nobody is let in.
+// Before a key ring is loaded, every peer must be rejected.
 func TestHostWithoutSecretRejectsAllPeers(t *testing.T) {
-	unknowing := credential.NewKeeper(credential.Config{})
-	client, server := handshake(t, newAuthenticator(t, newRing(t)).TLS(), unknowing.TLS())
+	empty := credential.NewKeeper(credential.Config{})
+	client, server := handshake(t, newAuthenticator(t, newRing(t)).TLS(), empty.TLS())
 	assert.Assert(t, client != nil && server != nil)
-	_, knows := unknowing.Ring()
-	assert.Assert(t, !knows)
+	_, found := empty.Ring()
+	assert.Assert(t, !found)
 }
 
 func TestInvalidKeyRingNamesField(t *testing.T) {
-	good := newRing(t)
-	data, err := json.Marshal(good)
+	valid := newRing(t)
+	data, err := json.Marshal(valid)
 	assert.NilError(t, err)
 	var read credential.Ring
 	assert.NilError(t, json.Unmarshal(data, &read))
-	assert.DeepEqual(t, read.Current, good.Current)
+	assert.DeepEqual(t, read.Current, valid.Current)
 	for field, rin := range map[string]credential.Ring{
-		"Current": {}, "Next": {Current: good.Current, Next: []byte("short")}, "Former": {Current: good.Current, Former: make([]byte, 33)},
+		"Current": {}, "Next": {Current: valid.Current, Next: []byte("short")}, "Former": {Current: valid.Current, Former: make([]byte, 33)},
 	} {
 		var fer *credential.FieldError
 		assert.Assert(t, errors.As(credential.NewKeeper(credential.Config{}).Take(rin), &fer))
@@ -159,7 +160,7 @@
 	})
 }
 
-// What both sides of a handshake cost together.
+// BenchmarkHandshake measures both sides of a handshake together.
 func BenchmarkHandshake(b *testing.B) {
 	cfg := newAuthenticator(b, newRing(b)).TLS()
 	for b.Loop() {
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -10,80 +10,84 @@
 	"lynxwell.dev/lynxwell/format"
 )
 
-// Entry are the settings of a host that takes callers as the users' platform
-// sends them. deploy/settings.json lays the file out from the platform's fields.
+// Entry are the settings of a host that serves clients in the users' platform's
+// protocol. deploy/settings.json is the template that fills them in from the
+// platform's fields.
 type Entry struct {
 	// Name is the host's name, unique in the system.
 	Name string
 	// Domain is the host's failure domain.
 	Domain string
-	// Regions are the regions of all failure domains, the host's own among them; empty where
-	// there is one region.
+	// Regions maps each failure domain, including the host's own, to its region. It is
+	// empty in a deployment with one region.
 	Regions map[string]string
-	// CallerAddress is where callers send requests.
+	// CallerAddress is the listen address for clients' requests.
 	CallerAddress netip.AddrPort
-	// ReadyAddress is where the platform asks whether the host takes requests.
+	// ReadyAddress is the listen address of the platform's readiness check.
 	ReadyAddress netip.AddrPort
-	// DirectoryAddress is where callers ask which addresses to use.
+	// DirectoryAddress is the listen address for clients that request the list of
+	// addresses.
 	DirectoryAddress netip.AddrPort
-	// PeerAddress is where other hosts connect.
+	// PeerAddress is the listen address for the other hosts.
 	PeerAddress netip.AddrPort
-	// MetricsAddress is where the host tells its figures.
+	// MetricsAddress is the listen address of the host's metrics.
 	MetricsAddress netip.AddrPort
-	// StoreAddress is where the platform's store listens.
+	// StoreAddress is the address of the platform's store.
 	StoreAddress netip.AddrPort
-	// PeerKey is a key that all hosts share. Without one they know one another by a secret
-	// that the first of them makes and that lies in the store.
+	// PeerKey is a key that all hosts share. If it is empty, hosts authenticate one another
+	// by a secret that the first host generates and writes to the store.
 	PeerKey string
-	// LogLevel is a zerolog level; empty stands for "info".
+	// LogLevel is a zerolog level; empty means "info".
 	LogLevel string
-	// Cores is the part of a core that the host has, CoreSpeed how fast that is
-	// beside a usual one; 0 stands for 1.
+	// Cores is the number of processor cores that the host may use, possibly less than 1.
+	// CoreSpeed is the speed of a core relative to a usual one. 0 means 1 for both.
 	Cores     float64
 	CoreSpeed float64
-	// Bounds are what the users hold the system to.
+	// Bounds are the service levels that the system has to keep.
 	Bounds Bounds
 }
 
-// Bounds are what the users hold the system to, in milliseconds and seconds as
-// their names tell; zero stands for the default.
+// Bounds are the service levels that the system has to keep. Durations are in the unit
+// that the field's name ends in. Zero means the default.
 type Bounds struct {
-	// RevokeMilliseconds is after what time a key that was taken away must not
-	// be served any more, default 5000.
+	// RevokeMilliseconds is the time after which requests with a revoked key must be
+	// rejected, default 5000.
 	RevokeMilliseconds float64
-	// RevocationIsStrict has that bound hold for hosts that don't reach the store
-	// too: they stop serving keys before it is over. Default true, the safe choice;
-	// where it is false, such hosts go on with the newest configuration they know.
+	// RevocationIsStrict extends that bound to hosts that can't connect to the store: if
+	// true, they stop accepting keys before the time has passed; if false, they continue
+	// with the latest configuration they have. Default true, the safe choice.
 	RevocationIsStrict Toggle
 	// GraceSeconds is how long a planned stop may take, default 8.
 	GraceSeconds float64
-	// MaxKeepSeconds is how long callers keep an answer with addresses at most,
-	// default 5.
+	// MaxKeepSeconds is the maximum time for which clients may cache the list of
+	// addresses, default 5.
 	MaxKeepSeconds float64
-	// RepeatRatio, RepeatWindowSeconds and RepeatSlack bound the requests that are
-	// sent to a further engine; defaults 0.2, 10 and 50.
+	// RepeatRatio, RepeatWindowSeconds and RepeatSlack bound how many requests are retried
+	// on another engine: in a window, RepeatRatio of the requests and RepeatSlack more.
+	// Defaults 0.2, 10 and 50.
 	RepeatRatio         float64
 	RepeatWindowSeconds float64
 	RepeatSlack         float64
-	// LimitSlack is how many tokens may be served beyond a client account's limit
-	// in a window, over all hosts; default 100000.
+	// LimitSlack is how many tokens may be served beyond a client account's limit in a
+	// window, summed over all hosts; default 100000.
 	LimitSlack float64
-	// LimitWindowSeconds is the window in which a client account's use is counted,
-	// default 8.
+	// LimitWindowSeconds is the length of the window in which a client account's use is
+	// counted, default 8.
 	LimitWindowSeconds float64
-	// LimitOvershoot is the part of the limit in a window by which it may be
-	// exceeded, beside the slack; from 0 to 1, default 0.
+	// LimitOvershoot is the fraction of the limit by which it may be exceeded in a window,
+	// in addition to the slack; from 0 to 1, default 0.
 	LimitOvershoot float64
-	// ExposureShare is the part of a service's requests that a version may get which isn't
-	// known to be good, from 0 to 1, and ExposureSlack how many more; defaults 0.1 and 20.
+	// ExposureShare is the fraction, from 0 to 1, of a service's requests that may be sent
+	// to a version not yet known to be healthy, and ExposureSlack the number of further
+	// ones; defaults 0.1 and 20.
 	ExposureShare float64
 	ExposureSlack float64
-	// RenewSecretSeconds is how often the secret by which hosts know one another is
-	// renewed, default 86400.
+	// RenewSecretSeconds is the interval at which the secret shared by the hosts is
+	// rotated, default 86400.
 	RenewSecretSeconds float64
 }
 
-// The defaults of Bounds: what both users' deployments had at first.
+// The defaults of Bounds, which are the initial values of both users' deployments.
 const (
 	defaultRevokeMilliseconds  = 5000
 	defaultGraceSeconds        = 8
@@ -122,13 +126,13 @@
 	return time.Duration(value * float64(time.Second))
 }
 
-// Region returns the host's own region; empty where it isn't told.
+// Region returns the host's own region, or an empty string if Regions doesn't name it.
 func (ent Entry) Region() string {
 	return ent.Regions[ent.Domain]
 }
 
-// LoadEntry reads and checks the settings file. It returns a
-// *format.FieldError that names the field.
+// LoadEntry reads and checks the settings file. It returns a *format.FieldError for an
+// invalid field.
 func LoadEntry(file string) (Entry, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -137,7 +141,7 @@
 	return ParseEntry(file, data)
 }
 
-// ParseEntry reads and checks settings from data.
+// ParseEntry reads and checks settings from data. Errors name the file.
 func ParseEntry(file string, data []byte) (Entry, error) {
 	var ent Entry
 	if err := format.Decode(file, data, &ent); err != nil {
--- a/settings/entry_test.go
+++ b/settings/entry_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestUnsetBoundsHaveSafeDefaults(t *testing.T) {
-	for name, text := range map[string]string{"left out": "", "empty": `"RevocationIsStrict": ""`} {
+	for name, text := range map[string]string{"omitted": "", "empty": `"RevocationIsStrict": ""`} {
 		t.Run(name, func(t *testing.T) {
 			set, err := settings.ParseEntry("entry.json", withBounds(text))
 			assert.NilError(t, err)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -4,8 +4,8 @@
 //
 //	sets, err := settings.Load("host.json")
 //
-// The file is JSON with comments; the names are those of the fields here. Load
-// checks every field and names the first that can't be used.
+// The file is JSON with comments, with the names of the fields of Settings. Load
+// checks every field and reports the first invalid one.
 package settings
 
 import (
@@ -18,57 +18,60 @@
 	"lynxwell.dev/lynxwell/format"
 )
 
-// minKeyLen is the shortest shared key that is taken, in bytes.
+// minKeyLen is the minimum length of a key, in bytes.
 const minKeyLen = 16
 
-// Settings are what one host's process is told at its start.
+// Settings configure one host's process. They are read once, at its start.
 type Settings struct {
 	// Name is the host's name, unique in the system.
 	Name string
 	// Domain is the host's failure domain.
 	Domain string
-	// CallerAddress is where callers connect.
+	// CallerAddress is the listen address for clients.
 	CallerAddress netip.AddrPort
-	// PeerAddress is where the other hosts connect.
+	// PeerAddress is the listen address for the other hosts.
 	PeerAddress netip.AddrPort
-	// OperatorAddress is where operators connect.
+	// OperatorAddress is the listen address for operators.
 	OperatorAddress netip.AddrPort
-	// PlatformAddress is where the platform's key-value service listens.
+	// PlatformAddress is the address of the platform's key-value service.
 	PlatformAddress netip.AddrPort
-	// Seeds are peer addresses to ask when the platform is out at the start.
+	// Seeds are peer addresses to fetch the state from if the platform is unavailable at
+	// the start.
 	Seeds []netip.AddrPort
-	// PeerKey is the key that all hosts share.
+	// PeerKey is the bearer key that all hosts share, of at least 16 bytes.
 	PeerKey string
-	// PeerKeyFile holds the key when PeerKey is empty.
+	// PeerKeyFile is the file to read the key from if PeerKey is empty.
 	PeerKeyFile string
-	// PeerTLS has hosts show one another certificates; then PeerKey may be empty.
+	// PeerTLS enables mutual TLS between hosts; PeerKey may then be empty.
 	PeerTLS *TLSFiles
-	// OperatorKey is the bearer key of operators.
+	// OperatorKey is the bearer key of operators, of at least 16 bytes.
 	OperatorKey string
-	// OperatorKeyFile holds the key when OperatorKey is empty.
+	// OperatorKeyFile is the file to read the key from if OperatorKey is empty.
 	OperatorKeyFile string
-	// LogLevel is a zerolog level; empty stands for "info".
+	// LogLevel is a zerolog level; empty means "info".
 	LogLevel string
-	// Timing holds the clocks; each has a default.
+	// Timing holds the intervals and time-outs; each has a default.
 	Timing Timing
 }
 
-// Timing holds the intervals of a host. Zero stands for the default.
+// Timing holds the intervals and time-outs of a host. Zero means the default.
 type Timing struct {
 	// Lease is the time to live of the host's lease, default 10 s.
 	Lease format.Duration
-	// Heartbeat is how often an idle session between hosts says that it lives,
+	// Heartbeat is the interval between heartbeats of a session between hosts,
 	// default 500 ms.
 	Heartbeat format.Duration
-	// PeerTimeout is after how much silence a session counts as lost, default 1.5 s.
+	// PeerTimeout is how long a session may go without a received frame before it is
+	// considered lost, default 1.5 s.
 	PeerTimeout format.Duration
-	// Window is how long a request prefix is handed out, default 5 m.
+	// Window is how long a prefix of request ids is handed out, default 5 m.
 	Window format.Duration
-	// KeepAddresses is how long callers may keep an addresses answer, default 30 s.
+	// KeepAddresses is how long clients may cache the list of addresses, default 30 s.
 	KeepAddresses format.Duration
-	// OrphanGrace is how long a stream goes on without its caller, default 10 s.
+	// OrphanGrace is how long a stream continues after its client has disconnected,
+	// default 10 s.
 	OrphanGrace format.Duration
-	// DrainLimit bounds a planned stop, default 10 m.
+	// DrainLimit is the maximum duration of a planned stop, default 10 m.
 	DrainLimit format.Duration
 }
 
@@ -83,8 +86,8 @@
 	defaultDrainLimit    = 10 * time.Minute
 )
 
-// Load reads and checks the settings file. It returns a *format.FieldError
-// that names the field.
+// Load reads and checks the settings file. It returns a *format.FieldError for an
+// invalid field.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -93,7 +96,7 @@
 	return Parse(file, data)
 }
 
-// Parse reads and checks settings from data.
+// Parse reads and checks settings from data. Errors name the file.
 func Parse(file string, data []byte) (Settings, error) {
 	var set Settings
 	if err := format.Decode(file, data, &set); err != nil {
@@ -167,20 +170,21 @@
 	})
 }
 
-// wantAddress is what is wrong with an address that can't be used.
+// wantAddress is the error's reason for an invalid address.
 const wantAddress = "want IP:PORT"
 
-// fieldCheck says whether a field's value can be used, and what is wanted else.
+// fieldCheck is the result of checking one field, with the requirement to report if the
+// check has failed.
 type fieldCheck struct {
-	holds  bool
+	valid  bool
 	field  string
 	reason string
 }
 
-// firstFailed returns a *format.FieldError of the first field that can't be used.
+// firstFailed returns a *format.FieldError for the first failed check, or nil.
 func firstFailed(file string, checks []fieldCheck) error {
 	for _, chk := range checks {
-		if !chk.holds {
+		if !chk.valid {
 			return &format.FieldError{File: file, Field: chk.field, Reason: chk.reason}
 		}
 	}
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -10,18 +10,19 @@
 	"lynxwell.dev/lynxwell/format"
 )
 
-// TLSFiles are the PEM files of one side of mutual TLS.
+// TLSFiles are the PEM files of one host for mutual TLS.
 type TLSFiles struct {
 	// CertificateFile and KeyFile are the host's own; the certificate must name
 	// the IP address of the host's PeerAddress.
 	CertificateFile string
 	KeyFile         string
-	// AuthorityFile holds the certificates that sign the other hosts'.
+	// AuthorityFile holds the certificates of the authorities that sign the hosts'
+	// certificates.
 	AuthorityFile string
 }
 
-// Config returns the configuration of both ends: each shows its certificate
-// and checks the other's. Without files it returns nil.
+// Config returns the TLS configuration for clients and servers: both present their
+// certificate and verify the other's. It returns nil for a nil receiver.
 func (til *TLSFiles) Config() (*tls.Config, error) {
 	if til == nil {
 		return nil, nil
@@ -36,7 +37,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, errors.New("AuthorityFile: no certificate in it")
+		return nil, errors.New("AuthorityFile: want at least one certificate in PEM format, got none")
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{certificate},
--- a/settings/toggle.go
+++ b/settings/toggle.go
@@ -1,7 +1,7 @@
 package settings
 
-// Toggle is a setting that is on, off, or left to its default. It is a text, so
-// that a template which fills in a value that doesn't exist leaves it empty.
+// Toggle is a setting that is on, off or unset. It is a string, so that a template may
+// fill in a missing value as an empty one, which means unset.
 type Toggle string
 
 // The states of a Toggle.
@@ -13,12 +13,12 @@
 
 const wantToggle = `want "true", "false" or an empty text`
 
-// valid reports whether the setting has a known state.
+// valid reports whether the setting is one of the constants above.
 func (tog Toggle) valid() bool {
 	return tog == ToggleDefault || tog == ToggleOn || tog == ToggleOff
 }
 
-// Or returns the setting, or the default where it has none.
+// Or returns the setting, or def if it is unset.
 func (tog Toggle) Or(def bool) bool {
 	if tog == ToggleDefault {
 		return def
