--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,14 +1,14 @@
-// Package caller serves the callers' HTTP interface: the addresses to use, chat
-// completions in the OpenAI shape, and plain services.
+// Package caller serves the HTTP API for clients: the list of addresses, chat
+// completions in OpenAI's format, and plain services.
 //
 // # Usage
 //
 //	srv := caller.NewServer(caller.ServerConfig{Backend: hos, Log: log})
 //	http.Serve(lis, srv.Handler())
 //
-// Callers ask GET /v1/addresses, keep the answer for the time it names, and
-// build the id of each request from the prefix beside the address they use. A
-// repeat carries the same id, to whichever address.
+// Clients request GET /v1/addresses and cache the answer for its KeepSeconds. They
+// build the id of each request from the prefix that is listed with the address they
+// use. A retry carries the same id and may go to any address.
 package caller
 
 import (
@@ -25,54 +25,56 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// The headers of the callers' interface.
+// The headers of the clients' API.
 const (
 	// HeaderID carries the request's id.
 	HeaderID = "Idempotency-Key"
-	// HeaderDeadline carries the time left for the answer, as "20s" or "1500ms".
+	// HeaderDeadline carries the time left for the answer, such as "20s" or "1500ms".
 	HeaderDeadline = "Lynxwell-Deadline"
-	// HeaderTier names one of the account's tiers.
+	// HeaderTier selects one of the client account's tiers.
 	HeaderTier = "Lynxwell-Tier"
-	// HeaderOnce, "true", marks a request that must not be repeated; it needs an id.
+	// HeaderOnce, set to "true", marks a request that must run at most once. Such a
+	// request must carry an id.
 	HeaderOnce = "Lynxwell-Once"
-	// HeaderRequestID names the request's id in every answer.
+	// HeaderRequestID carries the request's id in every answer.
 	HeaderRequestID = "Lynxwell-Request-Id"
-	// HeaderOutcome tells of a request without a whole answer whether it ran.
+	// HeaderOutcome tells, in an error answer, whether the request ran.
 	HeaderOutcome = "Lynxwell-Outcome"
-	// HeaderRelayed is set by a host that passes a request on.
+	// HeaderRelayed carries the name of the host that relayed the request.
 	HeaderRelayed = "Lynxwell-Relayed"
 )
 
 // Addresses is the answer to GET /v1/addresses.
 type Addresses struct {
-	// View numbers the membership view.
+	// View is the number of the membership view.
 	View uint64
-	// KeepSeconds is how long the answer may be kept.
+	// KeepSeconds is how long the answer may be cached.
 	KeepSeconds int
 	Addresses   []Address
 }
 
-// Address is one host that callers may use.
+// Address is one host that clients may use.
 type Address struct {
 	Host    string
 	Address netip.AddrPort
 	Domain  string
-	// Prefix, a hyphen and a part of the caller's own make a request's id.
+	// Prefix is the first part of request ids: an id is Prefix, a hyphen and a part that
+	// the client chooses.
 	Prefix string
 }
 
-// Work is what is to be sent to an engine.
+// Work is the request to send to an engine or backend server.
 type Work interface {
 	isWork()
 }
 
 // ModelWork is a chat completions request.
 type ModelWork struct {
-	// Body asks for a stream, whatever the caller wants.
+	// Body always requests a stream, also if the client did not.
 	Body []byte
 }
 
-// PlainWork is a call of a plain service.
+// PlainWork is a request to a plain service.
 type PlainWork struct {
 	Method string
 	Path   string
@@ -84,58 +86,58 @@
 func (ModelWork) isWork() {}
 func (PlainWork) isWork() {}
 
-// Decision is what the gateway says to a caller's request.
+// Decision is the gateway's decision on a client's request.
 type Decision interface {
 	isDecision()
 }
 
-// Attached gives the caller the request's exchange. Left must be called once.
+// Attached gives the client the request's exchange. Backend.Left must be called once.
 type Attached struct{ Exchange *Exchange }
 
-// Answered gives the caller a final answer.
+// Answered gives the client a final answer.
 type Answered struct{ Final gateway.Final }
 
-// Relayed sends the caller's request to another gateway.
+// Relayed has the client's request relayed to another gateway.
 type Relayed struct{ To view.Member }
 
 func (Attached) isDecision() {}
 func (Answered) isDecision() {}
 func (Relayed) isDecision()  {}
 
-// Backend is the host as far as callers are concerned.
+// Backend is the part of a host that handles clients' requests.
 type Backend interface {
-	// Configuration returns the configuration in force.
+	// Configuration returns the active configuration.
 	Configuration() resource.Configuration
-	// Account returns the client account whose key has the digest.
+	// Account returns the client account with this digest of a key.
 	Account(digest string) (resource.ClientAccount, bool)
-	// Addresses returns the hosts to use.
+	// Addresses returns the hosts that clients may use.
 	Addresses() Addresses
-	// NewID returns an id for a request without one.
+	// NewID returns an id for a request that carries none.
 	NewID() request.ID
-	// Arrive has the gateway decide about a request.
+	// Arrive passes a request to the gateway and returns the gateway's decision.
 	Arrive(ctx context.Context, arr gateway.Arrived, work Work) (Decision, error)
-	// RelayFailed says that nothing came from the gateway that a request was
-	// relayed to.
+	// RelayFailed reports that the gateway to which a request was relayed returned no
+	// answer, and returns the next decision.
 	RelayFailed(ctx context.Context, arr gateway.Arrived, to view.Member, work Work) (Decision, error)
-	// Left says that an attached caller is gone or has its answer.
+	// Left reports that an attached client has disconnected or has its answer.
 	Left(id request.ID)
-	// Alive waits until the member doesn't answer any more, or the context ends.
+	// Alive blocks until the member stops responding or the context ends.
 	Alive(ctx context.Context, mem view.Member) error
-	// Ready reports whether the host takes requests, and if not, why.
+	// Ready reports whether the host accepts requests, and the reason if it doesn't.
 	Ready() (bool, string)
 }
 
-// ServerConfig holds what a Server is made from.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Backend Backend
 	Log     zerolog.Logger
-	// HostName names this host to those that requests are relayed to.
+	// HostName is the name of this host, which is sent with relayed requests.
 	HostName string
-	// MaxRequests bounds the requests served at once; 0 stands for 8192.
+	// MaxRequests is the maximum number of concurrent requests; 0 means 8192.
 	MaxRequests int
 }
 
-// Limits on slow callers.
+// Time-outs for slow clients.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readBodyTimeout   = 60 * time.Second
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -8,18 +8,19 @@
 	"lynxwell.dev/lynxwell/gateway"
 )
 
-// MaxKeptBytes bounds what is kept of one answer. A longer one streams through
-// at the pace of its slowest caller, and can't be given to a repeat.
+// MaxKeptBytes is the maximum size of a stored answer. A longer answer is streamed at
+// the pace of its slowest client, and can't be sent again to a retry.
 const MaxKeptBytes = 4 << 20
 
-// Exchange holds one request's answer while it comes and afterwards, for any
-// number of callers that read it from its start.
+// Exchange buffers the answer to one request, while it arrives and afterwards, for
+// any number of clients that each read it from its start. It is safe for concurrent
+// use.
 type Exchange struct {
 	mutex   sync.Mutex
 	changed chan struct{}
 	status  int
 	header  http.Header
-	// kept holds the answer from the byte with the number base on.
+	// kept holds the answer from offset base on.
 	kept     []byte
 	base     int
 	readers  map[*Reader]int
@@ -28,19 +29,19 @@
 	final    *gateway.Final
 }
 
-// Progress is what a reader sees at one time.
+// Progress is the state of an exchange, with the data that the reader has not read yet.
 type Progress struct {
-	// Status is 0 until the answer's head is there.
+	// Status is 0 until the answer's head has arrived.
 	Status int
 	Header http.Header
-	// Data is what the reader hasn't seen yet.
+	// Data is the part of the answer that the reader has not read yet.
 	Data []byte
-	// Over is set when nothing more comes; Whole when that is a whole answer.
+	// Over is set when the answer has ended, Whole when it is also complete.
 	Over  bool
 	Whole bool
-	// Final is the final answer of a request without a whole one.
+	// Final is set if the request ended without a complete answer.
 	Final *gateway.Final
-	// Trimmed is set when the start of the answer is no longer kept.
+	// Trimmed is set when data that the reader has not read is no longer stored.
 	Trimmed bool
 }
 
@@ -50,7 +51,7 @@
 	offset   int
 }
 
-// NewExchange returns an exchange without an answer.
+// NewExchange returns an empty exchange.
 func NewExchange() *Exchange {
 	return &Exchange{changed: make(chan struct{}), readers: make(map[*Reader]int)}
 }
@@ -67,8 +68,8 @@
 	exc.notifyReaders()
 }
 
-// Data implements backend.Sink: it adds to the answer. Where the answer has
-// grown beyond what is kept, it waits for the slowest reader.
+// Data implements backend.Sink: it appends to the answer. Beyond MaxKeptBytes it blocks
+// until the slowest reader has read some of the stored data.
 func (exc *Exchange) Data(data []byte) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
@@ -82,7 +83,7 @@
 	}
 }
 
-// trim drops what every reader has seen; it reports whether there was any.
+// trim discards the data that every reader has read, and reports whether there was any.
 func (exc *Exchange) trim() bool {
 	seen := exc.base + len(exc.kept)
 	for _, offset := range exc.readers {
@@ -96,16 +97,16 @@
 	return true
 }
 
-// End closes the answer.
-func (exc *Exchange) End(whole bool) {
+// End implements backend.Sink: it ends the answer; complete reports whether it is complete.
+func (exc *Exchange) End(complete bool) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
 	exc.ended = true
-	exc.complete = whole
+	exc.complete = complete
 	exc.notifyReaders()
 }
 
-// Fail closes the exchange with a final answer.
+// Fail ends the exchange with a final answer in place of a complete one.
 func (exc *Exchange) Fail(fin gateway.Final) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
@@ -115,14 +116,15 @@
 	exc.notifyReaders()
 }
 
-// Size returns the bytes kept.
+// Size returns the number of bytes stored.
 func (exc *Exchange) Size() int {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
 	return len(exc.kept)
 }
 
-// Drop gives up what is kept of an answer that is over, to save memory.
+// Drop discards the stored data of an answer that has ended and has no readers, to save
+// memory.
 func (exc *Exchange) Drop() {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
@@ -137,7 +139,7 @@
 	exc.changed = make(chan struct{})
 }
 
-// Open returns a reader at the start of the answer; Close must follow.
+// Open returns a reader at the start of the answer. The reader must be closed.
 func (exc *Exchange) Open() *Reader {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
@@ -146,7 +148,7 @@
 	return rea
 }
 
-// Close ends the reading.
+// Close detaches the reader from the exchange.
 func (rea *Reader) Close() {
 	exc := rea.exchange
 	exc.mutex.Lock()
@@ -155,7 +157,7 @@
 	exc.notifyReaders()
 }
 
-// Next waits until there is something new, or the context ends.
+// Next blocks until there is new data, the answer has ended or the context ends.
 func (rea *Reader) Next(ctx context.Context) (Progress, error) {
 	for {
 		pro, fresh, changed := rea.poll()
@@ -176,7 +178,7 @@
 	defer exc.mutex.Unlock()
 	pro := Progress{Status: exc.status, Header: exc.header, Over: exc.ended, Whole: exc.complete, Final: exc.final}
 	if exc.final != nil && rea.offset == 0 {
-		// Whoever hasn't had any of a broken answer gets the error alone.
+		// A client that has received no part of a failed answer gets only the error.
 		pro.Status = 0
 		return pro, true, nil
 	}
--- a/caller/log.go
+++ b/caller/log.go
@@ -6,7 +6,7 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// logFields is what the log says of each request.
+// logFields are the fields of a request's log entry.
 type logFields struct {
 	start   time.Time
 	id      request.ID
--- a/caller/output.go
+++ b/caller/output.go
@@ -12,26 +12,28 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// output writes one exchange to one caller.
+// output writes one exchange to one client.
 type output struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
 	sub        *submission
 	started    bool
-	// held is a stream that the caller wants in one piece.
+	// buffered collects a stream for a client that requested a single answer.
 	buffered bytes.Buffer
 }
 
-// ending says how an answer to a caller ended.
+// result describes how an answer to a client ended.
 type result struct {
 	status  int
 	code    string
 	outcome request.Outcome
-	// abort has the connection end as a broken one.
+	// abort requests that the connection be aborted, so that the client notices the
+	// incomplete answer.
 	abort bool
 }
 
-// take writes what is new; it returns how the answer ended, or nil.
+// apply writes the new part of the answer. It returns the result if the answer has
+// ended, and nil otherwise.
 func (out *output) apply(pro Progress) *result {
 	if pro.Trimmed {
 		return out.fail(gateway.Final{Cause: gateway.CauseAnswerExpired, Outcome: request.Ran})
@@ -53,7 +55,8 @@
 	}
 }
 
-// isBuffered reports whether the answer is a stream that the caller doesn't want as one.
+// isBuffered reports whether the engine's stream is collected into a single answer,
+// because the client did not request a stream.
 func (out *output) isBuffered(status int) bool {
 	return !out.sub.stream && status == http.StatusOK
 }
@@ -64,7 +67,7 @@
 		return nil
 	}
 	out.start(pro)
-	// A caller that doesn't read for so long is given up.
+	// The answer to a client that reads nothing for this long is aborted.
 	_ = out.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := out.writer.Write(pro.Data); err != nil {
 		return err
@@ -101,14 +104,15 @@
 	return &result{status: http.StatusOK, code: "Whole", outcome: request.Ran}
 }
 
-// fail tells the caller of a final answer. Where part of an answer has gone
-// out, it ends so that it can't be taken for a whole one.
+// fail sends a final answer to the client. If part of the answer has already been sent,
+// it aborts the connection, so that the client can't take that part for a complete
+// answer.
 func (out *output) fail(fin gateway.Final) *result {
 	pro := problemOf(fin)
-	end := &result{status: pro.status, code: string(fin.Cause), outcome: fin.Outcome}
+	res := &result{status: pro.status, code: string(fin.Cause), outcome: fin.Outcome}
 	if !out.started {
 		sendProblem(out.writer, pro)
-		return end
+		return res
 	}
 	if isEventStream(out.writer.Header()) {
 		if data, err := json.Marshal(pro.body()); err == nil {
@@ -116,17 +120,18 @@
 			_ = out.controller.Flush()
 		}
 	}
-	end.abort = true
-	return end
+	res.abort = true
+	return res
 }
 
 func isEventStream(header http.Header) bool {
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-// joinStream makes one answer of a stream's events.
+// joinStream joins the events of a stream into a single answer. It returns false for a
+// stream that is malformed or incomplete.
 func joinStream(events []byte) (engine.Chunk, bool) {
-	whole := engine.Chunk{Object: "chat.completion"}
+	joined := engine.Chunk{Object: "chat.completion"}
 	var text strings.Builder
 	ended := false
 	for line := range bytes.Lines(events) {
@@ -141,21 +146,21 @@
 		}
 		var chu engine.Chunk
 		if json.Unmarshal(payload, &chu) != nil {
-			return whole, false
+			return joined, false
 		}
-		addChunk(&whole, &text, chu)
+		addChunk(&joined, &text, chu)
 	}
 	reason := "stop"
-	whole.Choices = []engine.Choice{{
+	joined.Choices = []engine.Choice{{
 		Message: &engine.Message{Role: "assistant", Content: text.String()}, FinishReason: &reason,
 	}}
-	return whole, ended
+	return joined, ended
 }
 
-func addChunk(whole *engine.Chunk, text *strings.Builder, chu engine.Chunk) {
-	whole.ID, whole.Created, whole.Model = chu.ID, chu.Created, chu.Model
+func addChunk(joined *engine.Chunk, text *strings.Builder, chu engine.Chunk) {
+	joined.ID, joined.Created, joined.Model = chu.ID, chu.Created, chu.Model
 	if chu.Usage != nil {
-		whole.Usage = chu.Usage
+		joined.Usage = chu.Usage
 	}
 	for _, cho := range chu.Choices {
 		if cho.Delta != nil {
--- a/caller/problem.go
+++ b/caller/problem.go
@@ -10,7 +10,7 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// problem is an error answer in the OpenAI shape.
+// problem is an error answer in OpenAI's format.
 type problem struct {
 	status     int
 	code       string
@@ -72,26 +72,26 @@
 	sendJSON(wri, pro.status, pro.body())
 }
 
-// finalText says how each final answer reads, and its status.
+// finalText maps the cause of each final answer to its status and message.
 var finalText = map[gateway.Cause]struct {
 	status  int
 	message string
 }{
-	gateway.CauseShed:          {http.StatusServiceUnavailable, "the service is full; nothing less urgent waits in it"},
-	gateway.CauseExpired:       {http.StatusGatewayTimeout, "the deadline can't be met any more"},
-	gateway.CauseAccountRate:   {http.StatusTooManyRequests, "the client account is over its rate"},
+	gateway.CauseShed:          {http.StatusServiceUnavailable, "the service's queue is full and holds no request with a lower priority"},
+	gateway.CauseExpired:       {http.StatusGatewayTimeout, "the deadline can no longer be met"},
+	gateway.CauseAccountRate:   {http.StatusTooManyRequests, "the client account has exceeded its rate limit"},
 	gateway.CauseAccountBusy:   {http.StatusTooManyRequests, "the client account has too many requests in flight"},
-	gateway.CauseStranded:      {http.StatusServiceUnavailable, "no host that this one reaches has engines of the service"},
-	gateway.CauseDraining:      {http.StatusServiceUnavailable, "this host is leaving; ask for the addresses again"},
-	gateway.CauseAbandoned:     {http.StatusServiceUnavailable, "the caller left before the request was started"},
-	gateway.CauseRetired:       {http.StatusServiceUnavailable, "the id's prefix is no longer served; ask for the addresses again and send under a new id"},
-	gateway.CauseTooOld:        {http.StatusGone, "the id is older than what is remembered"},
+	gateway.CauseStranded:      {http.StatusServiceUnavailable, "this host can't connect to any host that schedules engines of the service"},
+	gateway.CauseDraining:      {http.StatusServiceUnavailable, "this host is draining; request GET /v1/addresses again"},
+	gateway.CauseAbandoned:     {http.StatusServiceUnavailable, "the client disconnected before the request was started"},
+	gateway.CauseRetired:       {http.StatusServiceUnavailable, "the id's prefix is no longer served; request GET /v1/addresses again and send the request with a new id"},
+	gateway.CauseTooOld:        {http.StatusGone, "the id is older than the ids that are still stored"},
 	gateway.CauseNotHandedOut:  {http.StatusBadRequest, "the id's prefix was never handed out; take one from GET /v1/addresses"},
 	gateway.CauseOtherBody:     {http.StatusUnprocessableEntity, "the id was used for another request"},
-	gateway.CauseUndecided:     {http.StatusServiceUnavailable, "it can't be known now whether the request ran; repeat it under the same id"},
-	gateway.CauseEngineFailed:  {http.StatusBadGateway, "the engine broke off"},
-	gateway.CauseAnswerExpired: {http.StatusGone, "the request ran, but its answer is no longer kept"},
-	gateway.CauseMoved:         {http.StatusServiceUnavailable, "another host has taken the request over; repeat it under the same id"},
+	gateway.CauseUndecided:     {http.StatusServiceUnavailable, "it is currently unknown whether the request ran; retry with the same id"},
+	gateway.CauseEngineFailed:  {http.StatusBadGateway, "the engine aborted its answer"},
+	gateway.CauseAnswerExpired: {http.StatusGone, "the request ran, but its answer is no longer stored"},
+	gateway.CauseMoved:         {http.StatusServiceUnavailable, "another host has taken over the request; retry with the same id"},
 }
 
 func problemOf(fin gateway.Final) problem {
--- a/caller/read.go
+++ b/caller/read.go
@@ -18,7 +18,7 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// The defaults where a service's resource or a request names nothing.
+// The defaults for services and requests that don't set a value.
 const (
 	defaultMaxBodyBytes = 1 << 20
 	defaultDeadline     = 60 * time.Second
@@ -26,7 +26,7 @@
 	defaultMaxTokens    = 256
 )
 
-// readChat reads a chat completions request.
+// readChat reads and validates a chat completions request.
 func (srv *Server) readChat(wri http.ResponseWriter, req *http.Request) (*submission, *problem) {
 	acc, pro := srv.authenticate(req)
 	if pro != nil {
@@ -46,7 +46,7 @@
 		return nil, pro
 	}
 	if int64(len(body)) > maxBodyOf(ser) {
-		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "BodyTooLarge", message: "body: larger than the service takes"}
+		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "BodyTooLarge", message: "body: larger than the maximum of the service"}
 	}
 	stream, err := engine.StreamBody(body)
 	if err != nil {
@@ -68,8 +68,8 @@
 	return sub, nil
 }
 
-// parseChat reads the part of a chat completions request that matters here;
-// the problem names the field.
+// parseChat parses the fields of a chat completions request that affect scheduling. The
+// problem names the invalid field.
 func parseChat(body []byte) (engine.ChatRequest, *problem) {
 	var chat engine.ChatRequest
 	if err := json.Unmarshal(body, &chat); err != nil {
@@ -87,7 +87,7 @@
 	return chat, nil
 }
 
-// readPlain reads a call of a plain service.
+// readPlain reads and validates a request to a plain service.
 func (srv *Server) readPlain(wri http.ResponseWriter, req *http.Request) (*submission, *problem) {
 	acc, pro := srv.authenticate(req)
 	if pro != nil {
@@ -115,7 +115,7 @@
 	return sub, nil
 }
 
-// withoutLynxwellHeaders drops the headers that are about this system alone.
+// withoutLynxwellHeaders removes the headers that are meant for this system only.
 func withoutLynxwellHeaders(header http.Header) http.Header {
 	for _, name := range []string{HeaderDeadline, HeaderTier, HeaderOnce, HeaderRelayed, HeaderID, "Authorization"} {
 		header.Del(name)
@@ -156,13 +156,13 @@
 		return request.ID{}, pro
 	}
 	if text == "" && once {
-		return request.ID{}, badRequest(HeaderID, "a request marked "+HeaderOnce+" must carry an id: a prefix from GET /v1/addresses, a hyphen and a part of your own")
+		return request.ID{}, badRequest(HeaderID, "a request marked "+HeaderOnce+" must carry an id: a prefix from GET /v1/addresses, a hyphen and a part that the client chooses")
 	}
 	if text == "" {
 		id := srv.cfg.Backend.NewID()
 		if id.View == 0 {
 			return id, &problem{
-				status: http.StatusServiceUnavailable, code: "NoView", message: "this host knows no view yet",
+				status: http.StatusServiceUnavailable, code: "NoView", message: "this host has no membership view yet",
 				outcome: request.NotRun, retry: true, retryAfter: time.Second,
 			}
 		}
@@ -200,7 +200,7 @@
 func serviceFor(conf resource.Configuration, acc resource.ClientAccount, name string, protocol resource.Protocol) (resource.Service, *problem) {
 	ser, known := conf.Service(name)
 	if !known || ser.Protocol != protocol {
-		return ser, &problem{status: http.StatusNotFound, code: "NoSuchService", message: fmt.Sprintf("there is no service %q of this kind", name), outcome: request.NotRun}
+		return ser, &problem{status: http.StatusNotFound, code: "NoSuchService", message: fmt.Sprintf("there is no service %q with this protocol", name), outcome: request.NotRun}
 	}
 	if len(acc.Services) > 0 && !slices.Contains(acc.Services, name) {
 		return ser, &problem{status: http.StatusForbidden, code: "ServiceNotAllowed", message: fmt.Sprintf("the account may not use service %q", name), outcome: request.NotRun}
@@ -208,7 +208,7 @@
 	return ser, nil
 }
 
-// ParseDeadline reads the time left for an answer.
+// ParseDeadline parses the value of HeaderDeadline: more than 0 and at most 1 h.
 func ParseDeadline(text string) (time.Duration, error) {
 	val, err := time.ParseDuration(text)
 	if err != nil {
@@ -249,7 +249,7 @@
 	return largest
 }
 
-// fingerprint tells requests under one id apart.
+// fingerprint returns a hash by which different requests with the same id are detected.
 func fingerprint(req *http.Request, account string, body []byte) uint64 {
 	hsh := fnv.New64a()
 	for _, part := range []string{account, req.Method, req.URL.RequestURI()} {
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -11,10 +11,11 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// relayChunk is how much of a relayed answer is passed on at once.
+// relayChunk is the size of the buffer for relayed answers, in bytes.
 const relayChunk = 16 << 10
 
-// relayRequest relays a request to the gateway that decides it, and its answer back.
+// relayRequest relays a request to the gateway that handles it, and the answer back to
+// the client.
 func (srv *Server) relayRequest(wri http.ResponseWriter, req *http.Request, sub *submission, to view.Member) {
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
@@ -43,16 +44,16 @@
 	}
 }
 
-// watchPeer ends the relay when the other host stops answering. The channel
-// reports the end of the watch.
+// watchPeer cancels the relay when the other host stops responding. The channel receives
+// a value when the watch has ended.
 func (srv *Server) watchPeer(ctx context.Context, cancel context.CancelFunc, to view.Member) <-chan error {
-	end := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
 		err := srv.cfg.Backend.Alive(ctx, to)
 		cancel()
-		end <- err
+		done <- err
 	}()
-	return end
+	return done
 }
 
 func (srv *Server) sendRelayed(ctx context.Context, req *http.Request, sub *submission, to view.Member) (*http.Response, error) {
--- a/caller/server.go
+++ b/caller/server.go
@@ -18,10 +18,10 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// defaultMaxRequests bounds the requests served at once.
+// defaultMaxRequests is the default maximum number of concurrent requests.
 const defaultMaxRequests = 8192
 
-// Server serves callers.
+// Server serves clients' requests.
 type Server struct {
 	cfg         ServerConfig
 	relayClient *http.Client
@@ -38,17 +38,17 @@
 	return &Server{cfg: cfg, relayClient: &http.Client{Transport: transport}}
 }
 
-// Close drops the idle connections to other hosts.
+// Close closes idle connections to other hosts.
 func (srv *Server) Close() {
 	srv.relayClient.CloseIdleConnections()
 }
 
-// HTTPServer returns an HTTP server with limits against slow callers.
+// HTTPServer returns an HTTP server with time-outs for slow clients.
 func (srv *Server) HTTPServer() *http.Server {
 	return &http.Server{Handler: srv.Handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 }
 
-// Handler returns the HTTP handler.
+// Handler returns the HTTP handler of the clients' API.
 func (srv *Server) Handler() http.Handler {
 	rou := mux.NewRouter().UseEncodedPath()
 	rou.HandleFunc("/v1/addresses", srv.serveAddresses).Methods(http.MethodGet)
@@ -66,7 +66,7 @@
 		defer srv.serving.Add(-1)
 		if srv.serving.Add(1) > int64(srv.cfg.MaxRequests) {
 			sendProblem(wri, problem{
-				status: http.StatusServiceUnavailable, code: "HostBusy", message: "this host serves as many requests as it may",
+				status: http.StatusServiceUnavailable, code: "HostBusy", message: "this host has reached its limit of concurrent requests",
 				outcome: request.Unknown, retry: true, retryAfter: time.Second,
 			})
 			return
@@ -79,7 +79,7 @@
 	adr := srv.cfg.Backend.Addresses()
 	if len(adr.Addresses) == 0 {
 		sendProblem(wri, problem{
-			status: http.StatusServiceUnavailable, code: "NoView", message: "this host knows no view yet",
+			status: http.StatusServiceUnavailable, code: "NoView", message: "this host has no membership view yet",
 			retry: true, retryAfter: time.Second,
 		})
 		return
@@ -96,13 +96,13 @@
 	sendJSON(wri, http.StatusOK, struct{ Ready bool }{true})
 }
 
-// submission is a caller's request with all that is known of it.
+// submission is a validated request of a client.
 type submission struct {
 	arrived gateway.Arrived
 	work    Work
-	// body is the caller's own body, for a relay.
+	// body is the unmodified request body, for relaying.
 	body []byte
-	// stream says that the caller wants the answer as it comes.
+	// stream reports whether the client requested the answer as a stream.
 	stream  bool
 	account string
 	log     logFields
@@ -126,7 +126,7 @@
 	srv.serve(wri, req, sub)
 }
 
-// serve has the gateway decide, and gives the caller the answer.
+// serve passes the request to the gateway and sends the answer to the client.
 func (srv *Server) serve(wri http.ResponseWriter, req *http.Request, sub *submission) {
 	wri.Header().Set(HeaderRequestID, sub.arrived.ID.String())
 	dec, err := srv.cfg.Backend.Arrive(req.Context(), sub.arrived, sub.work)
@@ -155,14 +155,14 @@
 	}
 }
 
-// retryRelay asks the gateway again after a relay that brought nothing.
+// retryRelay requests a new decision from the gateway after a relay without an answer.
 func (srv *Server) retryRelay(wri http.ResponseWriter, req *http.Request, sub *submission, rel Relayed) {
 	dec, err := srv.cfg.Backend.RelayFailed(req.Context(), sub.arrived, rel.To, sub.work)
 	if err != nil {
 		srv.sendHostStopped(wri, err)
 		return
 	}
-	if _, again := dec.(Relayed); again {
+	if _, isRelayed := dec.(Relayed); isRelayed {
 		srv.sendFinal(wri, sub, gateway.Final{Cause: gateway.CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: time.Second})
 		return
 	}
@@ -175,7 +175,7 @@
 	sendProblem(wri, pro)
 }
 
-// sendExchange streams what the exchange holds, or sends it whole.
+// sendExchange sends the exchange's answer to the client, as a stream or as one body.
 func (srv *Server) sendExchange(wri http.ResponseWriter, req *http.Request, sub *submission, exc *Exchange) {
 	rea := exc.Open()
 	defer srv.cfg.Backend.Left(sub.arrived.ID)
@@ -191,9 +191,9 @@
 			srv.relayRequest(wri, req, sub, pro.Final.Holder)
 			return
 		}
-		if end := out.apply(pro); end != nil {
-			srv.logEnd(sub, end.status, end.code, end.outcome)
-			if end.abort {
+		if res := out.apply(pro); res != nil {
+			srv.logEnd(sub, res.status, res.code, res.outcome)
+			if res.abort {
 				panic(http.ErrAbortHandler)
 			}
 			return
@@ -201,7 +201,7 @@
 	}
 }
 
-// authenticate finds the client account of the bearer key.
+// authenticate returns the client account of the bearer key.
 func (srv *Server) authenticate(req *http.Request) (resource.ClientAccount, *problem) {
 	key, bearer := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
 	if !bearer || key == "" {
@@ -209,7 +209,7 @@
 	}
 	if srv.cfg.Backend.Configuration().Revision == 0 {
 		return resource.ClientAccount{}, &problem{
-			status: http.StatusServiceUnavailable, code: "NoConfiguration", message: "this host knows no configuration yet",
+			status: http.StatusServiceUnavailable, code: "NoConfiguration", message: "this host has no configuration yet",
 			outcome: request.Unknown, retry: true, retryAfter: time.Second,
 		}
 	}
@@ -220,15 +220,15 @@
 	return acc, nil
 }
 
-// readBody reads the body up to the limit, at not too slow a pace.
+// readBody reads a body of at most limit bytes within readBodyTimeout.
 func readBody(wri http.ResponseWriter, req *http.Request, limit int64) ([]byte, *problem) {
-	// A connection that can't take a deadline is read without one.
+	// A connection that doesn't support deadlines is read without one.
 	_ = http.NewResponseController(wri).SetReadDeadline(time.Now().Add(readBodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(wri, req.Body, limit))
 	_ = http.NewResponseController(wri).SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "BodyTooLarge", message: "body: larger than the service takes"}
+		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "BodyTooLarge", message: "body: larger than the maximum of the service"}
 	}
 	if err != nil {
 		return nil, &problem{status: http.StatusBadRequest, code: "BodyBroken", message: "body: " + err.Error()}
@@ -244,11 +244,11 @@
 	}
 	wri.Header().Set("Content-Type", "application/json")
 	wri.WriteHeader(status)
-	// A caller that has left can't be told anything more.
+	// A write error means that the client has disconnected.
 	_, _ = wri.Write(buf.Bytes())
 }
 
-// stopped reports whether the context has ended.
+// isDone reports whether the context has ended.
 func isDone(ctx context.Context) bool {
 	return ctx.Err() != nil
 }
--- a/embedded/caller_test.go
+++ b/embedded/caller_test.go
@@ -56,18 +56,18 @@
 	return sys
 }
 
-// ask is one request of a caller.
+// clientRequest is one request of a client.
 type clientRequest struct {
 	method, path, body string
 	header             map[string]string
 }
 
-func (ask clientRequest) send(t *testing.T, sys *embedded.System) (*http.Response, string) {
+func (crq clientRequest) send(t *testing.T, sys *embedded.System) (*http.Response, string) {
 	t.Helper()
-	req, err := http.NewRequestWithContext(t.Context(), ask.method, "http://"+sys.Entries()[0].String()+ask.path, strings.NewReader(ask.body))
+	req, err := http.NewRequestWithContext(t.Context(), crq.method, "http://"+sys.Entries()[0].String()+crq.path, strings.NewReader(crq.body))
 	assert.NilError(t, err)
 	req.Header.Set("Authorization", "Bearer "+accountKey)
-	for name, value := range ask.header {
+	for name, value := range crq.header {
 		req.Header.Set(name, value)
 	}
 	rep, err := http.DefaultClient.Do(req)
@@ -87,7 +87,7 @@
 	}
 	const chatPath = "/v1/chat/completions"
 	cases := map[string]struct {
-		ask     clientRequest
+		request clientRequest
 		status  int
 		code    string
 		message string
@@ -110,7 +110,7 @@
 	}
 	for name, cas := range cases {
 		t.Run(name, func(t *testing.T) {
-			rep, body := cas.ask.send(t, sys)
+			rep, body := cas.request.send(t, sys)
 			assert.Equal(t, rep.StatusCode, cas.status, body)
 			var eb caller.ErrorBody
 			assert.NilError(t, json.Unmarshal([]byte(body), &eb))
@@ -140,7 +140,7 @@
 	assert.Assert(t, strings.HasSuffix(body, "data: [DONE]\n\n"), body)
 }
 
-// A repeat gets the same whole answer; another request under the id is refused.
+// A retry gets the same complete answer; another request with the same id is rejected.
 func TestRepeatedIDWithSameAndOtherBody(t *testing.T) {
 	sys := startSystem(t)
 	known, err := load.NewClient(load.ClientConfig{Entries: sys.Entries()}).Addresses(t.Context())
--- a/embedded/embedded.go
+++ b/embedded/embedded.go
@@ -1,5 +1,5 @@
-// Package embedded runs a whole system in one process, over real loopback TCP:
-// the platform's stand-in, hosts, engines and backend servers.
+// Package embedded runs a complete system in one process, over loopback TCP: a fake
+// platform, hosts, fake engines and fake backend servers.
 //
 // # Usage
 //
@@ -8,7 +8,7 @@
 //	err = sys.Apply(ctx, set)
 //	addresses := sys.Entries()
 //
-// It is what the demonstration, the benchmark and many tests run against.
+// The demonstration, the benchmark and many tests run against it.
 package embedded
 
 import (
@@ -37,25 +37,25 @@
 	"lynxwell.dev/lynxwell/settings"
 )
 
-// The keys of an embedded system, which nobody outside the process can reach
-// for longer than it runs.
+// The keys of an embedded system. They are constants because the system listens on
+// loopback addresses only, and only while its process runs.
 const (
 	peerKey = "embedded peer key 0123456789"
 	// OperatorKey is the bearer key of the embedded system's operators.
 	OperatorKey = "embedded operator key 0123456789"
 )
 
-// Config holds what a System is made from.
+// Config configures a System.
 type Config struct {
-	// Hosts is the number of hosts, over Domains failure domains.
+	// Hosts is the number of hosts, distributed over Domains failure domains.
 	Hosts   int
 	Domains int
-	// Engines and Backends are the stand-ins to start.
+	// Engines and Backends configure the fakes to start.
 	Engines  []enginetest.Config
 	Backends []backendtest.Config
-	// Timing changes the hosts' clocks.
+	// Timing overrides the default intervals and time-outs of the hosts.
 	Timing settings.Timing
-	// HostsLag is how much the platform's list of hosts lags.
+	// HostsLag is the delay after which changes appear in the platform's list of hosts.
 	HostsLag    time.Duration
 	Gateway     gateway.Config
 	Coordinator coordinator.Config
@@ -78,7 +78,7 @@
 	ctx      context.Context
 }
 
-// Engine is a running engine.
+// Engine is a running fake engine.
 type Engine struct {
 	*enginetest.Engine
 	Name    string
@@ -86,15 +86,15 @@
 	Slots   int
 }
 
-// Backend is a running backend server of a plain service.
+// Backend is a running fake backend server of a plain service.
 type Backend struct {
 	*backendtest.Server
 	Name    string
 	Address netip.AddrPort
 }
 
-// Start starts everything and returns when each host has the others in its
-// view. No configuration is in force yet.
+// Start starts all components and returns when the view of each host contains all other
+// hosts. No configuration is active until Apply is called.
 func Start(ctx context.Context, cfg Config) (*System, error) {
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	sys := &System{cfg: cfg, cancel: cancel, ctx: running, ends: make(chan error)}
@@ -167,8 +167,9 @@
 	return lis, errors.Wrap(err, "listen")
 }
 
-// The loopback addresses of one process lie in a network of their own, and
-// their ports below those that outgoing connections take.
+// Each process uses its own part of the loopback network, and ports below the range of
+// ephemeral ports, so that its listeners don't conflict with other processes or with
+// outgoing connections.
 const (
 	firstPort      = 7001
 	addressesPerIP = 20
@@ -177,8 +178,8 @@
 
 var addressCount atomic.Uint32
 
-// NextAddress returns a loopback address that no other part of this process
-// has, and no other process that takes its addresses so.
+// NextAddress returns a loopback address that no other call of NextAddress in this process
+// or in another running process has returned.
 func NextAddress() netip.AddrPort {
 	count := int(addressCount.Add(1)) - 1
 	pid := os.Getpid()
@@ -230,7 +231,7 @@
 	return hos, nil
 }
 
-// Restart starts the host with the index anew, after it has stopped.
+// Restart starts the host at the index again after it has stopped, with the same settings.
 func (sys *System) Restart(ctx context.Context, idx int) error {
 	hos, err := sys.startHost(ctx, sys.settings[idx])
 	if err != nil {
@@ -240,7 +241,7 @@
 	return nil
 }
 
-// Entries returns the callers' addresses of all hosts.
+// Entries returns the clients' addresses of all hosts.
 func (sys *System) Entries() []netip.AddrPort {
 	entries := make([]netip.AddrPort, len(sys.settings))
 	for idx, set := range sys.settings {
@@ -249,16 +250,16 @@
 	return entries
 }
 
-// Operator returns a client of the host with the index.
+// Operator returns an operator client of the host at the index.
 func (sys *System) Operator(idx int) *operator.Client {
 	return operator.NewClient(operator.ClientConfig{Address: sys.settings[idx].OperatorAddress, Key: OperatorKey})
 }
 
-// pollInterval is how often a wait looks again.
+// pollInterval is how often a waiting function checks its condition.
 const pollInterval = 10 * time.Millisecond
 
-// WaitView returns when every running host has a view of so many members and
-// is connected to each.
+// WaitView blocks until every running host has a view with this number of members and is
+// connected to each of them.
 func (sys *System) WaitView(ctx context.Context, members int) error {
 	return sys.wait(ctx, "view", func() bool {
 		for _, hos := range sys.Hosts {
@@ -270,7 +271,7 @@
 	})
 }
 
-// Apply has operators write the resources, and returns when they are in force
+// Apply writes the resources through the operators' API and returns when they are active
 // on every host.
 func (sys *System) Apply(ctx context.Context, set resource.Set) error {
 	cli := sys.Operator(0)
@@ -289,10 +290,10 @@
 	})
 }
 
-func (sys *System) wait(ctx context.Context, what string, holds func() bool) error {
+func (sys *System) wait(ctx context.Context, what string, done func() bool) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for !holds() {
+	for !done() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -314,7 +315,7 @@
 	return all
 }
 
-// Stop ends everything at once.
+// Stop stops all components without draining.
 func (sys *System) Stop() {
 	stopped := make(chan struct{})
 	for _, hos := range sys.Hosts {
@@ -328,7 +329,7 @@
 	}
 	sys.cancel()
 	for _, srv := range sys.servers {
-		// The listeners are closed; what else fails has no consequence.
+		// Close always closes the listeners; its other errors don't matter here.
 		_ = srv.Close()
 	}
 	for range sys.started {
--- a/embedded/slow_test.go
+++ b/embedded/slow_test.go
@@ -11,31 +11,32 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowClients is how many broken callers the test has at once.
+// slowClients is the number of stalled clients that are connected at the same time.
 const slowClients = 50
 
-// Callers that send half a request and stop must neither stand in the way of
-// others nor leave anything behind when their connection ends.
+// Guards against clients that send a part of a request and then stall: they must neither
+// block other clients nor cause a dispatch when their connections are closed.
 func TestIncompleteRequestsDoNotBlockOthers(t *testing.T) {
 	sys := startSystem(t)
 	var dialer net.Dialer
-	var half []net.Conn
+	var stalled []net.Conn
 	for range slowClients {
 		con, err := dialer.DialContext(t.Context(), "tcp", sys.Entries()[0].String())
 		assert.NilError(t, err)
 		_, err = fmt.Fprintf(con, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n{\"model\"", accountKey)
 		assert.NilError(t, err)
-		half = append(half, con)
+		stalled = append(stalled, con)
 	}
 	rep, body := clientRequest{"POST", "/v1/chat/completions", chat, nil}.send(t, sys)
 	assert.Equal(t, rep.StatusCode, 200, body)
-	for _, con := range half {
+	for _, con := range stalled {
 		assert.NilError(t, con.Close())
 	}
 	assert.Equal(t, len(sys.Dispatches()), 1)
 }
 
-// A body longer than announced limits is refused without being read to its end.
+// Guards against reading a chunked body without end: it must be rejected as soon as it
+// exceeds the service's limit.
 func TestEndlessBodyIsRejected(t *testing.T) {
 	sys := startSystem(t)
 	var dialer net.Dialer
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -1,11 +1,11 @@
-// Package visitor is a caller that behaves as callers on the users' platform do:
-// it asks which addresses to use, keeps the answer, connects to one by chance,
-// waits as it is told, and repeats only what may be repeated.
+// Package visitor implements a client that behaves like the clients on the users'
+// platform: it requests the list of addresses, caches it, connects to a random one of
+// them, honors Retry-After, and retries only requests that may be retried.
 //
 // # Usage
 //
-//	vis := visitor.New(visitor.Config{Directories: addresses, HostName: "menus.example", Random: random})
-//	res := vis.Send(ctx, visitor.Request{Path: "/safe/x", Kind: route.KindSafe, Deadline: time.Second, Retries: 1})
+//	cli := visitor.New(visitor.Config{Directories: addresses, HostName: "menus.example", Random: random})
+//	res := cli.Send(ctx, visitor.Request{Path: "/safe/x", Kind: route.KindSafe, Deadline: time.Second, Retries: 1})
 //	for _, att := range res.Attempts { ... }
 package visitor
 
@@ -29,35 +29,37 @@
 )
 
 const (
-	// directoryTimeout bounds a question for addresses, maxDirectories how many hosts are asked.
+	// directoryTimeout bounds one request for the list of addresses; maxDirectories is how
+	// many hosts are tried.
 	directoryTimeout = time.Second
 	maxDirectories   = 3
-	// connectTimeout bounds a new connection.
+	// connectTimeout bounds the TLS handshake of a new connection.
 	connectTimeout = time.Second
-	// maxWaitShare is the part of the time left that a caller waits when told to come
-	// back later.
+	// maxWaitShare is the maximum wait before a retry, as a fraction of the remaining time.
 	maxWaitShare = 1.0 / 3
-	// maxAnswerBytes bounds an answer.
+	// maxAnswerBytes is the maximum size of an answer's body.
 	maxAnswerBytes = 16 << 20
 )
 
-// Config holds what a Visitor is made from.
+// Config configures a Visitor.
 type Config struct {
-	// Directories are the addresses to ask, the near ones first.
+	// Directories are the addresses that serve the list of addresses, the nearest first.
 	Directories []netip.AddrPort
 	HostName    string
 	Region      string
 	Domain      string
-	// Prefix begins the ids of this visitor's attempts, which must be its own.
+	// Prefix is the first part of the ids of this client's attempts. It must be unique to
+	// this client.
 	Prefix string
 	Random *rand.Rand
-	// KeepsConnections says whether connections are used for many requests.
+	// KeepsConnections enables HTTP keep-alive.
 	KeepsConnections bool
-	// KeepsLonger has answers with addresses be kept three times their time.
+	// KeepsLonger makes the client cache the list of addresses for three times the
+	// permitted time.
 	KeepsLonger bool
 }
 
-// Visitor is one caller; it sends one request after another.
+// Visitor is one client. It sends one request at a time.
 type Visitor struct {
 	cfg       Config
 	transport *http.Transport
@@ -68,43 +70,43 @@
 	attempts  int
 }
 
-// Request is what a visitor wants.
+// Request is a request to send, with its limits on time and retries.
 type Request struct {
 	// Path is the path and query.
 	Path string
 	Key  string
 	Body string
 	Kind route.Kind
-	// Resumable has a stream be repeated as a safe request is.
+	// Resumable allows a streaming request to be retried like a safe one.
 	Resumable bool
-	// Deadline is how long the visitor waits in all.
+	// Deadline bounds the time of all attempts together.
 	Deadline time.Duration
-	// Retries is how often it tries again.
+	// Retries is the maximum number of retries.
 	Retries      int
 	PromptTokens int
 	MaxTokens    int
 }
 
-// Attempt is one try, under an id of its own.
+// Attempt is one attempt to send a request. Each attempt has its own id.
 type Attempt struct {
 	ID      string
 	Address netip.AddrPort
 	Sent    time.Time
-	// Status is 0 where no answer's head came.
+	// Status is 0 if no answer's head arrived.
 	Status int
 	Header http.Header
-	// Body is what came of the answer.
+	// Body is the received part of the answer's body.
 	Body string
-	// First is the time to the first of the body.
+	// First is the time from sending to the first byte of the body.
 	First time.Duration
 	Took  time.Duration
-	// Err is set when no answer came, or not the whole of it.
+	// Err is set if no answer or an incomplete one arrived.
 	Err error
-	// Unsent says that no connection came to stand.
+	// Unsent reports that no connection was established, so the request was not sent.
 	Unsent bool
 }
 
-// Promised reports whether the answer promises that the request hasn't run.
+// Promised reports whether the answer's status guarantees that the request has not run.
 func (att Attempt) Promised() bool {
 	switch att.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -114,18 +116,18 @@
 	}
 }
 
-// Served reports whether the whole answer came, and was a success.
+// Served reports whether a complete answer with a 2xx status arrived.
 func (att Attempt) Served() bool {
 	return att.Err == nil && att.Status >= 200 && att.Status < 300
 }
 
-// Result is what came of a request.
+// Result is the result of a request: its attempts and the time of all of them.
 type Result struct {
 	Attempts []Attempt
 	Took     time.Duration
 }
 
-// Last returns the last attempt.
+// Last returns the last attempt, or a zero Attempt if there was none.
 func (res Result) Last() Attempt {
 	if len(res.Attempts) == 0 {
 		return Attempt{}
@@ -133,7 +135,7 @@
 	return res.Attempts[len(res.Attempts)-1]
 }
 
-// New returns a visitor that knows no address yet.
+// New returns a client with an empty cache of addresses.
 func New(cfg Config) *Visitor {
 	transport := &http.Transport{
 		DisableCompression: true, DisableKeepAlives: !cfg.KeepsConnections, MaxIdleConnsPerHost: 1,
@@ -142,27 +144,28 @@
 	return &Visitor{cfg: cfg, transport: transport, failed: make(map[netip.AddrPort]bool)}
 }
 
-// Close drops the visitor's connections.
-func (vis *Visitor) Close() {
-	vis.transport.CloseIdleConnections()
+// Close closes idle connections.
+func (cli *Visitor) Close() {
+	cli.transport.CloseIdleConnections()
 }
 
-// NoAddressError reports that no host said where to go.
+// NoAddressError reports that no host returned a list of addresses.
 type NoAddressError struct{}
 
-// Error says so.
-func (*NoAddressError) Error() string { return "no host said which addresses to use" }
+// Error implements error.
+func (*NoAddressError) Error() string { return "no host returned a list of addresses" }
 
-// Send sends a request, again where it may, until it is served or its time is up.
-func (vis *Visitor) Send(ctx context.Context, req Request) Result {
-	began := time.Now()
+// Send sends a request, with the permitted retries, until it is served or its deadline
+// has passed.
+func (cli *Visitor) Send(ctx context.Context, req Request) Result {
+	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline)
 	defer cancel()
 	var res Result
 	for {
-		att := vis.attempt(ctx, req, req.Deadline-time.Since(began))
+		att := cli.attempt(ctx, req, req.Deadline-time.Since(start))
 		res.Attempts = append(res.Attempts, att)
-		res.Took = time.Since(began)
+		res.Took = time.Since(start)
 		if len(res.Attempts) > req.Retries || !mayRepeat(req, att) || ctx.Err() != nil {
 			return res
 		}
@@ -189,30 +192,30 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (vis *Visitor) attempt(ctx context.Context, req Request, left time.Duration) Attempt {
-	att := Attempt{ID: vis.nextID(), Sent: time.Now()}
-	adr, err := vis.address(ctx)
+func (cli *Visitor) attempt(ctx context.Context, req Request, left time.Duration) Attempt {
+	att := Attempt{ID: cli.nextID(), Sent: time.Now()}
+	adr, err := cli.address(ctx)
 	if err != nil {
 		att.Err, att.Unsent = err, true
 		return att
 	}
 	att.Address = adr
-	vis.exchange(ctx, req, left, &att)
+	cli.exchange(ctx, req, left, &att)
 	att.Took = time.Since(att.Sent)
 	if att.Err != nil {
-		vis.markFailed(adr)
+		cli.markFailed(adr)
 	}
 	return att
 }
 
-func (vis *Visitor) nextID() string {
-	vis.mutex.Lock()
-	defer vis.mutex.Unlock()
-	vis.attempts++
-	return fmt.Sprintf("%s-%d", vis.cfg.Prefix, vis.attempts)
+func (cli *Visitor) nextID() string {
+	cli.mutex.Lock()
+	defer cli.mutex.Unlock()
+	cli.attempts++
+	return fmt.Sprintf("%s-%d", cli.cfg.Prefix, cli.attempts)
 }
 
-func (vis *Visitor) exchange(ctx context.Context, req Request, left time.Duration, att *Attempt) {
+func (cli *Visitor) exchange(ctx context.Context, req Request, left time.Duration, att *Attempt) {
 	method := http.MethodGet
 	if req.Body != "" {
 		method = http.MethodPost
@@ -222,13 +225,13 @@
 		att.Err = err
 		return
 	}
-	// Without GetBody the transport never sends a body a second time.
+	// Without GetBody, the transport can't resend the body by itself.
 	htr.GetBody = nil
-	htr.Host = vis.cfg.HostName
+	htr.Host = cli.cfg.HostName
 	platform.EncodeRequest(htr.Header, platform.CallerRequest{
 		ID: att.ID, Key: req.Key, Deadline: left, PromptTokens: req.PromptTokens, MaxTokens: req.MaxTokens,
 	})
-	rep, err := vis.transport.RoundTrip(htr)
+	rep, err := cli.transport.RoundTrip(htr)
 	if err != nil {
 		att.Err = err
 		att.Unsent = strings.Contains(err.Error(), "dial tcp")
@@ -236,11 +239,11 @@
 	}
 	defer rep.Body.Close()
 	att.Status, att.Header = rep.StatusCode, rep.Header
-	vis.read(rep.Body, att)
+	cli.read(rep.Body, att)
 }
 
-// read reads an answer, and notes when its first part came.
-func (vis *Visitor) read(body io.Reader, att *Attempt) {
+// read reads an answer's body and records when its first byte arrived.
+func (cli *Visitor) read(body io.Reader, att *Attempt) {
 	first := make([]byte, 1)
 	num, err := io.ReadFull(body, first)
 	att.First = time.Since(att.Sent)
@@ -255,68 +258,71 @@
 	att.Body, att.Err = string(first[:num])+string(rest), err
 }
 
-// address returns one of the addresses by chance, leaving out those that failed.
-func (vis *Visitor) address(ctx context.Context) (netip.AddrPort, error) {
-	vis.mutex.Lock()
-	fresh := time.Now().Before(vis.expires)
-	vis.mutex.Unlock()
+// address returns a random address, excluding those that failed since the list was last
+// fetched. If all have failed, it considers all of them again.
+func (cli *Visitor) address(ctx context.Context) (netip.AddrPort, error) {
+	cli.mutex.Lock()
+	fresh := time.Now().Before(cli.expires)
+	cli.mutex.Unlock()
 	if !fresh {
-		vis.refresh(ctx)
+		cli.refresh(ctx)
 	}
-	vis.mutex.Lock()
-	defer vis.mutex.Unlock()
-	if len(vis.addresses) == 0 {
+	cli.mutex.Lock()
+	defer cli.mutex.Unlock()
+	if len(cli.addresses) == 0 {
 		return netip.AddrPort{}, &NoAddressError{}
 	}
 	var usable []netip.AddrPort
-	for _, adr := range vis.addresses {
-		if !vis.failed[adr] {
+	for _, adr := range cli.addresses {
+		if !cli.failed[adr] {
 			usable = append(usable, adr)
 		}
 	}
 	if len(usable) == 0 {
-		clear(vis.failed)
-		usable = vis.addresses
+		clear(cli.failed)
+		usable = cli.addresses
 	}
-	return usable[vis.cfg.Random.IntN(len(usable))], nil
+	return usable[cli.cfg.Random.IntN(len(usable))], nil
 }
 
-func (vis *Visitor) markFailed(adr netip.AddrPort) {
-	vis.mutex.Lock()
-	defer vis.mutex.Unlock()
-	vis.failed[adr] = true
+func (cli *Visitor) markFailed(adr netip.AddrPort) {
+	cli.mutex.Lock()
+	defer cli.mutex.Unlock()
+	cli.failed[adr] = true
 }
 
-// longCacheFactor is how much longer some callers keep an answer.
+// longCacheFactor multiplies the time for which clients with KeepsLonger cache the list of
+// addresses.
 const longCacheFactor = 3
 
-// refresh asks some hosts for addresses; with no answer the former ones stay.
-func (vis *Visitor) refresh(ctx context.Context) {
-	for _, adr := range vis.cfg.Directories[:min(maxDirectories, len(vis.cfg.Directories))] {
-		addresses, keep, err := vis.queryAddresses(ctx, adr)
+// refresh requests the list of addresses from up to maxDirectories hosts. If none of them
+// answers, the cached list stays in use.
+func (cli *Visitor) refresh(ctx context.Context) {
+	for _, adr := range cli.cfg.Directories[:min(maxDirectories, len(cli.cfg.Directories))] {
+		addresses, keep, err := cli.queryAddresses(ctx, adr)
 		if err != nil || len(addresses) == 0 {
 			continue
 		}
-		if vis.cfg.KeepsLonger {
+		if cli.cfg.KeepsLonger {
 			keep *= longCacheFactor
 		}
-		vis.mutex.Lock()
-		vis.addresses, vis.expires = addresses, time.Now().Add(keep)
-		clear(vis.failed)
-		vis.mutex.Unlock()
+		cli.mutex.Lock()
+		cli.addresses, cli.expires = addresses, time.Now().Add(keep)
+		clear(cli.failed)
+		cli.mutex.Unlock()
 		return
 	}
 }
 
-func (vis *Visitor) queryAddresses(ctx context.Context, adr netip.AddrPort) ([]netip.AddrPort, time.Duration, error) {
+func (cli *Visitor) queryAddresses(ctx context.Context, adr netip.AddrPort) ([]netip.AddrPort, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
-	target := platform.AddressesTarget(platform.AddressesQuery{Host: vis.cfg.HostName, Region: vis.cfg.Region, Domain: vis.cfg.Domain})
+	target := platform.AddressesTarget(platform.AddressesQuery{Host: cli.cfg.HostName, Region: cli.cfg.Region, Domain: cli.cfg.Domain})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+adr.String()+target, http.NoBody)
 	if err != nil {
 		return nil, 0, err
 	}
-	rep, err := vis.transport.RoundTrip(req)
+	rep, err := cli.transport.RoundTrip(req)
 	if err != nil {
 		return nil, 0, err
 	}
