--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -20,8 +20,8 @@
 	changed chan struct{}
 	status  int
 	header  http.Header
-	// kept holds the answer from offset base on.
-	kept     []byte
+	// stored holds the answer from offset base on.
+	stored   []byte
 	base     int
 	readers  map[*Reader]int
 	ended    bool
@@ -73,9 +73,9 @@
 func (exc *Exchange) Data(data []byte) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	exc.kept = append(exc.kept, data...)
+	exc.stored = append(exc.stored, data...)
 	exc.notifyReaders()
-	for len(exc.kept) > MaxKeptBytes && !exc.trim() {
+	for len(exc.stored) > MaxKeptBytes && !exc.trim() {
 		changed := exc.changed
 		exc.mutex.Unlock()
 		<-changed
@@ -85,14 +85,14 @@
 
 // trim discards the data that every reader has read, and reports whether there was any.
 func (exc *Exchange) trim() bool {
-	seen := exc.base + len(exc.kept)
+	seen := exc.base + len(exc.stored)
 	for _, offset := range exc.readers {
 		seen = min(seen, offset)
 	}
 	if seen == exc.base {
 		return false
 	}
-	exc.kept = append([]byte(nil), exc.kept[seen-exc.base:]...)
+	exc.stored = append([]byte(nil), exc.stored[seen-exc.base:]...)
 	exc.base = seen
 	return true
 }
@@ -120,7 +120,7 @@
 func (exc *Exchange) Size() int {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	return len(exc.kept)
+	return len(exc.stored)
 }
 
 // Drop discards the stored data of an answer that has ended and has no readers, to save
@@ -129,8 +129,8 @@
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
 	if exc.ended && len(exc.readers) == 0 {
-		exc.base += len(exc.kept)
-		exc.kept = nil
+		exc.base += len(exc.stored)
+		exc.stored = nil
 	}
 }
 
@@ -186,11 +186,11 @@
 		pro.Trimmed = true
 		return pro, true, nil
 	}
-	if fresh := exc.kept[rea.offset-exc.base:]; len(fresh) > 0 {
+	if fresh := exc.stored[rea.offset-exc.base:]; len(fresh) > 0 {
 		pro.Data = append([]byte(nil), fresh...)
 		rea.offset += len(fresh)
 		exc.readers[rea] = rea.offset
-		if len(exc.kept) > MaxKeptBytes {
+		if len(exc.stored) > MaxKeptBytes {
 			exc.notifyReaders()
 		}
 	}
--- a/caller/read.go
+++ b/caller/read.go
@@ -123,7 +123,7 @@
 	return header
 }
 
-// submit reads what model and plain requests have in common.
+// submit reads and validates the headers that model and plain requests share.
 func (srv *Server) submit(req *http.Request, conf resource.Configuration, acc resource.ClientAccount, ser resource.Service, body []byte) (*submission, *problem) {
 	tier, pro := tierFor(conf, acc, req.Header.Get(HeaderTier))
 	if pro != nil {
--- a/credential/credential.go
+++ b/credential/credential.go
@@ -98,8 +98,8 @@
 const activationDelay = 5 * time.Minute
 
 // Renewal returns the key ring after the next step of its rotation, and whether that step
-// is due. A next secret is added when the interval every has passed since the last change,
-// and becomes the current one 5 minutes later, or after the interval if that is shorter.
+// is due. A next secret is added when the duration every has passed since the last change,
+// and becomes the current one 5 minutes later, or after that duration if it is shorter.
 func (rin Ring) Renewal(now time.Time, every time.Duration) (Ring, bool, error) {
 	age := now.Sub(rin.Changed)
 	switch {
@@ -146,21 +146,21 @@
 	accepted []ed25519.PublicKey
 }
 
-// Config configures a Keeper.
+// Config is the configuration for NewKeeper.
 type Config struct {
 	// Refused is called with the error of each handshake in which the peer did not
 	// authenticate itself. It may be nil.
 	Refused func(err error)
 }
 
-// Keeper authenticates peers by the secrets of a key ring. It is safe for concurrent use.
+// Keeper checks peers against the secrets of a key ring. It is safe for concurrent use.
 type Keeper struct {
 	cfg  Config
 	keys atomic.Pointer[keySet]
 }
 
-// NewKeeper returns a Keeper without a key ring. It rejects every peer until Take sets
-// one.
+// NewKeeper returns an instance without a key ring, which rejects every peer until Take
+// sets one.
 func NewKeeper(cfg Config) *Keeper {
 	return &Keeper{cfg: cfg}
 }
@@ -217,7 +217,7 @@
 }
 
 // Error implements error.
-func (ser *StrangerError) Error() string { return "unauthenticated peer: " + ser.Reason }
+func (uer *StrangerError) Error() string { return "unauthenticated peer: " + uer.Reason }
 
 // TLS returns the TLS configuration for clients and servers. By BenchmarkHandshake, a
 // handshake takes 0.4 ms of processor time on each side. A host opens a few connections a
--- a/peer/client.go
+++ b/peer/client.go
@@ -20,7 +20,8 @@
 type ClientConfig struct {
 	Security Security
 	Timing   Timing
-	// Self returns this host's header, which is sent with every message.
+	// Self returns this host's header, which is sent with every frame and unary
+	// request.
 	Self func() Header
 	// Meter counts the bytes on the client's connections; nil disables counting.
 	Meter *Meter
--- a/peer/follow.go
+++ b/peer/follow.go
@@ -19,7 +19,7 @@
 	Whole   bool
 	Changes store.Changes
 	// Confirmed is the time, relative to the start of the request, at which the
-	// store last confirmed that the copy was current; it is negative for a time
+	// store last confirmed that the copy was current. It is negative for a time
 	// before the request.
 	Confirmed time.Duration
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -11,7 +11,8 @@
 // A session is one long-lived bidirectional stream: the gateway's messages go one
 // way and the coordinator's the other, batched into frames. Every frame and every
 // unary request carries a Header with the sender's epoch, view and configuration
-// revision. Requests without the shared key are rejected with status 401.
+// revision. If a shared key is configured, requests without it are rejected with
+// status 401.
 package peer
 
 import (
@@ -100,8 +101,8 @@
 }
 
 // Error implements error.
-func (ser *SilenceError) Error() string {
-	return fmt.Sprintf("no frame from the peer within %s", ser.After)
+func (hte *SilenceError) Error() string {
+	return fmt.Sprintf("no frame from the peer within %s", hte.After)
 }
 
 // EpochError reports that another process than the expected one answered: its epoch
--- a/peer/server.go
+++ b/peer/server.go
@@ -17,7 +17,8 @@
 
 // Sessions handles the sessions that the gateways of other hosts open.
 type Sessions interface {
-	// Header returns this host's header, which is sent with every message.
+	// Header returns this host's header, which is sent with every frame and unary
+	// answer.
 	Header() Header
 	// SessionUp is called when a gateway has opened a session. The queue takes the
 	// messages to send on it, and cancel ends it. SessionUp returns the session's
@@ -69,8 +70,8 @@
 	return &Server{cfg: cfg}
 }
 
-// Handler returns the HTTP handler. It rejects requests without the shared key with
-// status 401.
+// Handler returns the HTTP handler. If a shared key is configured, it rejects requests
+// without it with status 401.
 func (srv *Server) Handler() http.Handler {
 	_, handler := peerpbconnect.NewPeerServiceHandler(srv, connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressMinBytes))
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
