--- a/settings/toggle.go
+++ b/settings/toggle.go
@@ -11,7 +11,7 @@
 	ToggleOff     Toggle = "false"
 )
 
-const wantToggle = `want "true", "false" or an empty text`
+const wantToggle = `want "true", "false" or an empty string`
 
 // valid reports whether the setting is one of the constants above.
 func (tog Toggle) valid() bool {
