--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -8,39 +8,40 @@
 	"lynxwell.dev/lynxwell/gateway"
 )
 
-// MaxKeptBytes bounds what is kept of one answer. A longer one streams through
-// at the pace of its slowest caller, and can't be given to a repeat.
+// MaxKeptBytes is the maximum size of a stored answer. A longer answer is streamed at
+// the pace of its slowest client, and can't be sent again to a retry.
 const MaxKeptBytes = 4 << 20
 
-// Exchange holds one request's answer while it comes and afterwards, for any
-// number of callers that read it from its start.
+// Exchange buffers the answer to one request, while it arrives and afterwards, for
+// any number of clients that each read it from its start. It is safe for concurrent
+// use.
 type Exchange struct {
 	mutex   sync.Mutex
 	changed chan struct{}
 	status  int
 	header  http.Header
-	// kept holds the answer from the byte with the number base on.
-	kept    []byte
-	base    int
-	readers map[*Reader]int
-	over    bool
-	whole   bool
-	final   *gateway.Final
+	// stored holds the answer from offset base on.
+	stored   []byte
+	base     int
+	readers  map[*Reader]int
+	ended    bool
+	complete bool
+	final    *gateway.Final
 }
 
-// Progress is what a reader sees at one time.
+// Progress is the state of an exchange, with the data that the reader has not read yet.
 type Progress struct {
-	// Status is 0 until the answer's head is there.
+	// Status is 0 until the answer's head has arrived.
 	Status int
 	Header http.Header
-	// Data is what the reader hasn't seen yet.
+	// Data is the part of the answer that the reader has not read yet.
 	Data []byte
-	// Over is set when nothing more comes; Whole when that is a whole answer.
+	// Over is set when the answer has ended, Whole when it is also complete.
 	Over  bool
 	Whole bool
-	// Final is the final answer of a request without a whole one.
+	// Final is set if the request ended without a complete answer.
 	Final *gateway.Final
-	// Trimmed is set when the start of the answer is no longer kept.
+	// Trimmed is set when data that the reader has not read is no longer stored.
 	Trimmed bool
 }
 
@@ -50,7 +51,7 @@
 	offset   int
 }
 
-// NewExchange returns an exchange without an answer.
+// NewExchange returns an empty exchange.
 func NewExchange() *Exchange {
 	return &Exchange{changed: make(chan struct{}), readers: make(map[*Reader]int)}
 }
@@ -64,17 +65,17 @@
 	}
 	exc.status = status
 	exc.header = header
-	exc.wake()
+	exc.notifyReaders()
 }
 
-// Data implements backend.Sink: it adds to the answer. Where the answer has
-// grown beyond what is kept, it waits for the slowest reader.
+// Data implements backend.Sink: it appends to the answer. Beyond MaxKeptBytes it blocks
+// until the slowest reader has read some of the stored data.
 func (exc *Exchange) Data(data []byte) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	exc.kept = append(exc.kept, data...)
-	exc.wake()
-	for len(exc.kept) > MaxKeptBytes && !exc.trim() {
+	exc.stored = append(exc.stored, data...)
+	exc.notifyReaders()
+	for len(exc.stored) > MaxKeptBytes && !exc.trim() {
 		changed := exc.changed
 		exc.mutex.Unlock()
 		<-changed
@@ -82,62 +83,63 @@
 	}
 }
 
-// trim drops what every reader has seen; it reports whether there was any.
+// trim discards the data that every reader has read, and reports whether there was any.
 func (exc *Exchange) trim() bool {
-	seen := exc.base + len(exc.kept)
+	seen := exc.base + len(exc.stored)
 	for _, offset := range exc.readers {
 		seen = min(seen, offset)
 	}
 	if seen == exc.base {
 		return false
 	}
-	exc.kept = append([]byte(nil), exc.kept[seen-exc.base:]...)
+	exc.stored = append([]byte(nil), exc.stored[seen-exc.base:]...)
 	exc.base = seen
 	return true
 }
 
-// End closes the answer.
-func (exc *Exchange) End(whole bool) {
+// End implements backend.Sink: it ends the answer; complete reports whether it is complete.
+func (exc *Exchange) End(complete bool) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	exc.over = true
-	exc.whole = whole
-	exc.wake()
+	exc.ended = true
+	exc.complete = complete
+	exc.notifyReaders()
 }
 
-// Fail closes the exchange with a final answer.
+// Fail ends the exchange with a final answer in place of a complete one.
 func (exc *Exchange) Fail(fin gateway.Final) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	exc.over = true
-	exc.whole = false
+	exc.ended = true
+	exc.complete = false
 	exc.final = &fin
-	exc.wake()
+	exc.notifyReaders()
 }
 
-// Size returns the bytes kept.
+// Size returns the number of bytes stored.
 func (exc *Exchange) Size() int {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	return len(exc.kept)
+	return len(exc.stored)
 }
 
-// Drop gives up what is kept of an answer that is over, to save memory.
+// Drop discards the stored data of an answer that has ended and has no readers, to save
+// memory.
 func (exc *Exchange) Drop() {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	if exc.over && len(exc.readers) == 0 {
-		exc.base += len(exc.kept)
-		exc.kept = nil
+	if exc.ended && len(exc.readers) == 0 {
+		exc.base += len(exc.stored)
+		exc.stored = nil
 	}
 }
 
-func (exc *Exchange) wake() {
+func (exc *Exchange) notifyReaders() {
 	close(exc.changed)
 	exc.changed = make(chan struct{})
 }
 
-// Open returns a reader at the start of the answer; Close must follow.
+// Open returns a reader at the start of the answer. The reader must be closed.
 func (exc *Exchange) Open() *Reader {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
@@ -146,19 +148,19 @@
 	return rea
 }
 
-// Close ends the reading.
+// Close detaches the reader from the exchange.
 func (rea *Reader) Close() {
 	exc := rea.exchange
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
 	delete(exc.readers, rea)
-	exc.wake()
+	exc.notifyReaders()
 }
 
-// Next waits until there is something new, or the context ends.
+// Next blocks until there is new data, the answer has ended or the context ends.
 func (rea *Reader) Next(ctx context.Context) (Progress, error) {
 	for {
-		pro, fresh, changed := rea.look()
+		pro, fresh, changed := rea.poll()
 		if fresh {
 			return pro, nil
 		}
@@ -170,13 +172,13 @@
 	}
 }
 
-func (rea *Reader) look() (Progress, bool, <-chan struct{}) {
+func (rea *Reader) poll() (Progress, bool, <-chan struct{}) {
 	exc := rea.exchange
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	pro := Progress{Status: exc.status, Header: exc.header, Over: exc.over, Whole: exc.whole, Final: exc.final}
+	pro := Progress{Status: exc.status, Header: exc.header, Over: exc.ended, Whole: exc.complete, Final: exc.final}
 	if exc.final != nil && rea.offset == 0 {
-		// Whoever hasn't had any of a broken answer gets the error alone.
+		// A client that has received no part of a failed answer gets only the error.
 		pro.Status = 0
 		return pro, true, nil
 	}
@@ -184,13 +186,13 @@
 		pro.Trimmed = true
 		return pro, true, nil
 	}
-	if fresh := exc.kept[rea.offset-exc.base:]; len(fresh) > 0 {
+	if fresh := exc.stored[rea.offset-exc.base:]; len(fresh) > 0 {
 		pro.Data = append([]byte(nil), fresh...)
 		rea.offset += len(fresh)
 		exc.readers[rea] = rea.offset
-		if len(exc.kept) > MaxKeptBytes {
-			exc.wake()
+		if len(exc.stored) > MaxKeptBytes {
+			exc.notifyReaders()
 		}
 	}
-	return pro, len(pro.Data) > 0 || exc.over, exc.changed
+	return pro, len(pro.Data) > 0 || exc.ended, exc.changed
 }
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -11,22 +11,23 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// relayChunk is how much of a relayed answer is passed on at once.
+// relayChunk is the size of the buffer for relayed answers, in bytes.
 const relayChunk = 16 << 10
 
-// passOn relays a request to the gateway that decides it, and its answer back.
-func (srv *Server) passOn(wri http.ResponseWriter, req *http.Request, sub *submission, to view.Member) {
+// relayRequest relays a request to the gateway that handles it, and the answer back to
+// the client.
+func (srv *Server) relayRequest(wri http.ResponseWriter, req *http.Request, sub *submission, to view.Member) {
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
-	watched := srv.watchAlive(ctx, cancel, to)
-	rep, err := srv.sendOn(ctx, req, sub, to)
+	watched := srv.watchPeer(ctx, cancel, to)
+	rep, err := srv.sendRelayed(ctx, req, sub, to)
 	if err != nil {
 		cancel()
 		<-watched
-		if stopped(req.Context()) {
+		if isDone(req.Context()) {
 			return
 		}
-		srv.relayFailed(wri, req, sub, Relayed{To: to})
+		srv.retryRelay(wri, req, sub, Relayed{To: to})
 		return
 	}
 	defer rep.Body.Close()
@@ -43,19 +44,19 @@
 	}
 }
 
-// watchAlive ends the relay when the other host stops answering. The channel
-// reports the end of the watch.
-func (srv *Server) watchAlive(ctx context.Context, cancel context.CancelFunc, to view.Member) <-chan error {
-	end := make(chan error, 1)
+// watchPeer cancels the relay when the other host stops responding. The channel receives
+// a value when the watch has ended.
+func (srv *Server) watchPeer(ctx context.Context, cancel context.CancelFunc, to view.Member) <-chan error {
+	done := make(chan error, 1)
 	go func() {
 		err := srv.cfg.Backend.Alive(ctx, to)
 		cancel()
-		end <- err
+		done <- err
 	}()
-	return end
+	return done
 }
 
-func (srv *Server) sendOn(ctx context.Context, req *http.Request, sub *submission, to view.Member) (*http.Response, error) {
+func (srv *Server) sendRelayed(ctx context.Context, req *http.Request, sub *submission, to view.Member) (*http.Response, error) {
 	url := "http://" + to.CallerAddress.String() + req.URL.RequestURI()
 	out, err := http.NewRequestWithContext(ctx, req.Method, url, bytes.NewReader(sub.body))
 	if err != nil {
@@ -64,7 +65,7 @@
 	out.Header = backend.EndToEnd(req.Header)
 	out.Header.Set(HeaderRelayed, srv.cfg.HostName)
 	out.Header.Set(HeaderID, sub.arrived.ID.String())
-	return srv.relay.Do(out)
+	return srv.relayClient.Do(out)
 }
 
 func copyFlushed(wri http.ResponseWriter, body io.Reader) error {
--- a/caller/server.go
+++ b/caller/server.go
@@ -18,15 +18,15 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// defaultMaxRequests bounds the requests served at once.
+// defaultMaxRequests is the default maximum number of concurrent requests.
 const defaultMaxRequests = 8192
 
-// Server serves callers.
+// Server serves clients' requests.
 type Server struct {
-	cfg     ServerConfig
-	relay   *http.Client
-	last    atomic.Uint64
-	serving atomic.Int64
+	cfg         ServerConfig
+	relayClient *http.Client
+	lastClient  atomic.Uint64
+	serving     atomic.Int64
 }
 
 // NewServer returns a server.
@@ -35,38 +35,38 @@
 		cfg.MaxRequests = defaultMaxRequests
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute, DisableCompression: true}
-	return &Server{cfg: cfg, relay: &http.Client{Transport: transport}}
+	return &Server{cfg: cfg, relayClient: &http.Client{Transport: transport}}
 }
 
-// Close drops the idle connections to other hosts.
+// Close closes idle connections to other hosts.
 func (srv *Server) Close() {
-	srv.relay.CloseIdleConnections()
+	srv.relayClient.CloseIdleConnections()
 }
 
-// HTTPServer returns an HTTP server with limits against slow callers.
+// HTTPServer returns an HTTP server with time-outs for slow clients.
 func (srv *Server) HTTPServer() *http.Server {
 	return &http.Server{Handler: srv.Handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 }
 
-// Handler returns the HTTP handler.
+// Handler returns the HTTP handler of the clients' API.
 func (srv *Server) Handler() http.Handler {
 	rou := mux.NewRouter().UseEncodedPath()
 	rou.HandleFunc("/v1/addresses", srv.serveAddresses).Methods(http.MethodGet)
-	rou.HandleFunc("/v1/chat/completions", srv.limited(srv.serveChat)).Methods(http.MethodPost)
+	rou.HandleFunc("/v1/chat/completions", srv.limitConcurrency(srv.serveChat)).Methods(http.MethodPost)
 	rou.HandleFunc("/v1/ready", srv.serveReady).Methods(http.MethodGet)
-	rou.HandleFunc("/services/{service}{rest:(?:/.*)?}", srv.limited(srv.servePlain))
+	rou.HandleFunc("/services/{service}{rest:(?:/.*)?}", srv.limitConcurrency(srv.servePlain))
 	rou.NotFoundHandler = http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		sendProblem(wri, problem{status: http.StatusNotFound, code: "NoSuchPath", message: "no such path: " + req.URL.Path})
 	})
 	return rou
 }
 
-func (srv *Server) limited(next http.HandlerFunc) http.HandlerFunc {
+func (srv *Server) limitConcurrency(next http.HandlerFunc) http.HandlerFunc {
 	return func(wri http.ResponseWriter, req *http.Request) {
 		defer srv.serving.Add(-1)
 		if srv.serving.Add(1) > int64(srv.cfg.MaxRequests) {
 			sendProblem(wri, problem{
-				status: http.StatusServiceUnavailable, code: "HostBusy", message: "this host serves as many requests as it may",
+				status: http.StatusServiceUnavailable, code: "HostBusy", message: "this host has reached its limit of concurrent requests",
 				outcome: request.Unknown, retry: true, retryAfter: time.Second,
 			})
 			return
@@ -79,7 +79,7 @@
 	adr := srv.cfg.Backend.Addresses()
 	if len(adr.Addresses) == 0 {
 		sendProblem(wri, problem{
-			status: http.StatusServiceUnavailable, code: "NoView", message: "this host knows no view yet",
+			status: http.StatusServiceUnavailable, code: "NoView", message: "this host has no membership view yet",
 			retry: true, retryAfter: time.Second,
 		})
 		return
@@ -96,13 +96,13 @@
 	sendJSON(wri, http.StatusOK, struct{ Ready bool }{true})
 }
 
-// submission is a caller's request with all that is known of it.
+// submission is a validated request of a client.
 type submission struct {
 	arrived gateway.Arrived
 	work    Work
-	// body is the caller's own body, for a relay.
+	// body is the unmodified request body, for relaying.
 	body []byte
-	// stream says that the caller wants the answer as it comes.
+	// stream reports whether the client requested the answer as a stream.
 	stream  bool
 	account string
 	log     logFields
@@ -126,47 +126,47 @@
 	srv.serve(wri, req, sub)
 }
 
-// serve has the gateway decide, and gives the caller the answer.
+// serve passes the request to the gateway and sends the answer to the client.
 func (srv *Server) serve(wri http.ResponseWriter, req *http.Request, sub *submission) {
 	wri.Header().Set(HeaderRequestID, sub.arrived.ID.String())
 	dec, err := srv.cfg.Backend.Arrive(req.Context(), sub.arrived, sub.work)
 	if err != nil {
-		srv.sendStopped(wri, err)
+		srv.sendHostStopped(wri, err)
 		return
 	}
-	srv.follow(wri, req, sub, dec)
+	srv.sendDecision(wri, req, sub, dec)
 }
 
-func (srv *Server) sendStopped(wri http.ResponseWriter, err error) {
+func (srv *Server) sendHostStopped(wri http.ResponseWriter, err error) {
 	sendProblem(wri, problem{
 		status: http.StatusServiceUnavailable, code: "HostStopped", message: err.Error(),
 		outcome: request.Unknown, retry: true,
 	})
 }
 
-func (srv *Server) follow(wri http.ResponseWriter, req *http.Request, sub *submission, dec Decision) {
+func (srv *Server) sendDecision(wri http.ResponseWriter, req *http.Request, sub *submission, dec Decision) {
 	switch dec := dec.(type) {
 	case Attached:
 		srv.sendExchange(wri, req, sub, dec.Exchange)
 	case Answered:
 		srv.sendFinal(wri, sub, dec.Final)
 	case Relayed:
-		srv.passOn(wri, req, sub, dec.To)
+		srv.relayRequest(wri, req, sub, dec.To)
 	}
 }
 
-// relayFailed asks the gateway again after a relay that brought nothing.
-func (srv *Server) relayFailed(wri http.ResponseWriter, req *http.Request, sub *submission, rel Relayed) {
+// retryRelay requests a new decision from the gateway after a relay without an answer.
+func (srv *Server) retryRelay(wri http.ResponseWriter, req *http.Request, sub *submission, rel Relayed) {
 	dec, err := srv.cfg.Backend.RelayFailed(req.Context(), sub.arrived, rel.To, sub.work)
 	if err != nil {
-		srv.sendStopped(wri, err)
+		srv.sendHostStopped(wri, err)
 		return
 	}
-	if _, again := dec.(Relayed); again {
+	if _, isRelayed := dec.(Relayed); isRelayed {
 		srv.sendFinal(wri, sub, gateway.Final{Cause: gateway.CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: time.Second})
 		return
 	}
-	srv.follow(wri, req, sub, dec)
+	srv.sendDecision(wri, req, sub, dec)
 }
 
 func (srv *Server) sendFinal(wri http.ResponseWriter, sub *submission, fin gateway.Final) {
@@ -175,7 +175,7 @@
 	sendProblem(wri, pro)
 }
 
-// sendExchange streams what the exchange holds, or sends it whole.
+// sendExchange sends the exchange's answer to the client, as a stream or as one body.
 func (srv *Server) sendExchange(wri http.ResponseWriter, req *http.Request, sub *submission, exc *Exchange) {
 	rea := exc.Open()
 	defer srv.cfg.Backend.Left(sub.arrived.ID)
@@ -188,12 +188,12 @@
 			return
 		}
 		if pro.Final != nil && pro.Final.Cause == gateway.CauseMoved && !out.started && sub.work != nil {
-			srv.passOn(wri, req, sub, pro.Final.Holder)
+			srv.relayRequest(wri, req, sub, pro.Final.Holder)
 			return
 		}
-		if end := out.take(pro); end != nil {
-			srv.logEnd(sub, end.status, end.code, end.outcome)
-			if end.abort {
+		if res := out.apply(pro); res != nil {
+			srv.logEnd(sub, res.status, res.code, res.outcome)
+			if res.abort {
 				panic(http.ErrAbortHandler)
 			}
 			return
@@ -201,7 +201,7 @@
 	}
 }
 
-// authenticate finds the client account of the bearer key.
+// authenticate returns the client account of the bearer key.
 func (srv *Server) authenticate(req *http.Request) (resource.ClientAccount, *problem) {
 	key, bearer := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
 	if !bearer || key == "" {
@@ -209,7 +209,7 @@
 	}
 	if srv.cfg.Backend.Configuration().Revision == 0 {
 		return resource.ClientAccount{}, &problem{
-			status: http.StatusServiceUnavailable, code: "NoConfiguration", message: "this host knows no configuration yet",
+			status: http.StatusServiceUnavailable, code: "NoConfiguration", message: "this host has no configuration yet",
 			outcome: request.Unknown, retry: true, retryAfter: time.Second,
 		}
 	}
@@ -220,15 +220,15 @@
 	return acc, nil
 }
 
-// readBody reads the body up to the limit, at not too slow a pace.
+// readBody reads a body of at most limit bytes within readBodyTimeout.
 func readBody(wri http.ResponseWriter, req *http.Request, limit int64) ([]byte, *problem) {
-	// A connection that can't take a deadline is read without one.
+	// A connection that doesn't support deadlines is read without one.
 	_ = http.NewResponseController(wri).SetReadDeadline(time.Now().Add(readBodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(wri, req.Body, limit))
 	_ = http.NewResponseController(wri).SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "BodyTooLarge", message: "body: larger than the service takes"}
+		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "BodyTooLarge", message: "body: larger than the maximum of the service"}
 	}
 	if err != nil {
 		return nil, &problem{status: http.StatusBadRequest, code: "BodyBroken", message: "body: " + err.Error()}
@@ -244,11 +244,11 @@
 	}
 	wri.Header().Set("Content-Type", "application/json")
 	wri.WriteHeader(status)
-	// A caller that has left can't be told anything more.
+	// A write error means that the client has disconnected.
 	_, _ = wri.Write(buf.Bytes())
 }
 
-// stopped reports whether the context has ended.
-func stopped(ctx context.Context) bool {
+// isDone reports whether the context has ended.
+func isDone(ctx context.Context) bool {
 	return ctx.Err() != nil
 }
