--- a/entry/desk.go
+++ b/entry/desk.go
@@ -73,7 +73,7 @@
 	// evacuations is the known state of failure domains that are being evacuated.
 	evacuations *evacuation.Board
 	// measurements are the hosts' stored measurements of the engines' speed.
-	survey pace.Survey
+	survey pace.Measurements
 }
 
 // link is this host's session with a coordinator.
@@ -142,9 +142,9 @@
 func schedulerConfig(hos *Host) scheduler.Config {
 	bou := hos.set.Bounds
 	return scheduler.Config{
-		Self:       hos.epoch,
-		Repeats:    scheduler.Repeats{Ratio: bou.RepeatRatio, Window: bou.RepeatWindow(), Slack: bou.RepeatSlack},
-		LimitSlack: bou.LimitSlack, LimitWindow: bou.LimitWindow(), LimitOvershoot: bou.LimitOvershoot,
+		Self:        hos.epoch,
+		RetryBudget: scheduler.RetryBudget{Ratio: bou.RepeatRatio, Window: bou.RepeatWindow(), Slack: bou.RepeatSlack},
+		LimitSlack:  bou.LimitSlack, LimitWindow: bou.LimitWindow(), LimitOvershoot: bou.LimitOvershoot,
 		Regions:  hos.set.Regions,
 		Rollouts: rollout.Config{Self: hos.epoch.String(), Share: bou.ExposureShare, Slack: bou.ExposureSlack},
 	}
@@ -203,14 +203,14 @@
 		evt = evt.Str("Request", msg.ID.Unique).Stringer("Reason", msg.Reason).Dur("RetryAfter", msg.RetryAfter)
 	}
 	inp := snd.Inputs
-	if inp.Paced > 0 {
-		evt = evt.Int("Paced", inp.Paced).Bool("WaitedForRate", inp.WaitedForRate)
+	if inp.RateLimited > 0 {
+		evt = evt.Int("Paced", inp.RateLimited).Bool("WaitedForRate", inp.WaitedForRate)
 	}
-	if inp.PerSecond > 0 || inp.Spent > 0 {
-		evt = evt.Float64("PerSecond", inp.PerSecond).Int("Spent", inp.Spent).Bool("Cold", inp.Cold)
+	if inp.PerSecond > 0 || inp.RecentGrants > 0 {
+		evt = evt.Float64("PerSecond", inp.PerSecond).Int("Spent", inp.RecentGrants).Bool("Cold", inp.Cold)
 	}
-	evt.Stringer("Gateway", snd.To).Dur("Waited", inp.Waited).Int("Waiting", inp.Waiting).Int("Engines", inp.Engines).Int("Aside", inp.Aside).Bool("AsideUsed", inp.AsideUsed).
-		Int("Running", inp.Running).Dur("Unread", inp.Unread).Dur("Expected", inp.Expected).Msg("decision")
+	evt.Stringer("Gateway", snd.To).Dur("Waited", inp.Waited).Int("Waiting", inp.Waiting).Int("Engines", inp.Engines).Int("Aside", inp.Ejected).Bool("AsideUsed", inp.EjectedUsed).
+		Int("Running", inp.Running).Dur("Unread", inp.PendingPrefill).Dur("Expected", inp.Expected).Msg("decision")
 }
 
 // applyMessage applies a coordinator's message; the mutex is held.
@@ -248,7 +248,7 @@
 	}
 	bro.holds[gra.ID] = &ado
 	if by != bro.host.epoch {
-		bro.step(scheduler.GrantedElsewhere{Adopt: ado})
+		bro.step(scheduler.GrantedByPeer{Adopt: ado})
 	}
 }
 
--- a/entry/elect.go
+++ b/entry/elect.go
@@ -133,7 +133,7 @@
 	if bro.roster.outside && len(bro.roster.candidates) > 0 {
 		divisor = outsideParts
 	}
-	bro.step(scheduler.ShareChanged{Parts: divisor, Hosts: len(bro.roster.members), Elsewhere: byAnother})
+	bro.step(scheduler.ShareChanged{Divisor: divisor, Hosts: len(bro.roster.members), Standby: byAnother})
 }
 
 // limitParts returns the limit divisor of a scheduler that coordinates the given number of
--- a/entry/held.go
+++ b/entry/held.go
@@ -40,7 +40,7 @@
 	if !wat.refused.usable(val, err, "stored held requests invalid, keeping the known ones") {
 		return
 	}
-	wat.host.desk.handle(scheduler.HeldRead{Holds: holds})
+	wat.host.desk.handle(scheduler.HoldsRead{Holds: holds})
 }
 
 // loseHeld records that the store holds no held requests. Those that are known stay held: another
@@ -121,11 +121,11 @@
 func (hos *Host) Free(dig call.Digest) error {
 	hos.desk.mutex.Lock()
 	defer hos.desk.mutex.Unlock()
-	if !hos.desk.core.KnowsCase(dig) {
+	if !hos.desk.core.HasCase(dig) {
 		return &UnknownDigestError{Digest: dig}
 	}
 	hos.log.Info().Stringer("Digest", dig).Msg("operator freed a request")
-	hos.desk.step(scheduler.RequestFreed{Digest: dig})
+	hos.desk.step(scheduler.RequestReleased{Digest: dig})
 	return nil
 }
 
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -95,7 +95,7 @@
 	if len(ordered) == 0 {
 		return
 	}
-	wat.host.desk.handle(scheduler.RolloutsChanged{Standings: ordered})
+	wat.host.desk.handle(scheduler.RolloutsChanged{States: ordered})
 	select {
 	case wat.host.rolloutNews <- struct{}{}:
 	default:
@@ -108,7 +108,7 @@
 func (bro *desk) rolloutWrites(now time.Time) ([]rollout.Write, bool) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
-	if !bro.core.RolloutsOpen() {
+	if !bro.core.RolloutsPending() {
 		return nil, false
 	}
 	if !bro.inCharge() {
--- a/entry/survey.go
+++ b/entry/survey.go
@@ -27,22 +27,22 @@
 	wat.host.desk.takeSurvey(mea)
 }
 
-func (bro *desk) takeSurvey(mea pace.Survey) {
+func (bro *desk) takeSurvey(mea pace.Measurements) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	bro.survey = mea
-	bro.step(scheduler.SurveyRead{Survey: mea})
+	bro.step(scheduler.MeasurementsRead{Measurements: mea})
 }
 
 // unrecordedMeasurements returns the measurements of this host's scheduler, and whether they differ
 // from the stored ones. It returns nothing unless this host is the coordinator.
-func (bro *desk) news() (pace.Survey, bool) {
+func (bro *desk) news() (pace.Measurements, bool) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	if bro.active != bro.host.epoch || bro.roster.outside || len(bro.roster.members) == 0 {
-		return pace.Survey{}, false
+		return pace.Measurements{}, false
 	}
-	mea := bro.core.Survey()
+	mea := bro.core.Measurements()
 	return mea, bro.survey.Differs(mea)
 }
 
@@ -64,7 +64,7 @@
 }
 
 // recordMeasurements writes the measurements. A write that fails is repeated if they still differ.
-func (hos *Host) record(ctx context.Context, mea pace.Survey) {
+func (hos *Host) record(ctx context.Context, mea pace.Measurements) {
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
 	data, err := platform.EncodeSurvey(mea)
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -3,11 +3,11 @@
 //
 // # Usage
 //
-//	svc := pace.NewService(pace.Prior)
+//	svc := pace.NewService(pace.DefaultReference)
 //	eng := svc.NewEngine(pace.Profile{})
-//	eng.ObserveRead(6600, 130*time.Millisecond)  // the first event of an answer
+//	eng.ObservePrefill(6600, 130*time.Millisecond)  // the first event of an answer
 //	eng.ObserveEvents(40, 700*time.Millisecond)  // its other events
-//	first := eng.Overhead() + eng.ReadTime(2000)
+//	first := eng.Overhead() + eng.PrefillTime(2000)
 //	other := svc.NewEngine(eng.Profile())        // on another host
 //
 // How the prefill time grows with the length of a prompt is learned from all engines of a
@@ -30,8 +30,8 @@
 	Event time.Duration
 }
 
-// Prior is the reference of a service without measurements.
-var Prior = Reference{Overhead: 35 * time.Millisecond, Token: 15 * time.Microsecond, Event: 25 * time.Millisecond}
+// DefaultReference is the reference of a service without measurements.
+var DefaultReference = Reference{Overhead: 35 * time.Millisecond, Token: 15 * time.Microsecond, Event: 25 * time.Millisecond}
 
 // Profile is the speed of an engine relative to the reference, as exchanged by hosts.
 type Profile struct {
@@ -152,8 +152,8 @@
 	return length + length*length/quadraticTokens
 }
 
-// ReadTime predicts the prefill time of a number of tokens, without the overhead.
-func (eng *Engine) ReadTime(tokens int) time.Duration {
+// PrefillTime predicts the prefill time of a number of tokens, without the overhead.
+func (eng *Engine) PrefillTime(tokens int) time.Duration {
 	return time.Duration(effectiveTokens(tokens) * float64(eng.service.prefill.token) * eng.prefillFactor)
 }
 
@@ -167,9 +167,9 @@
 	return time.Duration(eng.service.event * eng.eventFactor)
 }
 
-// ObserveRead adds the measured time to the first event for a prompt of a number of tokens. The
+// ObservePrefill adds the measured time to the first event for a prompt of a number of tokens. The
 // engine must have had no other prefills pending.
-func (eng *Engine) ObserveRead(tokens int, took time.Duration) {
+func (eng *Engine) ObservePrefill(tokens int, took time.Duration) {
 	if took <= 0 || tokens <= 0 {
 		return
 	}
--- a/pace/survey.go
+++ b/pace/survey.go
@@ -8,14 +8,14 @@
 	"slices"
 )
 
-// Survey holds the measured speeds of all engines. It is stored for hosts that start without
+// Measurements holds the measured speeds of all engines. It is stored for hosts that start without
 // measurements: a third of the engines may be several times slower than the others.
-type Survey struct {
-	Services []ServiceSurvey
+type Measurements struct {
+	Services []ServiceMeasurements
 }
 
-// ServiceSurvey holds the measured speeds of one service.
-type ServiceSurvey struct {
+// ServiceMeasurements holds the measured speeds of one service.
+type ServiceMeasurements struct {
 	Name      string
 	Reference Reference
 	Engines   []Record
@@ -34,7 +34,7 @@
 
 // Differs reports whether newer has an engine that isn't in this one, or whose
 // profile has changed. Engines that are missing from newer are ignored.
-func (mea Survey) Differs(newer Survey) bool {
+func (mea Measurements) Differs(newer Measurements) bool {
 	known := mea.Profiles()
 	for _, svc := range newer.Services {
 		for _, rec := range svc.Engines {
@@ -48,7 +48,7 @@
 }
 
 // Profiles returns the engines' profiles by service and address.
-func (mea Survey) Profiles() map[string]map[netip.AddrPort]Profile {
+func (mea Measurements) Profiles() map[string]map[netip.AddrPort]Profile {
 	services := make(map[string]map[netip.AddrPort]Profile, len(mea.Services))
 	for _, svc := range mea.Services {
 		profiles := make(map[netip.AddrPort]Profile, len(svc.Engines))
@@ -64,10 +64,10 @@
 	return math.Abs(math.Log(left/right)) > math.Log(changeFactor)
 }
 
-// NewSurvey returns the measurements of the given services, with their engines in the
+// NewMeasurements returns the measurements of the given services, with their engines in the
 // order of their addresses.
-func NewSurvey(services map[string]ServiceSurvey) Survey {
-	var mea Survey
+func NewMeasurements(services map[string]ServiceMeasurements) Measurements {
+	var mea Measurements
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		svc := services[name]
 		svc.Name = name
--- a/pace/survey_test.go
+++ b/pace/survey_test.go
@@ -15,14 +15,14 @@
 	addressB = netip.MustParseAddrPort("127.0.0.1:2")
 )
 
-func measurementsOf(records ...pace.Record) pace.Survey {
-	return pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: records}})
+func measurementsOf(records ...pace.Record) pace.Measurements {
+	return pace.NewMeasurements(map[string]pace.ServiceMeasurements{"model": {Reference: pace.DefaultReference, Engines: records}})
 }
 
 func TestDiffersReportsNewAndChangedEngines(t *testing.T) {
 	recorded := measurementsOf(pace.Record{Address: addressA, Profile: pace.Profile{Read: 1, Event: 1, Weight: 5}})
 	for name, tst := range map[string]struct {
-		newer pace.Survey
+		newer pace.Measurements
 		want  bool
 	}{
 		"unchanged":        {recorded, false},
@@ -35,35 +35,35 @@
 			assert.Equal(t, recorded.Differs(tst.newer), tst.want)
 		})
 	}
-	assert.Equal(t, pace.Survey{}.Differs(recorded), true)
+	assert.Equal(t, pace.Measurements{}.Differs(recorded), true)
 }
 
 func TestAdoptedProfileYieldsToMeasurements(t *testing.T) {
-	svc := pace.NewService(pace.Prior)
+	svc := pace.NewService(pace.DefaultReference)
 	eng := svc.NewEngine(pace.Profile{Read: 4, Event: 4, Weight: 2})
-	before := eng.ReadTime(5000)
+	before := eng.PrefillTime(5000)
 	eng.Adopt(pace.Profile{Read: 1, Event: 1, Weight: 1})
-	assert.Equal(t, eng.ReadTime(5000), before, "a profile based on fewer answers must be ignored")
+	assert.Equal(t, eng.PrefillTime(5000), before, "a profile based on fewer answers must be ignored")
 	eng.Adopt(pace.Profile{Read: 1, Event: 1, Weight: 6})
-	assert.Assert(t, eng.ReadTime(5000) < before)
+	assert.Assert(t, eng.PrefillTime(5000) < before)
 	for range 20 {
-		eng.ObserveRead(1800, 300*time.Millisecond)
+		eng.ObservePrefill(1800, 300*time.Millisecond)
 	}
-	assert.Assert(t, eng.ReadTime(5000) > 2*before/3, "%s", eng.ReadTime(5000))
+	assert.Assert(t, eng.PrefillTime(5000) > 2*before/3, "%s", eng.PrefillTime(5000))
 }
 
 func TestReferenceIsAdoptedOnlyBeforeOwnMeasurements(t *testing.T) {
 	other := pace.Reference{Overhead: 80 * time.Millisecond, Token: 30 * time.Microsecond, Event: 50 * time.Millisecond}
-	svc := pace.NewService(pace.Prior)
+	svc := pace.NewService(pace.DefaultReference)
 	svc.Adopt(pace.Reference{})
-	assert.Equal(t, svc.Reference(), pace.Prior)
+	assert.Equal(t, svc.Reference(), pace.DefaultReference)
 	svc.Adopt(other)
 	assert.Equal(t, svc.Reference(), other)
 	eng := svc.NewEngine(pace.Profile{})
 	for range 10 {
-		eng.ObserveRead(1800, 100*time.Millisecond)
+		eng.ObservePrefill(1800, 100*time.Millisecond)
 	}
 	learned := svc.Reference()
-	svc.Adopt(pace.Prior)
+	svc.Adopt(pace.DefaultReference)
 	assert.Equal(t, svc.Reference(), learned)
 }
--- a/scheduler/choose_test.go
+++ b/scheduler/choose_test.go
@@ -103,10 +103,10 @@
 		measured.advance(took)
 		measured.answer(name, took, took, 1)
 	}
-	measurements := measured.core.Survey()
+	measurements := measured.core.Measurements()
 	for name, har := range map[string]*harness{"measurements before engines": newHarness(), "measurements after engines": newHarness(slow, quick)} {
 		t.Run(name, func(t *testing.T) {
-			har.handle(scheduler.SurveyRead{Survey: measurements})
+			har.handle(scheduler.MeasurementsRead{Measurements: measurements})
 			har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{slow, quick}})
 			assert.Equal(t, grantedEngine(har.reserve(promptReservation("next", 6000)), "next"), "b-quick")
 		})
@@ -120,7 +120,7 @@
 	slow, quick := modelEngine("a-slow"), modelEngine("b-quick")
 	slow.Address, quick.Address = netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
 	har := newHarness(slow, quick)
-	har.handle(scheduler.SurveyRead{Survey: pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: []pace.Record{
+	har.handle(scheduler.MeasurementsRead{Measurements: pace.NewMeasurements(map[string]pace.ServiceMeasurements{"model": {Reference: pace.DefaultReference, Engines: []pace.Record{
 		{Address: slow.Address, Profile: pace.Profile{Read: 4, Event: 4, Weight: 10}},
 		{Address: quick.Address, Profile: pace.Profile{Read: 1, Event: 1, Weight: 10}},
 	}}})})
@@ -134,7 +134,7 @@
 	far.Domain = "d1"
 	near.Address, far.Address = netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
 	har := newHarness(near, far)
-	har.handle(scheduler.SurveyRead{Survey: pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: []pace.Record{
+	har.handle(scheduler.MeasurementsRead{Measurements: pace.NewMeasurements(map[string]pace.ServiceMeasurements{"model": {Reference: pace.DefaultReference, Engines: []pace.Record{
 		{Address: near.Address, Profile: pace.Profile{Read: 4, Event: 4, Weight: 10}},
 		{Address: far.Address, Profile: pace.Profile{Read: 3.6, Event: 3.6, Weight: 10}},
 	}}})})
@@ -164,7 +164,7 @@
 	slow := modelEngine("a-slow")
 	slow.Address = netip.MustParseAddrPort("127.0.0.1:1")
 	har := newHarness(slow)
-	har.handle(scheduler.SurveyRead{Survey: pace.NewSurvey(map[string]pace.ServiceSurvey{"model": {Reference: pace.Prior, Engines: []pace.Record{
+	har.handle(scheduler.MeasurementsRead{Measurements: pace.NewMeasurements(map[string]pace.ServiceMeasurements{"model": {Reference: pace.DefaultReference, Engines: []pace.Record{
 		{Address: slow.Address, Profile: pace.Profile{Read: 8, Event: 8, Weight: 10}},
 	}}})})
 	assert.Equal(t, grantedEngine(har.reserve(promptReservation("long", 54_000)), "long"), "a-slow")
--- a/scheduler/cold.go
+++ b/scheduler/cold.go
@@ -8,33 +8,33 @@
 // the next run at the address may be registered late, or not at all while the store is
 // unavailable.
 
-// chillListed marks engines cold according to their store entries.
-func (cor *Core) chillListed(now time.Time) {
+// markRegisteredCold marks engines cold according to their store entries.
+func (cor *Core) markRegisteredCold(now time.Time) {
 	for _, ene := range cor.engines {
-		cor.chill(now, ene, ene.ColdUntil)
+		cor.markCold(now, ene, ene.ColdUntil)
 	}
 }
 
 // markCold marks an engine cold until a time. It does nothing if the configuration sets no rate
 // for cold engines of the service.
-func (cor *Core) chill(now time.Time, ene *engine, until time.Time) {
-	if !until.After(now) || ene.pacing != nil && !until.After(ene.pacing.coldUntil) {
+func (cor *Core) markCold(now time.Time, ene *engine, until time.Time) {
+	if !until.After(now) || ene.limiter != nil && !until.After(ene.limiter.coldUntil) {
 		return
 	}
-	rate, _ := cor.coldOf(ene.Service)
+	rate, _ := cor.coldSettings(ene.Service)
 	if rate <= 0 {
 		return
 	}
-	cor.pace(now, ene).chill(now, until, rate)
+	cor.limiterOf(now, ene).setCold(now, until, rate)
 	svc := cor.service(ene.Service)
 	if svc.warmAt.IsZero() || until.Before(svc.warmAt) {
 		svc.warmAt = until
 	}
 }
 
-// coldOf returns the number of requests per second that a cold engine of the service
+// coldSettings returns the number of requests per second that a cold engine of the service
 // accepts, and how long an engine is cold after its start; 0 if not configured.
-func (cor *Core) coldOf(service string) (float64, time.Duration) {
+func (cor *Core) coldSettings(service string) (float64, time.Duration) {
 	if cor.table == nil {
 		return 0, 0
 	}
@@ -42,22 +42,22 @@
 	return svc.ColdRate, svc.ColdFor
 }
 
-// chillEnded marks a crashed engine cold: the next answer from its address comes from another
+// markCrashedCold marks a crashed engine cold: the next answer from its address comes from another
 // run, whatever the entry says.
-func (cor *Core) chillEnded(now time.Time, ene *engine) {
-	_, dur := cor.coldOf(ene.Service)
-	cor.chill(now, ene, now.Add(goneFor+dur))
+func (cor *Core) markCrashedCold(now time.Time, ene *engine) {
+	_, dur := cor.coldSettings(ene.Service)
+	cor.markCold(now, ene, now.Add(crashHoldOff+dur))
 }
 
 // expireCold removes the limits of engines that have become warm.
-func (cor *Core) warm(now time.Time, svc *service) {
+func (cor *Core) expireCold(now time.Time, svc *service) {
 	if svc.warmAt.IsZero() || now.Before(svc.warmAt) {
 		return
 	}
 	svc.warmAt = time.Time{}
 	for _, ene := range svc.engines {
-		cor.dropPacing(now, ene)
-		if lim := ene.pacing; lim != nil && lim.isCold(now) && (svc.warmAt.IsZero() || lim.coldUntil.Before(svc.warmAt)) {
+		cor.dropLimiter(now, ene)
+		if lim := ene.limiter; lim != nil && lim.isCold(now) && (svc.warmAt.IsZero() || lim.coldUntil.Before(svc.warmAt)) {
 			svc.warmAt = lim.coldUntil
 		}
 	}
@@ -65,5 +65,5 @@
 
 // isCold reports whether the engine is cold.
 func (ene *engine) isCold(now time.Time) bool {
-	return ene.pacing != nil && ene.pacing.isCold(now)
+	return ene.limiter != nil && ene.limiter.isCold(now)
 }
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -118,10 +118,10 @@
 // and one that takes over starts without saved tokens.
 func TestColdRateIsDividedByHosts(t *testing.T) {
 	har := newColdRateHarness()
-	har.handle(scheduler.ShareChanged{Parts: 8, Hosts: 8, Elsewhere: true})
+	har.handle(scheduler.ShareChanged{Divisor: 8, Hosts: 8, Standby: true})
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", time.Hour)}})
 	assert.Equal(t, har.countGrants("a", 100, 10*time.Millisecond), 0, "another host is the coordinator")
-	har.handle(scheduler.ShareChanged{Parts: 8, Hosts: 8})
+	har.handle(scheduler.ShareChanged{Divisor: 8, Hosts: 8})
 	count := har.countGrants("a", 400, 10*time.Millisecond)
 	assert.Assert(t, count >= 3 && count <= 5, count)
 }
--- a/scheduler/crash_sim_test.go
+++ b/scheduler/crash_sim_test.go
@@ -116,7 +116,7 @@
 		cfg: cfg, random: rand.New(rand.NewPCG(cfg.seed, 7)),
 		har: &harness{
 			core: scheduler.New(scheduler.Config{
-				Self: ownEpoch, Repeats: scheduler.Repeats{Ratio: 0.2, Window: 10 * time.Second, Slack: 50}, LimitSlack: 1000, Quarantine: cfg.policy,
+				Self: ownEpoch, RetryBudget: scheduler.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, Slack: 50}, LimitSlack: 1000, Quarantine: cfg.policy,
 			}),
 			now: time.Unix(5000, 0),
 		},
--- a/scheduler/dump.go
+++ b/scheduler/dump.go
@@ -95,7 +95,7 @@
 
 // Dump returns the state of the core.
 func (cor *Core) Dump(now time.Time) Dump {
-	dum := Dump{Parts: cor.parts, Cases: cor.dumpCases(now), Restricted: cor.quarantine.Restricted()}
+	dum := Dump{Parts: cor.divisor, Cases: cor.dumpCases(now), Restricted: cor.quarantine.Restricted()}
 	for _, svc := range cor.services {
 		dum.Services = append(dum.Services, svc.dump(now))
 	}
@@ -109,15 +109,15 @@
 }
 
 func (svc *service) dump(now time.Time) ServiceDump {
-	svc.repeats.advance(now)
+	svc.retries.advance(now)
 	ref := svc.pace.Reference()
 	dum := ServiceDump{
 		Name: svc.name, Waiting: len(svc.waiting),
 		Overhead: ref.Overhead.String(), Token: ref.Token.String(), Event: ref.Event.String(),
 	}
 	for idx := range windowSlots {
-		dum.Requests += svc.repeats.requests[idx]
-		dum.Repeated += svc.repeats.repeated[idx]
+		dum.Requests += svc.retries.requests[idx]
+		dum.Repeated += svc.retries.retried[idx]
 	}
 	if svc.rollout != nil {
 		rod := svc.rollout.Dump()
@@ -132,30 +132,30 @@
 func (ene *engine) dump(now time.Time) EngineDump {
 	pro := ene.model.Profile()
 	dum := EngineDump{
-		ID: ene.ID, Version: ene.Version, Running: len(ene.running), Slots: ene.Slots, Draining: ene.Draining, Emptied: ene.Emptied, Unread: ene.unreadTime(now).String(),
+		ID: ene.ID, Version: ene.Version, Running: len(ene.running), Slots: ene.Slots, Draining: ene.Draining, Emptied: ene.Emptied, Unread: ene.pendingPrefillTime(now).String(),
 		Read: pro.Read, Event: pro.Event, Weight: pro.Weight,
-		Work: ene.work.String(), CachedTokens: ene.partTokens,
+		Work: ene.serviceTime.String(), CachedTokens: ene.cachedTokens,
 	}
-	if ene.said != nil {
-		dum.Says, dum.PausedFor, dum.Asked = ene.said.String(), max(0, ene.said.sharedUntil.Sub(now)).String(), len(ene.said.asked)
+	if ene.signals != nil {
+		dum.Says, dum.PausedFor, dum.Asked = ene.signals.String(), max(0, ene.signals.sharedBackoffUntil.Sub(now)).String(), len(ene.signals.backoffUntil)
 	}
-	if ene.pacing != nil && ene.pacing.holds(now) {
-		dum.Rate = ene.pacing.dump(now)
+	if ene.limiter != nil && ene.limiter.isActive(now) {
+		dum.Rate = ene.limiter.dump(now)
 	}
 	if ene.isCold(now) {
-		dum.ColdFor = ene.pacing.coldUntil.Sub(now).String()
+		dum.ColdFor = ene.limiter.coldUntil.Sub(now).String()
 	}
-	if ene.health.aside > 0 {
-		dum.AsideFor = max(0, ene.health.until.Sub(now)).String()
+	if ene.health.ejectedFor > 0 {
+		dum.AsideFor = max(0, ene.health.ejectedUntil.Sub(now)).String()
 	}
 	return dum
 }
 
-func (lim *pacing) dump(now time.Time) *RateDump {
+func (lim *rateLimiter) dump(now time.Time) *RateDump {
 	lim.fill(now)
-	lim.forgetSpent(now)
+	lim.expireGrants(now)
 	dum := &RateDump{PerSecond: lim.limit(now), Own: lim.rate(now), Tokens: lim.tokens, Spent: make(map[string]int)}
-	for _, grt := range lim.spent {
+	for _, grt := range lim.grants {
 		dum.Spent[grt.gateway.String()]++
 	}
 	return dum
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -26,35 +26,35 @@
 	running map[request.ID]*run
 	// model predicts the engine's prefill and decode times.
 	model *pace.Engine
-	// prefills are the runs with a pending prefill, in the order of their grants. headSince is
+	// prefills are the runs with a pending prefill, in the order of their grants. prefillSince is
 	// when the engine began with the first of them.
-	reading   []*run
-	headSince time.Time
+	prefills     []*run
+	prefillSince time.Time
 	// serviceTime is the estimated time of a request without a prompt.
-	work time.Duration
+	serviceTime time.Duration
 	// occupancy is the estimated time that a request with a prompt occupies a slot.
-	stay time.Duration
+	occupancy time.Duration
 	// eventTokens is the number of tokens in one event of an answer.
 	eventTokens int
 	// cached holds the prompt parts that are assumed to be in the engine's cache.
-	parts       *simplelru.LRU[uint64, int]
-	partTokens  int
-	cacheTokens int
-	health      health
-	// apartUntil is the end of the engine's isolation, aloneRuns the number of its
+	cached       *simplelru.LRU[uint64, int]
+	cachedTokens int
+	cacheTokens  int
+	health       health
+	// isolatedUntil is the end of the engine's isolation, exclusiveRuns the number of its
 	// exclusive runs.
-	apartUntil time.Time
-	aloneRuns  int
-	// crashed is set if the engine was reported to have crashed, at endedAt. Its entry may still
+	isolatedUntil time.Time
+	exclusiveRuns int
+	// crashed is set if the engine was reported to have crashed, at crashedAt. Its entry may still
 	// be registered.
-	ended   bool
-	endedAt time.Time
+	crashed   bool
+	crashedAt time.Time
 	// signals are the engine's signals in force; nil for none.
-	said *said
+	signals *signalState
 	// limiter limits the grants of the engine to its signaled rate, and to the configured rate
 	// while it is cold; nil if neither applies. rateEnded is set if a signaled rate was followed
 	// by an answer without one.
-	pacing    *pacing
+	limiter   *rateLimiter
 	rateEnded bool
 }
 
@@ -65,13 +65,13 @@
 	account string
 	cost    float64
 	// tokens is the number of prompt tokens to prefill; 0 for a request without a prompt.
-	tokens int
-	unread bool
+	tokens         int
+	prefillPending bool
 	// prefillTime is the predicted time of the prefill, grantedAt the time of the grant.
-	read  time.Duration
-	given time.Time
+	prefillTime time.Duration
+	grantedAt   time.Time
 	// endsAt is the predicted end of the run.
-	ends time.Time
+	endsAt time.Time
 	// queued is set if the request had to wait for a slot or for other prefills. Its first event
 	// then isn't a measure of the engine's speed.
 	queued bool
@@ -79,7 +79,7 @@
 	expected time.Duration
 	// tookToken is set if the run took a token of the engine's rate limiter, inherited if another
 	// core granted it some time ago.
-	paced     bool
+	tookToken bool
 	inherited bool
 	// cold is set if the engine was cold at the grant, so that the run isn't a measure of its
 	// speed when warm.
@@ -92,93 +92,93 @@
 	// subject identifies the request in the quarantine. exclusive is set if it is suspected and
 	// has the engine for itself, restricted if its traffic source is restricted and only such
 	// requests run beside it, watched if it was involved in a crash before.
-	subject quarantine.Subject
-	alone   bool
-	guarded bool
-	watched bool
+	subject    quarantine.Subject
+	exclusive  bool
+	restricted bool
+	watched    bool
 }
 
-// maxParts bounds the number of cached prompt parts tracked per engine.
-const maxParts = 4096
+// maxCachedParts bounds the number of cached prompt parts tracked per engine.
+const maxCachedParts = 4096
 
-// maxOver bounds the runs beyond an engine's slots that slotWait distinguishes. More than
-// beyondSlots occur only if hosts have scheduled alone.
-const maxOver = 8
+// maxExcessRuns bounds the runs beyond an engine's slots that slotWait distinguishes. More than
+// maxEngineQueue occur only if hosts have scheduled alone.
+const maxExcessRuns = 8
 
 func newEngine(eng fleet.Engine, model *pace.Engine) *engine {
 	ene := &engine{
-		Engine: eng, name: eng.ID.String(), running: make(map[request.ID]*run), model: model, work: assumedWork,
-		stay: assumedStay, eventTokens: 1, cacheTokens: assumedCacheTokens,
+		Engine: eng, name: eng.ID.String(), running: make(map[request.ID]*run), model: model, serviceTime: initialServiceTime,
+		occupancy: initialOccupancy, eventTokens: 1, cacheTokens: defaultCacheTokens,
 	}
 	// NewLRU fails only for a size below 1.
-	ene.parts, _ = simplelru.NewLRU(maxParts, func(_ uint64, tokens int) { ene.partTokens -= tokens })
+	ene.cached, _ = simplelru.NewLRU(maxCachedParts, func(_ uint64, tokens int) { ene.cachedTokens -= tokens })
 	return ene
 }
 
-// unreadTime predicts how long the engine's pending prefills take. A prefill whose first
+// pendingPrefillTime predicts how long the engine's pending prefills take. A prefill whose first
 // event is overdue is assumed to need as long again as it is late, which delays those behind it
 // too.
-func (ene *engine) unreadTime(now time.Time) time.Duration {
-	if len(ene.reading) == 0 {
+func (ene *engine) pendingPrefillTime(now time.Time) time.Duration {
+	if len(ene.prefills) == 0 {
 		return 0
 	}
-	head := ene.reading[0]
-	elapsed := now.Sub(ene.headSince)
-	late := elapsed - head.read - ene.model.Overhead()
-	left := max(0, head.read-elapsed, late)
-	for _, rnn := range ene.reading[1:] {
-		left += rnn.read
+	head := ene.prefills[0]
+	elapsed := now.Sub(ene.prefillSince)
+	late := elapsed - head.prefillTime - ene.model.Overhead()
+	left := max(0, head.prefillTime-elapsed, late)
+	for _, rnn := range ene.prefills[1:] {
+		left += rnn.prefillTime
 	}
 	return left
 }
 
 // start records that the engine was granted a run.
-func (ene *engine) begin(now time.Time, rnn *run, answerTokens int) {
-	rnn.given, rnn.cold = now, ene.isCold(now)
-	rnn.ends = now.Add(ene.lasting(rnn, answerTokens))
-	if !rnn.unread || rnn.tokens == 0 {
+func (ene *engine) start(now time.Time, rnn *run, answerTokens int) {
+	rnn.grantedAt, rnn.cold = now, ene.isCold(now)
+	rnn.endsAt = now.Add(ene.runTime(rnn, answerTokens))
+	if !rnn.prefillPending || rnn.tokens == 0 {
 		return
 	}
-	rnn.read = ene.model.ReadTime(rnn.tokens)
-	rnn.queued = rnn.queued || len(ene.reading) > 0
-	if len(ene.reading) == 0 {
-		ene.headSince = now
+	rnn.prefillTime = ene.model.PrefillTime(rnn.tokens)
+	rnn.queued = rnn.queued || len(ene.prefills) > 0
+	if len(ene.prefills) == 0 {
+		ene.prefillSince = now
 	}
-	ene.reading = append(ene.reading, rnn)
+	ene.prefills = append(ene.prefills, rnn)
 }
 
 // runTime predicts the duration of a run; without a length hint it is the estimated occupancy.
-func (ene *engine) lasting(rnn *run, answerTokens int) time.Duration {
+func (ene *engine) runTime(rnn *run, answerTokens int) time.Duration {
 	if answerTokens <= 0 {
-		return ene.stay
+		return ene.occupancy
 	}
-	return rnn.expected + ene.stayTime(answerTokens)
+	return rnn.expected + ene.decodeTime(answerTokens)
 }
 
 // finishPrefill records that the prefill of a run has finished, or that the run has ended.
-func (ene *engine) end(now time.Time, rnn *run) {
-	rnn.unread = false
-	pos := slices.Index(ene.reading, rnn)
+func (ene *engine) finishPrefill(now time.Time, rnn *run) {
+	rnn.prefillPending = false
+	pos := slices.Index(ene.prefills, rnn)
 	if pos < 0 {
 		return
 	}
-	ene.reading = slices.Delete(ene.reading, pos, pos+1)
-	if pos > 0 || len(ene.reading) == 0 {
+	ene.prefills = slices.Delete(ene.prefills, pos, pos+1)
+	if pos > 0 || len(ene.prefills) == 0 {
 		return
 	}
 	// The engine began with the next prefill when it finished this one, some steps before the
 	// first event.
-	ene.headSince = now
-	if began := now.Add(-ene.model.Overhead()); began.After(ene.reading[0].given) {
-		ene.headSince = began
+	ene.prefillSince = now
+	if began := now.Add(-ene.model.Overhead()); began.After(ene.prefills[0].grantedAt) {
+		ene.prefillSince = began
 	}
 }
 
-// toRead returns the number of prompt tokens that the engine's cache lacks. A part is
+// uncachedTokens returns the number of prompt tokens that the engine's cache lacks. A part is
 // served from the cache only if all parts before it are cached too.
-func (ene *engine) toRead(tokens int, parts []call.Part) int {
+func (ene *engine) uncachedTokens(tokens int, parts []call.Part) int {
 	for _, par := range parts {
-		if !ene.parts.Contains(par.ID) {
+		if !ene.cached.Contains(par.ID) {
 			break
 		}
 		tokens -= par.Tokens
@@ -187,34 +187,34 @@
 }
 
 // cacheParts adds the prompt's parts to those assumed to be cached.
-func (ene *engine) remember(parts []call.Part) {
+func (ene *engine) cacheParts(parts []call.Part) {
 	for _, par := range parts {
-		if _, known := ene.parts.Get(par.ID); known {
+		if _, known := ene.cached.Get(par.ID); known {
 			continue
 		}
-		ene.parts.Add(par.ID, par.Tokens)
-		ene.partTokens += par.Tokens
+		ene.cached.Add(par.ID, par.Tokens)
+		ene.cachedTokens += par.Tokens
 	}
-	for ene.partTokens > int(cacheShare*float64(ene.cacheTokens)) && ene.parts.Len() > 0 {
-		ene.parts.RemoveOldest()
+	for ene.cachedTokens > int(cacheShare*float64(ene.cacheTokens)) && ene.cached.Len() > 0 {
+		ene.cached.RemoveOldest()
 	}
 }
 
 // startDelay predicts how long a request waits until the engine begins with it.
-func (ene *engine) wait(now time.Time, tokens int) time.Duration {
+func (ene *engine) startDelay(now time.Time, tokens int) time.Duration {
 	if tokens == 0 {
 		queued := max(0, len(ene.running)-ene.Slots+1)
-		return ene.work * time.Duration(queued) / time.Duration(max(1, ene.Slots))
+		return ene.serviceTime * time.Duration(queued) / time.Duration(max(1, ene.Slots))
 	}
-	return max(ene.unreadTime(now), ene.slotWait(now))
+	return max(ene.pendingPrefillTime(now), ene.slotWait(now))
 }
 
 // unloadedFirst predicts the time to the first event on an otherwise idle engine.
-func (ene *engine) alone(tokens int) time.Duration {
+func (ene *engine) unloadedFirst(tokens int) time.Duration {
 	if tokens == 0 {
-		return ene.work
+		return ene.serviceTime
 	}
-	return ene.model.ReadTime(tokens) + ene.model.Overhead()
+	return ene.model.PrefillTime(tokens) + ene.model.Overhead()
 }
 
 // slotWait predicts how long the next request waits for a slot: until as many runs have ended as
@@ -224,11 +224,11 @@
 	if excess <= 0 {
 		return 0
 	}
-	var soonest [maxOver]time.Duration
-	excess = min(excess, maxOver)
+	var soonest [maxExcessRuns]time.Duration
+	excess = min(excess, maxExcessRuns)
 	count := 0
 	for _, rnn := range ene.running {
-		left := rnn.left(now)
+		left := rnn.timeLeft(now)
 		pos := count
 		for pos > 0 && soonest[pos-1] > left {
 			pos--
@@ -245,42 +245,42 @@
 
 // timeLeft predicts the remaining time of a run. An overdue run is assumed to need half as long
 // again as it is late, since long answers are the least predictable.
-func (rnn *run) left(now time.Time) time.Duration {
-	left := rnn.ends.Sub(now)
+func (rnn *run) timeLeft(now time.Time) time.Duration {
+	left := rnn.endsAt.Sub(now)
 	if left < 0 {
 		left = -left / 2
 	}
 	return left
 }
 
-// learnRead applies the measured time to the first event of a prompt that didn't wait.
-func (ene *engine) learnRead(rnn *run, took time.Duration) {
+// learnPrefill applies the measured time to the first event of a prompt that didn't wait.
+func (ene *engine) learnPrefill(rnn *run, took time.Duration) {
 	if !rnn.queued && !rnn.cold {
-		ene.model.ObserveRead(rnn.tokens, took)
+		ene.model.ObservePrefill(rnn.tokens, took)
 	}
 }
 
-// learnWork applies the measured time of a request without a prompt.
-func (ene *engine) learnWork(rnn *run, took time.Duration) {
+// learnServiceTime applies the measured time of a request without a prompt.
+func (ene *engine) learnServiceTime(rnn *run, took time.Duration) {
 	if rnn.cold {
 		return
 	}
-	ene.work += time.Duration(workGain * float64(took-ene.work))
+	ene.serviceTime += time.Duration(serviceTimeGain * float64(took-ene.serviceTime))
 }
 
-// learnStay applies the measured time of a request with a prompt.
-func (ene *engine) learnStay(took time.Duration) {
-	ene.stay += time.Duration(stayGain * float64(took-ene.stay))
+// learnOccupancy applies the measured time of a request with a prompt.
+func (ene *engine) learnOccupancy(took time.Duration) {
+	ene.occupancy += time.Duration(occupancyGain * float64(took-ene.occupancy))
 }
 
-// stayTime predicts the time of an answer from its first event on.
-func (ene *engine) stayTime(answerTokens int) time.Duration {
+// decodeTime predicts the time of an answer from its first event on.
+func (ene *engine) decodeTime(answerTokens int) time.Duration {
 	return time.Duration(float64(answerTokens) / float64(ene.eventTokens) * float64(ene.model.Event()))
 }
 
-// finishChance returns the probability that a stream ends before its deadline. It takes the
+// finishProbability returns the probability that a stream ends before its deadline. It takes the
 // client's length hint as the median of a log-normal distribution.
-func (ene *engine) finishChance(first time.Duration, answerTokens int, remaining time.Duration) float64 {
+func (ene *engine) finishProbability(first time.Duration, answerTokens int, remaining time.Duration) float64 {
 	if answerTokens <= 0 {
 		return 1
 	}
@@ -288,6 +288,6 @@
 	if available <= 0 {
 		return 0
 	}
-	deviation := math.Log2(float64(available)/float64(ene.stayTime(answerTokens))) / hintSpread
+	deviation := math.Log2(float64(available)/float64(ene.decodeTime(answerTokens))) / lengthHintDeviation
 	return 0.5 * (1 + math.Erf(deviation/math.Sqrt2))
 }
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -36,7 +36,7 @@
 
 func TestAccountLimitIsDivided(t *testing.T) {
 	har := newHarness(plainEngine("e", 1000))
-	har.handle(scheduler.ShareChanged{Parts: 3})
+	har.handle(scheduler.ShareChanged{Divisor: 3})
 	har.configure(route.Account{Name: "kitchen", Rate: 90, Burst: 900, ByTokens: true})
 	har.advance(time.Minute)
 	served := 0
--- a/scheduler/line.go
+++ b/scheduler/line.go
@@ -19,9 +19,9 @@
 	since   time.Time
 	// until is when the request is refused.
 	until time.Time
-	// usualAt is the version of the quarantine, plus one, at which the request was found to need
+	// normalAt is the version of the quarantine, plus one, at which the request was found to need
 	// no special handling; 0 for none.
-	usualAt uint64
+	normalAt uint64
 	// scope identifies the regions in which the request may run; empty for all.
 	scope string
 	// late is set if the client had already waited longer than the latency target when this
@@ -29,39 +29,39 @@
 	// take capacity from those that can meet theirs.
 	late bool
 	// rateLimited is set if only a rate limit kept an engine from being granted.
-	paced bool
+	rateLimited bool
 }
 
 func (cor *Core) reserve(now time.Time, from request.Epoch, res reservation.Reserve) {
 	svc := cor.service(res.Service)
-	cor.asked[from] = now
-	if cor.heldBack(now, from, res, svc) || cor.refuseOutside(now, from, res, svc) {
+	cor.lastReserved[from] = now
+	if cor.refuseQuarantined(now, from, res, svc) || cor.refuseRegion(now, from, res, svc) {
 		return
 	}
 	if res.Attempt == 0 {
 		if !res.Again {
-			svc.repeats.count(now)
+			svc.retries.count(now)
 		}
-		if cor.overLimit(now, res) {
+		if cor.exceedsLimit(now, res) {
 			cor.refuse(from, res, reservation.ReasonLimit, svc.inputs(now, now))
 			return
 		}
-	} else if !res.Again && !svc.repeats.take(now, cor.parts) {
+	} else if !res.Again && !svc.retries.take(now, cor.divisor) {
 		cor.refuse(from, res, reservation.ReasonBudget, svc.inputs(now, now))
 		return
 	}
 	svc.arrivals++
 	wai := &waiter{reserve: res, gateway: from, number: svc.arrivals, since: now, scope: strings.Join(res.Regions, " ")}
 	wai.late = res.Attempt == 0 && res.Age > res.Aim
-	wai.until = now.Add(waitTime(res))
+	wai.until = now.Add(maxWait(res))
 	pos, _ := slices.BinarySearchFunc(svc.waiting, wai, compareWaiters)
 	svc.waiting = slices.Insert(svc.waiting, pos, wai)
 	cor.serve(now, svc)
 }
 
-// waitTime returns the maximum time that a request may wait for an engine.
-func waitTime(res reservation.Reserve) time.Duration {
-	return min(max(0, time.Duration(waitShare*float64(res.Aim))-waitMargin), res.Remaining)
+// maxWait returns the maximum time that a request may wait for an engine.
+func maxWait(res reservation.Reserve) time.Duration {
+	return min(max(0, time.Duration(maxWaitShare*float64(res.Aim))-responseMargin), res.Remaining)
 }
 
 func compareWaiters(left, right *waiter) int {
@@ -95,27 +95,27 @@
 
 // inputs returns the inputs of a decision on a request of the service.
 func (svc *service) inputs(now, since time.Time) Inputs {
-	inp := Inputs{Waited: now.Sub(since), Waiting: len(svc.waiting), Engines: len(svc.engines), Aside: svc.aside(now)}
-	inp.AsideUsed = !svc.mayLeaveOut(inp.Aside)
+	inp := Inputs{Waited: now.Sub(since), Waiting: len(svc.waiting), Engines: len(svc.engines), Ejected: svc.ejected(now)}
+	inp.EjectedUsed = !svc.mayEject(inp.Ejected)
 	return inp
 }
 
-// inputsOf returns the inputs of a decision on a waiting request.
-func (svc *service) inputsOf(now time.Time, wai *waiter) Inputs {
+// inputsFor returns the inputs of a decision on a waiting request.
+func (svc *service) inputsFor(now time.Time, wai *waiter) Inputs {
 	inp := svc.inputs(now, wai.since)
-	inp.Paced, inp.WaitedForRate = svc.paced, wai.paced
+	inp.RateLimited, inp.WaitedForRate = svc.limited, wai.rateLimited
 	return inp
 }
 
 // retryAfter returns when the client of a refused request should retry: within its remaining
 // time, with jitter so that clients don't retry at the same moment.
 func retryAfter(res reservation.Reserve) time.Duration {
-	share := minRetryShare + (maxRetryShare-minRetryShare)*pointOf(res.ID)
-	return time.Duration(share * float64(min(res.Remaining, maxRetrySpan)))
+	share := minRetryShare + (maxRetryShare-minRetryShare)*hashFraction(res.ID)
+	return time.Duration(share * float64(min(res.Remaining, maxRetryBase)))
 }
 
-// pointOf maps a request id to an evenly distributed number from 0 to below 1.
-func pointOf(id request.ID) float64 {
+// hashFraction maps a request id to an evenly distributed number from 0 to below 1.
+func hashFraction(id request.ID) float64 {
 	hash := fnv.New32a()
 	// Write never returns an error.
 	_, _ = hash.Write([]byte(id.Unique))
@@ -128,29 +128,29 @@
 	if len(svc.waiting) == 0 {
 		return
 	}
-	svc.forgetSaid(now)
-	cor.warm(now, svc)
+	svc.expireSignals(now)
+	cor.expireCold(now, svc)
 	kept := svc.waiting[:0]
 	alw := svc.allowance(now)
-	var scn line
+	var scn queueScan
 	for _, wai := range svc.waiting {
-		han := cor.handlingOf(now, wai)
+		han := cor.cachedHandling(now, wai)
 		switch {
 		case han == handleHeld:
-			cor.giveBack(wai.reserve.Account, cor.costOf(wai.reserve))
-			cor.heldBack(now, wai.gateway, wai.reserve, svc)
-		case (han == handleAlone || han == handleGuarded || !scn.isFull(wai)) && cor.grant(now, svc, wai, han):
-		case cor.refuseClosed(now, svc, wai):
-		case han == handleUsual && cor.refuseSpent(now, svc, wai, alw, len(kept)):
+			cor.refund(wai.reserve.Account, cor.costOf(wai.reserve))
+			cor.refuseQuarantined(now, wai.gateway, wai.reserve, svc)
+		case (han == handleExclusive || han == handleRestricted || !scn.isFull(wai)) && cor.grant(now, svc, wai, han):
+		case cor.refuseBlocked(now, svc, wai):
+		case han == handleNormal && cor.refuseRateLimited(now, svc, wai, alw, len(kept)):
 		case !now.Before(wai.until):
-			if !wai.late && han == handleUsual {
+			if !wai.late && han == handleNormal {
 				svc.refusedAt = now
 			}
-			cor.giveBack(wai.reserve.Account, cor.costOf(wai.reserve))
-			cor.refuse(wai.gateway, wai.reserve, reservation.ReasonOverload, svc.inputsOf(now, wai))
+			cor.refund(wai.reserve.Account, cor.costOf(wai.reserve))
+			cor.refuse(wai.gateway, wai.reserve, reservation.ReasonOverload, svc.inputsFor(now, wai))
 		default:
-			if len(wai.reserve.Exclude) == 0 && han == handleUsual {
-				scn.note(now, svc, wai, len(cor.closed[wai.gateway]) > 0)
+			if len(wai.reserve.Exclude) == 0 && han == handleNormal {
+				scn.recordFull(now, svc, wai, len(cor.closed[wai.gateway]) > 0)
 			}
 			kept = append(kept, wai)
 		}
@@ -163,7 +163,7 @@
 	for _, svc := range cor.services {
 		for idx, wai := range svc.waiting {
 			if wai.reserve.ID == id {
-				cor.giveBack(wai.reserve.Account, cor.costOf(wai.reserve))
+				cor.refund(wai.reserve.Account, cor.costOf(wai.reserve))
 				svc.waiting = slices.Delete(svc.waiting, idx, idx+1)
 				return
 			}
@@ -175,40 +175,40 @@
 
 // queueScan is what one pass over the queue has found about free capacity. Thousands of requests
 // may wait, so what applies to all requests of a gateway is determined once.
-type line struct {
-	// full is set if a request without special handling found no engine. fullFor is the
+type queueScan struct {
+	// full is set if a request without special handling found no engine. fullByGateway is the
 	// same for single gateways that have a backoff from an engine in force, or that send nothing
 	// to some failure domains: their requests may find no engine where others do.
-	full    bool
-	fullFor map[request.Epoch]bool
-	// fullIn is the same for requests that are limited to some regions, by scope.
-	fullIn map[string]bool
+	full          bool
+	fullByGateway map[request.Epoch]bool
+	// fullByScope is the same for requests that are limited to some regions, by scope.
+	fullByScope map[string]bool
 }
 
 // isFull reports whether requests like this one, without special handling, find no engine.
-func (scn *line) isFull(wai *waiter) bool {
-	return scn.full || scn.fullFor[wai.gateway] || wai.scope != "" && scn.fullIn[wai.scope]
+func (scn *queueScan) isFull(wai *waiter) bool {
+	return scn.full || scn.fullByGateway[wai.gateway] || wai.scope != "" && scn.fullByScope[wai.scope]
 }
 
 // recordFull records that a request without special handling found no engine. constrained is set
 // if some engines are closed to its gateway that may be open to others.
-func (scn *line) note(now time.Time, svc *service, wai *waiter, constrained bool) {
+func (scn *queueScan) recordFull(now time.Time, svc *service, wai *waiter, constrained bool) {
 	if scn.isFull(wai) {
 		return
 	}
-	anyGateway := !constrained && (svc.said == 0 || !svc.hasAsked(now, wai.gateway))
+	anyGateway := !constrained && (svc.signaled == 0 || !svc.hasBackoff(now, wai.gateway))
 	switch {
 	case anyGateway && wai.scope == "":
 		scn.full = true
 	case anyGateway:
-		if scn.fullIn == nil {
-			scn.fullIn = make(map[string]bool)
+		if scn.fullByScope == nil {
+			scn.fullByScope = make(map[string]bool)
 		}
-		scn.fullIn[wai.scope] = true
+		scn.fullByScope[wai.scope] = true
 	case wai.scope == "":
-		if scn.fullFor == nil {
-			scn.fullFor = make(map[request.Epoch]bool)
+		if scn.fullByGateway == nil {
+			scn.fullByGateway = make(map[request.Epoch]bool)
 		}
-		scn.fullFor[wai.gateway] = true
+		scn.fullByGateway[wai.gateway] = true
 	}
 }
--- a/scheduler/listing.go
+++ b/scheduler/listing.go
@@ -7,9 +7,9 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-func (cor *Core) changeEngines(now time.Time, engines []fleet.Engine) {
+func (cor *Core) applyEngines(now time.Time, engines []fleet.Engine) {
 	for _, svc := range cor.services {
-		svc.engines, svc.said, svc.paced, svc.closings = svc.engines[:0], 0, 0, closings{}
+		svc.engines, svc.signaled, svc.limited, svc.blockCache = svc.engines[:0], 0, 0, blockCache{}
 	}
 	known := make(map[fleet.EngineID]bool, len(engines))
 	for _, eng := range engines {
@@ -20,14 +20,14 @@
 			cor.engines[eng.ID] = ene
 		}
 		ene.Engine, ene.region = eng, cor.regionOf(eng.Domain)
-		cor.equip(ene)
+		cor.applyModel(ene)
 		svc := cor.service(eng.Service)
 		svc.engines = append(svc.engines, ene)
-		if ene.said != nil {
-			svc.said++
+		if ene.signals != nil {
+			svc.signaled++
 		}
-		if ene.pacing != nil {
-			svc.paced++
+		if ene.limiter != nil {
+			svc.limited++
 		}
 	}
 	for id := range cor.engines {
@@ -35,15 +35,15 @@
 			delete(cor.engines, id)
 		}
 	}
-	cor.chillListed(now)
-	cor.settleDoubts(now)
+	cor.markRegisteredCold(now)
+	cor.settleUnconfirmed(now)
 	for _, svc := range cor.services {
 		cor.serve(now, svc)
 	}
 }
 
 // applyModel applies the configured model parameters of the engine's service.
-func (cor *Core) equip(ene *engine) {
+func (cor *Core) applyModel(ene *engine) {
 	if cor.table == nil {
 		return
 	}
@@ -57,23 +57,23 @@
 	}
 }
 
-func (cor *Core) changeTable(now time.Time, tab *route.Table) {
+func (cor *Core) applyConfiguration(now time.Time, tab *route.Table) {
 	cor.table = tab
 	cor.buckets = cor.newBuckets(now)
 	for _, ene := range cor.engines {
-		cor.equip(ene)
+		cor.applyModel(ene)
 	}
-	cor.chillListed(now)
+	cor.markRegisteredCold(now)
 }
 
-func (cor *Core) changeShare(now time.Time, cha ShareChanged) {
+func (cor *Core) applyShare(now time.Time, cha ShareChanged) {
 	cor.hosts = cha.Hosts
-	cor.forgetAsked(now)
-	if (cha.Parts == cor.parts && cha.Elsewhere == cor.elsewhere) || cha.Parts < 1 {
+	cor.expireReports(now)
+	if (cha.Divisor == cor.divisor && cha.Standby == cor.standby) || cha.Divisor < 1 {
 		return
 	}
-	cor.parts, cor.elsewhere = cha.Parts, cha.Elsewhere
-	cor.shareRates(now)
+	cor.divisor, cor.standby = cha.Divisor, cha.Standby
+	cor.redistributeRates(now)
 	if cor.table != nil {
 		cor.buckets = cor.newBuckets(now)
 	}
--- a/scheduler/notice_test.go
+++ b/scheduler/notice_test.go
@@ -239,9 +239,9 @@
 	}
 }
 
-// BenchmarkManyWaitingUnderPauses measures a tick while thousands of requests of 300 gateways wait
+// BenchmarkManyWaitingUnderBackoff measures a tick while thousands of requests of 300 gateways wait
 // for 650 engines, some of which have sent a backoff request to some gateways.
-func BenchmarkManyWaitingUnderPauses(b *testing.B) {
+func BenchmarkManyWaitingUnderBackoff(b *testing.B) {
 	for _, backedOff := range []int{0, 1, 65, 650} {
 		b.Run(fmt.Sprint(backedOff, "of650"), func(b *testing.B) {
 			engines := make([]fleet.Engine, 650)
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -103,12 +103,12 @@
 )
 
 func newBackoffSim(cfg backoffSimConfig) *backoffSim {
-	scope := map[backoffPolicy]scheduler.PauseScope{backoffOfReceiver: scheduler.PauseAsked, backoffOfAll: scheduler.PauseAll}[cfg.policy]
+	scope := map[backoffPolicy]scheduler.BackoffScope{backoffOfReceiver: scheduler.BackoffRecipient, backoffOfAll: scheduler.BackoffAll}[cfg.policy]
 	sim := &backoffSim{
 		cfg: cfg, random: rand.New(rand.NewPCG(cfg.seed, 11)), engines: make(map[string]*backoffEngine),
 		notices: make(map[request.Epoch]*fleet.Notices), waiting: make(map[request.ID]*backoffRun),
 		har: &harness{
-			core: scheduler.New(scheduler.Config{Self: ownEpoch, Repeats: scheduler.Repeats{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}, LimitSlack: 1000, Pauses: scope}),
+			core: scheduler.New(scheduler.Config{Self: ownEpoch, RetryBudget: scheduler.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}, LimitSlack: 1000, BackoffScope: scope}),
 			now:  time.Unix(5000, 0),
 		},
 	}
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -12,9 +12,9 @@
 // far as its gateway or this core knows, and it runs only in the regions that its route and its
 // client account allow.
 
-// closeDomains replaces the failure domains to which a gateway sends nothing. The gateway
+// applyClosedDomains replaces the failure domains to which a gateway sends nothing. The gateway
 // may learn of an evacuation before this core does.
-func (cor *Core) closeDomains(evt DomainsClosed) {
+func (cor *Core) applyClosedDomains(evt DomainsClosed) {
 	delete(cor.closed, evt.Gateway)
 	if len(evt.Domains) == 0 {
 		return
@@ -38,25 +38,25 @@
 }
 
 // placement constrains the engines that a request may run on.
-type places struct {
+type placement struct {
 	// closed are the failure domains to which the gateway sends nothing. regions are the allowed
 	// regions; empty for all.
 	closed  map[string]bool
 	regions []string
 }
 
-func (cor *Core) placesFor(gateway request.Epoch, res reservation.Reserve) places {
-	return places{closed: cor.closed[gateway], regions: res.Regions}
+func (cor *Core) placementFor(gateway request.Epoch, res reservation.Reserve) placement {
+	return placement{closed: cor.closed[gateway], regions: res.Regions}
 }
 
 // isConstrained reports whether the request may not run on some engines.
-func (pla places) bounded() bool {
+func (pla placement) isConstrained() bool {
 	return len(pla.closed) > 0 || len(pla.regions) > 0
 }
 
 // allows reports whether the request may run on an engine. An engine whose region is unknown is
 // in none of the allowed regions.
-func (pla places) allow(ene *engine) bool {
+func (pla placement) allows(ene *engine) bool {
 	if pla.closed[ene.Domain] {
 		return false
 	}
@@ -74,26 +74,26 @@
 	region string
 }
 
-// wayTo returns the cost of the network path from the origin to an engine.
-func (ori origin) wayTo(ene *engine) time.Duration {
+// networkCost returns the cost of the network path from the origin to an engine.
+func (ori origin) networkCost(ene *engine) time.Duration {
 	switch {
 	case ene.Domain == ori.domain:
 		return 0
 	case ene.region != ori.region:
-		return regionCost
+		return crossRegionCost
 	default:
-		return crossCost
+		return crossDomainCost
 	}
 }
 
-// refuseOutside refuses a request at once if no engine may serve it in its allowed regions, and
+// refuseRegion refuses a request at once if no engine may serve it in its allowed regions, and
 // reports whether it did.
-func (cor *Core) refuseOutside(now time.Time, from request.Epoch, res reservation.Reserve, svc *service) bool {
+func (cor *Core) refuseRegion(now time.Time, from request.Epoch, res reservation.Reserve, svc *service) bool {
 	if len(res.Regions) == 0 {
 		return false
 	}
-	pla := places{regions: res.Regions}
-	if slices.ContainsFunc(svc.engines, func(ene *engine) bool { return !ene.leaving() && pla.allow(ene) }) {
+	pla := placement{regions: res.Regions}
+	if slices.ContainsFunc(svc.engines, func(ene *engine) bool { return !ene.isDraining() && pla.allows(ene) }) {
 		return false
 	}
 	cor.refuse(from, res, reservation.ReasonRegion, svc.inputs(now, now))
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -17,14 +17,14 @@
 // second put a service of ten engines out of use. Package quarantine distinguishes poison
 // requests from those that ran beside them; this file keeps them away from other requests.
 
-// HeldRead brings the held requests that are recorded in the store.
-type HeldRead struct{ Holds []quarantine.Hold }
+// HoldsRead brings the held requests that are recorded in the store.
+type HoldsRead struct{ Holds []quarantine.Hold }
 
-// RequestFreed reports that an operator released a held request.
-type RequestFreed struct{ Digest call.Digest }
+// RequestReleased reports that an operator released a held request.
+type RequestReleased struct{ Digest call.Digest }
 
-func (HeldRead) isEvent()     {}
-func (RequestFreed) isEvent() {}
+func (HoldsRead) isEvent()       {}
+func (RequestReleased) isEvent() {}
 
 const (
 	// watchedCost is the cost of placing a watched request on an engine that already runs one. If
@@ -36,16 +36,16 @@
 type handling uint8
 
 const (
-	// handleUsual allows any engine.
-	handleUsual handling = iota
-	// handleLater keeps the request waiting for the result of an earlier run with the same
+	// handleNormal allows any engine.
+	handleNormal handling = iota
+	// handleDeferred keeps the request waiting for the result of an earlier run with the same
 	// digest, or for the end of a pause of its traffic source.
-	handleLater
-	// handleAlone requires an engine that runs nothing else.
-	handleAlone
-	// handleGuarded requires an engine that runs nothing but older requests of restricted
+	handleDeferred
+	// handleExclusive requires an engine that runs nothing else.
+	handleExclusive
+	// handleRestricted requires an engine that runs nothing but older requests of restricted
 	// sources.
-	handleGuarded
+	handleRestricted
 	// handleHeld refuses the request.
 	handleHeld
 )
@@ -54,51 +54,51 @@
 func (cor *Core) handling(now time.Time, res reservation.Reserve) handling {
 	reg := cor.quarantine
 	if reg.Quiet() {
-		return handleUsual
+		return handleNormal
 	}
 	switch reg.Level(now, res.Digest) {
 	case quarantine.LevelHeld:
 		return handleHeld
 	case quarantine.LevelSuspected:
-		if cor.runningOf[res.Digest] > 0 {
-			return handleLater
+		if cor.runningByDigest[res.Digest] > 0 {
+			return handleDeferred
 		}
-		return handleAlone
+		return handleExclusive
 	case quarantine.LevelWatched:
-		if cor.runningOf[res.Digest] > 0 {
-			return handleLater
+		if cor.runningByDigest[res.Digest] > 0 {
+			return handleDeferred
 		}
 	case quarantine.LevelClear:
 	}
 	restricted, pause := reg.Restriction(now, res.Subject().Source())
 	switch {
 	case pause > 0:
-		return handleLater
+		return handleDeferred
 	case restricted:
-		return handleGuarded
+		return handleRestricted
 	default:
-		return handleUsual
+		return handleNormal
 	}
 }
 
-// handlingOf returns how a waiting request is treated. It caches the normal result until the
+// cachedHandling returns how a waiting request is treated. It caches the normal result until the
 // quarantine changes, since it is called for hundreds of waiting requests whenever a run starts
 // or ends (BenchmarkManyWaiting).
-func (cor *Core) handlingOf(now time.Time, wai *waiter) handling {
+func (cor *Core) cachedHandling(now time.Time, wai *waiter) handling {
 	current := cor.quarantine.Version() + 1
-	if wai.usualAt == current {
-		return handleUsual
+	if wai.normalAt == current {
+		return handleNormal
 	}
 	han := cor.handling(now, wai.reserve)
-	if han == handleUsual {
-		wai.usualAt = current
+	if han == handleNormal {
+		wai.normalAt = current
 	}
 	return han
 }
 
-// heldBack refuses a request that can't run in time, and reports whether it did: a held
+// refuseQuarantined refuses a request that can't run in time, and reports whether it did: a held
 // request, or one whose traffic source is paused for longer than the request may wait.
-func (cor *Core) heldBack(now time.Time, from request.Epoch, res reservation.Reserve, svc *service) bool {
+func (cor *Core) refuseQuarantined(now time.Time, from request.Epoch, res reservation.Reserve, svc *service) bool {
 	if cor.quarantine.Quiet() {
 		return false
 	}
@@ -107,7 +107,7 @@
 		return true
 	}
 	_, pause := cor.quarantine.Restriction(now, res.Subject().Source())
-	if pause <= waitTime(res) {
+	if pause <= maxWait(res) {
 		return false
 	}
 	cor.send(from, reservation.Refuse{ID: res.ID, Ballot: res.Ballot, Reason: reservation.ReasonOverload, RetryAfter: pause}, svc.inputs(now, now))
@@ -123,82 +123,82 @@
 	return reservation.Refuse{ID: res.ID, Ballot: res.Ballot, Reason: reservation.ReasonHeld, RetryAfter: left}, true
 }
 
-// noteBegun counts the run by its digest.
-func (cor *Core) noteBegun(rnn *run) {
+// recordStart counts the run by its digest.
+func (cor *Core) recordStart(rnn *run) {
 	if rnn.subject.Digest != (call.Digest{}) {
-		cor.runningOf[rnn.subject.Digest]++
+		cor.runningByDigest[rnn.subject.Digest]++
 	}
-	if rnn.alone {
-		rnn.engine.aloneRuns++
-		cor.service(rnn.engine.Service).aloneRuns++
+	if rnn.exclusive {
+		rnn.engine.exclusiveRuns++
+		cor.service(rnn.engine.Service).exclusiveRuns++
 	}
 }
 
-// noteOver removes the run from the counts.
-func (cor *Core) noteOver(now time.Time, rnn *run) {
+// recordEnd removes the run from the counts.
+func (cor *Core) recordEnd(now time.Time, rnn *run) {
 	dig := rnn.subject.Digest
-	cor.runningOf[dig]--
-	if cor.runningOf[dig] <= 0 {
-		delete(cor.runningOf, dig)
+	cor.runningByDigest[dig]--
+	if cor.runningByDigest[dig] <= 0 {
+		delete(cor.runningByDigest, dig)
 	}
-	if !rnn.alone {
+	if !rnn.exclusive {
 		return
 	}
-	rnn.engine.aloneRuns--
-	cor.service(rnn.engine.Service).aloneRuns--
-	if !cor.anyApart(now, rnn.engine.Service) {
+	rnn.engine.exclusiveRuns--
+	cor.service(rnn.engine.Service).exclusiveRuns--
+	if !cor.needsIsolated(now, rnn.engine.Service) {
 		// No request needs the isolated engine any more: release it for normal requests.
-		rnn.engine.apartUntil = time.Time{}
+		rnn.engine.isolatedUntil = time.Time{}
 	}
 }
 
-// anyApart reports whether a request of the service waits for an isolated engine.
-func (cor *Core) anyApart(now time.Time, service string) bool {
+// needsIsolated reports whether a request of the service waits for an isolated engine.
+func (cor *Core) needsIsolated(now time.Time, service string) bool {
 	svc := cor.services[service]
 	return svc != nil && slices.ContainsFunc(svc.waiting, func(wai *waiter) bool {
 		han := cor.handling(now, wai.reserve)
-		return han == handleAlone || han == handleGuarded
+		return han == handleExclusive || han == handleRestricted
 	})
 }
 
-// noteWhole records a complete answer: it clears the request of suspicion and shows that the
+// recordComplete records a complete answer: it clears the request of suspicion and shows that the
 // engine is alive.
-func (cor *Core) noteWhole(now time.Time, rnn *run) {
+func (cor *Core) recordComplete(now time.Time, rnn *run) {
 	if cor.quarantine.Quiet() {
 		return
 	}
 	cor.quarantine.Answered(now, rnn.subject.Digest)
-	if rnn.guarded && cor.quarantine.AnsweredAlone(rnn.subject.Source()) {
-		cor.sources = append(cor.sources, SourceChange{Source: rnn.subject.Source()})
+	if rnn.restricted && cor.quarantine.AnsweredAlone(rnn.subject.Source()) {
+		cor.sourceChanges = append(cor.sourceChanges, SourceChange{Source: rnn.subject.Source()})
 	}
-	if rnn.engine.ended && rnn.given.After(rnn.engine.endedAt) {
-		rnn.engine.ended = false
+	if rnn.engine.crashed && rnn.grantedAt.After(rnn.engine.crashedAt) {
+		rnn.engine.crashed = false
 		cor.quarantine.Lives(now, rnn.engine.name)
 	}
 }
 
 // applyCrash records a gateway's report that an engine crashed while it ran a request.
-func (cor *Core) engineEnded(now time.Time, msg reservation.EngineEnded) {
+func (cor *Core) applyCrash(now time.Time, msg reservation.EngineEnded) {
 	obs := msg.Observation
 	if rnn := cor.runs[msg.ID]; rnn != nil && rnn.engine.name == obs.Engine {
-		obs.Alone = rnn.alone || rnn.guarded && now.Sub(rnn.given) < quarantine.YoungFor
+		obs.Alone = rnn.exclusive || rnn.restricted && now.Sub(rnn.grantedAt) < quarantine.YoungFor
 	}
 	if msg.Uncertain {
 		cor.quarantine.Doubt(now, obs)
 		return
 	}
-	cor.noteEnd(now, obs)
+	cor.recordCrash(now, obs)
 }
 
-// noteEnd records the crash of an engine that ran a request.
-func (cor *Core) noteEnd(now time.Time, obs quarantine.Observation) {
+// recordCrash records the crash of an engine that ran a request.
+func (cor *Core) recordCrash(now time.Time, obs quarantine.Observation) {
 	ene := cor.engines[fleet.ParseEngineID(obs.Engine)]
-	if ene != nil && !ene.ended {
-		ene.ended, ene.endedAt = true, now
-		cor.chillEnded(now, ene)
-		cor.service(ene.Service).mark(now.Add(goneFor))
-		if !cor.explained(ene) {
-			cor.noteUnexplained(now, ene)
+	if ene != nil && !ene.crashed {
+		ene.crashed, ene.crashedAt = true, now
+		cor.markCrashedCold(now, ene)
+		cor.service(ene.Service).extendExclusions(now.Add(crashHoldOff))
+		if !cor.hasKnownCause(ene) {
+			cor.recordUnexplainedCrash(now, ene)
 		}
 	}
 	cor.quarantine.Ended(now, obs)
@@ -208,24 +208,24 @@
 }
 
 // hasKnownCause reports whether the engine ran a request that was involved in an earlier crash.
-func (cor *Core) explained(ene *engine) bool {
+func (cor *Core) hasKnownCause(ene *engine) bool {
 	for _, rnn := range ene.running {
-		if rnn.alone || rnn.guarded || cor.quarantine.Ends(rnn.subject.Digest) > 0 {
+		if rnn.exclusive || rnn.restricted || cor.quarantine.Ends(rnn.subject.Digest) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// noteUnexplained has the registry compare the traffic sources at the crashed engine with
+// recordUnexplainedCrash has the registry compare the traffic sources at the crashed engine with
 // those at the other engines.
-func (cor *Core) noteUnexplained(now time.Time, crashed *engine) {
+func (cor *Core) recordUnexplainedCrash(now time.Time, crashed *engine) {
 	svc := cor.service(crashed.Service)
 	otherEngines := 0
 	counts := make(map[quarantine.Source]int)
 	youngCounts := make(map[quarantine.Source]int)
 	for _, ene := range svc.engines {
-		if ene == crashed || ene.leaving() || ene.endedLately(now) {
+		if ene == crashed || ene.isDraining() || ene.crashedRecently(now) {
 			continue
 		}
 		otherEngines++
@@ -244,7 +244,7 @@
 		present = append(present, quarantine.Presence{Source: src, Here: true, Young: young[src], Usual: shareOf(counts[src]), UsualYoung: shareOf(youngCounts[src])})
 	}
 	for _, src := range cor.quarantine.UnexplainedEnd(now, present) {
-		cor.sources = append(cor.sources, SourceChange{Source: src, Restricted: true})
+		cor.sourceChanges = append(cor.sourceChanges, SourceChange{Source: src, Restricted: true})
 	}
 }
 
@@ -255,24 +255,24 @@
 	for _, rnn := range ene.running {
 		src := rnn.subject.Source()
 		here[src] = true
-		if now.Sub(rnn.given) <= quarantine.YoungFor {
+		if now.Sub(rnn.grantedAt) <= quarantine.YoungFor {
 			young[src] = true
 		}
 	}
 	return here, young
 }
 
-// settleDoubts passes the known engines to the registry, to settle unconfirmed crashes.
-func (cor *Core) settleDoubts(now time.Time) {
+// settleUnconfirmed passes the known engines to the registry, to settle unconfirmed crashes.
+func (cor *Core) settleUnconfirmed(now time.Time) {
 	if cor.quarantine.Quiet() {
 		return
 	}
 	known := make([]quarantine.Engine, 0, len(cor.engines))
 	for _, ene := range cor.engines {
-		known = append(known, quarantine.Engine{Run: ene.name, Leaving: ene.leaving()})
+		known = append(known, quarantine.Engine{Run: ene.name, Leaving: ene.isDraining()})
 	}
 	for _, obs := range cor.quarantine.EnginesChanged(now, known) {
-		cor.noteEnd(now, obs)
+		cor.recordCrash(now, obs)
 	}
 }
 
@@ -286,8 +286,8 @@
 // QuarantineChanges returns the changes of requests and traffic sources since the last call, for
 // the log and for other hosts.
 func (cor *Core) QuarantineChanges() ([]quarantine.Change, []SourceChange) {
-	changes, sources := cor.quarantine.Changes(), cor.sources
-	cor.sources = nil
+	changes, sources := cor.quarantine.Changes(), cor.sourceChanges
+	cor.sourceChanges = nil
 	return changes, sources
 }
 
@@ -297,8 +297,8 @@
 	return cor.quarantine.Reports(now, minLevel, limit)
 }
 
-// KnowsCase reports whether the request was involved in a crash.
-func (cor *Core) KnowsCase(dig call.Digest) bool {
+// HasCase reports whether the request was involved in a crash.
+func (cor *Core) HasCase(dig call.Digest) bool {
 	return cor.quarantine.Ends(dig) > 0
 }
 
@@ -354,9 +354,9 @@
 			return false
 		}
 		delete(rnn.engine.running, id)
-		rnn.engine.end(now, rnn)
+		rnn.engine.finishPrefill(now, rnn)
 		rnn.engine.endProbe(rnn)
-		cor.noteOver(now, rnn)
+		cor.recordEnd(now, rnn)
 		return true
 	})
 }
--- a/scheduler/rate.go
+++ b/scheduler/rate.go
@@ -19,30 +19,30 @@
 	// minRate is the lowest rate of grants in requests per second, applied even to an engine that
 	// accepts none: only an answer shows that the limit has ended.
 	minRate = 0.5
-	// maxSaved is the capacity of an engine's token bucket, as the time to fill it, in
+	// normalBurstTime is the capacity of an engine's token bucket, as the time to fill it, in
 	// addition to one request. Requests arrive unevenly, and tokens that don't fit are lost to
 	// the waiting requests.
-	maxSaved = 500 * time.Millisecond
-	// coldSaved is the same for a cold engine. It tolerates half as many requests again as its
+	normalBurstTime = 500 * time.Millisecond
+	// coldBurstTime is the same for a cold engine. It tolerates half as many requests again as its
 	// rate within a second, and a grant may be used a quarter of a second later.
-	coldSaved = 200 * time.Millisecond
-	// askedAgain is the period after which an engine with a rate limit is granted a request
+	coldBurstTime = 200 * time.Millisecond
+	// recheckInterval is the period after which an engine with a rate limit is granted a request
 	// even if another engine would serve it better. Only an answer shows that the limit has
 	// ended, and the known state should be a few seconds old at most.
-	askedAgain = 2 * time.Second
-	// spentWindow is how long grants are kept for the dump, maxSpent how many are
+	recheckInterval = 2 * time.Second
+	// recentGrantsWindow is how long grants are kept for the dump, maxRecentGrants how many are
 	// kept.
-	spentWindow = 4 * time.Second
-	maxSpent    = 128
+	recentGrantsWindow = 4 * time.Second
+	maxRecentGrants    = 128
 )
 
 // rateLimiter limits the grants of an engine to its signaled rate, and to the configured rate
 // while it is cold.
-type pacing struct {
-	// hasRate is set if the engine has signaled a rate, perSecond, the last time at namedAt.
-	named     bool
-	perSecond float64
-	namedAt   time.Time
+type rateLimiter struct {
+	// hasRate is set if the engine has signaled a rate, perSecond, the last time at signaledAt.
+	hasRate    bool
+	perSecond  float64
+	signaledAt time.Time
 	// coldUntil is when the engine is warm, coldRate the rate that applies until then, in
 	// requests per second.
 	coldUntil time.Time
@@ -50,33 +50,33 @@
 	// share is this core's share of the rate; 0 while it schedules for no host.
 	share float64
 	// tokens is the content of the bucket at the time filledAt.
-	tokens float64
-	filled time.Time
-	// grants are the recent grants, the newest last, and takenAt the time of the last one.
-	spent   []spending
-	takenAt time.Time
+	tokens   float64
+	filledAt time.Time
+	// grants are the recent grants, the newest last, and lastGrantAt the time of the last one.
+	grants      []rateGrant
+	lastGrantAt time.Time
 }
 
 // rateGrant is a grant that took a token.
-type spending struct {
+type rateGrant struct {
 	gateway request.Epoch
 	at      time.Time
 }
 
 // isCold reports whether the engine is cold.
-func (lim *pacing) isCold(now time.Time) bool {
+func (lim *rateLimiter) isCold(now time.Time) bool {
 	return now.Before(lim.coldUntil)
 }
 
 // isActive reports whether the grants of the engine are limited.
-func (lim *pacing) holds(now time.Time) bool {
-	return lim.named || lim.isCold(now)
+func (lim *rateLimiter) isActive(now time.Time) bool {
+	return lim.hasRate || lim.isCold(now)
 }
 
 // limit returns the engine's limit for all hosts, in requests per second; infinite without one.
-func (lim *pacing) limit(now time.Time) float64 {
+func (lim *rateLimiter) limit(now time.Time) float64 {
 	limit := math.Inf(1)
-	if lim.named {
+	if lim.hasRate {
 		limit = max(minRate, lim.perSecond)
 	}
 	if lim.isCold(now) {
@@ -86,44 +86,44 @@
 }
 
 // rate returns this core's share of the limit, in requests per second.
-func (lim *pacing) rate(now time.Time) float64 {
-	if lim.share == 0 || !lim.holds(now) {
+func (lim *rateLimiter) rate(now time.Time) float64 {
+	if lim.share == 0 || !lim.isActive(now) {
 		return 0
 	}
 	return lim.share * lim.limit(now)
 }
 
-func (lim *pacing) fill(now time.Time) {
+func (lim *rateLimiter) fill(now time.Time) {
 	rate := lim.rate(now)
-	if now.After(lim.filled) {
-		lim.tokens += now.Sub(lim.filled).Seconds() * rate
-		lim.filled = now
+	if now.After(lim.filledAt) {
+		lim.tokens += now.Sub(lim.filledAt).Seconds() * rate
+		lim.filledAt = now
 	}
-	lim.tokens = min(lim.tokens, 1+rate*lim.saved(now).Seconds())
+	lim.tokens = min(lim.tokens, 1+rate*lim.burstTime(now).Seconds())
 }
 
 // burstTime returns the capacity of the bucket as the time to fill it.
-func (lim *pacing) saved(now time.Time) time.Duration {
+func (lim *rateLimiter) burstTime(now time.Time) time.Duration {
 	if lim.isCold(now) {
-		return coldSaved
+		return coldBurstTime
 	}
-	return maxSaved
+	return normalBurstTime
 }
 
 // setRate applies the rate that the engine signaled.
-func (lim *pacing) name(now time.Time, perSecond float64) {
+func (lim *rateLimiter) setRate(now time.Time, perSecond float64) {
 	lim.fill(now)
-	lim.named, lim.perSecond, lim.namedAt = true, perSecond, now
+	lim.hasRate, lim.perSecond, lim.signaledAt = true, perSecond, now
 }
 
 // setCold marks the engine cold until a time, with the rate that applies until then.
-func (lim *pacing) chill(now, until time.Time, perSecond float64) {
+func (lim *rateLimiter) setCold(now, until time.Time, perSecond float64) {
 	lim.fill(now)
 	lim.coldUntil, lim.coldRate = until, perSecond
 }
 
 // setShare applies this core's new share. The bucket is emptied when the share was or becomes 0.
-func (lim *pacing) divide(now time.Time, share float64) {
+func (lim *rateLimiter) setShare(now time.Time, share float64) {
 	lim.fill(now)
 	if lim.share == 0 || share == 0 {
 		lim.tokens = 0
@@ -132,8 +132,8 @@
 }
 
 // admits reports whether a request may be granted.
-func (lim *pacing) admits(now time.Time) bool {
-	if lim == nil || !lim.holds(now) {
+func (lim *rateLimiter) admits(now time.Time) bool {
+	if lim == nil || !lim.isActive(now) {
 		return true
 	}
 	lim.fill(now)
@@ -142,93 +142,93 @@
 
 // needsCheck reports whether the engine has signaled a rate but was granted no request lately
 // that would show whether the rate still applies.
-func (lim *pacing) overdue(now time.Time) bool {
-	if lim == nil || !lim.named {
+func (lim *rateLimiter) needsCheck(now time.Time) bool {
+	if lim == nil || !lim.hasRate {
 		return false
 	}
-	checked := lim.namedAt
-	if lim.takenAt.After(checked) {
-		checked = lim.takenAt
+	checked := lim.signaledAt
+	if lim.lastGrantAt.After(checked) {
+		checked = lim.lastGrantAt
 	}
-	return now.Sub(checked) >= askedAgain
+	return now.Sub(checked) >= recheckInterval
 }
 
 // take takes a token for a grant.
-func (lim *pacing) take(now time.Time, gateway request.Epoch) {
+func (lim *rateLimiter) take(now time.Time, gateway request.Epoch) {
 	lim.tokens--
-	lim.takenAt = now
-	lim.forgetSpent(now)
-	if len(lim.spent) == maxSpent {
-		lim.spent = lim.spent[1:]
+	lim.lastGrantAt = now
+	lim.expireGrants(now)
+	if len(lim.grants) == maxRecentGrants {
+		lim.grants = lim.grants[1:]
 	}
-	lim.spent = append(lim.spent, spending{gateway: gateway, at: now})
+	lim.grants = append(lim.grants, rateGrant{gateway: gateway, at: now})
 }
 
 // refund returns the token of a grant whose request wasn't sent.
-func (lim *pacing) giveBack(gateway request.Epoch) {
+func (lim *rateLimiter) refund(gateway request.Epoch) {
 	lim.tokens++
-	for idx, grt := range lim.spent {
+	for idx, grt := range lim.grants {
 		if grt.gateway == gateway {
-			lim.spent = append(lim.spent[:idx:idx], lim.spent[idx+1:]...)
+			lim.grants = append(lim.grants[:idx:idx], lim.grants[idx+1:]...)
 			return
 		}
 	}
 }
 
-func (lim *pacing) forgetSpent(now time.Time) {
-	for len(lim.spent) > 0 && now.Sub(lim.spent[0].at) >= spentWindow {
-		lim.spent = lim.spent[1:]
+func (lim *rateLimiter) expireGrants(now time.Time) {
+	for len(lim.grants) > 0 && now.Sub(lim.grants[0].at) >= recentGrantsWindow {
+		lim.grants = lim.grants[1:]
 	}
 }
 
-// spentLately returns the number of recent grants, up to the number that is kept.
-func (lim *pacing) spentLately(now time.Time) int {
-	lim.forgetSpent(now)
-	return len(lim.spent)
+// recentGrants returns the number of recent grants, up to the number that is kept.
+func (lim *rateLimiter) recentGrants(now time.Time) int {
+	lim.expireGrants(now)
+	return len(lim.grants)
 }
 
 // rateShare returns this core's share of the engines' rate limits.
 func (cor *Core) rateShare() float64 {
-	if cor.elsewhere {
+	if cor.standby {
 		return 0
 	}
-	return 1 / cor.parts
+	return 1 / cor.divisor
 }
 
-// limitRate applies a signaled rate. A new limiter starts with an empty bucket, as if the
+// applyRateLimit applies a signaled rate. A new limiter starts with an empty bucket, as if the
 // requests granted before had used up the burst.
-func (cor *Core) limitRate(now time.Time, ene *engine, lim fleet.RateLimit) {
+func (cor *Core) applyRateLimit(now time.Time, ene *engine, lim fleet.RateLimit) {
 	ene.rateEnded = false
-	cor.pace(now, ene).name(now, lim.PerSecond)
+	cor.limiterOf(now, ene).setRate(now, lim.PerSecond)
 }
 
 // limiterOf returns the engine's rate limiter, creating it if necessary.
-func (cor *Core) pace(now time.Time, ene *engine) *pacing {
-	if ene.pacing == nil {
-		ene.pacing = &pacing{share: cor.rateShare(), filled: now}
-		cor.service(ene.Service).paced++
+func (cor *Core) limiterOf(now time.Time, ene *engine) *rateLimiter {
+	if ene.limiter == nil {
+		ene.limiter = &rateLimiter{share: cor.rateShare(), filledAt: now}
+		cor.service(ene.Service).limited++
 	}
-	return ene.pacing
+	return ene.limiter
 }
 
 // clearRate ends an engine's signaled rate limit. The engine may have been deregistered before
 // the answer that shows this arrived.
-func (cor *Core) unlimit(now time.Time, ene *engine) {
-	if ene.pacing == nil || !ene.pacing.named {
+func (cor *Core) clearRate(now time.Time, ene *engine) {
+	if ene.limiter == nil || !ene.limiter.hasRate {
 		return
 	}
-	ene.pacing.named, ene.rateEnded = false, true
-	cor.dropPacing(now, ene)
+	ene.limiter.hasRate, ene.rateEnded = false, true
+	cor.dropLimiter(now, ene)
 }
 
-// dropPacing removes the engine's rate limiter if no limit is in force.
-func (cor *Core) dropPacing(now time.Time, ene *engine) {
-	if ene.pacing == nil || ene.pacing.holds(now) {
+// dropLimiter removes the engine's rate limiter if no limit is in force.
+func (cor *Core) dropLimiter(now time.Time, ene *engine) {
+	if ene.limiter == nil || ene.limiter.isActive(now) {
 		return
 	}
-	ene.pacing = nil
+	ene.limiter = nil
 	if cor.engines[ene.ID] == ene {
-		cor.service(ene.Service).paced--
+		cor.service(ene.Service).limited--
 	}
 }
 
@@ -236,7 +236,7 @@
 // way that the answer to one gateway has ended the limit.
 func (ene *engine) grantRate() reservation.GrantRate {
 	switch {
-	case ene.pacing != nil && ene.pacing.named:
+	case ene.limiter != nil && ene.limiter.hasRate:
 		return reservation.GrantRatePaced
 	case ene.rateEnded:
 		return reservation.GrantRateEnded
@@ -245,22 +245,22 @@
 	}
 }
 
-// shareRates applies this core's current share to all rate limiters.
-func (cor *Core) shareRates(now time.Time) {
+// redistributeRates applies this core's current share to all rate limiters.
+func (cor *Core) redistributeRates(now time.Time) {
 	for _, ene := range cor.engines {
-		if ene.pacing != nil {
-			ene.pacing.divide(now, cor.rateShare())
+		if ene.limiter != nil {
+			ene.limiter.setShare(now, cor.rateShare())
 		}
 	}
 }
 
-// noteUnlimited records an answer without a rate limit; with one, the gateway would have sent a
+// recordUnlimited records an answer without a rate limit; with one, the gateway would have sent a
 // notice first. It ends a limit that was signaled before the run was granted. Runs granted by
 // another core are ignored, since it isn't known when they were answered.
-func (cor *Core) noteUnlimited(now time.Time, rnn *run) {
-	lim := rnn.engine.pacing
-	if lim != nil && !rnn.inherited && rnn.given.After(lim.namedAt) {
-		cor.unlimit(now, rnn.engine)
+func (cor *Core) recordUnlimited(now time.Time, rnn *run) {
+	lim := rnn.engine.limiter
+	if lim != nil && !rnn.inherited && rnn.grantedAt.After(lim.signaledAt) {
+		cor.clearRate(now, rnn.engine)
 	}
 }
 
@@ -268,7 +268,7 @@
 // engines in use have signaled a rate or are cold.
 type allowance struct {
 	// limited is false if some engine has no limit.
-	holds bool
+	limited bool
 	// tokens is the sum of the engines' tokens, perSecond the sum of their rates.
 	tokens    float64
 	perSecond float64
@@ -277,60 +277,60 @@
 // allowance returns the current allowance of the service's engines.
 func (svc *service) allowance(now time.Time) allowance {
 	var alw allowance
-	if svc.paced == 0 {
+	if svc.limited == 0 {
 		return alw
 	}
 	for _, ene := range svc.engines {
 		switch {
-		case ene.leaving():
-		case ene.pacing == nil || !ene.pacing.holds(now):
+		case ene.isDraining():
+		case ene.limiter == nil || !ene.limiter.isActive(now):
 			return allowance{}
 		default:
-			ene.pacing.fill(now)
-			alw.tokens += ene.pacing.tokens
-			alw.perSecond += ene.pacing.rate(now)
+			ene.limiter.fill(now)
+			alw.tokens += ene.limiter.tokens
+			alw.perSecond += ene.limiter.rate(now)
 		}
 	}
-	alw.holds = alw.perSecond > 0
+	alw.limited = alw.perSecond > 0
 	return alw
 }
 
-// refuseSpent refuses a request at once if the allowance won't reach it before its maximum
+// refuseRateLimited refuses a request at once if the allowance won't reach it before its maximum
 // wait ends, and reports whether it did. The requests ahead of it in the queue use the allowance
 // first.
-func (cor *Core) refuseSpent(now time.Time, svc *service, wai *waiter, alw allowance, ahead int) bool {
-	expired := wai.paced && !now.Before(wai.until)
-	if !alw.holds || !expired && alw.reaches(ahead, wai.until.Sub(now)) {
+func (cor *Core) refuseRateLimited(now time.Time, svc *service, wai *waiter, alw allowance, ahead int) bool {
+	expired := wai.rateLimited && !now.Before(wai.until)
+	if !alw.limited || !expired && alw.suffices(ahead, wai.until.Sub(now)) {
 		return false
 	}
-	cor.giveBack(wai.reserve.Account, cor.costOf(wai.reserve))
+	cor.refund(wai.reserve.Account, cor.costOf(wai.reserve))
 	cor.send(wai.gateway, reservation.Refuse{
-		ID: wai.reserve.ID, Ballot: wai.reserve.Ballot, Reason: reservation.ReasonRate, RetryAfter: svc.returnAfter(now, wai, alw),
-	}, svc.inputsOf(now, wai))
+		ID: wai.reserve.ID, Ballot: wai.reserve.Ballot, Reason: reservation.ReasonRate, RetryAfter: svc.rateRetryAfter(now, wai, alw),
+	}, svc.inputsFor(now, wai))
 	return true
 }
 
 // suffices reports whether a request behind so many others may be granted within a time.
 // Fractions of tokens at several engines are added up, so that no request is refused that could
 // be granted.
-func (alw allowance) reaches(ahead int, left time.Duration) bool {
+func (alw allowance) suffices(ahead int, left time.Duration) bool {
 	return alw.tokens+alw.perSecond*left.Seconds() >= float64(ahead+1)
 }
 
-// returnAfter returns when the client of a request refused for lack of allowance should retry:
+// rateRetryAfter returns when the client of a request refused for lack of allowance should retry:
 // one after another at the rate of the allowance. A client whose turn would come too late gets
 // the usual retry delay and takes no turn.
-func (svc *service) returnAfter(now time.Time, wai *waiter, alw allowance) time.Duration {
+func (svc *service) rateRetryAfter(now time.Time, wai *waiter, alw allowance) time.Duration {
 	step := time.Duration(float64(time.Second) / alw.perSecond)
 	next := now.Add(time.Duration(float64(len(svc.waiting)) * float64(step)))
-	if svc.returnsAt.After(next) {
-		next = svc.returnsAt
+	if svc.lastRetryAt.After(next) {
+		next = svc.lastRetryAt
 	}
 	next = next.Add(step)
 	latest := now.Add(time.Duration(maxRetryShare * float64(wai.reserve.Remaining)))
 	if next.After(latest) {
 		return retryAfter(wai.reserve)
 	}
-	svc.returnsAt = next
-	return max(minBackoffSpread, next.Sub(now))
+	svc.lastRetryAt = next
+	return max(minBackoffJitter, next.Sub(now))
 }
--- a/scheduler/rate_test.go
+++ b/scheduler/rate_test.go
@@ -67,14 +67,14 @@
 	har.advance(time.Hour)
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 3)
 	har.advance(time.Hour)
-	har.handle(scheduler.ShareChanged{Parts: 7, Hosts: 7, Elsewhere: true})
+	har.handle(scheduler.ShareChanged{Divisor: 7, Hosts: 7, Standby: true})
 	har.advance(time.Hour)
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 0, "another core is the coordinator")
-	har.handle(scheduler.ShareChanged{Parts: 1, Hosts: 7})
+	har.handle(scheduler.ShareChanged{Divisor: 1, Hosts: 7})
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 0, "it doesn't know the grants of the previous coordinator")
 	har.advance(250 * time.Millisecond)
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 1)
-	har.handle(scheduler.ShareChanged{Parts: 4, Hosts: 8})
+	har.handle(scheduler.ShareChanged{Divisor: 4, Hosts: 8})
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 41, 100*time.Millisecond), 4, "its share of two of eight hosts")
 }
 
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -9,7 +9,7 @@
 )
 
 // RolloutsChanged brings the stored state of all roll-outs.
-type RolloutsChanged struct{ Standings []rollout.Standing }
+type RolloutsChanged struct{ States []rollout.Standing }
 
 // RolloutRecorded reports that a write of a roll-out was stored, with the resulting revision of
 // its key.
@@ -21,23 +21,23 @@
 func (RolloutsChanged) isEvent() {}
 func (RolloutRecorded) isEvent() {}
 
-// changeRollouts applies the stored states. A version whose roll-out is replaced by another
+// applyRollouts applies the stored states. A version whose roll-out is replaced by another
 // order before it was known to be healthy gets no further requests.
-func (cor *Core) changeRollouts(now time.Time, states []rollout.Standing) {
+func (cor *Core) applyRollouts(now time.Time, states []rollout.Standing) {
 	for _, sta := range states {
 		svc := cor.service(sta.Order.Service)
 		if svc.rollout != nil && sta.Order.Revision <= svc.rollout.Order().Revision {
 			svc.rollout.Adopt(sta)
-			svc.stopFormer()
+			svc.stopOldVersion()
 			continue
 		}
 		if previous := svc.rollout; previous != nil && previous.State() != rollout.StateCompleted {
-			svc.distrusted[previous.Order().Version] = true
+			svc.abandoned[previous.Order().Version] = true
 		}
-		delete(svc.distrusted, sta.Order.Version)
+		delete(svc.abandoned, sta.Order.Version)
 		svc.rollout = rollout.New(cor.cfg.Rollouts, sta)
 		// A core that starts after the completion knows no engines from before it.
-		svc.moved = svc.rollout.State() == rollout.StateCompleted
+		svc.switched = svc.rollout.State() == rollout.StateCompleted
 	}
 	for _, svc := range cor.services {
 		cor.serve(now, svc)
@@ -50,16 +50,16 @@
 	}
 }
 
-// stopFormer regards the engines of the old version as stopped once the roll-out has
+// stopOldVersion regards the engines of the old version as stopped once the roll-out has
 // completed: they stop at once, while their entries stay registered for seconds. Engines that
 // start later are not affected, whatever their version.
-func (svc *service) stopFormer() {
-	if svc.rollout.State() != rollout.StateCompleted || svc.moved {
+func (svc *service) stopOldVersion() {
+	if svc.rollout.State() != rollout.StateCompleted || svc.switched {
 		return
 	}
-	svc.moved = true
+	svc.switched = true
 	for _, ene := range svc.engines {
-		ene.stopped = !svc.isNew(ene)
+		ene.stopped = !svc.runsNewVersion(ene)
 	}
 }
 
@@ -69,15 +69,15 @@
 	var writes []rollout.Write
 	for _, svc := range cor.services {
 		if svc.rollout != nil {
-			writes = append(writes, svc.rollout.Writes(now, svc.fleet())...)
-			svc.stopFormer()
+			writes = append(writes, svc.rollout.Writes(now, svc.rolloutFleet())...)
+			svc.stopOldVersion()
 		}
 	}
 	return writes
 }
 
-// RolloutsOpen reports whether any roll-out still has to be decided or published.
-func (cor *Core) RolloutsOpen() bool {
+// RolloutsPending reports whether any roll-out still has to be decided or published.
+func (cor *Core) RolloutsPending() bool {
 	for _, svc := range cor.services {
 		if svc.rollout != nil && !svc.rollout.IsOver() {
 			return true
@@ -86,25 +86,25 @@
 	return false
 }
 
-// isNew reports whether the engine runs the version of the service's latest roll-out.
-func (svc *service) isNew(ene *engine) bool {
+// runsNewVersion reports whether the engine runs the version of the service's latest roll-out.
+func (svc *service) runsNewVersion(ene *engine) bool {
 	return svc.rollout != nil && ene.Version == svc.rollout.Order().Version
 }
 
-// isRolling reports whether the service has an undecided roll-out.
-func (svc *service) isRolling() bool {
+// hasActiveRollout reports whether the service has an undecided roll-out.
+func (svc *service) hasActiveRollout() bool {
 	return svc.rollout != nil && !svc.rollout.State().IsEnd()
 }
 
 // rolloutFleet returns the counts of engines and runs that the roll-out is decided by.
-func (svc *service) fleet() rollout.Fleet {
+func (svc *service) rolloutFleet() rollout.Fleet {
 	var fle rollout.Fleet
 	for _, ene := range svc.engines {
 		switch {
-		case svc.isNew(ene) && !ene.leaving():
+		case svc.runsNewVersion(ene) && !ene.isDraining():
 			fle.NewSlots += ene.Slots
-		case !svc.isNew(ene):
-			if !ene.leaving() {
+		case !svc.runsNewVersion(ene):
+			if !ene.isDraining() {
 				fle.FormerSlots += ene.Slots
 			}
 			fle.Running += len(ene.running)
@@ -126,7 +126,7 @@
 	rollout.Access
 	// canary is the only engine of an unconfirmed version that may be granted the request; nil
 	// for none.
-	trial *engine
+	canary *engine
 }
 
 // access returns the engines that a request may run on. Canary requests go to as few engines as
@@ -138,14 +138,14 @@
 	}
 	acc := access{service: svc, restricted: true}
 	acc.Access = svc.rollout.Access(now, rollout.Request{Route: res.Route, Repeatable: res.Repeatable, Repeated: res.Attempt > 0})
-	if !acc.New || !acc.Former || !svc.isRolling() {
+	if !acc.New || !acc.Former || !svc.hasActiveRollout() {
 		return acc
 	}
 	acc.New = false
-	typical := svc.usualLoad()
+	typical := svc.typicalLoad()
 	for _, ene := range svc.engines {
-		if svc.isNew(ene) && !ene.silenced(now) && len(ene.running) < typical && ene.hasRoom(now) {
-			acc.trial = ene
+		if svc.runsNewVersion(ene) && !ene.isBlocked(now) && len(ene.running) < typical && ene.hasCapacity(now) {
+			acc.canary = ene
 			break
 		}
 	}
@@ -155,21 +155,21 @@
 // allows reports whether a request may run on the engine, if access is restricted.
 func (acc access) allows(ene *engine) bool {
 	switch {
-	case ene.stopped || acc.service.distrusted[ene.Version]:
+	case ene.stopped || acc.service.abandoned[ene.Version]:
 		return false
-	case acc.service.isNew(ene):
-		return acc.New || ene == acc.trial
+	case acc.service.runsNewVersion(ene):
+		return acc.New || ene == acc.canary
 	default:
 		return acc.Former
 	}
 }
 
-// usualLoad returns the mean number of running requests of an engine of the old version, at
+// typicalLoad returns the mean number of running requests of an engine of the old version, at
 // least 1.
-func (svc *service) usualLoad() int {
+func (svc *service) typicalLoad() int {
 	engines, running := 0, 0
 	for _, ene := range svc.engines {
-		if !svc.isNew(ene) && !ene.leaving() {
+		if !svc.runsNewVersion(ene) && !ene.isDraining() {
 			engines++
 			running += len(ene.running)
 		}
@@ -177,45 +177,45 @@
 	return max(1, running/max(1, engines))
 }
 
-// noteGiven records a grant for the service's roll-out. The run must not have been added to the
+// recordGrant records a grant for the service's roll-out. The run must not have been added to the
 // engine yet.
-func (svc *service) noteGiven(rnn *run, res reservation.Reserve) {
+func (svc *service) recordGrant(rnn *run, res reservation.Reserve) {
 	rnn.route, rnn.repeatable = res.Route, res.Repeatable
 	if svc.rollout == nil {
 		return
 	}
-	rnn.loaded = svc.isRolling() && len(rnn.engine.running)+1 >= svc.usualLoad()
-	svc.rollout.Given(svc.isNew(rnn.engine))
+	rnn.loaded = svc.hasActiveRollout() && len(rnn.engine.running)+1 >= svc.typicalLoad()
+	svc.rollout.Given(svc.runsNewVersion(rnn.engine))
 }
 
-// noteAnswered records the result of a run for the service's roll-out.
-func (svc *service) noteAnswered(now time.Time, rnn *run, rel reservation.Release) {
+// recordAnswer records the result of a run for the service's roll-out.
+func (svc *service) recordAnswer(now time.Time, rnn *run, rel reservation.Release) {
 	// The result of a suspect request says nothing about the version of its engine.
-	if !svc.isRolling() || rnn.route == "" || !rel.Dispatched || rel.Rejected || rel.BackedOff || rnn.alone || rnn.guarded || rnn.watched {
+	if !svc.hasActiveRollout() || rnn.route == "" || !rel.Dispatched || rel.Rejected || rel.BackedOff || rnn.exclusive || rnn.restricted || rnn.watched {
 		return
 	}
 	ans := rollout.Answer{
-		Route: rnn.route, New: svc.isNew(rnn.engine), Failed: rel.Failed, Loaded: rnn.loaded,
-		Unfinished: rel.Total == 0, Took: rel.Total, Expected: svc.usualTime(rnn, rel.DecodeTokens),
+		Route: rnn.route, New: svc.runsNewVersion(rnn.engine), Failed: rel.Failed, Loaded: rnn.loaded,
+		Unfinished: rel.Total == 0, Took: rel.Total, Expected: svc.referenceTime(rnn, rel.DecodeTokens),
 	}
 	if ans.Unfinished {
-		ans.Took = now.Sub(rnn.given)
+		ans.Took = now.Sub(rnn.grantedAt)
 	}
 	svc.rollout.Answered(now, ans)
 }
 
-// usualTime returns how long an engine of reference speed takes for the answer or, for a
+// referenceTime returns how long an engine of reference speed takes for the answer or, for a
 // request without a prompt, the mean service time of the engines of the old version.
-func (svc *service) usualTime(rnn *run, events int) time.Duration {
+func (svc *service) referenceTime(rnn *run, events int) time.Duration {
 	if rnn.tokens > 0 {
 		reference := svc.pace.NewEngine(pace.Profile{})
-		return reference.Overhead() + reference.ReadTime(rnn.tokens) + time.Duration(max(0, events-1))*reference.Event()
+		return reference.Overhead() + reference.PrefillTime(rnn.tokens) + time.Duration(max(0, events-1))*reference.Event()
 	}
 	engines, total := 0, time.Duration(0)
 	for _, ene := range svc.engines {
-		if !svc.isNew(ene) {
+		if !svc.runsNewVersion(ene) {
 			engines++
-			total += ene.work
+			total += ene.serviceTime
 		}
 	}
 	return total / time.Duration(max(1, engines))
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	cor := scheduler.New(scheduler.Config{Self: epoch, Repeats: rep})
+//	cor := scheduler.New(scheduler.Config{Self: epoch, RetryBudget: rep})
 //	cor.Handle(now, scheduler.EnginesChanged{Engines: dir.Engines()})
 //	for _, snd := range cor.Handle(now, scheduler.Received{From: gateway, Message: reserve}) {
 //		// snd.Message is a reservation.Grant or a reservation.Refuse
@@ -27,8 +27,8 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-// Repeats bounds the retries of requests at further engines, over all hosts.
-type Repeats struct {
+// RetryBudget bounds the retries of requests at further engines, over all hosts.
+type RetryBudget struct {
 	// Ratio is the share of a service's requests that may be retried, from 0 to 1.
 	Ratio float64
 	// Window is the period over which requests and retries are counted.
@@ -40,8 +40,8 @@
 // Config configures a Core.
 type Config struct {
 	// Self is the epoch of the host that runs this core.
-	Self    request.Epoch
-	Repeats Repeats
+	Self        request.Epoch
+	RetryBudget RetryBudget
 	// LimitSlack is the number of units that all hosts together may serve beyond a client
 	// account's limit before the limit counts as violated.
 	LimitSlack float64
@@ -51,8 +51,8 @@
 	LimitOvershoot float64
 	// Rollouts bounds the traffic to versions that aren't known to be healthy.
 	Rollouts rollout.Config
-	// Pauses selects the gateways that stop sending to an engine after its backoff request.
-	Pauses PauseScope
+	// BackoffScope selects the gateways that stop sending to an engine after its backoff request.
+	BackoffScope BackoffScope
 	// Regions maps failure domains to their regions.
 	Regions map[string]string
 	// Quarantine sets when requests that crash engines are held.
@@ -79,22 +79,22 @@
 // GatewayLost reports that a gateway's session has ended.
 type GatewayLost struct{ Gateway request.Epoch }
 
-// GrantedElsewhere reports a run that another host's scheduler granted to this host, so that
+// GrantedByPeer reports a run that another host's scheduler granted to this host, so that
 // this core accounts for it when it has to schedule alone.
-type GrantedElsewhere struct{ Adopt reservation.Adopt }
+type GrantedByPeer struct{ Adopt reservation.Adopt }
 
 // ShareChanged sets the divisor of the limits: each of this many equal schedulers enforces its
 // share of them. It is 1 for a core that schedules for all hosts, and 3 for one that schedules
 // for two of six.
 type ShareChanged struct {
-	Parts float64
-	// Hosts is the number of hosts. Elsewhere is set while this core schedules for none of them.
-	Hosts     int
-	Elsewhere bool
+	Divisor float64
+	// Hosts is the number of hosts. Standby is set while this core schedules for none of them.
+	Hosts   int
+	Standby bool
 }
 
-// SurveyRead brings the recorded speed measurements of the engines.
-type SurveyRead struct{ Survey pace.Survey }
+// MeasurementsRead brings the recorded speed measurements of the engines.
+type MeasurementsRead struct{ Measurements pace.Measurements }
 
 // DomainsClosed lists all failure domains to which a gateway sends no requests. It replaces the
 // gateway's former list.
@@ -110,9 +110,9 @@
 func (ConfigurationChanged) isEvent() {}
 func (Received) isEvent()             {}
 func (GatewayLost) isEvent()          {}
-func (GrantedElsewhere) isEvent()     {}
+func (GrantedByPeer) isEvent()        {}
 func (ShareChanged) isEvent()         {}
-func (SurveyRead) isEvent()           {}
+func (MeasurementsRead) isEvent()     {}
 func (DomainsClosed) isEvent()        {}
 func (Tick) isEvent()                 {}
 
@@ -130,90 +130,90 @@
 	// queue.
 	Waited  time.Duration
 	Waiting int
-	// Running, Unread and Expected describe the granted engine: its number of running
+	// Running, PendingPrefill and Expected describe the granted engine: its number of running
 	// requests, the time of its pending prefills, and the predicted time to the first token.
-	Running  int
-	Unread   time.Duration
-	Expected time.Duration
-	// Engines is the number of the service's engines, Aside the number that outlier detection
-	// would eject. AsideUsed is set if these are too many, so that they are used anyway.
-	Engines   int
-	Aside     int
-	AsideUsed bool
-	// Paced is the number of the service's engines that have signaled a rate limit or are
+	Running        int
+	PendingPrefill time.Duration
+	Expected       time.Duration
+	// Engines is the number of the service's engines, Ejected the number that outlier detection
+	// would eject. EjectedUsed is set if these are too many, so that they are used anyway.
+	Engines     int
+	Ejected     int
+	EjectedUsed bool
+	// RateLimited is the number of the service's engines that have signaled a rate limit or are
 	// cold. WaitedForRate is set if only these limits kept the request from being granted.
-	// PerSecond is the rate limit of the granted engine in requests per second, Spent the
+	// PerSecond is the rate limit of the granted engine in requests per second, RecentGrants the
 	// number of requests that it was granted in the last four seconds; both are 0 without a
 	// limit. Cold is set if the engine is cold.
-	Paced         int
+	RateLimited   int
 	WaitedForRate bool
 	PerSecond     float64
-	Spent         int
+	RecentGrants  int
 	Cold          bool
 }
 
 // Parameters of the scheduling policy.
 const (
-	// waitShare is the fraction of a request's latency target that it may wait for an engine: a
+	// maxWaitShare is the fraction of a request's latency target that it may wait for an engine: a
 	// refusal within a quarter of the target leaves the client time to retry.
-	waitShare = 0.25
-	// waitMargin is reserved for delivering the response to the client within that time.
-	waitMargin = 15 * time.Millisecond
-	// overloadMemory is how long a service counts as overloaded after it refused a request that
+	maxWaitShare = 0.25
+	// responseMargin is reserved for delivering the response to the client within that time.
+	responseMargin = 15 * time.Millisecond
+	// overloadWindow is how long a service counts as overloaded after it refused a request that
 	// could have met its target. Refused clients retry within this time, and bursts last about as
 	// long.
-	overloadMemory = 4 * time.Second
-	// beyondSlots is the number of requests that an engine may queue beyond its slots, so
+	overloadWindow = 4 * time.Second
+	// maxEngineQueue is the number of requests that an engine may queue beyond its slots, so
 	// that a slot that becomes free has work at once.
-	beyondSlots = 2
-	// unreadLimit bounds the predicted time of an engine's pending prefills. An engine
+	maxEngineQueue = 2
+	// maxPendingPrefill bounds the predicted time of an engine's pending prefills. An engine
 	// above it is granted no further requests.
-	unreadLimit = 200 * time.Millisecond
-	// assumedWork is the initial estimate of the service time of a request without a
+	maxPendingPrefill = 200 * time.Millisecond
+	// initialServiceTime is the initial estimate of the service time of a request without a
 	// prompt.
-	assumedWork = 30 * time.Millisecond
-	// assumedStay is the initial estimate of the time that a request occupies a slot.
-	assumedStay = time.Second
-	// workGain is the weight of a new measurement in the estimated service time of requests
+	initialServiceTime = 30 * time.Millisecond
+	// initialOccupancy is the initial estimate of the time that a request occupies a slot.
+	initialOccupancy = time.Second
+	// serviceTimeGain is the weight of a new measurement in the estimated service time of requests
 	// without a prompt.
-	workGain = 0.2
-	// stayGain is the weight of a new measurement in the estimated occupancy. It is small
+	serviceTimeGain = 0.2
+	// occupancyGain is the weight of a new measurement in the estimated occupancy. It is small
 	// since answer lengths vary a hundredfold.
-	stayGain = 0.05
-	// hintSpread is the standard deviation of the clients' answer length hints, in
+	occupancyGain = 0.05
+	// lengthHintDeviation is the standard deviation of the clients' answer length hints, in
 	// doublings.
-	hintSpread = 0.72
-	// finishCost is the cost of a stream that certainly misses its deadline, added to
+	lengthHintDeviation = 0.72
+	// missedDeadlineCost is the cost of a stream that certainly misses its deadline, added to
 	// the time to the first token. It keeps long answers off engines too slow to complete them.
-	finishCost = 1000 * time.Millisecond
-	// lateShare is the multiple of its latency target that a late first event may take. Clients
+	missedDeadlineCost = 1000 * time.Millisecond
+	// maxLateness is the multiple of its latency target that a late first event may take. Clients
 	// give up after four times the target, and predictions are off by a fifth. The bound keeps
 	// prompts that are too long for any engine from timing out at a slow one.
-	lateShare = 3.0
+	maxLateness = 3.0
 	// loadCost is the cost of an engine with all slots in use, added to the time to the first
 	// token: each additional stream slows down all streams of the engine.
 	loadCost = 40 * time.Millisecond
-	// crossCost is the cost of an engine in another failure domain, for the network delay
+	// crossDomainCost is the cost of an engine in another failure domain, for the network delay
 	// and the traffic.
-	crossCost = 40 * time.Millisecond
-	// regionCost is the cost of an engine in another region, which is tens of milliseconds
+	crossDomainCost = 40 * time.Millisecond
+	// crossRegionCost is the cost of an engine in another region, which is tens of milliseconds
 	// away over the links with the least bandwidth.
-	regionCost = 120 * time.Millisecond
-	// rateCost is the cost of an engine that has signaled a rate limit or is cold. It
+	crossRegionCost = 120 * time.Millisecond
+	// rateLimitCost is the cost of an engine that has signaled a rate limit or is cold. It
 	// reserves the few requests that such an engine accepts for those with a cached prompt and
 	// those that no other engine can serve.
-	rateCost = 40 * time.Millisecond
+	rateLimitCost = 40 * time.Millisecond
 	// minRetryShare and maxRetryShare bound the delay after which a refused client retries, as
 	// fractions of its remaining time. Overload and exhausted limits last some seconds, clients
 	// wait for a third of their time at most, and the retries must not be synchronized.
 	minRetryShare = 0.16
 	maxRetryShare = 0.32
-	// maxRetrySpan caps the remaining time that these fractions apply to: bursts are over within
+	// maxRetryBase caps the remaining time that these fractions apply to: bursts are over within
 	// five seconds.
-	maxRetrySpan = 15 * time.Second
+	maxRetryBase = 15 * time.Second
 	// cacheShare is the fraction of an engine's memory assumed to hold cached prompt parts.
 	// Running requests need the rest.
 	cacheShare = 0.6
-	// assumedCacheTokens is the cache size of an engine for which none is configured.
-	assumedCacheTokens = 200_000
+	// defaultCacheTokens is the cache size of an engine for which none is configured.
+	defaultCacheTokens = 200_000
 )
--- a/scheduler/survey.go
+++ b/scheduler/survey.go
@@ -2,9 +2,9 @@
 
 import "lynxwell.dev/lynxwell/pace"
 
-// Survey returns the measured speeds of the engines, to be recorded in the store.
-func (cor *Core) Survey() pace.Survey {
-	services := make(map[string]pace.ServiceSurvey)
+// Measurements returns the measured speeds of the engines, to be recorded in the store.
+func (cor *Core) Measurements() pace.Measurements {
+	services := make(map[string]pace.ServiceMeasurements)
 	for _, svc := range cor.services {
 		var known []pace.Record
 		for _, ene := range svc.engines {
@@ -13,14 +13,14 @@
 			}
 		}
 		if len(known) > 0 {
-			services[svc.name] = pace.ServiceSurvey{Reference: svc.pace.Reference(), Engines: known}
+			services[svc.name] = pace.ServiceMeasurements{Reference: svc.pace.Reference(), Engines: known}
 		}
 	}
-	return pace.NewSurvey(services)
+	return pace.NewMeasurements(services)
 }
 
-// adoptSurvey applies the recorded profiles to engines of which this core has measured less.
-func (cor *Core) adoptSurvey(mea pace.Survey) {
+// adoptMeasurements applies the recorded profiles to engines of which this core has measured less.
+func (cor *Core) adoptMeasurements(mea pace.Measurements) {
 	cor.recorded = mea.Profiles()
 	for _, svc := range mea.Services {
 		cor.service(svc.Name).pace.Adopt(svc.Reference)
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -48,7 +48,7 @@
 	clu := &cluster{now: time.Unix(1000, 0), settledAt: time.Unix(1000, 0), coordinator: -1, acc: acc, debts: make([]float64, hosts)}
 	for idx := range hosts {
 		cor := scheduler.New(coreConfig(request.Epoch(idx + 1)))
-		cor.Handle(clu.now, scheduler.ShareChanged{Parts: float64(hosts), Hosts: hosts})
+		cor.Handle(clu.now, scheduler.ShareChanged{Divisor: float64(hosts), Hosts: hosts})
 		cor.Handle(clu.now, scheduler.EnginesChanged{Engines: []fleet.Engine{plainEngine("e", 1_000_000)}})
 		cor.Handle(clu.now, scheduler.ConfigurationChanged{Table: tab})
 		clu.cores = append(clu.cores, cor)
@@ -61,11 +61,11 @@
 	hosts := len(clu.cores)
 	clu.settle()
 	if clu.coordinator >= 0 {
-		clu.cores[clu.coordinator].Handle(clu.now, scheduler.ShareChanged{Parts: float64(hosts), Hosts: hosts})
+		clu.cores[clu.coordinator].Handle(clu.now, scheduler.ShareChanged{Divisor: float64(hosts), Hosts: hosts})
 	}
 	clu.coordinator = next
 	for gateway := range hosts {
-		clu.cores[next].Handle(clu.now, scheduler.ShareChanged{Parts: float64(hosts) / float64(gateway+1), Hosts: hosts})
+		clu.cores[next].Handle(clu.now, scheduler.ShareChanged{Divisor: float64(hosts) / float64(gateway+1), Hosts: hosts})
 		clu.cores[next].Handle(clu.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: reservation.Spent{
 			Account: "kitchen", Debt: clu.debts[gateway], Share: clu.share(hosts),
 		}})
@@ -75,7 +75,7 @@
 // coreConfig returns the configuration of a core; cores differ only in the epoch.
 func coreConfig(self request.Epoch) scheduler.Config {
 	return scheduler.Config{
-		Self: self, Repeats: scheduler.Repeats{Ratio: 1, Window: time.Second, Slack: 10},
+		Self: self, RetryBudget: scheduler.RetryBudget{Ratio: 1, Window: time.Second, Slack: 10},
 		LimitSlack: limitSlack, LimitWindow: limitWindow, LimitOvershoot: limitOvershoot,
 	}
 }
@@ -164,7 +164,7 @@
 		}})
 	}
 	for gateway := range hosts {
-		clu.cores[0].Handle(clu.now, scheduler.ShareChanged{Parts: float64(hosts) / float64(gateway+1), Hosts: hosts})
+		clu.cores[0].Handle(clu.now, scheduler.ShareChanged{Divisor: float64(hosts) / float64(gateway+1), Hosts: hosts})
 		report(gateway, 1+gateway%hosts)
 	}
 	for gateway := range hosts {
