--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -146,9 +146,9 @@
 			draining.Trouble(tst.trouble, 1)
 			first := make(chan entrytest.Answer, 1)
 			go func() { first <- sendPlain(t, sys, sys.Hosts[0], tst.route, 0) }()
-			sys.Until("the signal is recorded", func() bool { return len(sys.Hosts[0].Dump().Notices) == 1 })
+			sys.WaitUntil("the signal is recorded", func() bool { return len(sys.Hosts[0].Dump().Notices) == 1 })
 			sys.AddEngines(engineForRoute(tst.route, "other"))
-			sys.UntilEngines(2)
+			sys.WaitForEngines(2)
 			for num := range 5 {
 				ans := sendPlain(t, sys, sys.Hosts[0], tst.route, num+1)
 				assert.Equal(t, ans.Status, http.StatusOK, ans.Body)
@@ -190,7 +190,7 @@
 	sys := startWithLongRevocation(t, 4, engines)
 	sys.Store.SetFaults(platformtest.Faults{Down: true})
 	var first *entrytest.Host
-	sys.Until("one host coordinates", func() bool { first = coordinator(sys); return first != nil })
+	sys.WaitUntil("one host coordinates", func() bool { first = coordinator(sys); return first != nil })
 	var others []*entrytest.Host
 	for _, hos := range sys.Hosts {
 		if hos != first {
@@ -201,7 +201,7 @@
 	for num := 0; len(others[0].Dump().Notices) == 0; num++ {
 		sendPlain(t, sys, others[0], "public", num)
 	}
-	sys.Until("the coordinator has recorded the signal", func() bool { return engineSignal(first, "p1") == "Leaves" })
+	sys.WaitUntil("the coordinator has recorded the signal", func() bool { return engineSignal(first, "p1") == "Leaves" })
 	arrived := len(engines[0].Arrivals())
 	send := func(name string) {
 		for num := range 5 {
@@ -215,7 +215,7 @@
 	assert.Equal(t, len(engines[0].Arrivals()), arrived)
 	first.Stop()
 	sys.Hosts = others
-	sys.Until("another host coordinates", func() bool {
+	sys.WaitUntil("another host coordinates", func() bool {
 		next := coordinator(sys)
 		return next != nil && engineSignal(next, "p1") == "Leaves"
 	})
@@ -234,10 +234,10 @@
 	assert.Equal(t, sendPlain(t, sys, hos, "unsafe", 0).Status, http.StatusServiceUnavailable)
 	engines[0].Pause(0)
 	hos.Clock.Suspend(10 * time.Second)
-	sys.UntilReady()
+	sys.WaitForReady()
 	assert.Equal(t, sendPlain(t, sys, hos, "unsafe", 1).Status, http.StatusServiceUnavailable)
 	hos.Clock.Suspend(11 * time.Second)
-	sys.UntilReady()
+	sys.WaitForReady()
 	assert.Equal(t, sendPlain(t, sys, hos, "unsafe", 2).Status, http.StatusOK)
 	assert.Equal(t, len(engines[0].Arrivals()), 2)
 }
@@ -248,13 +248,13 @@
 	former, later := plainEngine("e"), plainEngine("e")
 	sys := startWithLongRevocation(t, 1, nil)
 	end := newEndpoint(t, former)
-	sys.EnterState("e", end.state(former, time.Now().Add(-time.Hour)))
-	sys.UntilEngines(1)
+	sys.PutEngineState("e", end.state(former, time.Now().Add(-time.Hour)))
+	sys.WaitForEngines(1)
 	former.Leave()
 	assert.Equal(t, sendPlain(t, sys, sys.Hosts[0], "unsafe", 0).Status, http.StatusOK)
 	assert.Equal(t, sendPlain(t, sys, sys.Hosts[0], "unsafe", 1).Status, http.StatusServiceUnavailable)
 	end.switchTo(later)
-	sys.EnterState("e", end.state(later, time.Now()))
-	sys.Until("the later run serves", func() bool { return sendPlain(t, sys, sys.Hosts[0], "unsafe", 2).Status == http.StatusOK })
+	sys.PutEngineState("e", end.state(later, time.Now()))
+	sys.WaitUntil("the later run serves", func() bool { return sendPlain(t, sys, sys.Hosts[0], "unsafe", 2).Status == http.StatusOK })
 	assert.Equal(t, len(former.Arrivals()), 1)
 }
--- a/entry/presence_test.go
+++ b/entry/presence_test.go
@@ -19,26 +19,26 @@
 	const hosts, lost = 300, 100
 	hos, sessions := newHostInFleet(t, hosts)
 	hos.draining.Store(true)
-	members := hos.desk.roster.members
+	members := hos.broker.membership.members
 	for idx := range members {
 		members[idx].CallerAddress = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(idx / 256), byte(idx)}), 1)
 	}
 	tab, err := route.NewTable(route.Configuration{Version: 1})
 	assert.NilError(t, err)
-	hos.belief.Store(&belief{table: tab, members: members})
+	hos.snapshot.Store(&snapshot{table: tab, members: members})
 	now := time.Now()
 	assert.Equal(t, len(hos.addresses(now, platform.AddressesQuery{})), hosts-1, "all other hosts")
 	for _, ses := range sessions[:lost] {
-		hos.desk.SessionLost(ses)
+		hos.broker.SessionLost(ses)
 	}
-	hos.desk.tellAbsent(now)
+	hos.broker.publishUnreachable(now)
 	assert.Equal(t, len(hos.addresses(now, platform.AddressesQuery{})), hosts-1, "a session may be opened again")
-	hos.desk.tellAbsent(now.Add(time.Second))
+	hos.broker.publishUnreachable(now.Add(time.Second))
 	assert.Equal(t, len(hos.addresses(now, platform.AddressesQuery{})), hosts-1-lost)
 	// A host with another coordinator uses the unreachable hosts that this one reports.
-	hos.desk.links[1] = &link{queue: peer.NewQueue()}
-	hos.desk.decided(1, reservation.Leader{Host: 1})
+	hos.broker.links[1] = &link{queue: peer.NewQueue()}
+	hos.broker.applyMessage(1, reservation.Leader{Host: 1})
 	assert.Equal(t, len(hos.addresses(now, platform.AddressesQuery{})), hosts-1)
-	hos.desk.decided(1, reservation.Absent{Hosts: hos.desk.toldAbsent[:lost/2]})
+	hos.broker.applyMessage(1, reservation.Absent{Hosts: hos.broker.publishedUnreachable[:lost/2]})
 	assert.Equal(t, len(hos.addresses(now, platform.AddressesQuery{})), hosts-1-lost/2)
 }
--- a/entry/rates_test.go
+++ b/entry/rates_test.go
@@ -78,7 +78,7 @@
 	engines[0].Limit(50)
 	engines[0].Trouble(upstreamtest.TurnAway, 4)
 	num := 0
-	sys.Until("the engine serves again", func() bool {
+	sys.WaitUntil("the engine serves again", func() bool {
 		num++
 		sendPlain(t, sys, sys.Hosts[0], "unsafe", num)
 		for _, svc := range sys.Hosts[0].Dump().Scheduler.Services {
@@ -117,7 +117,7 @@
 		eng.Unlimit()
 	}
 	num := 10
-	sys.Until("all requests are served", func() bool {
+	sys.WaitUntil("all requests are served", func() bool {
 		num++
 		return sendPlain(t, sys, sys.Hosts[0], "unsafe", num).Status == http.StatusOK && sendPlain(t, sys, sys.Hosts[1], "unsafe", num).Status == http.StatusOK && num > 100
 	})
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -10,37 +10,37 @@
 const (
 	// minRelayHosts is the least number of hosts in a failure domain for which one of them reads
 	// the store for all: with fewer hosts that saves too little.
-	followers = 3
-	// maxReaders is how many hosts of a failure domain are tried in turn as the one that reads for
+	minRelayHosts = 3
+	// maxRelayCandidates is how many hosts of a failure domain are tried in turn as the one that reads for
 	// all, before each host reads by itself: the first may be lost, and the second rejected by the
 	// store, at the same time.
-	maxReaders = 3
-	// readerPause is how long a host that failed is skipped: hosts come back within seconds, and a
+	maxRelayCandidates = 3
+	// relaySkipTime is how long a host that failed is skipped: hosts come back within seconds, and a
 	// call costs some milliseconds.
-	readerPause = 2 * time.Second
+	relaySkipTime = 2 * time.Second
 )
 
 // relayChooser chooses the host of its failure domain through which a host reads the store. Without
 // a second choice, each host would read the store by itself while the first choice is lost, or is
 // rejected by the store.
-type readers struct {
+type relayChooser struct {
 	own request.Epoch
 	// skippedUntil is until when hosts that failed are skipped.
-	failed map[request.Epoch]time.Time
+	skippedUntil map[request.Epoch]time.Time
 }
 
-func newReaders(own request.Epoch) *readers {
-	return &readers{own: own, failed: make(map[request.Epoch]time.Time)}
+func newRelayChooser(own request.Epoch) *relayChooser {
+	return &relayChooser{own: own, skippedUntil: make(map[request.Epoch]time.Time)}
 }
 
 // relay returns the host that reads the store for all, as far as this host knows. There is none if
 // the domain has too few hosts, or if all candidates have failed.
-func (rch *readers) reader(now time.Time, peers []fleet.Member) (fleet.Member, bool) {
-	if len(peers) < followers {
+func (rch *relayChooser) relay(now time.Time, peers []fleet.Member) (fleet.Member, bool) {
+	if len(peers) < minRelayHosts {
 		return fleet.Member{}, false
 	}
-	for _, mem := range peers[:min(maxReaders, len(peers))] {
-		if mem.Epoch == rch.own || !now.Before(rch.failed[mem.Epoch]) {
+	for _, mem := range peers[:min(maxRelayCandidates, len(peers))] {
+		if mem.Epoch == rch.own || !now.Before(rch.skippedUntil[mem.Epoch]) {
 			return mem, true
 		}
 	}
@@ -48,8 +48,8 @@
 }
 
 // choose returns the host to read through, unless that is this host itself.
-func (rch *readers) choose(now time.Time, peers []fleet.Member) (fleet.Member, bool) {
-	mem, found := rch.reader(now, peers)
+func (rch *relayChooser) choose(now time.Time, peers []fleet.Member) (fleet.Member, bool) {
+	mem, found := rch.relay(now, peers)
 	if !found || mem.Epoch == rch.own {
 		return fleet.Member{}, false
 	}
@@ -57,17 +57,17 @@
 }
 
 // isRelay reports whether this host is the one that reads for all.
-func (rch *readers) reads(now time.Time, peers []fleet.Member) bool {
-	mem, found := rch.reader(now, peers)
+func (rch *relayChooser) isRelay(now time.Time, peers []fleet.Member) bool {
+	mem, found := rch.relay(now, peers)
 	return found && mem.Epoch == rch.own
 }
 
-// recordFailure makes a host be skipped for readerPause.
-func (rch *readers) fail(now time.Time, mem fleet.Member) {
-	for epo, until := range rch.failed {
+// recordFailure makes a host be skipped for relaySkipTime.
+func (rch *relayChooser) recordFailure(now time.Time, mem fleet.Member) {
+	for epo, until := range rch.skippedUntil {
 		if !now.Before(until) {
-			delete(rch.failed, epo)
+			delete(rch.skippedUntil, epo)
 		}
 	}
-	rch.failed[mem.Epoch] = now.Add(readerPause)
+	rch.skippedUntil[mem.Epoch] = now.Add(relaySkipTime)
 }
--- a/entry/readers_test.go
+++ b/entry/readers_test.go
@@ -24,22 +24,22 @@
 	const hosts = 50
 	now := time.Unix(100, 0)
 	peers := testPeers(hosts)
-	all := make([]*readers, hosts)
+	all := make([]*relayChooser, hosts)
 	for idx := range all {
-		all[idx] = newReaders(request.Epoch(idx + 1))
+		all[idx] = newRelayChooser(request.Epoch(idx + 1))
 	}
 	// The first two hosts are lost, one after the other.
-	for lost := range maxReaders - 1 {
+	for lost := range maxRelayCandidates - 1 {
 		for _, rea := range all[lost+1:] {
 			mem, found := rea.choose(now, peers)
 			assert.Assert(t, found)
 			assert.Equal(t, mem.Epoch, peers[lost].Epoch)
-			rea.fail(now, mem)
+			rea.recordFailure(now, mem)
 		}
 		reading := 0
 		for _, rea := range all[lost+1:] {
 			if _, found := rea.choose(now, peers); !found {
-				assert.Assert(t, rea.reads(now, peers))
+				assert.Assert(t, rea.isRelay(now, peers))
 				reading++
 			}
 		}
@@ -47,19 +47,19 @@
 	}
 	last := all[hosts-1]
 	mem, _ := last.choose(now, peers)
-	last.fail(now, mem)
+	last.recordFailure(now, mem)
 	_, found := last.choose(now, peers)
-	assert.Assert(t, !found && !last.reads(now, peers), "all candidates have failed")
-	mem, found = last.choose(now.Add(readerPause), peers)
+	assert.Assert(t, !found && !last.isRelay(now, peers), "all candidates have failed")
+	mem, found = last.choose(now.Add(relaySkipTime), peers)
 	assert.Assert(t, found)
 	assert.Equal(t, mem.Epoch, peers[0].Epoch, "the first reader is tried again")
 }
 
 func TestHostsOfSmallDomainReadStoreThemselves(t *testing.T) {
 	now := time.Unix(100, 0)
-	rea := newReaders(2)
-	_, found := rea.choose(now, testPeers(followers-1))
-	assert.Assert(t, !found && !rea.reads(now, testPeers(followers-1)))
-	_, found = rea.choose(now, testPeers(followers))
+	rea := newRelayChooser(2)
+	_, found := rea.choose(now, testPeers(minRelayHosts-1))
+	assert.Assert(t, !found && !rea.isRelay(now, testPeers(minRelayHosts-1)))
+	_, found = rea.choose(now, testPeers(minRelayHosts))
 	assert.Assert(t, found)
 }
--- a/entry/refused.go
+++ b/entry/refused.go
@@ -7,42 +7,42 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// maxRefused bounds the keys whose invalid values are remembered. Further ones are counted but not
+// maxInvalidKeys bounds the keys whose invalid values are remembered. Further ones are counted but not
 // logged, so that a writer of many invalid values can't fill the log.
-const maxRefused = 256
+const maxInvalidKeys = 256
 
 // invalidValues records the keys of the store whose values are invalid. Each is logged when its
 // value becomes invalid, and not again for the same reason until the key was valid in between.
-type refusals struct {
+type invalidValues struct {
 	log     zerolog.Logger
 	counter metrics.Counter
 	// reasons maps a key to why its value is invalid.
 	reasons map[string]string
 }
 
-func newRefusals(log zerolog.Logger, counter metrics.Counter) *refusals {
-	return &refusals{log: log, counter: counter, reasons: make(map[string]string)}
+func newInvalidValues(log zerolog.Logger, counter metrics.Counter) *invalidValues {
+	return &invalidValues{log: log, counter: counter, reasons: make(map[string]string)}
 }
 
 // checkValue reports whether a value could be decoded and records the result. The consequence is
 // logged: what the host does if the value is invalid.
-func (inv *refusals) usable(val store.Value, err error, consequence string) bool {
+func (inv *invalidValues) checkValue(val store.Value, err error, consequence string) bool {
 	if err != nil {
-		inv.refuse(val, err, consequence)
+		inv.recordInvalid(val, err, consequence)
 		return false
 	}
-	inv.accept(val.Key)
+	inv.recordValid(val.Key)
 	return true
 }
 
 // recordInvalid records an invalid value. The consequence is logged: what the host does instead.
-func (inv *refusals) refuse(val store.Value, err error, consequence string) {
+func (inv *invalidValues) recordInvalid(val store.Value, err error, consequence string) {
 	inv.counter.Inc(1)
 	reason := err.Error()
 	if prev, known := inv.reasons[val.Key]; known && prev == reason {
 		return
 	}
-	if _, known := inv.reasons[val.Key]; !known && len(inv.reasons) >= maxRefused {
+	if _, known := inv.reasons[val.Key]; !known && len(inv.reasons) >= maxInvalidKeys {
 		return
 	}
 	inv.reasons[val.Key] = reason
@@ -50,6 +50,6 @@
 }
 
 // recordValid records that a key holds a valid value, or was deleted.
-func (inv *refusals) accept(key string) {
+func (inv *invalidValues) recordValid(key string) {
 	delete(inv.reasons, key)
 }
--- a/entry/refused_test.go
+++ b/entry/refused_test.go
@@ -31,13 +31,13 @@
 }
 
 // newTestWatcher returns a store watcher that knows two engines and two hosts, and its log.
-func newTestWatcher(t *testing.T) (*observer, *bytes.Buffer) {
+func newTestWatcher(t *testing.T) (*storeWatcher, *bytes.Buffer) {
 	t.Helper()
 	var log bytes.Buffer
 	hos, err := New(Config{Settings: settings.Entry{Name: "h1", PeerKey: "key between the hosts"}, Log: zerolog.New(&log)})
 	assert.NilError(t, err)
-	wat := newObserver(hos)
-	wat.apply(update{whole: true, changes: store.Changes{Revision: 10}, values: []store.Value{
+	wat := newStoreWatcher(hos)
+	wat.apply(update{complete: true, changes: store.Changes{Revision: 10}, values: []store.Value{
 		{Key: "servers/e1", Data: validEngineEntry(1), Revision: 1},
 		{Key: "servers/e2", Data: validEngineEntry(2), Revision: 2},
 		{Key: platform.MemberKey("h1"), Data: validHostEntry(t, "h1"), Revision: 3},
@@ -46,7 +46,7 @@
 	return wat, &log
 }
 
-func engineNames(wat *observer) string {
+func engineNames(wat *storeWatcher) string {
 	var names []string
 	for _, eng := range wat.directory.Engines() {
 		names = append(names, eng.ID.Name)
@@ -71,13 +71,13 @@
 	assert.Equal(t, engineNames(wat), "e2")
 	assert.Equal(t, strings.Count(log.String(), "engine entry names no engine to use"), 1)
 	assert.Assert(t, strings.Contains(log.String(), `"Key":"servers/e1"`))
-	assert.Equal(t, wat.host.figures.refused.Count(), int64(5))
+	assert.Equal(t, wat.host.metrics.invalidValues.Count(), int64(5))
 	wat.apply(changeUpdate(rev+1, "servers/e1", validEngineEntry(1)))
 	assert.Equal(t, engineNames(wat), "e1 e2")
 	wat.apply(changeUpdate(rev+2, "servers/e1", []byte(`{}`)))
 	assert.Equal(t, engineNames(wat), "e2")
 	assert.Equal(t, strings.Count(log.String(), "engine entry names no engine to use"), 2)
-	wat.apply(update{whole: true, changes: store.Changes{Revision: rev + 3}, values: []store.Value{
+	wat.apply(update{complete: true, changes: store.Changes{Revision: rev + 3}, values: []store.Value{
 		{Key: "servers/e1", Data: validEngineEntry(1)}, {Key: "servers/e2", Data: []byte(`{"service":"s"}`)},
 	}})
 	assert.Equal(t, engineNames(wat), "e1", "a complete snapshot while entries are kept")
@@ -87,21 +87,21 @@
 func TestInvalidOwnEntryIsWrittenAgain(t *testing.T) {
 	wat, _ := newTestWatcher(t)
 	wat.apply(changeUpdate(11, platform.MemberKey("h2"), []byte(`{"Name":"h2"}`)))
-	assert.Assert(t, !wat.host.entryBroken.Load())
+	assert.Assert(t, !wat.host.entryInvalid.Load())
 	assert.Equal(t, len(wat.directory.Members()), 1)
 	wat.apply(changeUpdate(12, platform.MemberKey("h1"), []byte(`7`)))
-	assert.Assert(t, wat.host.entryBroken.Load())
+	assert.Assert(t, wat.host.entryInvalid.Load())
 }
 
 // Very many invalid values are all counted, but only a limited number of them is logged.
 func TestInvalidEntryLogIsBounded(t *testing.T) {
 	wat, log := newTestWatcher(t)
-	for idx := range 2 * maxRefused {
+	for idx := range 2 * maxInvalidKeys {
 		wat.apply(changeUpdate(store.Revision(11+idx), fmt.Sprintf("servers/bad-%d", idx), bytes.Repeat([]byte("x"), 100_000)))
 	}
-	assert.Equal(t, strings.Count(log.String(), "names no engine to use"), maxRefused)
-	assert.Assert(t, log.Len() < maxRefused*2000, "%d bytes", log.Len())
-	assert.Equal(t, wat.host.figures.refused.Count(), int64(2*maxRefused))
+	assert.Equal(t, strings.Count(log.String(), "names no engine to use"), maxInvalidKeys)
+	assert.Assert(t, log.Len() < maxInvalidKeys*2000, "%d bytes", log.Len())
+	assert.Equal(t, wat.host.metrics.invalidValues.Count(), int64(2*maxInvalidKeys))
 	assert.Equal(t, engineNames(wat), "e1 e2")
 }
 
@@ -124,7 +124,7 @@
 			upd.changes.Changes[0].Deleted = rapid.Bool().Draw(rt, "deleted")
 			wat.apply(upd)
 		}
-		sna := wat.host.belief.Load()
+		sna := wat.host.snapshot.Load()
 		if engineNames(wat) != "e1 e2" || len(sna.engines) != 2 || len(sna.members) != 2 || sna.table != nil {
 			rt.Fatalf("engines %s, %d hosts, configuration %v", engineNames(wat), len(sna.members), sna.table)
 		}
--- a/entry/regions.go
+++ b/entry/regions.go
@@ -7,9 +7,9 @@
 
 // checkRegions logs the regions in a configuration that are unknown, and the routes and accounts
 // whose requests no region may serve. The configuration stays in force as its operators wrote it.
-func (wat *observer) checkRegions(tab *route.Table, val store.Value) {
+func (wat *storeWatcher) checkRegions(tab *route.Table, val store.Value) {
 	for _, err := range tab.Nowhere() {
-		wat.host.figures.count("RoutesWithoutRegion")
+		wat.host.metrics.count("RoutesWithoutRegion")
 		wat.host.log.Error().Err(err).Str("Field", err.Field).Str("Route", err.Route).Str("Account", err.Account).
 			Uint64("Version", tab.Version()).Uint64("Revision", uint64(val.Revision)).Msg("configuration leaves no region for requests, they are refused")
 	}
@@ -18,7 +18,7 @@
 		known[region] = true
 	}
 	for _, field := range tab.UnknownRegions(func(region string) bool { return known[region] }) {
-		wat.host.figures.count("RegionsUnknown")
+		wat.host.metrics.count("RegionsUnknown")
 		wat.host.log.Error().Str("Field", field).Uint64("Version", tab.Version()).Msg("configuration names a region that no failure domain is in")
 	}
 }
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -27,7 +27,7 @@
 	streams := upstreamtest.NewEngine(upstreamtest.Config{ID: "streams", Service: entrytest.Model, Slots: 4, Events: streamEvents, Domain: "d0"})
 	sys := startWithRegions(t, north, south, other, streams)
 	sys.Configure(entrytest.Configuration{Version: 2, RouteRegions: []string{"south"}})
-	sys.UntilVersion(2)
+	sys.WaitForVersion(2)
 	sendAll(t, sys, 0, 10)
 	south.Trouble(upstreamtest.Lose, 2)
 	for num := range 6 {
@@ -47,11 +47,11 @@
 	north, south := engineInDomain("d0", "north"), engineInDomain("d1", "south")
 	sys := startWithRegions(t, north, south)
 	sys.Configure(entrytest.Configuration{Version: 2, RouteRegions: []string{"south", "north"}, AccountRegions: []string{"north"}})
-	sys.UntilVersion(2)
+	sys.WaitForVersion(2)
 	sendAll(t, sys, 0, 5)
 	assert.Equal(t, len(south.Arrivals()), 0)
 	sys.Configure(entrytest.Configuration{Version: 3, RouteRegions: []string{"south", "west"}, AccountRegions: []string{"north"}})
-	sys.UntilVersion(3)
+	sys.WaitForVersion(3)
 	before := len(north.Arrivals())
 	ans := sendPlain(t, sys, sys.Hosts[0], "unsafe", 100)
 	assert.Equal(t, ans.Status, http.StatusServiceUnavailable)
@@ -59,7 +59,7 @@
 	assert.Equal(t, len(north.Arrivals())+len(south.Arrivals()), before)
 	assert.Assert(t, strings.Contains(sys.Log(), `"Field":"Accounts[0].Regions"`), "the account has no region in common with the route")
 	assert.Assert(t, strings.Contains(sys.Log(), `"Field":"Routes[0].Regions"`), "no host is in the region")
-	assert.Assert(t, strings.Contains(sys.Figures(sys.Hosts[0]), "RoutesWithoutRegion "))
+	assert.Assert(t, strings.Contains(sys.Metrics(sys.Hosts[0]), "RoutesWithoutRegion "))
 	for _, public := range []string{"public"} {
 		ans := sendPlain(t, sys, sys.Hosts[2], public, 100)
 		assert.Equal(t, ans.Status, http.StatusOK, ans.Body)
@@ -87,7 +87,7 @@
 	assert.DeepEqual(t, found("south"), address(1, 2))
 	assert.DeepEqual(t, found("elsewhere"), address(0, 1, 2))
 	sys.Configure(entrytest.Configuration{Version: 2, RouteRegions: []string{"south"}})
-	sys.UntilVersion(2)
+	sys.WaitForVersion(2)
 	assert.DeepEqual(t, found("north"), address(1, 2))
 	assert.DeepEqual(t, found("south"), address(1, 2))
 	assert.DeepEqual(t, found("elsewhere"), address(1, 2))
@@ -97,7 +97,7 @@
 	}
 	// No host of the region is left. The client's own host is the only other one that may hold its
 	// requests.
-	sys.Until("the region's hosts are deregistered", func() bool {
+	sys.WaitUntil("the region's hosts are deregistered", func() bool {
 		got := sys.AddressesFor(sys.Hosts[0], "north")
 		return slices.Equal(got, address(0)) && len(sys.AddressesFor(sys.Hosts[0], "elsewhere")) == 0
 	})
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -25,23 +25,23 @@
 	hos.log.Info().Str("Why", reason).Bool("Changed", changed).Interface("Bounds", set.Bounds).Msg("settings reloaded")
 }
 
-// followSettings reloads the settings when the file has changed, and on each hangup signal.
-func (hos *Host) followSettings(ctx context.Context) error {
+// watchSettings reloads the settings when the file has changed, and on each hangup signal.
+func (hos *Host) watchSettings(ctx context.Context) error {
 	if hos.cfg.SettingsFile == "" {
 		return nil
 	}
 	tick := time.NewTicker(settingsInterval)
 	defer tick.Stop()
-	modified := hos.settingsTime()
+	modified := hos.settingsModTime()
 	for {
 		select {
 		case <-tick.C:
-			if now := hos.settingsTime(); !now.Equal(modified) {
+			if now := hos.settingsModTime(); !now.Equal(modified) {
 				modified = now
 				hos.Reload("file changed")
 			}
 		case <-hos.cfg.Hangups:
-			modified = hos.settingsTime()
+			modified = hos.settingsModTime()
 			hos.Reload("signal")
 		case <-ctx.Done():
 			return ctx.Err()
@@ -49,9 +49,9 @@
 	}
 }
 
-// settingsTime returns when the file was last modified; zero if it can't be read, which a reload
+// settingsModTime returns when the file was last modified; zero if it can't be read, which a reload
 // then reports.
-func (hos *Host) settingsTime() time.Time {
+func (hos *Host) settingsModTime() time.Time {
 	info, err := os.Stat(hos.cfg.SettingsFile)
 	if err != nil {
 		return time.Time{}
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -14,14 +14,14 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-// sendBack records that a grant is returned unused, and why.
-func (exc *exchange) sendBack(err error) {
-	exc.again = true
-	exc.sentBack++
-	exc.host.figures.count("GrantsSentBack")
+// returnGrant records that a grant is returned unused, and why.
+func (exc *exchange) returnGrant(err error) {
+	exc.lastGrantUnused = true
+	exc.returnedGrants++
+	exc.host.metrics.count("GrantsSentBack")
 	evt := exc.host.log.Info().Str("Request", exc.request.ID).Str("Engine", exc.engine).Str("DecidedBy", exc.decidedBy)
 	evt = evt.AnErr("Because", err)
-	var blocked *BarredError
+	var blocked *BlockedError
 	if errors.As(err, &blocked) {
 		evt = evt.Stringer("Says", blocked.Notice.Word)
 		if bac, isBackoff := blocked.Notice.Word.(fleet.Pause); isBackoff {
@@ -37,15 +37,15 @@
 // been reported to the coordinator.
 func (exc *exchange) reserve(ctx context.Context) (fleet.Engine, *problem) {
 	unavailable := 0
-	for unavailable < maxUnsent && exc.sentBack <= maxSentBack {
+	for unavailable < maxNotSent && exc.returnedGrants <= maxReturnedGrants {
 		eng, pro := exc.reserveOnce(ctx)
 		switch {
 		case pro == nil:
 			return eng, nil
-		case pro.sentBack:
-		case pro.cause == causeEngineGone:
+		case pro.grantReturned:
+		case pro.cause == causeEngineUnavailable:
 			unavailable++
-			exc.again = true
+			exc.lastGrantUnused = true
 			exc.host.log.Info().Str("Request", exc.request.ID).Str("Engine", exc.engine).Str("DecidedBy", exc.decidedBy).
 				Msg("granted engine is deregistered; reserving again")
 			exc.exclude = append(exc.exclude, exc.engine)
@@ -53,17 +53,17 @@
 			return eng, pro
 		}
 	}
-	return fleet.Engine{}, exc.notRun(causeNoEngine, "the engines granted can't be used")
+	return fleet.Engine{}, exc.notRunProblem(causeNoEngine, "the engines granted can't be used")
 }
 
-// notRun returns the final answer for a request that this attempt did not run.
-func (exc *exchange) notRun(cau cause, detail string) *problem {
-	return exc.unlessRun(&problem{status: http.StatusServiceUnavailable, cause: cau, retryAfter: notReadyRetry, detail: detail})
+// notRunProblem returns the final answer for a request that this attempt did not run.
+func (exc *exchange) notRunProblem(cau cause, detail string) *problem {
+	return exc.adjustIfMayHaveRun(&problem{status: http.StatusServiceUnavailable, cause: cau, retryAfter: notReadyRetry, detail: detail})
 }
 
-// unlessRun changes the status of a refusal if an earlier attempt may have run: only a
+// adjustIfMayHaveRun changes the status of a refusal if an earlier attempt may have run: only a
 // request that has certainly not run may be refused with a status that says so.
-func (exc *exchange) unlessRun(pro *problem) *problem {
+func (exc *exchange) adjustIfMayHaveRun(pro *problem) *problem {
 	if exc.mayHaveRun {
 		pro.status, pro.retryAfter = http.StatusBadGateway, 0
 	}
@@ -76,57 +76,57 @@
 	res := reservation.Reserve{
 		ID:      request.ID{Prefix: request.Prefix{Epoch: hos.epoch}, Unique: exc.request.ID},
 		Service: exc.service, Rank: exc.rank, Urgency: max(0, exc.route.Rank), Account: exc.account.Name,
-		PromptTokens: exc.request.PromptTokens, MaxTokens: exc.request.MaxTokens, AnswerTokens: exc.answerTokens(),
-		Remaining: exc.remaining(), Domain: hos.set.Domain, Aim: exc.aim(exc.host.clock.Now()), Age: exc.callerAge,
+		PromptTokens: exc.request.PromptTokens, MaxTokens: exc.request.MaxTokens, AnswerTokens: exc.estimatedAnswerTokens(),
+		Remaining: exc.remaining(), Domain: hos.set.Domain, Aim: exc.latencyTarget(exc.host.clock.Now()), Age: exc.clientWait,
 		Route: exc.route.Name, Repeatable: exc.route.Repeatable(),
 		Cost: exc.account.Cost(exc.request.Tokens()), Attempt: exc.attempts, Exclude: exc.exclude, Parts: exc.request.Parts,
-		Digest: exc.digest, Again: exc.again, Regions: exc.regions,
+		Digest: exc.digest, Again: exc.lastGrantUnused, Regions: exc.regions,
 	}
 	if exc.route.Kind != route.KindStreaming {
 		res.PromptTokens = 0
 	}
-	dec, err := hos.desk.reserve(ctx, res)
-	exc.waited += time.Since(start)
+	dec, err := hos.broker.reserve(ctx, res)
+	exc.decisionWait += time.Since(start)
 	if err != nil {
-		return fleet.Engine{}, exc.ended(err)
+		return fleet.Engine{}, exc.contextProblem(err)
 	}
-	exc.decidedBy = dec.by.String()
+	exc.decidedBy = dec.coordinator.String()
 	if dec.refusal != nil {
-		return fleet.Engine{}, exc.refusal(*dec.refusal)
+		return fleet.Engine{}, exc.refusalProblem(*dec.refusal)
 	}
-	exc.grant = grant{rate: dec.grant.Rate, cold: dec.grant.Cold, asked: requestedAt, at: hos.clock.Now()}
-	return exc.granted(dec.grant.Engine, res.ID)
+	exc.grant = grant{rate: dec.grant.Rate, cold: dec.grant.Cold, requestedAt: requestedAt, grantedAt: hos.clock.Now()}
+	return exc.checkGrant(dec.grant.Engine, res.ID)
 }
 
 // regionAllowed reports whether the engine's region is one in which the request may be served.
-func (exc *exchange) allows(eng fleet.Engine) bool {
+func (exc *exchange) regionAllowed(eng fleet.Engine) bool {
 	return len(exc.regions) == 0 || slices.Contains(exc.regions, exc.host.set.Regions[eng.Domain])
 }
 
-// answerTokens returns the client's estimate of the answer's length, from which the
+// estimatedAnswerTokens returns the client's estimate of the answer's length, from which the
 // scheduler predicts when the slot becomes free. It returns 0 for a resumed stream, whose
 // remaining length is unknown.
-func (exc *exchange) answerTokens() int {
-	if max(exc.request.LastEvent, exc.lastEvent) > 0 {
+func (exc *exchange) estimatedAnswerTokens() int {
+	if max(exc.request.LastEvent, exc.lastEventID) > 0 {
 		return 0
 	}
 	return exc.request.HintTokens
 }
 
 const (
-	// Clients of a stream disconnect if no event arrives for the longest of minPatience,
-	// aimPatience times the route's latency target, and pausePatience times its
+	// Clients of a stream disconnect if no event arrives for the longest of minStreamTimeout,
+	// streamTimeoutTargets times the route's latency target, and streamTimeoutPauses times its
 	// target for the pause between events. These values match the behavior of the platform's
 	// clients.
-	minPatience   = 2 * time.Second
-	aimPatience   = 4
-	pausePatience = 8
+	minStreamTimeout     = 2 * time.Second
+	streamTimeoutTargets = 4
+	streamTimeoutPauses  = 8
 )
 
 // latencyTarget returns the time within which the next attempt's answer is still useful. For the
 // first attempt that is what is left of the route's latency target. A retry usually misses the
 // target, but its client keeps waiting, and a stream that has begun is lost unless it continues.
-func (exc *exchange) aim(now time.Time) time.Duration {
+func (exc *exchange) latencyTarget(now time.Time) time.Duration {
 	if exc.attempts == 0 {
 		return exc.route.Aim - now.Sub(exc.started)
 	}
@@ -135,55 +135,55 @@
 		return left
 	}
 	lastEventAt := exc.started
-	if exc.lastHeard.After(lastEventAt) {
-		lastEventAt = exc.lastHeard
+	if exc.lastEventAt.After(lastEventAt) {
+		lastEventAt = exc.lastEventAt
 	}
-	timeout := max(minPatience, aimPatience*exc.route.Aim, pausePatience*exc.route.PauseAim)
+	timeout := max(minStreamTimeout, streamTimeoutTargets*exc.route.Aim, streamTimeoutPauses*exc.route.PauseAim)
 	return min(left, timeout-now.Sub(lastEventAt))
 }
 
 // checkGrant rechecks, after the wait for the decision, the conditions that may have changed
 // meanwhile.
-func (exc *exchange) granted(name string, id request.ID) (fleet.Engine, *problem) {
+func (exc *exchange) checkGrant(name string, id request.ID) (fleet.Engine, *problem) {
 	hos := exc.host
 	exc.engine = name
-	snp := hos.belief.Load()
+	snp := hos.snapshot.Load()
 	var pro *problem
 	run := fleet.ParseEngineID(name)
 	eng, known := snp.engine(run)
 	switch {
-	case !exc.route.Public && !hos.trusted(hos.clock.Now()):
-		pro = exc.notRun(causeNotReady, "configuration became too old")
+	case !exc.route.Public && !hos.isFresh(hos.clock.Now()):
+		pro = exc.notRunProblem(causeNotReady, "configuration became too old")
 	case !known || eng.Draining:
 		// The coordinator may have lost its connection to the store and not know of this yet.
-		pro = exc.notRun(causeEngineGone, "engine is gone or leaves")
-	case !exc.allows(eng):
-		pro = exc.notRun(causeEngineGone, "engine is in a region where the request may not be served")
+		pro = exc.notRunProblem(causeEngineUnavailable, "engine is gone or leaves")
+	case !exc.regionAllowed(eng):
+		pro = exc.notRunProblem(causeEngineUnavailable, "engine is in a region where the request may not be served")
 	case exc.account.Name != "":
 		if _, valid := snp.table.Account(exc.request.Key); !valid {
 			pro = &problem{status: http.StatusUnauthorized, cause: causeUnknownKey, detail: "the key was taken away"}
 		}
 	}
 	if pro == nil {
-		if err := hos.maySend(eng, exc.grant); err != nil {
-			exc.sendBack(err)
-			pro = exc.notRun(causeBarred, err.Error())
-			pro.sentBack = true
+		if err := hos.checkEngine(eng, exc.grant); err != nil {
+			exc.returnGrant(err)
+			pro = exc.notRunProblem(causeBlocked, err.Error())
+			pro.grantReturned = true
 		}
 	}
 	if pro == nil {
 		if eng.ID != run {
-			hos.desk.moveHold(id, eng.ID)
+			hos.broker.updateGrant(id, eng.ID)
 			exc.exclude = append(exc.exclude, name)
 		}
 		return eng, nil
 	}
-	hos.desk.release(reservation.Release{ID: id, Engine: name})
+	hos.broker.release(reservation.Release{ID: id, Engine: name})
 	return fleet.Engine{}, pro
 }
 
 // refusalProblem returns the final answer for a coordinator's refusal.
-func (exc *exchange) refusal(ref reservation.Refuse) *problem {
+func (exc *exchange) refusalProblem(ref reservation.Refuse) *problem {
 	pro := &problem{status: http.StatusServiceUnavailable, cause: causeOverload, retryAfter: ref.RetryAfter, detail: "no engine has room in time"}
 	switch ref.Reason {
 	case reservation.ReasonLimit:
@@ -193,23 +193,23 @@
 	case reservation.ReasonNoEngine:
 		pro.cause, pro.detail = causeNoEngine, "no engine is left to try"
 	case reservation.ReasonBackoff:
-		pro.cause, pro.detail = causeBarred, "all engines that are left have asked for a pause, or leave"
+		pro.cause, pro.detail = causeBlocked, "all engines that are left have asked for a pause, or leave"
 	case reservation.ReasonRate:
-		pro.cause, pro.detail = causeRate, "all engines that are left have named the rate that they take, and others were before"
+		pro.cause, pro.detail = causeRateLimit, "all engines that are left have named the rate that they take, and others were before"
 	case reservation.ReasonRegion:
 		pro.cause, pro.detail = causeNoRegion, "no engine is in the regions that the route and the client account allow"
 	case reservation.ReasonHeld:
 		return heldProblem(ref)
 	}
-	return exc.unlessRun(pro)
+	return exc.adjustIfMayHaveRun(pro)
 }
 
 // contextProblem returns the final answer after the deadline has passed or the client has
 // disconnected.
-func (exc *exchange) ended(err error) *problem {
+func (exc *exchange) contextProblem(err error) *problem {
 	pro := &problem{status: http.StatusServiceUnavailable, cause: causeDeadline, detail: err.Error()}
 	if !errors.Is(err, context.DeadlineExceeded) {
-		pro.cause = causeCallerLeft
+		pro.cause = causeClientDisconnected
 	}
 	if exc.mayHaveRun {
 		pro.status = http.StatusGatewayTimeout
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -59,8 +59,8 @@
 			sys := start(t, 2, nil)
 			end := newEndpoint(t, former)
 			startTime := time.Now().Add(-time.Hour)
-			sys.EnterState("e", end.state(former, startTime))
-			sys.UntilEngines(1)
+			sys.PutEngineState("e", end.state(former, startTime))
+			sys.WaitForEngines(1)
 			former.Trouble(upstreamtest.Hang, 1)
 			taken := make(chan struct{})
 			former.OnTaken(func() { close(taken) })
@@ -72,7 +72,7 @@
 			<-taken
 			end.switchTo(later)
 			// The start time is set as if the engine had needed a second to start.
-			sys.EnterState("e", end.state(later, time.Now().Add(time.Second)))
+			sys.PutEngineState("e", end.state(later, time.Now().Add(time.Second)))
 			ans := <-answered
 			assert.NilError(t, ans.Err)
 			assert.Equal(t, ans.Status, tst.status)
@@ -96,8 +96,8 @@
 			former, later := plainEngine("p"), plainEngine("p")
 			sys := start(t, 2, nil)
 			end := newEndpoint(t, former)
-			sys.EnterState("p", end.state(former, time.Now().Add(-time.Hour)))
-			sys.UntilEngines(1)
+			sys.PutEngineState("p", end.state(former, time.Now().Add(-time.Hour)))
+			sys.WaitForEngines(1)
 			send := func(id string) {
 				for idx, hos := range sys.Hosts {
 					ans := sys.Send(t.Context(), hos, entrytest.Request{ID: id + string(rune('a'+idx)), Path: "/safe/x"})
@@ -109,7 +109,7 @@
 			end.switchTo(later)
 			send("unknown")
 			sys.Store.SetFaults(platformtest.Faults{})
-			sys.EnterState("p", end.state(later, time.Now()))
+			sys.PutEngineState("p", end.state(later, time.Now()))
 			sys.Store.SetFaults(fau)
 			send("entered")
 			sys.Store.SetFaults(platformtest.Faults{})
@@ -126,14 +126,14 @@
 	sys := start(t, 1, nil)
 	end, formerEnd := newEndpoint(t, later), newEndpoint(t, former)
 	startTime := time.Now()
-	sys.EnterState("p", end.state(later, startTime))
-	sys.UntilEngines(1)
+	sys.PutEngineState("p", end.state(later, startTime))
+	sys.WaitForEngines(1)
 	stale := formerEnd.state(former, startTime.Add(-time.Minute))
 	stale.Draining, stale.Sequence = true, 90
-	sys.EnterState("p", stale)
+	sys.PutEngineState("p", stale)
 	// Once the next configuration is in force, the earlier writes have been read, too.
 	sys.Configure(entrytest.Configuration{Version: 2})
-	sys.UntilVersion(2)
+	sys.WaitForVersion(2)
 	ans := sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r", Path: "/unsafe/x"})
 	assert.Equal(t, ans.Status, http.StatusOK)
 	assert.Equal(t, len(later.Runs()), 1)
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -22,40 +22,40 @@
 
 // rollouts is the stored state of roll-outs, by service.
 type rollouts struct {
-	standings map[string]rollout.Standing
+	stored map[string]rollout.Standing
 	// changed is set until the scheduler has been informed.
 	changed bool
 }
 
 func (rls *rollouts) set(service string, change func(*rollout.Standing)) {
-	if rls.standings == nil {
-		rls.standings = make(map[string]rollout.Standing)
+	if rls.stored == nil {
+		rls.stored = make(map[string]rollout.Standing)
 	}
-	sst := rls.standings[service]
+	sst := rls.stored[service]
 	change(&sst)
-	rls.standings[service] = sst
+	rls.stored[service] = sst
 	rls.changed = true
 }
 
 // ordered returns the roll-outs that were ordered, sorted by service.
 func (rls *rollouts) ordered() []rollout.Standing {
 	var ordered []rollout.Standing
-	for _, name := range slices.Sorted(maps.Keys(rls.standings)) {
-		if sst := rls.standings[name]; sst.Order.Revision > 0 {
+	for _, name := range slices.Sorted(maps.Keys(rls.stored)) {
+		if sst := rls.stored[name]; sst.Order.Revision > 0 {
 			ordered = append(ordered, sst)
 		}
 	}
 	return ordered
 }
 
-// takeOrder applies an operator's order. An invalid one is ignored, and the previous one stays in
+// applyRolloutOrder applies an operator's order. An invalid one is ignored, and the previous one stays in
 // force.
-func (wat *observer) takeOrder(val store.Value) {
+func (wat *storeWatcher) applyRolloutOrder(val store.Value) {
 	ord, err := platform.DecodeOrder(val)
-	if !wat.refused.usable(val, err, "roll-out order refused, keeping the previous one") {
+	if !wat.invalidValues.checkValue(val, err, "roll-out order refused, keeping the previous one") {
 		return
 	}
-	if ord.Revision <= wat.rollouts.standings[ord.Service].Order.Revision {
+	if ord.Revision <= wat.rollouts.stored[ord.Service].Order.Revision {
 		return
 	}
 	if tab := wat.table; tab != nil {
@@ -67,26 +67,26 @@
 	wat.rollouts.set(ord.Service, func(sst *rollout.Standing) { sst.Order = ord })
 }
 
-// takeRolloutState applies the published state of a roll-out.
-func (wat *observer) takeRolloutState(name string, val store.Value) {
+// applyRolloutState applies the published state of a roll-out.
+func (wat *storeWatcher) applyRolloutState(name string, val store.Value) {
 	sta, version, err := platform.DecodeRolloutState(val)
 	// The revision of an invalid state is needed all the same: the next state is written in its
 	// place. So is a ledger's.
-	wat.refused.usable(val, err, "stored roll-out state invalid, ignored")
+	wat.invalidValues.checkValue(val, err, "stored roll-out state invalid, ignored")
 	wat.rollouts.set(name, func(sst *rollout.Standing) {
 		sst.State, sst.StateVersion, sst.StateRevision = sta, version, uint64(val.Revision)
 	})
 }
 
-// takeLedger applies the shared ledger of a roll-out.
-func (wat *observer) takeLedger(name string, val store.Value) {
+// applyLedger applies the shared ledger of a roll-out.
+func (wat *storeWatcher) applyLedger(name string, val store.Value) {
 	led, err := platform.DecodeLedger(val)
-	wat.refused.usable(val, err, "stored roll-out ledger invalid, ignored")
+	wat.invalidValues.checkValue(val, err, "stored roll-out ledger invalid, ignored")
 	wat.rollouts.set(name, func(sst *rollout.Standing) { sst.Ledger, sst.LedgerRevision = led, uint64(val.Revision) })
 }
 
 // publishRollouts passes changes of roll-outs to this host's scheduler.
-func (wat *observer) publishRollouts() {
+func (wat *storeWatcher) publishRollouts() {
 	if !wat.rollouts.changed {
 		return
 	}
@@ -95,9 +95,9 @@
 	if len(ordered) == 0 {
 		return
 	}
-	wat.host.desk.handle(scheduler.RolloutsChanged{States: ordered})
+	wat.host.broker.handle(scheduler.RolloutsChanged{States: ordered})
 	select {
-	case wat.host.rolloutNews <- struct{}{}:
+	case wat.host.rolloutUpdates <- struct{}{}:
 	default:
 	}
 }
@@ -105,23 +105,23 @@
 // rolloutWrites makes this host's scheduler decide on roll-outs if this host is the coordinator,
 // and returns what is to be written. Other hosts use no new versions. It also reports whether any
 // roll-out is unfinished.
-func (bro *desk) rolloutWrites(now time.Time) ([]rollout.Write, bool) {
+func (bro *broker) rolloutWrites(now time.Time) ([]rollout.Write, bool) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	if !bro.core.RolloutsPending() {
 		return nil, false
 	}
-	if !bro.inCharge() {
+	if !bro.coordinatesLocked() {
 		return nil, true
 	}
 	writes := bro.core.RolloutWrites(now)
 	// The decisions may allow waiting requests to be dispatched.
-	bro.step(scheduler.Tick{})
+	bro.handleLocked(scheduler.Tick{})
 	return writes, true
 }
 
-// keepRollouts decides on roll-outs while any are unfinished.
-func (hos *Host) keepRollouts(ctx context.Context) error {
+// maintainRollouts decides on roll-outs while any are unfinished.
+func (hos *Host) maintainRollouts(ctx context.Context) error {
 	written := make(chan struct{})
 	writing := 0
 	tick := time.NewTicker(rolloutInterval)
@@ -129,10 +129,10 @@
 	tick.Stop()
 	for {
 		select {
-		case <-hos.rolloutNews:
+		case <-hos.rolloutUpdates:
 			tick.Reset(rolloutInterval)
 		case <-tick.C:
-			writes, open := hos.desk.rolloutWrites(hos.clock.Now())
+			writes, open := hos.broker.rolloutWrites(hos.clock.Now())
 			if !open {
 				tick.Stop()
 			}
@@ -175,7 +175,7 @@
 		return
 	}
 	evt.Msg("roll-out state or ledger written")
-	hos.desk.handle(scheduler.RolloutRecorded{Write: wri, Revision: uint64(rev)})
+	hos.broker.handle(scheduler.RolloutRecorded{Write: wri, Revision: uint64(rev)})
 }
 
 func encodeRollout(wri rollout.Write) (string, []byte, error) {
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -76,8 +76,8 @@
 		Bounds: settings.Bounds{ExposureShare: 0.1, ExposureSlack: 30},
 	})
 	sys.Configure(entrytest.Configuration{Version: 1})
-	sys.UntilReady()
-	sys.Order(entrytest.Plain, "v2", rolloutPeriod)
+	sys.WaitForReady()
+	sys.OrderRollout(entrytest.Plain, "v2", rolloutPeriod)
 	sys.AddEngines(engines...)
 	return sys
 }
@@ -102,13 +102,13 @@
 	one, two := versionEngine("new-1", "v2", healthy), versionEngine("new-2", "v2", healthy)
 	sys := startRollout(t, 2, one, two)
 	tra := startTraffic(t, sys, sys.Hosts)
-	sys.Until("the roll-out runs", func() bool { state, _ := sys.RolloutState(entrytest.Plain); return state == "running" })
-	sys.Until("the roll-out ends", rolloutEnded(sys, entrytest.Plain))
+	sys.WaitUntil("the roll-out runs", func() bool { state, _ := sys.RolloutState(entrytest.Plain); return state == "running" })
+	sys.WaitUntil("the roll-out ends", rolloutEnded(sys, entrytest.Plain))
 	state, name := sys.RolloutState(entrytest.Plain)
 	assert.Equal(t, state, "completed")
 	assert.Equal(t, name, "v2")
 	before := runCount(one, two)
-	sys.Until("the new version serves", func() bool { return runCount(one, two) > before+20 })
+	sys.WaitUntil("the new version serves", func() bool { return runCount(one, two) > before+20 })
 	tra.stop()
 	assert.Equal(t, tra.failed.Load(), int64(0))
 }
@@ -125,12 +125,12 @@
 			one, two := versionEngine("new-1", "v2", change), versionEngine("new-2", "v2", change)
 			sys := startRollout(t, 2, one, two)
 			tra := startTraffic(t, sys, sys.Hosts)
-			sys.Until("the roll-out ends", rolloutEnded(sys, entrytest.Plain))
+			sys.WaitUntil("the roll-out ends", rolloutEnded(sys, entrytest.Plain))
 			state, _ := sys.RolloutState(entrytest.Plain)
 			assert.Equal(t, state, "rolled_back")
 			received := runCount(one, two)
 			sent := tra.sent.Load()
-			sys.Until("more requests are served", func() bool { return tra.sent.Load() > sent+200 })
+			sys.WaitUntil("more requests are served", func() bool { return tra.sent.Load() > sent+200 })
 			assert.Equal(t, runCount(one, two), received)
 			tra.stop()
 			assert.Assert(t, float64(received) <= 0.1*float64(tra.sent.Load())+30, "%d of %d", received, tra.sent.Load())
@@ -150,16 +150,16 @@
 			one, two := versionEngine("new-1", "v2", tst.change), versionEngine("new-2", "v2", tst.change)
 			sys := startRollout(t, 3, one, two)
 			var first *entrytest.Host
-			sys.Until("one host coordinates", func() bool { first = coordinator(sys); return first != nil })
+			sys.WaitUntil("one host coordinates", func() bool { first = coordinator(sys); return first != nil })
 			sys.Hosts = hostsWithout(sys.Hosts, first)
 			tra := startTraffic(t, sys, sys.Hosts)
-			sys.Until("the new version gets requests", func() bool { return runCount(one, two) > 0 })
+			sys.WaitUntil("the new version gets requests", func() bool { return runCount(one, two) > 0 })
 			first.Stop()
 			sys.Store.SetFaults(platformtest.Faults{Down: true})
 			sent := tra.sent.Load()
-			sys.Until("requests are served without the store", func() bool { return tra.sent.Load() > sent+100 })
+			sys.WaitUntil("requests are served without the store", func() bool { return tra.sent.Load() > sent+100 })
 			sys.Store.SetFaults(platformtest.Faults{LoseReplies: 2})
-			sys.Until("the roll-out ends", rolloutEnded(sys, entrytest.Plain))
+			sys.WaitUntil("the roll-out ends", rolloutEnded(sys, entrytest.Plain))
 			state, _ := sys.RolloutState(entrytest.Plain)
 			assert.Equal(t, state, tst.want)
 			if tst.want == "rolled_back" {
@@ -186,17 +186,17 @@
 	sys := startRollout(t, 1, versionEngine("new-1", "v3", healthy))
 	_, err := sys.Store.Put(t.Context(), store.Write{Key: "op/rollout/" + entrytest.Model, Blind: true, Data: []byte(`{"service":"other","target_version":7}`)})
 	assert.NilError(t, err)
-	sys.Order("unknown", "v2", time.Second)
-	sys.Until("the first order runs", func() bool { state, _ := sys.RolloutState(entrytest.Plain); return state == "running" })
-	sys.Order(entrytest.Plain, "v9", time.Second)
-	sys.Until("the second order ends", func() bool {
+	sys.OrderRollout("unknown", "v2", time.Second)
+	sys.WaitUntil("the first order runs", func() bool { state, _ := sys.RolloutState(entrytest.Plain); return state == "running" })
+	sys.OrderRollout(entrytest.Plain, "v9", time.Second)
+	sys.WaitUntil("the second order ends", func() bool {
 		state, name := sys.RolloutState(entrytest.Plain)
 		return state == "rolled_back" && name == "v9"
 	})
-	sys.Until("the order of the unknown service ends", rolloutEnded(sys, "unknown"))
+	sys.WaitUntil("the order of the unknown service ends", rolloutEnded(sys, "unknown"))
 	state, _ := sys.RolloutState(entrytest.Model)
 	assert.Equal(t, state, "")
-	sys.Until("the invalid order is logged", func() bool { return logContains(sys, "roll-out order refused") })
+	sys.WaitUntil("the invalid order is logged", func() bool { return logContains(sys, "roll-out order refused") })
 }
 
 func logContains(sys *entrytest.System, text string) bool { return strings.Contains(sys.Log(), text) }
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -15,7 +15,7 @@
 const (
 	// coordinatorSessions is how many reachable hosts a gateway keeps a session with: the
 	// coordinator and the host that would replace it.
-	coordinators = 2
+	coordinatorSessions = 2
 	// maxCandidates bounds how many hosts a gateway tries to keep sessions with, including
 	// unreachable ones: the hosts of the largest failure domain of a fleet of six, which may be
 	// lost at once, and two more.
@@ -23,14 +23,14 @@
 )
 
 // membership is the set of hosts that share the work.
-type roster struct {
+type membership struct {
 	// members are all hosts; candidates are those that may be the coordinator, in order of
 	// preference.
 	members    []fleet.Member
 	candidates []fleet.Member
 	// unregistered is set while this host's own entry is missing and other hosts have theirs: the
 	// others divide the limits without it, so it has no share of its own.
-	outside bool
+	unregistered bool
 }
 
 // restart is a restart that was detected from a host's answer before its entry changed.
@@ -38,13 +38,13 @@
 	// entryEpoch is the epoch in the host's entry, currentEpoch the one that the host answered
 	// with. Any later entry replaces the restart, whichever epoch is higher, since a clock may
 	// have been set back.
-	former request.Epoch
-	now    request.Epoch
+	entryEpoch   request.Epoch
+	currentEpoch request.Epoch
 }
 
 // applyRestarts returns the membership with the new epochs of hosts that have restarted since
 // their entries were written.
-func (mbs roster) restarted(restarts map[string]restart) roster {
+func (mbs membership) applyRestarts(restarts map[string]restart) membership {
 	mbs.members = withRestarts(mbs.members, restarts)
 	mbs.candidates = withRestarts(mbs.candidates, restarts)
 	return mbs
@@ -56,93 +56,93 @@
 	}
 	members = slices.Clone(members)
 	for idx, mem := range members {
-		if res, known := restarts[mem.Name]; known && res.former == mem.Epoch {
-			members[idx].Epoch = res.now
+		if res, known := restarts[mem.Name]; known && res.entryEpoch == mem.Epoch {
+			members[idx].Epoch = res.currentEpoch
 		}
 	}
 	return members
 }
 
-// changeMembers applies a new membership and adjusts the sessions.
-func (bro *desk) changeMembers(mbs roster) {
+// updateMembership applies a new membership and adjusts the sessions.
+func (bro *broker) updateMembership(mbs membership) {
 	bro.mutex.Lock()
-	bro.setRoster(mbs)
+	bro.applyMembership(mbs)
 	bro.mutex.Unlock()
-	bro.wake()
+	bro.wakeSessions()
 }
 
-// setRoster applies a new membership; the mutex is held.
-func (bro *desk) setRoster(mbs roster) {
+// applyMembership applies a new membership; the mutex is held.
+func (bro *broker) applyMembership(mbs membership) {
 	now := bro.host.clock.Now()
-	bro.listed, bro.roster = mbs, mbs.restarted(bro.restarted)
-	bro.presence.SetMembers(now, bro.roster.members)
-	bro.forgetUnreached()
-	bro.changeSpending(now)
+	bro.registeredMembership, bro.membership = mbs, mbs.applyRestarts(bro.restarts)
+	bro.presence.SetMembers(now, bro.membership.members)
+	bro.forgetDeregistered()
+	bro.updateDebts(now)
 	bro.elect()
-	bro.tellLeader()
+	bro.publishLeader()
 }
 
 // candidates returns the hosts to keep sessions with, in order: the first that are not known to
 // be unreachable, those before them in case they have returned, and the known leaders.
 // Unreachable hosts don't count because their entries remain until their leases expire; a host
 // that waited for this would use its own scheduler for as long.
-func (bro *desk) candidates() []fleet.Member {
+func (bro *broker) candidates() []fleet.Member {
 	var found []fleet.Member
 	reachable := 0
-	leaders := bro.leaders()
-	for _, mem := range bro.roster.candidates {
-		within := reachable < coordinators && len(found) < maxCandidates
+	leaders := bro.knownLeaders()
+	for _, mem := range bro.membership.candidates {
+		within := reachable < coordinatorSessions && len(found) < maxCandidates
 		if !within && !slices.Contains(leaders, mem.Epoch) {
 			continue
 		}
 		found = append(found, mem)
-		if !bro.unreached[mem.Epoch] {
+		if !bro.unreachableCandidates[mem.Epoch] {
 			reachable++
 		}
 	}
 	return found
 }
 
-// forgetUnreached drops the records of hosts that are no longer registered.
-func (bro *desk) forgetUnreached() {
-	maps.DeleteFunc(bro.unreached, func(epo request.Epoch, _ bool) bool {
-		return !slices.ContainsFunc(bro.roster.members, func(mem fleet.Member) bool { return mem.Epoch == epo })
+// forgetDeregistered drops the records of hosts that are no longer registered.
+func (bro *broker) forgetDeregistered() {
+	maps.DeleteFunc(bro.unreachableCandidates, func(epo request.Epoch, _ bool) bool {
+		return !slices.ContainsFunc(bro.membership.members, func(mem fleet.Member) bool { return mem.Epoch == epo })
 	})
-	maps.DeleteFunc(bro.restarted, func(name string, _ restart) bool {
-		return !slices.ContainsFunc(bro.roster.members, func(mem fleet.Member) bool { return mem.Name == name })
+	maps.DeleteFunc(bro.restarts, func(name string, _ restart) bool {
+		return !slices.ContainsFunc(bro.membership.members, func(mem fleet.Member) bool { return mem.Name == name })
 	})
 }
 
-// noteRestart records the epoch that a host answered with if it differs from the one in its
+// recordRestart records the epoch that a host answered with if it differs from the one in its
 // entry: the host has restarted and its old entry has not been replaced yet. After the loss of
 // all hosts this finds their first coordinator before its new entry has been read. It reports
 // whether the host has restarted.
-func (bro *desk) noteRestart(mem fleet.Member, err error) bool {
+func (bro *broker) recordRestart(mem fleet.Member, err error) bool {
 	var other *peer.EpochError
 	if !errors.As(err, &other) {
 		return false
 	}
 	bro.mutex.Lock()
-	for _, entry := range bro.listed.members {
+	for _, entry := range bro.registeredMembership.members {
 		if entry.Name == mem.Name {
-			bro.restarted[mem.Name] = restart{former: entry.Epoch, now: other.Got}
+			bro.restarts[mem.Name] = restart{entryEpoch: entry.Epoch, currentEpoch: other.Got}
 		}
 	}
-	bro.setRoster(bro.listed)
+	bro.applyMembership(bro.registeredMembership)
 	bro.mutex.Unlock()
-	bro.wake()
+	bro.wakeSessions()
 	bro.host.log.Info().Str("Member", mem.Name).Stringer("MemberEpoch", other.Got).Stringer("Former", mem.Epoch).Msg("host has restarted; using its new epoch")
 	return true
 }
 
-// noteUnreached records that a session could not be opened, so that the next candidates are
+// recordUnreachable records that a session could not be opened, so that the next candidates are
 // tried.
-func (bro *desk) noteUnreached(mem fleet.Member, lasted time.Duration) {
+func (bro *broker) recordUnreachable(mem fleet.Member, lasted time.Duration) {
 	if lasted > dialTimeout+maxRedial {
 		return
 	}
 	bro.mutex.Lock()
-	bro.unreached[mem.Epoch] = true
+	bro.unreachableCandidates[mem.Epoch] = true
 	bro.mutex.Unlock()
-	bro.wake()
+	bro.wakeSessions()
 }
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// secretSpread is the jitter of hosts that find no secret before they make one: the other hosts
+	// secretJitter is the jitter of hosts that find no secret before they make one: the other hosts
 	// read the first one within a tenth of a second, and each attempt is a call.
-	secretSpread = 600 * time.Millisecond
+	secretJitter = 600 * time.Millisecond
 	// secretRetry is the average time after which a host without any secret tries again.
 	secretRetry = time.Second
 	// secretInterval is how often the coordinator checks whether the secrets are due for renewal,
@@ -26,125 +26,125 @@
 	secretInterval = 10 * time.Second
 	// secretTimeout bounds the writing of a key ring.
 	secretTimeout = time.Second
-	// refusedPause is the least time between two log lines about refused peers: an unauthenticated
+	// refusalLogInterval is the least time between two log lines about refused peers: an unauthenticated
 	// peer may try as often as it likes.
-	refusedPause = time.Second
+	refusalLogInterval = time.Second
 )
 
 // secrets holds the deployment's secrets, unless the settings hold a key.
 type secrets struct {
 	keeper *credential.Keeper
 	// known is closed once a secret is known.
-	known   chan struct{}
-	knowing sync.Once
+	known     chan struct{}
+	knownOnce sync.Once
 
 	mutex sync.Mutex
 	// revision is the store's revision of the key ring; 0 while there is none. broken is set while
 	// the stored ring is invalid.
 	revision store.Revision
-	broken   bool
-	// toldAt is when a refused peer was last logged; untold counts those refused since.
-	toldAt time.Time
-	untold int
+	invalid  bool
+	// refusalLoggedAt is when a refused peer was last logged; untold counts those refused since.
+	refusalLoggedAt  time.Time
+	unloggedRefusals int
 }
 
 func newSecrets(hos *Host) *secrets {
 	sec := &secrets{known: make(chan struct{})}
-	sec.keeper = credential.NewKeeper(credential.Config{Refused: func(err error) { hos.refusePeer(time.Now(), err) }})
+	sec.keeper = credential.NewKeeper(credential.Config{Refused: func(err error) { hos.recordRefusedPeer(time.Now(), err) }})
 	return sec
 }
 
-// refusePeer counts a peer that failed to authenticate as a host of the deployment, and logs it at
-// most once every refusedPause.
-func (hos *Host) refusePeer(now time.Time, err error) {
-	hos.figures.peersRefused.Inc(1)
+// recordRefusedPeer counts a peer that failed to authenticate as a host of the deployment, and logs it at
+// most once every refusalLogInterval.
+func (hos *Host) recordRefusedPeer(now time.Time, err error) {
+	hos.metrics.refusedPeers.Inc(1)
 	sec := hos.secrets
 	sec.mutex.Lock()
 	defer sec.mutex.Unlock()
-	if now.Sub(sec.toldAt) < refusedPause {
-		sec.untold++
+	if now.Sub(sec.refusalLoggedAt) < refusalLogInterval {
+		sec.unloggedRefusals++
 		return
 	}
-	hos.log.Warn().Err(err).Int("More", sec.untold).Msg("unauthenticated peer refused")
-	sec.toldAt, sec.untold = now, 0
+	hos.log.Warn().Err(err).Int("More", sec.unloggedRefusals).Msg("unauthenticated peer refused")
+	sec.refusalLoggedAt, sec.unloggedRefusals = now, 0
 }
 
 // hasPeerKey reports whether the settings hold a key, which replaces the secrets in the store.
-func (hos *Host) keyed() bool { return hos.set.PeerKey != "" }
+func (hos *Host) hasPeerKey() bool { return hos.set.PeerKey != "" }
 
-// handshakeComplaint is the prefix of the HTTP server's log line about each failed handshake.
-var handshakeComplaint = []byte("http: TLS handshake error")
+// handshakeErrorPrefix is the prefix of the HTTP server's log line about each failed handshake.
+var handshakeErrorPrefix = []byte("http: TLS handshake error")
 
-// serverErrors writes the error log of the HTTP server for peers to the host's log, except for
+// serverErrorLog writes the error log of the HTTP server for peers to the host's log, except for
 // failed handshakes: any unauthenticated peer can cause as many of them as it likes, and a peer
 // that presents another secret is counted by the keeper of the secrets.
-type serverErrors struct{ log zerolog.Logger }
+type serverErrorLog struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
-func (sel serverErrors) Write(line []byte) (int, error) {
-	if !bytes.HasPrefix(line, handshakeComplaint) {
+func (sel serverErrorLog) Write(line []byte) (int, error) {
+	if !bytes.HasPrefix(line, handshakeErrorPrefix) {
 		sel.log.Error().Bytes("Detail", line).Msg("error in the server for peers")
 	}
 	return len(line), nil
 }
 
-// knowsPeers reports whether this host can authenticate as one of the deployment.
-func (hos *Host) knowsPeers() bool {
-	if hos.keyed() {
+// canAuthenticate reports whether this host can authenticate as one of the deployment.
+func (hos *Host) canAuthenticate() bool {
+	if hos.hasPeerKey() {
 		return true
 	}
 	_, known := hos.secrets.keeper.Ring()
 	return known
 }
 
-// takeRing applies the secrets in the store. Invalid ones leave the previous ones in force.
-func (wat *observer) takeRing(val store.Value) {
+// applyKeyRing applies the secrets in the store. Invalid ones leave the previous ones in force.
+func (wat *storeWatcher) applyKeyRing(val store.Value) {
 	sec := wat.host.secrets
 	rin, err := platform.DecodeRing(val)
 	if err == nil {
 		err = sec.keeper.Take(rin)
 	}
 	sec.mutex.Lock()
-	sec.revision, sec.broken = val.Revision, err != nil
+	sec.revision, sec.invalid = val.Revision, err != nil
 	sec.mutex.Unlock()
-	if !wat.refused.usable(val, err, "secrets refused, keeping the previous ones") {
+	if !wat.invalidValues.checkValue(val, err, "secrets refused, keeping the previous ones") {
 		return
 	}
-	sec.knowing.Do(func() { close(sec.known) })
+	sec.knownOnce.Do(func() { close(sec.known) })
 	wat.host.log.Info().Uint64("Revision", uint64(val.Revision)).Bool("Next", len(rin.Next) > 0).Bool("Former", len(rin.Former) > 0).
 		Time("Changed", rin.Changed).Msg("secrets in force")
 }
 
-// loseRing records that the store holds no secrets.
-func (wat *observer) loseRing() {
+// clearKeyRing records that the store holds no secrets.
+func (wat *storeWatcher) clearKeyRing() {
 	sec := wat.host.secrets
 	sec.mutex.Lock()
 	defer sec.mutex.Unlock()
-	sec.revision, sec.broken = 0, false
+	sec.revision, sec.invalid = 0, false
 }
 
-// keepSecret makes the deployment's secrets if there are none, and renews them while this host is
+// maintainSecrets makes the deployment's secrets if there are none, and renews them while this host is
 // the coordinator. A host that can't reach the store continues with the secrets that it has.
-func (hos *Host) keepSecret(ctx context.Context) error {
-	if hos.keyed() {
+func (hos *Host) maintainSecrets(ctx context.Context) error {
+	if hos.hasPeerKey() {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	hos.awaitListed(ctx)
+	hos.awaitStoreRead(ctx)
 	wait := time.Duration(0)
-	if !hos.knowsPeers() {
-		wait = rand.N(secretSpread)
+	if !hos.canAuthenticate() {
+		wait = rand.N(secretJitter)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-			hos.renewSecret(ctx)
+			hos.renewSecrets(ctx)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if hos.knowsPeers() {
+		if hos.canAuthenticate() {
 			timer.Reset(min(secretInterval, hos.bounds.Load().RenewSecret()/4))
 		} else {
 			timer.Reset(secretRetry/2 + rand.N(secretRetry))
@@ -152,13 +152,13 @@
 	}
 }
 
-// renewSecret writes what is due: the first secret, secrets that were removed from the store, or
+// renewSecrets writes what is due: the first secret, secrets that were removed from the store, or
 // the next step of a renewal.
-func (hos *Host) renewSecret(ctx context.Context) {
+func (hos *Host) renewSecrets(ctx context.Context) {
 	now := time.Now()
 	sec := hos.secrets
 	sec.mutex.Lock()
-	revision, missing := sec.revision, sec.revision == 0 || sec.broken
+	revision, missing := sec.revision, sec.revision == 0 || sec.invalid
 	sec.mutex.Unlock()
 	ring, known := sec.keeper.Ring()
 	var err error
@@ -168,8 +168,8 @@
 		due = true
 		ring, err = credential.NewRing(now)
 	case known && missing:
-		due = hos.desk.coordinates()
-	case known && hos.desk.coordinates():
+		due = hos.broker.coordinates()
+	case known && hos.broker.coordinates():
 		ring, due, err = ring.Renewal(now, hos.bounds.Load().RenewSecret())
 	}
 	if err != nil {
@@ -177,13 +177,13 @@
 		return
 	}
 	if due {
-		hos.writeRing(ctx, ring, revision)
+		hos.writeKeyRing(ctx, ring, revision)
 	}
 }
 
-// writeRing writes secrets on condition of the key's revision. All hosts, this one included, read
+// writeKeyRing writes secrets on condition of the key's revision. All hosts, this one included, read
 // the result from the store.
-func (hos *Host) writeRing(ctx context.Context, ring credential.Ring, revision store.Revision) {
+func (hos *Host) writeKeyRing(ctx context.Context, ring credential.Ring, revision store.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, secretTimeout)
 	defer cancel()
 	data, err := platform.EncodeRing(ring)
--- a/entry/secret_test.go
+++ b/entry/secret_test.go
@@ -27,8 +27,8 @@
 		Engines: []*upstreamtest.Engine{plainEngine("p1"), plainEngine("p2")},
 	})
 	sys.Configure(entrytest.Configuration{Version: 1})
-	sys.UntilReady()
-	sys.Until("one host coordinates", func() bool { return coordinator(sys) != nil })
+	sys.WaitForReady()
+	sys.WaitUntil("one host coordinates", func() bool { return coordinator(sys) != nil })
 	return sys
 }
 
@@ -84,8 +84,8 @@
 			assert.Assert(t, err != nil, "an unauthenticated peer has read the store")
 		})
 	}
-	sys.Until("unauthenticated peers are counted", func() bool {
-		metrics := sys.Figures(sys.Hosts[0])
+	sys.WaitUntil("unauthenticated peers are counted", func() bool {
+		metrics := sys.Metrics(sys.Hosts[0])
 		return strings.Contains(metrics, "PeersRefused ") && !strings.Contains(metrics, "PeersRefused 0\n")
 	})
 	checkServed(t, sys, "r")
@@ -100,22 +100,22 @@
 	for round := range 4 {
 		_, before := storedKeyRing(t, sys)
 		var coord *entrytest.Host
-		sys.Until("one host coordinates", func() bool { coord = coordinator(sys); return coord != nil })
+		sys.WaitUntil("one host coordinates", func() bool { coord = coordinator(sys); return coord != nil })
 		cut := hostsWithout(sys.Hosts, coord)[round%2]
-		cut.CutStore(true)
-		sys.Until("the next rotation step is stored", func() bool {
+		cut.SetStoreCut(true)
+		sys.WaitUntil("the next rotation step is stored", func() bool {
 			checkServed(t, sys, fmt.Sprint("r", round, time.Now().UnixNano(), "-"))
 			_, now := storedKeyRing(t, sys)
 			return now > before
 		})
-		cut.CutStore(false)
+		cut.SetStoreCut(false)
 	}
 	rin, _ := storedKeyRing(t, sys)
 	assert.Assert(t, string(rin.Current) != string(first.Current))
 	sys.StartHosts(entrytest.Config{Hosts: 1, StoredSecret: true, Bounds: settings.Bounds{RenewSecretSeconds: 0.6}})
 	checkServed(t, sys, "last")
 	for _, hos := range sys.Hosts {
-		assert.Assert(t, strings.Contains(sys.Figures(hos), "PeersRefused 0\n"))
+		assert.Assert(t, strings.Contains(sys.Metrics(hos), "PeersRefused 0\n"))
 	}
 }
 
@@ -134,7 +134,7 @@
 		sys.Store.SetFaults(platformtest.Faults{Down: true})
 		checkServed(t, sys, "away")
 		sys.Store.SetFaults(platformtest.Faults{})
-		sys.Until("the secret is restored", func() bool {
+		sys.WaitUntil("the secret is restored", func() bool {
 			val, err := sys.Store.Get(t.Context(), platform.RingKey())
 			assert.NilError(t, err)
 			restored, err := platform.DecodeRing(val)
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -39,15 +39,15 @@
 var liveness = transport.Liveness{Limit: 2500 * time.Millisecond}
 
 func (hos *Host) serve(ctx context.Context) error {
-	peers := peer.NewServer(peer.ServerConfig{Sessions: hos.desk, Mirror: hos.mirror, Security: hos.security(), Timing: peerTiming})
+	peers := peer.NewServer(peer.ServerConfig{Sessions: hos.broker, Mirror: hos.mirror, Security: hos.security(), Timing: peerTiming})
 	peerServer := peers.HTTPServer()
-	peerServer.ErrorLog = log.New(serverErrors{log: hos.log}, "", 0)
+	peerServer.ErrorLog = log.New(serverErrorLog{log: hos.log}, "", 0)
 	listeners := []listener{
 		{name: "CallerAddress", address: hos.set.CallerAddress, server: hos.callerServer()},
-		{name: "ReadyAddress", address: hos.set.ReadyAddress, server: plainServer(hos.readyHandler())},
-		{name: "DirectoryAddress", address: hos.set.DirectoryAddress, server: plainServer(hos.directoryHandler())},
+		{name: "ReadyAddress", address: hos.set.ReadyAddress, server: newPlainServer(hos.readyHandler())},
+		{name: "DirectoryAddress", address: hos.set.DirectoryAddress, server: newPlainServer(hos.directoryHandler())},
 		{name: "PeerAddress", address: hos.set.PeerAddress, server: peerServer, serve: peers.Serve},
-		{name: metricsListener, address: hos.set.MetricsAddress, server: plainServer(hos.metricsHandler())},
+		{name: metricsListener, address: hos.set.MetricsAddress, server: newPlainServer(hos.metricsHandler())},
 	}
 	for _, lsr := range listeners {
 		lis, err := liveness.Listen(ctx, lsr.address)
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -20,9 +20,9 @@
 	maxRedial = 500 * time.Millisecond
 )
 
-// keepSessions maintains a session with each candidate until the context ends.
-func (bro *desk) keepSessions(ctx context.Context) error {
-	if !bro.host.keyed() {
+// maintainSessions maintains a session with each candidate until the context ends.
+func (bro *broker) maintainSessions(ctx context.Context) error {
+	if !bro.host.hasPeerKey() {
 		select {
 		case <-bro.host.secrets.known:
 		case <-ctx.Done():
@@ -32,9 +32,9 @@
 	ended := make(chan request.Epoch)
 	running := make(map[request.Epoch]context.CancelFunc)
 	for {
-		bro.adjustSessions(ctx, running, ended)
+		bro.reconcileSessions(ctx, running, ended)
 		select {
-		case <-bro.changed:
+		case <-bro.candidatesChanged:
 		case epo := <-ended:
 			delete(running, epo)
 		case <-ctx.Done():
@@ -46,9 +46,9 @@
 	}
 }
 
-// adjustSessions starts maintaining sessions with new candidates and closes those with hosts
+// reconcileSessions starts maintaining sessions with new candidates and closes those with hosts
 // that are no longer candidates.
-func (bro *desk) adjustSessions(ctx context.Context, running map[request.Epoch]context.CancelFunc, ended chan<- request.Epoch) {
+func (bro *broker) reconcileSessions(ctx context.Context, running map[request.Epoch]context.CancelFunc, ended chan<- request.Epoch) {
 	bro.mutex.Lock()
 	candidates := bro.candidates()
 	bro.mutex.Unlock()
@@ -68,15 +68,15 @@
 		sessionCtx, cancel := context.WithCancel(ctx)
 		running[mem.Epoch] = cancel
 		go func() {
-			bro.keepSession(sessionCtx, mem)
+			bro.maintainSession(sessionCtx, mem)
 			ended <- mem.Epoch
 		}()
 	}
 }
 
-// keepSession opens a session with the host, and opens it again with exponential backoff and
+// maintainSession opens a session with the host, and opens it again with exponential backoff and
 // jitter whenever it is lost.
-func (bro *desk) keepSession(ctx context.Context, mem fleet.Member) {
+func (bro *broker) maintainSession(ctx context.Context, mem fleet.Member) {
 	wait := minRedial
 	for ctx.Err() == nil {
 		start := time.Now()
@@ -88,19 +88,19 @@
 			wait = minRedial
 		}
 		bro.host.log.Info().Err(err).Str("Member", mem.Name).Stringer("MemberEpoch", mem.Epoch).Msg("session lost")
-		if bro.noteRestart(mem, err) {
+		if bro.recordRestart(mem, err) {
 			return
 		}
-		bro.noteUnreached(mem, time.Since(start))
+		bro.recordUnreachable(mem, time.Since(start))
 		task.Sleep(ctx, wait/2+rand.N(wait))
 		wait = min(maxRedial, 2*wait)
 	}
 }
 
 // wakeSessions triggers an adjustment of the sessions to the current candidates.
-func (bro *desk) wake() {
+func (bro *broker) wakeSessions() {
 	select {
-	case bro.changed <- struct{}{}:
+	case bro.candidatesChanged <- struct{}{}:
 	default:
 	}
 }
@@ -109,7 +109,7 @@
 const dialTimeout = 700 * time.Millisecond
 
 // runSession runs one session until it is lost.
-func (bro *desk) runSession(ctx context.Context, mem fleet.Member) error {
+func (bro *broker) runSession(ctx context.Context, mem fleet.Member) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	opening := time.AfterFunc(dialTimeout, cancel)
@@ -131,28 +131,28 @@
 	return err
 }
 
-func (bro *desk) linkUp(lin *link) {
+func (bro *broker) linkUp(lin *link) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	bro.host.log.Info().Str("Member", lin.member.Name).Stringer("MemberEpoch", lin.member.Epoch).Msg("session up")
 	bro.links[lin.member.Epoch] = lin
-	delete(bro.unreached, lin.member.Epoch)
-	bro.tellCases(lin.member.Epoch)
-	bro.tellNotices(lin.member)
-	bro.tellEmptyingTo(lin.member.Epoch)
+	delete(bro.unreachableCandidates, lin.member.Epoch)
+	bro.sendCases(lin.member.Epoch)
+	bro.sendNotices(lin.member)
+	bro.reportEnforcedOrdersTo(lin.member.Epoch)
 	bro.elect()
-	bro.tellLeader()
+	bro.publishLeader()
 }
 
-func (bro *desk) linkMessage(lin *link, msg reservation.Message) {
+func (bro *broker) linkMessage(lin *link, msg reservation.Message) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	if bro.links[lin.member.Epoch] == lin {
-		bro.decided(lin.member.Epoch, msg)
+		bro.applyMessage(lin.member.Epoch, msg)
 	}
 }
 
-func (bro *desk) linkLost(lin *link) {
+func (bro *broker) linkLost(lin *link) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	if bro.links[lin.member.Epoch] != lin {
@@ -160,7 +160,7 @@
 	}
 	delete(bro.links, lin.member.Epoch)
 	bro.elect()
-	bro.tellLeader()
+	bro.publishLeader()
 }
 
 // Header implements peer.Sessions.
@@ -169,12 +169,12 @@
 }
 
 // Header implements peer.Sessions.
-func (bro *desk) Header() peer.Header {
+func (bro *broker) Header() peer.Header {
 	return bro.host.Header()
 }
 
 // SessionUp implements peer.Sessions.
-func (bro *desk) SessionUp(from peer.Header, que *peer.Queue, cancel context.CancelFunc) uint64 {
+func (bro *broker) SessionUp(from peer.Header, que *peer.Queue, cancel context.CancelFunc) uint64 {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	for num, inb := range bro.inbound {
@@ -187,15 +187,15 @@
 	bro.presence.Reached(from.Epoch)
 	inb := &inbound{gateway: from.Epoch, name: from.Name, queue: que, cancel: cancel}
 	bro.inbound[bro.sessions] = inb
-	if bro.toldLeader != 0 {
-		bro.tellLeaderTo(inb)
+	if bro.publishedLeader != 0 {
+		bro.sendLeader(inb)
 	}
-	bro.share(bro.active)
+	bro.updateShare(bro.active)
 	return bro.sessions
 }
 
 // SessionMessage implements peer.Sessions.
-func (bro *desk) SessionMessage(session uint64, rec peer.Received) {
+func (bro *broker) SessionMessage(session uint64, rec peer.Received) {
 	if rec.Message == nil {
 		return
 	}
@@ -203,32 +203,32 @@
 	defer bro.mutex.Unlock()
 	if inb := bro.inbound[session]; inb != nil {
 		if app, isAppoint := rec.Message.(reservation.Appoint); isAppoint {
-			bro.appointed(inb, app.Decides)
+			bro.setAppointed(inb, app.Decides)
 			return
 		}
 		if evc, isEvacuating := rec.Message.(reservation.Emptying); isEvacuating {
-			bro.takeEmptying(inb.gateway, evc)
+			bro.applyEnforcedOrders(inb.gateway, evc)
 			return
 		}
-		bro.step(scheduler.Received{From: inb.gateway, Message: rec.Message})
+		bro.handleLocked(scheduler.Received{From: inb.gateway, Message: rec.Message})
 	}
 }
 
 // SessionLost implements peer.Sessions.
-func (bro *desk) SessionLost(session uint64) {
+func (bro *broker) SessionLost(session uint64) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	if bro.inbound[session] != nil {
 		bro.dropInbound(session)
-		bro.share(bro.active)
-		bro.tellLeader()
+		bro.updateShare(bro.active)
+		bro.publishLeader()
 	}
 }
 
-func (bro *desk) dropInbound(session uint64) {
+func (bro *broker) dropInbound(session uint64) {
 	inb := bro.inbound[session]
 	delete(bro.inbound, session)
 	bro.presence.Lost(bro.host.clock.Now(), inb.gateway)
 	bro.evacuations.Forget(inb.gateway)
-	bro.step(scheduler.GatewayLost{Gateway: inb.gateway})
+	bro.handleLocked(scheduler.GatewayLost{Gateway: inb.gateway})
 }
--- a/entry/share_test.go
+++ b/entry/share_test.go
@@ -17,15 +17,15 @@
 func TestPartitionedHostsShareLimits(t *testing.T) {
 	for hosts := 1; hosts <= 12; hosts++ {
 		for group := 1; group < hosts; group++ {
-			sum := 1/limitParts(hosts, group) + 1/limitParts(hosts, hosts-group)
+			sum := 1/limitDivisor(hosts, group) + 1/limitDivisor(hosts, hosts-group)
 			assert.Assert(t, sum < 1.000001, "%d and %d of %d hosts have %f", group, hosts-group, hosts, sum)
 		}
 	}
-	assert.Equal(t, limitParts(6, 6), 1.0)
-	assert.Equal(t, limitParts(6, 1), 6.0)
+	assert.Equal(t, limitDivisor(6, 6), 1.0)
+	assert.Equal(t, limitDivisor(6, 1), 6.0)
 	// Draining hosts are still served for a while, and the list of hosts may be empty.
-	assert.Equal(t, limitParts(5, 6), 1.0)
-	assert.Equal(t, limitParts(0, 1), 1.0)
+	assert.Equal(t, limitDivisor(5, 6), 1.0)
+	assert.Equal(t, limitDivisor(0, 1), 1.0)
 }
 
 // newHostInFleet returns a host that schedules for itself in a fleet of that many hosts, and
@@ -41,9 +41,9 @@
 		members = append(members, fleet.Member{Epoch: epo})
 		_, cancel := context.WithCancel(t.Context())
 		t.Cleanup(cancel)
-		sessions = append(sessions, hos.desk.SessionUp(peer.Header{Epoch: epo}, peer.NewQueue(), cancel))
+		sessions = append(sessions, hos.broker.SessionUp(peer.Header{Epoch: epo}, peer.NewQueue(), cancel))
 	}
-	hos.desk.changeMembers(roster{members: members, candidates: members})
+	hos.broker.updateMembership(membership{members: members, candidates: members})
 	return hos, sessions
 }
 
@@ -54,16 +54,16 @@
 	hos, sessions := newHostInFleet(t, hosts)
 	assert.Equal(t, hos.Dump().Scheduler.Parts, float64(hosts), "a session alone doesn't appoint the host")
 	for _, ses := range sessions {
-		hos.desk.SessionMessage(ses, peer.Received{Message: reservation.Appoint{Decides: true}})
+		hos.broker.SessionMessage(ses, peer.Received{Message: reservation.Appoint{Decides: true}})
 	}
 	assert.Equal(t, hos.Dump().Scheduler.Parts, 1.0)
 	// A third of the hosts appoints another coordinator, another third is lost.
 	for idx, ses := range sessions {
 		switch idx % 3 {
 		case 0:
-			hos.desk.SessionMessage(ses, peer.Received{Message: reservation.Appoint{}})
+			hos.broker.SessionMessage(ses, peer.Received{Message: reservation.Appoint{}})
 		case 1:
-			hos.desk.SessionLost(ses)
+			hos.broker.SessionLost(ses)
 		}
 	}
 	assert.Equal(t, hos.Dump().Scheduler.Parts, float64(hosts)/100)
--- a/entry/spending_test.go
+++ b/entry/spending_test.go
@@ -16,7 +16,7 @@
 
 func TestDebtShrinksByHostShareOfRate(t *testing.T) {
 	start := time.Unix(100, 0)
-	spe := &spending{debt: 100, rate: 80, hosts: 4, at: start}
+	spe := &accountDebt{debt: 100, rate: 80, hosts: 4, settledAt: start}
 	spe.settle(start.Add(2 * time.Second))
 	assert.Equal(t, spe.debt, 60.0)
 	spe.settle(start)
@@ -29,16 +29,16 @@
 // more hosts reports a smaller share of it.
 func TestInitialDebtIsReportedByHostShare(t *testing.T) {
 	start := time.Unix(100, 0)
-	spe := &spending{start: 600, unpaid: 600, rate: 120, hosts: 2, at: start}
+	spe := &accountDebt{startDebt: 600, startDebtLeft: 600, rate: 120, hosts: 2, settledAt: start}
 	const burst = 900.0
-	assert.DeepEqual(t, spe.told("a", burst), reservation.Spent{Account: "a", Share: 150})
+	assert.DeepEqual(t, spe.message("a", burst), reservation.Spent{Account: "a", Share: 150})
 	spe.hosts = 6
-	assert.DeepEqual(t, spe.told("a", burst), reservation.Spent{Account: "a", Share: 50})
+	assert.DeepEqual(t, spe.message("a", burst), reservation.Spent{Account: "a", Share: 50})
 	spe.debt = 10
 	spe.settle(start.Add(time.Second))
-	assert.DeepEqual(t, spe.told("a", burst), reservation.Spent{Account: "a", Debt: 10 - 20, Share: 50})
+	assert.DeepEqual(t, spe.message("a", burst), reservation.Spent{Account: "a", Debt: 10 - 20, Share: 50})
 	spe.settle(start.Add(6 * time.Second))
-	assert.Equal(t, spe.told("a", burst).Share-spe.told("a", burst).Debt, burst/6)
+	assert.Equal(t, spe.message("a", burst).Share-spe.message("a", burst).Debt, burst/6)
 }
 
 // The number of accounts reported to a new coordinator is bounded by what its session can queue.
@@ -51,29 +51,29 @@
 	}
 	tab, err := route.NewTable(con)
 	assert.NilError(t, err)
-	hos.belief.Store(&belief{table: tab})
+	hos.snapshot.Store(&snapshot{table: tab})
 	lost := false
 	lin := &link{member: fleet.Member{Epoch: 7}, queue: peer.NewQueue(), cancel: func() { lost = true }}
-	hos.desk.links[7] = lin
-	hos.desk.changeSpending(time.Now())
-	hos.desk.tellSpent(7)
+	hos.broker.links[7] = lin
+	hos.broker.updateDebts(time.Now())
+	hos.broker.reportDebts(7)
 	assert.Assert(t, !lost)
-	assert.Equal(t, lin.queue.Len(), maxTold)
+	assert.Equal(t, lin.queue.Len(), maxReportedDebts)
 	// The bound also applies to a report that is repeated because there are more hosts.
-	hos.desk.active = 7
-	hos.desk.roster.members = make([]fleet.Member, 3)
-	hos.desk.changeSpending(time.Now())
+	hos.broker.active = 7
+	hos.broker.membership.members = make([]fleet.Member, 3)
+	hos.broker.updateDebts(time.Now())
 	assert.Assert(t, !lost)
-	assert.Equal(t, lin.queue.Len(), 2*maxTold)
+	assert.Equal(t, lin.queue.Len(), 2*maxReportedDebts)
 }
 
 func TestLargestDebtsAreReportedFirst(t *testing.T) {
 	var debts []reservation.Spent
-	for idx := range 3 * maxTold {
+	for idx := range 3 * maxReportedDebts {
 		debts = append(debts, reservation.Spent{Account: fmt.Sprint("account-", idx), Debt: float64(idx)})
 	}
-	reported := mostOwed(debts)
-	assert.Equal(t, len(reported), maxTold)
-	assert.Equal(t, reported[0].Account, fmt.Sprint("account-", 3*maxTold-1))
-	assert.Equal(t, len(mostOwed(debts[:2])), 2)
+	reported := largestDebts(debts)
+	assert.Equal(t, len(reported), maxReportedDebts)
+	assert.Equal(t, reported[0].Account, fmt.Sprint("account-", 3*maxReportedDebts-1))
+	assert.Equal(t, len(largestDebts(debts[:2])), 2)
 }
--- a/entry/steady_test.go
+++ b/entry/steady_test.go
@@ -76,13 +76,13 @@
 		assert.NilError(t, err)
 		hos.set.Name = fmt.Sprintf("h%d", idx)
 		hos.epoch = request.Epoch(100 + idx)
-		hos.desk = newDesk(hos)
+		hos.broker = newBroker(hos)
 		sim.hosts = append(sim.hosts, hos)
 		members = append(members, fleet.Member{Name: hos.set.Name, Epoch: hos.epoch})
 	}
 	for _, hos := range sim.hosts {
-		hos.desk.changeMembers(roster{members: members, candidates: members})
-		for _, coo := range sim.hosts[:coordinators] {
+		hos.broker.updateMembership(membership{members: members, candidates: members})
+		for _, coo := range sim.hosts[:coordinatorSessions] {
 			if coo != hos {
 				at := time.Now().Add(time.Duration(sim.random.Int64N(int64(sessionOpenJitter))).Truncate(simStep))
 				sim.opens[at] = append(sim.opens[at], func() { sim.open(hos, coo) })
@@ -96,13 +96,13 @@
 func (sim *simulation) open(hos, coo *Host) {
 	lin := &link{member: fleet.Member{Name: coo.set.Name, Epoch: coo.epoch}, queue: peer.NewQueue(), cancel: func() {}}
 	reverse := peer.NewQueue()
-	session := coo.desk.SessionUp(hos.Header(), reverse, func() {})
-	hos.desk.linkUp(lin)
+	session := coo.broker.SessionUp(hos.Header(), reverse, func() {})
+	hos.broker.linkUp(lin)
 	sim.directions = append(sim.directions,
 		&direction{queue: lin.queue, deliver: func(out peer.Outgoing) {
-			coo.desk.SessionMessage(session, peer.Received{Message: out.Message})
+			coo.broker.SessionMessage(session, peer.Received{Message: out.Message})
 		}},
-		&direction{queue: reverse, deliver: func(out peer.Outgoing) { hos.desk.linkMessage(lin, out.Message) }},
+		&direction{queue: reverse, deliver: func(out peer.Outgoing) { hos.broker.linkMessage(lin, out.Message) }},
 	)
 }
 
@@ -140,7 +140,7 @@
 			sim.run(start.Add(convergedAfter + observedFor))
 			assert.Equal(t, sim.changes(), changes, "seed %d: the hosts don't converge", seed)
 			for _, hos := range sim.hosts {
-				assert.Equal(t, hos.desk.active, sim.hosts[0].desk.active, "seed %d", seed)
+				assert.Equal(t, hos.broker.active, sim.hosts[0].broker.active, "seed %d", seed)
 			}
 		})
 	}
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -14,7 +14,7 @@
 )
 
 // forwardStream forwards the events of an answer as they arrive.
-func (exc *exchange) stream(ctx context.Context, att attempt, ans *upstream.Answer) attempt {
+func (exc *exchange) forwardStream(ctx context.Context, att attempt, ans *upstream.Answer) attempt {
 	if !ans.Head.Signed {
 		att.outcome, att.cause = outcomeLost, causeBadAnswer
 		att.release.Failed = true
@@ -29,58 +29,58 @@
 			att.outcome, att.cause = outcomeDone, causeAnswered
 			att.release.Total = time.Since(att.started)
 			att.release.Answered = true
-			exc.sendHead(ans)
+			exc.sendHeader(ans)
 			return att
 		}
 		if err != nil {
-			att.outcome, att.cause, att.err = outcomeLost, causeBrokenOff, err
+			att.outcome, att.cause, att.err = outcomeLost, causeStreamAborted, err
 			att.release.Failed = ctx.Err() == nil
 			return att
 		}
-		exc.noteEvent(&att, evt)
-		exc.sendHead(ans)
+		exc.recordEvent(&att, evt)
+		exc.sendHeader(ans)
 		if _, err := exc.writer.Write(evt.Raw); err != nil {
-			return exc.callerGone(att, err)
+			return exc.clientDisconnected(att, err)
 		}
 		if err := controller.Flush(); err != nil {
-			return exc.callerGone(att, err)
+			return exc.clientDisconnected(att, err)
 		}
 	}
 }
 
-// noteEvent counts an event and reports the first one to the coordinator.
-func (exc *exchange) noteEvent(att *attempt, evt upstream.Event) {
+// recordEvent counts an event and reports the first one to the coordinator.
+func (exc *exchange) recordEvent(att *attempt, evt upstream.Event) {
 	att.release.DecodeTokens++
-	exc.events++
+	exc.eventCount++
 	now := exc.host.clock.Now()
-	if exc.events > 1 {
-		exc.longestPause = max(exc.longestPause, now.Sub(exc.lastHeard))
+	if exc.eventCount > 1 {
+		exc.longestPause = max(exc.longestPause, now.Sub(exc.lastEventAt))
 	}
-	exc.lastHeard = now
+	exc.lastEventAt = now
 	if evt.ID > 0 {
-		exc.lastEvent = evt.ID
+		exc.lastEventID = evt.ID
 	}
 	if att.release.FirstToken > 0 {
 		return
 	}
 	att.release.FirstToken = time.Since(att.started)
-	if exc.firstAfter == 0 {
-		exc.firstAfter = exc.host.clock.Since(exc.started)
+	if exc.timeToFirst == 0 {
+		exc.timeToFirst = exc.host.clock.Since(exc.started)
 	}
-	exc.host.desk.progress(reservation.Progress{ID: att.release.ID, FirstToken: att.release.FirstToken})
+	exc.host.broker.progress(reservation.Progress{ID: att.release.ID, FirstToken: att.release.FirstToken})
 }
 
-// sendHead forwards the header of the first engine that answered, once.
-func (exc *exchange) sendHead(ans *upstream.Answer) {
-	if exc.headSent {
+// sendHeader forwards the header of the first engine that answered, once.
+func (exc *exchange) sendHeader(ans *upstream.Answer) {
+	if exc.headerSent {
 		return
 	}
-	exc.headSent = true
+	exc.headerSent = true
 	copyHeader(exc.writer.Header(), platform.CallerHeader(ans.Header))
 	exc.writer.WriteHeader(ans.Status)
 }
 
-func (exc *exchange) callerGone(att attempt, err error) attempt {
-	att.outcome, att.cause, att.err = outcomeLost, causeCallerLeft, err
+func (exc *exchange) clientDisconnected(att attempt, err error) attempt {
+	att.outcome, att.cause, att.err = outcomeLost, causeClientDisconnected, err
 	return att
 }
--- a/entry/survey.go
+++ b/entry/survey.go
@@ -11,51 +11,51 @@
 )
 
 const (
-	// surveyInterval is how often the coordinator checks whether its measurements differ from the
+	// measurementsInterval is how often the coordinator checks whether its measurements differ from the
 	// stored ones: each write is a call, and a change that all hosts read.
-	surveyInterval = 3 * time.Second
-	// surveyTimeout bounds the writing of the measurements.
-	surveyTimeout = time.Second
+	measurementsInterval = 3 * time.Second
+	// measurementsTimeout bounds the writing of the measurements.
+	measurementsTimeout = time.Second
 )
 
-// takeSurvey applies the stored measurements of the engines' speed.
-func (wat *observer) takeSurvey(val store.Value) {
+// applyMeasurements applies the stored measurements of the engines' speed.
+func (wat *storeWatcher) applyMeasurements(val store.Value) {
 	mea, err := platform.DecodeSurvey(val)
-	if !wat.refused.usable(val, err, "stored measurements invalid, ignored") {
+	if !wat.invalidValues.checkValue(val, err, "stored measurements invalid, ignored") {
 		return
 	}
-	wat.host.desk.takeSurvey(mea)
+	wat.host.broker.applyMeasurements(mea)
 }
 
-func (bro *desk) takeSurvey(mea pace.Measurements) {
+func (bro *broker) applyMeasurements(mea pace.Measurements) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
-	bro.survey = mea
-	bro.step(scheduler.MeasurementsRead{Measurements: mea})
+	bro.measurements = mea
+	bro.handleLocked(scheduler.MeasurementsRead{Measurements: mea})
 }
 
 // unrecordedMeasurements returns the measurements of this host's scheduler, and whether they differ
 // from the stored ones. It returns nothing unless this host is the coordinator.
-func (bro *desk) news() (pace.Measurements, bool) {
+func (bro *broker) unrecordedMeasurements() (pace.Measurements, bool) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
-	if bro.active != bro.host.epoch || bro.roster.outside || len(bro.roster.members) == 0 {
+	if bro.active != bro.host.epoch || bro.membership.unregistered || len(bro.membership.members) == 0 {
 		return pace.Measurements{}, false
 	}
 	mea := bro.core.Measurements()
-	return mea, bro.survey.Differs(mea)
+	return mea, bro.measurements.Differs(mea)
 }
 
-// keepSurvey writes this host's measurements of the engines' speed to the store while it is the
+// maintainMeasurements writes this host's measurements of the engines' speed to the store while it is the
 // coordinator, so that starting hosts begin with them.
-func (hos *Host) keepSurvey(ctx context.Context) error {
-	tick := time.NewTicker(surveyInterval)
+func (hos *Host) maintainMeasurements(ctx context.Context) error {
+	tick := time.NewTicker(measurementsInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if mea, differs := hos.desk.news(); differs {
-				hos.record(ctx, mea)
+			if mea, differs := hos.broker.unrecordedMeasurements(); differs {
+				hos.recordMeasurements(ctx, mea)
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -64,8 +64,8 @@
 }
 
 // recordMeasurements writes the measurements. A write that fails is repeated if they still differ.
-func (hos *Host) record(ctx context.Context, mea pace.Measurements) {
-	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
+func (hos *Host) recordMeasurements(ctx context.Context, mea pace.Measurements) {
+	ctx, cancel := context.WithTimeout(ctx, measurementsTimeout)
 	defer cancel()
 	data, err := platform.EncodeSurvey(mea)
 	if err == nil {
--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -9,28 +9,28 @@
 // leases, its place in the membership. All of these are checked against the host's clock, which
 // counts the time of the suspension. What stood still with the host is corrected here.
 
-// noteSuspended records a suspension and wakes keepAwake. Sessions that were silent for so long
+// recordSuspension records a suspension and wakes handleSuspensions. Sessions that were silent for so long
 // have ended at the other side: until they are open again this host decides alone, with its own
 // share of the limits.
-func (hos *Host) noteSuspended(dur time.Duration) {
-	hos.figures.count("Suspensions")
+func (hos *Host) recordSuspension(dur time.Duration) {
+	hos.metrics.count("Suspensions")
 	hos.log.Warn().Dur("For", dur).Msg("host was suspended")
 	select {
-	case hos.woken <- dur:
+	case hos.resumed <- dur:
 	default:
 		// The previous suspension isn't handled yet; its handling covers both.
 	}
 }
 
-// keepAwake renews the lease and, if needed, closes sessions after each suspension, until the
+// handleSuspensions renews the lease and, if needed, closes sessions after each suspension, until the
 // context ends.
-func (hos *Host) keepAwake(ctx context.Context) error {
+func (hos *Host) handleSuspensions(ctx context.Context) error {
 	for {
 		select {
-		case dur := <-hos.woken:
-			hos.doubtLease()
+		case dur := <-hos.resumed:
+			hos.checkLease()
 			if dur >= peerTiming.Timeout {
-				hos.desk.dropSessions()
+				hos.broker.closeSessions()
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -38,14 +38,14 @@
 	}
 }
 
-// noteClockFailed reports that suspensions can't be detected.
-func (hos *Host) noteClockFailed(err error) {
-	hos.figures.count("ClockFailures")
+// recordClockFailure reports that suspensions can't be detected.
+func (hos *Host) recordClockFailure(err error) {
+	hos.metrics.count("ClockFailures")
 	hos.log.Error().Err(err).Msg("clock that counts suspensions can't be read, using the monotonic clock")
 }
 
-// dropSessions closes all sessions with other hosts.
-func (bro *desk) dropSessions() {
+// closeSessions closes all sessions with other hosts.
+func (bro *broker) closeSessions() {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	for _, lin := range bro.links {
--- a/entry/suspension_test.go
+++ b/entry/suspension_test.go
@@ -30,17 +30,17 @@
 	hos := sys.Hosts[0]
 	for _, noticed := range []bool{false, true} {
 		t.Run(fmt.Sprint("noticed ", noticed), func(t *testing.T) {
-			sys.UntilReady()
-			hos.CutStore(true)
+			sys.WaitForReady()
+			hos.SetStoreCut(true)
 			hos.Clock.Suspend(10 * time.Second)
 			if noticed {
-				sys.Until("the suspension is noticed", func() bool { return strings.Contains(sys.Log(), "host was suspended") })
+				sys.WaitUntil("the suspension is noticed", func() bool { return strings.Contains(sys.Log(), "host was suspended") })
 			}
 			id := fmt.Sprint("revoked-", noticed)
 			ans := sys.Send(t.Context(), hos, entrytest.Request{ID: id, Path: "/unsafe/x"})
 			assert.Equal(t, ans.Status, http.StatusServiceUnavailable, ans.Body)
 			assert.Equal(t, len(runsOf(engines, id)), 0)
-			hos.CutStore(false)
+			hos.SetStoreCut(false)
 		})
 	}
 }
@@ -57,7 +57,7 @@
 	go func() {
 		answers <- sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "hangs", Path: "/unsafe/x", Header: map[string]string{"Deadline-Ms": "4500"}})
 	}()
-	sys.Until("the request runs", func() bool { return len(runsOf(engines, "hangs")) == 1 })
+	sys.WaitUntil("the request runs", func() bool { return len(runsOf(engines, "hangs")) == 1 })
 	sys.Hosts[0].Clock.Suspend(5 * time.Second)
 	ans := <-answers
 	assert.Equal(t, ans.Status, http.StatusGatewayTimeout, ans.Body)
@@ -71,8 +71,8 @@
 	for _, hos := range sys.Hosts {
 		before := strings.Count(sys.Log(), "session lost")
 		hos.Clock.Suspend(6 * time.Second)
-		sys.Until("the host's sessions end", func() bool { return strings.Count(sys.Log(), "session lost") > before })
-		sys.UntilReady()
+		sys.WaitUntil("the host's sessions end", func() bool { return strings.Count(sys.Log(), "session lost") > before })
+		sys.WaitForReady()
 		id := "after-" + hos.Settings.Name
 		ans := sys.Send(t.Context(), hos, entrytest.Request{ID: id, Path: "/unsafe/x"})
 		assert.Equal(t, ans.Status, http.StatusOK, ans.Body)
@@ -84,7 +84,7 @@
 func TestSuspendedHostRelaysNoStaleSnapshotAsFresh(t *testing.T) {
 	sys := startSuspendable(t, 2, twoOfEach())
 	for _, hos := range sys.Hosts {
-		hos.CutStore(true)
+		hos.SetStoreCut(true)
 	}
 	for _, hos := range sys.Hosts {
 		hos.Clock.Suspend(10 * time.Second)
@@ -99,20 +99,20 @@
 // hold, and ends after a second one.
 func TestHoldCountsSuspendedTime(t *testing.T) {
 	sys := entrytest.Start(t, entrytest.Config{Hosts: 1, Suspendable: true})
-	cra := sys.AddCrashing(entrytest.CrashConfig{Engines: 6, Events: streamEvents, After: 10 * time.Millisecond, Lapse: 50 * time.Millisecond, Back: 150 * time.Millisecond})
+	cra := sys.AddCrashingEngines(entrytest.CrashConfig{Engines: 6, Events: streamEvents, After: 10 * time.Millisecond, Lapse: 50 * time.Millisecond, Back: 150 * time.Millisecond})
 	sys.Configure(entrytest.Configuration{Version: 1})
-	sys.UntilReady()
-	sys.UntilEngines(6)
+	sys.WaitForReady()
+	sys.WaitForEngines(6)
 	sendUntilHeld(t, sys, cra)
 	hos := sys.Hosts[0]
 	hos.Clock.Suspend(30 * time.Minute)
-	sys.UntilReady()
+	sys.WaitForReady()
 	assert.Assert(t, strings.Contains(sendPoison(t, sys, hos, "half").Body, `"Held"`))
 	hos.Clock.Suspend(31 * time.Minute)
-	sys.UntilReady()
+	sys.WaitForReady()
 	arrived := len(cra.Arrivals())
-	cra.UntilUp(cra.Count())
-	sys.Until("the hold ends", func() bool {
+	cra.WaitForRunning(cra.EngineCount())
+	sys.WaitUntil("the hold ends", func() bool {
 		sendPoison(t, sys, hos, fmt.Sprint("out-", time.Now().UnixNano()))
 		return len(cra.Arrivals()) > arrived
 	})
--- a/entry/take.go
+++ b/entry/take.go
@@ -10,17 +10,17 @@
 )
 
 // replace applies a complete read of the store at a revision.
-func (wat *observer) replace(values []store.Value, rev store.Revision) {
+func (wat *storeWatcher) replace(values []store.Value, rev store.Revision) {
 	var engines []fleet.Engine
 	var members []fleet.Member
 	var invalid []string
-	wat.loseRing()
-	wat.loseHeld()
-	wat.replaceEvacuations(values, rev)
+	wat.clearKeyRing()
+	wat.clearHeldRevision()
+	wat.resetEvacuations(values, rev)
 	for _, val := range values {
 		switch kind, name := platform.KindOf(val.Key); kind {
 		case platform.KeyConfiguration:
-			wat.takeConfiguration(val)
+			wat.applyConfiguration(val)
 		case platform.KeyEngine:
 			if eng, usable := wat.decodeEngine(val); usable {
 				engines = append(engines, eng)
@@ -32,23 +32,23 @@
 				members = append(members, mem)
 			}
 		case platform.KeySurvey:
-			wat.takeSurvey(val)
+			wat.applyMeasurements(val)
 		case platform.KeyRing:
-			wat.takeRing(val)
+			wat.applyKeyRing(val)
 		case platform.KeyOrder:
-			wat.takeOrder(val)
+			wat.applyRolloutOrder(val)
 		case platform.KeyRolloutState:
-			wat.takeRolloutState(name, val)
+			wat.applyRolloutState(name, val)
 		case platform.KeyLedger:
-			wat.takeLedger(name, val)
+			wat.applyLedger(name, val)
 		case platform.KeyHolds:
-			wat.takeHeld(val)
+			wat.applyHeld(val)
 		case platform.KeyEvacuation:
-			wat.takeEvacuation(val)
+			wat.applyEvacuation(val)
 		case platform.KeyEvacuationState:
-			wat.takeEvacuationState(name, val)
+			wat.applyEvacuationState(name, val)
 		case platform.KeyOther:
-			wat.unread.takeKey(val)
+			wat.unrecognized.recordKey(val)
 		}
 	}
 	wat.directory.Replace(wat.host.clock.Now(), engines, members)
@@ -56,75 +56,75 @@
 		wat.directory.DropEngine(name)
 	}
 	if wat.directory.Missing(wat.host.set.Name) {
-		wat.host.doubtLease()
+		wat.host.checkLease()
 	}
 }
 
 // decodeEngine decodes an engine's entry. If it is invalid, the engine that was registered there is
 // dropped.
-func (wat *observer) decodeEngine(val store.Value) (fleet.Engine, bool) {
+func (wat *storeWatcher) decodeEngine(val store.Value) (fleet.Engine, bool) {
 	eng, err := platform.DecodeEngine(val)
-	return eng, wat.refused.usable(val, err, "engine entry names no engine to use")
+	return eng, wat.invalidValues.checkValue(val, err, "engine entry names no engine to use")
 }
 
 // decodeMember decodes a host's entry. If this host's own entry is invalid, it is written again.
-func (wat *observer) decodeMember(val store.Value) (fleet.Member, bool) {
+func (wat *storeWatcher) decodeMember(val store.Value) (fleet.Member, bool) {
 	mem, err := platform.DecodeMember(val)
-	usable := wat.refused.usable(val, err, "host entry invalid, host not used")
+	usable := wat.invalidValues.checkValue(val, err, "host entry invalid, host not used")
 	if !usable && val.Key == platform.MemberKey(wat.host.set.Name) {
-		wat.host.entryBroken.Store(true)
-		wat.host.doubtLease()
+		wat.host.entryInvalid.Store(true)
+		wat.host.checkLease()
 	}
 	return mem, usable
 }
 
 // applyChange applies one change of the store.
-func (wat *observer) take(cha store.Change) {
+func (wat *storeWatcher) applyChange(cha store.Change) {
 	if cha.Deleted {
-		wat.takeDeleted(cha)
+		wat.applyDeletion(cha)
 		return
 	}
 	switch kind, name := platform.KindOf(cha.Key); kind {
 	case platform.KeyConfiguration:
-		wat.takeConfiguration(cha.Value)
+		wat.applyConfiguration(cha.Value)
 	case platform.KeySurvey:
-		wat.takeSurvey(cha.Value)
+		wat.applyMeasurements(cha.Value)
 	case platform.KeyEngine:
 		if eng, usable := wat.decodeEngine(cha.Value); usable {
-			wat.noteEngine(eng, cha.Revision)
+			wat.applyEngine(eng, cha.Revision)
 		} else {
 			wat.directory.DropEngine(name)
 		}
 	case platform.KeyMember:
 		if mem, usable := wat.decodeMember(cha.Value); usable {
-			wat.changed.entered = append(wat.changed.entered, name)
+			wat.hostChanges.registered = append(wat.hostChanges.registered, name)
 			wat.directory.SetMember(mem)
 		} else {
 			wat.removeMember(name)
 		}
 	case platform.KeyRing:
-		wat.takeRing(cha.Value)
+		wat.applyKeyRing(cha.Value)
 	case platform.KeyOrder:
-		wat.takeOrder(cha.Value)
+		wat.applyRolloutOrder(cha.Value)
 	case platform.KeyRolloutState:
-		wat.takeRolloutState(name, cha.Value)
+		wat.applyRolloutState(name, cha.Value)
 	case platform.KeyLedger:
-		wat.takeLedger(name, cha.Value)
+		wat.applyLedger(name, cha.Value)
 	case platform.KeyHolds:
-		wat.takeHeld(cha.Value)
+		wat.applyHeld(cha.Value)
 	case platform.KeyEvacuation:
-		wat.takeEvacuation(cha.Value)
+		wat.applyEvacuation(cha.Value)
 	case platform.KeyEvacuationState:
-		wat.takeEvacuationState(name, cha.Value)
+		wat.applyEvacuationState(name, cha.Value)
 	case platform.KeyOther:
-		wat.unread.takeKey(cha.Value)
+		wat.unrecognized.recordKey(cha.Value)
 	}
 }
 
-// takeDeleted applies the deletion of a key. A configuration, the measurements and a roll-out stay
+// applyDeletion applies the deletion of a key. A configuration, the measurements and a roll-out stay
 // in force after their keys are deleted.
-func (wat *observer) takeDeleted(cha store.Change) {
-	wat.refused.accept(cha.Key)
+func (wat *storeWatcher) applyDeletion(cha store.Change) {
+	wat.invalidValues.recordValid(cha.Key)
 	switch kind, name := platform.KindOf(cha.Key); kind {
 	case platform.KeyEngine:
 		wat.host.log.Info().Str("Engine", name).Uint64("Revision", uint64(cha.Revision)).Msg("engine deregistered")
@@ -132,30 +132,30 @@
 	case platform.KeyMember:
 		wat.removeMember(name)
 		if name == wat.host.set.Name {
-			wat.host.doubtLease()
+			wat.host.checkLease()
 		}
 	case platform.KeyRolloutState:
 		wat.rollouts.set(name, func(std *rollout.Standing) { std.State, std.StateVersion, std.StateRevision = 0, "", 0 })
 	case platform.KeyLedger:
 		wat.rollouts.set(name, func(std *rollout.Standing) { std.Ledger, std.LedgerRevision = rollout.Ledger{}, 0 })
 	case platform.KeyRing:
-		wat.loseRing()
+		wat.clearKeyRing()
 	case platform.KeyHolds:
-		wat.loseHeld()
+		wat.clearHeldRevision()
 	case platform.KeyEvacuation:
-		wat.endEvacuation(name, cha.Revision)
+		wat.withdrawEvacuation(name, cha.Revision)
 	case platform.KeyEvacuationState:
 		wat.setEvacuation(name, func(std *evacuation.Standing) { std.Told = evacuation.Told{} })
 	case platform.KeyConfiguration, platform.KeySurvey, platform.KeyOrder, platform.KeyOther:
 	}
 }
 
-func (wat *observer) removeMember(name string) {
-	wat.changed.gone = append(wat.changed.gone, name)
+func (wat *storeWatcher) removeMember(name string) {
+	wat.hostChanges.deregistered = append(wat.hostChanges.deregistered, name)
 	wat.directory.RemoveMember(wat.host.clock.Now(), name)
 }
 
-func (wat *observer) noteEngine(eng fleet.Engine, rev store.Revision) {
+func (wat *storeWatcher) applyEngine(eng fleet.Engine, rev store.Revision) {
 	newer := wat.directory.SetEngine(wat.host.clock.Now(), eng)
 	wat.host.log.Info().Stringer("Engine", eng.ID).Str("Service", eng.Service).Str("Version", eng.Version).Stringer("Address", eng.Address).Bool("Draining", eng.Draining).Dur("ColdFor", eng.ColdFor).
 		Uint64("Sequence", eng.Sequence).Bool("Newer", newer).Uint64("Revision", uint64(rev)).Msg("engine entry")
@@ -163,10 +163,10 @@
 
 // applyConfiguration puts a newer configuration in force. An invalid one is refused as a whole, and
 // the last valid one stays in force.
-func (wat *observer) takeConfiguration(val store.Value) {
+func (wat *storeWatcher) applyConfiguration(val store.Value) {
 	con, err := platform.DecodeConfiguration(val.Data)
 	if err != nil {
-		wat.refused.refuse(val, err, "configuration refused, keeping the last valid one")
+		wat.invalidValues.recordInvalid(val, err, "configuration refused, keeping the last valid one")
 		return
 	}
 	if wat.table != nil && con.Version <= wat.table.Version() {
@@ -174,11 +174,11 @@
 	}
 	tab, err := route.NewTable(con)
 	if err != nil {
-		wat.refused.refuse(val, err, "configuration refused, keeping the last valid one")
+		wat.invalidValues.recordInvalid(val, err, "configuration refused, keeping the last valid one")
 		return
 	}
-	wat.refused.accept(val.Key)
-	wat.unread.takeConfiguration(val)
+	wat.invalidValues.recordValid(val.Key)
+	wat.unrecognized.recordFields(val)
 	wat.table = tab
 	wat.checkRegions(tab, val)
 	for _, acc := range con.Accounts {
--- a/entry/unknown.go
+++ b/entry/unknown.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// maxUnknownNames bounds the header names that are counted separately, maxUnknownLines the log
+	// maxUnrecognizedNames bounds the header names that are counted separately, maxUnrecognizedLines the log
 	// lines: engines may send any name.
-	maxUnknownNames = 32
-	maxUnknownLines = 128
+	maxUnrecognizedNames = 32
+	maxUnrecognizedLines = 128
 	// maxNameBytes bounds the logged and counted part of a name.
 	maxNameBytes = 64
 )
@@ -22,9 +22,9 @@
 
 // metricName returns the name under which an occurrence of name is counted: the name itself, or
 // "Others" once there are too many names.
-func (bon *boundedNames) counted(name string) string {
+func (bon *boundedNames) metricName(name string) string {
 	name = name[:min(len(name), maxNameBytes)]
-	if !bon.names[name] && len(bon.names) >= maxUnknownNames {
+	if !bon.names[name] && len(bon.names) >= maxUnrecognizedNames {
 		return "Others"
 	}
 	if bon.names == nil {
@@ -36,47 +36,47 @@
 
 // unrecognizedHeaders records the headers in engines' answers that are not recognized, so that
 // operators notice a new engine signal on the day on which it is first sent.
-type unknownHeaders struct {
-	host  *Host
-	mutex sync.Mutex
-	names boundedNames
-	told  map[unknownHeader]bool
+type unrecognizedHeaders struct {
+	host   *Host
+	mutex  sync.Mutex
+	names  boundedNames
+	logged map[unrecognizedHeader]bool
 }
 
 // unrecognizedHeader is a header that engines of a service sent.
-type unknownHeader struct {
+type unrecognizedHeader struct {
 	name    string
 	service string
 }
 
-func newUnknownHeaders(hos *Host) *unknownHeaders {
-	return &unknownHeaders{host: hos, told: make(map[unknownHeader]bool)}
+func newUnrecognizedHeaders(hos *Host) *unrecognizedHeaders {
+	return &unrecognizedHeaders{host: hos, logged: make(map[unrecognizedHeader]bool)}
 }
 
 // record counts the unrecognized headers of an answer, and logs each once per service.
-func (unr *unknownHeaders) take(hrd upstream.Heard) {
+func (unr *unrecognizedHeaders) record(hrd upstream.Heard) {
 	for _, name := range hrd.Head.Unknown {
-		unr.host.figures.count("UnknownHeaders." + unr.counted(name))
-		unr.tell(hrd, name[:min(len(name), maxNameBytes)])
+		unr.host.metrics.count("UnknownHeaders." + unr.metricName(name))
+		unr.logOnce(hrd, name[:min(len(name), maxNameBytes)])
 	}
 }
 
 // metricName returns the name under which a header is counted.
-func (unr *unknownHeaders) counted(name string) string {
+func (unr *unrecognizedHeaders) metricName(name string) string {
 	unr.mutex.Lock()
 	defer unr.mutex.Unlock()
-	return unr.names.counted(name)
+	return unr.names.metricName(name)
 }
 
-func (unr *unknownHeaders) tell(hrd upstream.Heard, name string) {
-	eng, _ := unr.host.belief.Load().engine(hrd.Engine)
-	key := unknownHeader{name: name, service: eng.Service}
+func (unr *unrecognizedHeaders) logOnce(hrd upstream.Heard, name string) {
+	eng, _ := unr.host.snapshot.Load().engine(hrd.Engine)
+	key := unrecognizedHeader{name: name, service: eng.Service}
 	unr.mutex.Lock()
 	defer unr.mutex.Unlock()
-	if unr.told[key] || len(unr.told) >= maxUnknownLines {
+	if unr.logged[key] || len(unr.logged) >= maxUnrecognizedLines {
 		return
 	}
-	unr.told[key] = true
+	unr.logged[key] = true
 	unr.host.log.Warn().Str("Header", name).Str("Service", eng.Service).Stringer("Engine", hrd.Engine).Str("AnswerTo", hrd.Head.ID).
 		Msg("answers of engines have an unrecognized header")
 }
--- a/entry/unread_test.go
+++ b/entry/unread_test.go
@@ -24,9 +24,9 @@
 	for num := range 1000 {
 		wat.apply(changeUpdate(store.Revision(100+num), fmt.Sprint("made-up-", num), nil))
 	}
-	text := string(wat.host.figures.text(nil))
+	text := string(wat.host.metrics.text(nil))
 	for _, want := range []string{"StoreKeysUnread.op/resize/ 3\n", "ConfigurationFieldsUnread.colour 3\n", "StoreKeysUnread.Others "} {
 		assert.Assert(t, strings.Contains(text, want), text)
 	}
-	assert.Assert(t, strings.Count(log.String(), "read by nobody") <= maxUnknownLines+1)
+	assert.Assert(t, strings.Count(log.String(), "read by nobody") <= maxUnrecognizedLines+1)
 }
--- a/entrytest/crash.go
+++ b/entrytest/crash.go
@@ -17,11 +17,11 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// CrashBody is contained in the body of each poison request: a request that crashes the
+// PoisonBody is contained in the body of each poison request: a request that crashes the
 // engine that runs it.
-const CrashBody = "ends whatever runs it"
+const PoisonBody = "ends whatever runs it"
 
-// CrashConfig holds the settings of Crashing.
+// CrashConfig holds the settings of CrashingEngines.
 type CrashConfig struct {
 	Engines int
 	// Slots is how many requests an engine runs at a time; 0 means 4.
@@ -40,10 +40,10 @@
 	SameName bool
 }
 
-// Crashing is a group of engines of the service Model that crash when they run a poison
+// CrashingEngines is a group of engines of the service Model that crash when they run a poison
 // request. A crashed engine closes its connections and its listener, its entry stays until
 // it expires, and some time later another run starts.
-type Crashing struct {
+type CrashingEngines struct {
 	sys *System
 	cfg CrashConfig
 
@@ -52,7 +52,7 @@
 	sites    []*crashSite
 	arrivals []Arrival
 	crashes  []time.Time
-	// interrupted counts the requests without CrashBody that crashes interrupted.
+	// interrupted counts the requests without PoisonBody that crashes interrupted.
 	interrupted int
 	stopped     bool
 }
@@ -78,13 +78,13 @@
 	crashed bool
 }
 
-// AddCrashing starts crashing engines and registers them in the store.
-func (sys *System) AddCrashing(cfg CrashConfig) *Crashing {
+// AddCrashingEngines starts crashing engines and registers them in the store.
+func (sys *System) AddCrashingEngines(cfg CrashConfig) *CrashingEngines {
 	sys.t.Helper()
 	if cfg.Slots == 0 {
 		cfg.Slots = 4
 	}
-	cra := &Crashing{sys: sys, cfg: cfg}
+	cra := &CrashingEngines{sys: sys, cfg: cfg}
 	for num := range cfg.Engines {
 		sit := &crashSite{number: num, address: "127.0.0.1:0"}
 		cra.sites = append(cra.sites, sit)
@@ -94,7 +94,7 @@
 	return cra
 }
 
-func (cra *Crashing) stop() {
+func (cra *CrashingEngines) stop() {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	cra.stopped = true
@@ -105,7 +105,7 @@
 }
 
 // startRun starts the next run of a site's engine.
-func (cra *Crashing) startRun(sit *crashSite) {
+func (cra *CrashingEngines) startRun(sit *crashSite) {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	if cra.stopped {
@@ -134,7 +134,7 @@
 	cra.register(sit)
 }
 
-func (cra *Crashing) register(sit *crashSite) {
+func (cra *CrashingEngines) register(sit *crashSite) {
 	sta := EngineState{Service: Model, Address: sit.address, Slots: cra.cfg.Slots}
 	if cra.cfg.SameName {
 		sta.Born = time.Now()
@@ -144,13 +144,13 @@
 }
 
 // handler returns the HTTP handler of one run of a site's engine.
-func (cra *Crashing) handler(sit *crashSite, engine http.Handler, run int) http.Handler {
+func (cra *CrashingEngines) handler(sit *crashSite, engine http.Handler, run int) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		body, err := readBody(req)
 		if err != nil {
 			return
 		}
-		if expected := req.Header.Get("Expect-Instance"); expected != sit.name || !strings.Contains(body, CrashBody) {
+		if expected := req.Header.Get("Expect-Instance"); expected != sit.name || !strings.Contains(body, PoisonBody) {
 			cra.addRunning(sit, run, 1)
 			defer cra.addRunning(sit, run, -1)
 			engine.ServeHTTP(wri, req)
@@ -168,7 +168,7 @@
 	})
 }
 
-func (cra *Crashing) addRunning(sit *crashSite, run, change int) {
+func (cra *CrashingEngines) addRunning(sit *crashSite, run, change int) {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	if sit.run == run {
@@ -176,14 +176,14 @@
 	}
 }
 
-func (cra *Crashing) recordArrival(sit *crashSite, id string) {
+func (cra *CrashingEngines) recordArrival(sit *crashSite, id string) {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	cra.arrivals = append(cra.arrivals, Arrival{ID: id, Engine: sit.name, At: time.Now(), Beside: sit.running})
 }
 
 // crash ends a run of a site's engine, unless that run has ended already.
-func (cra *Crashing) crash(sit *crashSite, run int) {
+func (cra *CrashingEngines) crash(sit *crashSite, run int) {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	if sit.run != run || sit.crashed || cra.stopped {
@@ -205,35 +205,35 @@
 }
 
 // Arrivals returns the poison requests that reached engines, in order of arrival.
-func (cra *Crashing) Arrivals() []Arrival {
+func (cra *CrashingEngines) Arrivals() []Arrival {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	return append([]Arrival(nil), cra.arrivals...)
 }
 
-// Ends returns the times at which engines crashed, in order.
-func (cra *Crashing) Ends() []time.Time {
+// Crashes returns the times at which engines crashed, in order.
+func (cra *CrashingEngines) Crashes() []time.Time {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	return append([]time.Time(nil), cra.crashes...)
 }
 
 // Drain marks an engine's entry as draining.
-func (cra *Crashing) Drain(engine string) {
+func (cra *CrashingEngines) Drain(engine string) {
 	cra.sys.t.Helper()
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	for _, sit := range cra.sites {
 		if sit.name == engine {
-			cra.sys.EnterState(engine, EngineState{Service: Model, Address: sit.address, Slots: cra.cfg.Slots, Draining: true, Sequence: 2})
+			cra.sys.PutEngineState(engine, EngineState{Service: Model, Address: sit.address, Slots: cra.cfg.Slots, Draining: true, Sequence: 2})
 		}
 	}
 }
 
-// UntilUp waits until at least count engines run.
-func (cra *Crashing) UntilUp(count int) {
+// WaitForRunning waits until at least count engines run.
+func (cra *CrashingEngines) WaitForRunning(count int) {
 	cra.sys.t.Helper()
-	cra.sys.Until("engines run again", func() bool {
+	cra.sys.WaitUntil("engines run again", func() bool {
 		cra.mutex.Lock()
 		defer cra.mutex.Unlock()
 		up := 0
@@ -246,8 +246,8 @@
 	})
 }
 
-// Innocents returns how many other requests were interrupted by crashes.
-func (cra *Crashing) Innocents() int {
+// InterruptedRequests returns how many other requests were interrupted by crashes.
+func (cra *CrashingEngines) InterruptedRequests() int {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	return cra.interrupted
@@ -260,5 +260,5 @@
 	return string(body), err
 }
 
-// Count returns the number of engines.
-func (cra *Crashing) Count() int { return len(cra.sites) }
+// EngineCount returns the number of engines.
+func (cra *CrashingEngines) EngineCount() int { return len(cra.sites) }
--- a/entrytest/entrytest.go
+++ b/entrytest/entrytest.go
@@ -97,13 +97,13 @@
 	Clock *clocktest.Source
 }
 
-// RefuseStore sets whether the store rejects the host's calls by its rate limit.
-func (hos *Host) RefuseStore(refused bool) {
+// SetStoreThrottled sets whether the store rejects the host's calls by its rate limit.
+func (hos *Host) SetStoreThrottled(refused bool) {
 	hos.storeThrottled.Store(refused)
 }
 
-// CutStore sets whether the host's connection to the store is cut.
-func (hos *Host) CutStore(cut bool) {
+// SetStoreCut sets whether the host's connection to the store is cut.
+func (hos *Host) SetStoreCut(cut bool) {
 	hos.storeCut.Store(cut)
 }
 
@@ -147,13 +147,13 @@
 // Start starts the store, the engines and the hosts. No configuration is in force yet.
 func Start(t *testing.T, cfg Config) *System {
 	t.Helper()
-	sys := Prepare(t, cfg.Engines)
+	sys := StartWithoutHosts(t, cfg.Engines)
 	sys.StartHosts(cfg)
 	return sys
 }
 
-// Prepare starts the store and the engines, but no hosts.
-func Prepare(t *testing.T, engines []*upstreamtest.Engine) *System {
+// StartWithoutHosts starts the store and the engines, but no hosts.
+func StartWithoutHosts(t *testing.T, engines []*upstreamtest.Engine) *System {
 	t.Helper()
 	sys := &System{Store: platformtest.NewMemory(platformtest.MemoryConfig{}), log: &Log{}, t: t}
 	sys.AddEngines(engines...)
@@ -173,9 +173,9 @@
 	}
 }
 
-// EnterLost registers a host that is lost or hardly answers: its address serves nothing
+// RegisterLostHost registers a host that is lost or hardly answers: its address serves nothing
 // but the mirror.
-func (sys *System) EnterLost(name string, epoch request.Epoch, mir peer.Mirror) {
+func (sys *System) RegisterLostHost(name string, epoch request.Epoch, mir peer.Mirror) {
 	sys.t.Helper()
 	srv := peer.NewServer(peer.ServerConfig{Mirror: mir, Security: peer.Security{Key: PeerKey}}).HTTPServer()
 	var lic net.ListenConfig
@@ -192,8 +192,8 @@
 	sys.put(platform.MemberKey(name), string(data))
 }
 
-// Remove deletes an engine's entry.
-func (sys *System) Remove(id string) {
+// RemoveEngine deletes an engine's entry.
+func (sys *System) RemoveEngine(id string) {
 	sys.t.Helper()
 	_, err := sys.Store.Put(sys.t.Context(), store.Write{Key: EngineKey(id), Delete: true, Blind: true})
 	assert.NilError(sys.t, err)
@@ -261,14 +261,14 @@
 	sys.put(ConfigurationKey, text)
 }
 
-// UntilVersion waits until the configuration version is in force at each host.
-func (sys *System) UntilVersion(version uint64) {
+// WaitForVersion waits until the configuration version is in force at each host.
+func (sys *System) WaitForVersion(version uint64) {
 	sys.t.Helper()
 	sys.waitForMetric(fmt.Sprintf("ConfigurationVersion %d\n", version))
 }
 
-// UntilEngines waits until each host knows exactly count engines that are ready.
-func (sys *System) UntilEngines(count int) {
+// WaitForEngines waits until each host knows exactly count engines that are ready.
+func (sys *System) WaitForEngines(count int) {
 	sys.t.Helper()
 	sys.waitForMetric(fmt.Sprintf("EnginesReady %d\n", count))
 }
@@ -276,15 +276,15 @@
 func (sys *System) waitForMetric(line string) {
 	sys.t.Helper()
 	for _, hos := range sys.Hosts {
-		sys.Until(line, func() bool { return strings.Contains(sys.Figures(hos), line) })
+		sys.WaitUntil(line, func() bool { return strings.Contains(sys.Metrics(hos), line) })
 	}
 }
 
-// UntilReady waits until each host is ready and returns the addresses of all hosts.
-func (sys *System) UntilReady() {
+// WaitForReady waits until each host is ready and returns the addresses of all hosts.
+func (sys *System) WaitForReady() {
 	sys.t.Helper()
 	for _, hos := range sys.Hosts {
-		sys.Until("host ready", func() bool {
+		sys.WaitUntil("host ready", func() bool {
 			return sys.IsReady(hos) && len(sys.Addresses(hos)) == len(sys.Hosts)
 		})
 	}
@@ -298,8 +298,8 @@
 // pollInterval is the time between two checks of a condition.
 const pollInterval = 5 * time.Millisecond
 
-// Until waits until a condition holds and fails the test after waitTimeout.
-func (sys *System) Until(what string, holds func() bool) {
+// WaitUntil waits until a condition holds and fails the test after waitTimeout.
+func (sys *System) WaitUntil(what string, holds func() bool) {
 	sys.t.Helper()
 	ctx, cancel := context.WithTimeout(sys.t.Context(), waitTimeout)
 	defer cancel()
@@ -331,8 +331,8 @@
 	return body.Addresses
 }
 
-// Figures returns the text of a host's metrics.
-func (sys *System) Figures(hos *Host) string {
+// Metrics returns the text of a host's metrics.
+func (sys *System) Metrics(hos *Host) string {
 	return sys.get("http://" + hos.Settings.MetricsAddress.String() + "/metrics").Body
 }
 
--- a/entrytest/writes.go
+++ b/entrytest/writes.go
@@ -53,20 +53,20 @@
 // ConfigurationKey is the store key of the operators' configuration.
 const ConfigurationKey = "op/config"
 
-// Enter registers an engine at an address.
-func (sys *System) Enter(eng *upstreamtest.Engine, address string, draining bool) {
+// RegisterEngine registers an engine at an address.
+func (sys *System) RegisterEngine(eng *upstreamtest.Engine, address string, draining bool) {
 	sys.t.Helper()
-	sys.EnterState(eng.ID(), EngineState{Service: eng.Service(), Address: address, Slots: eng.Slots(), Draining: draining, Version: eng.Version(), Domain: eng.Domain()})
+	sys.PutEngineState(eng.ID(), EngineState{Service: eng.Service(), Address: address, Slots: eng.Slots(), Draining: draining, Version: eng.Version(), Domain: eng.Domain()})
 }
 
-// EnterState writes an engine's entry with the given state.
-func (sys *System) EnterState(id string, sta EngineState) {
+// PutEngineState writes an engine's entry with the given state.
+func (sys *System) PutEngineState(id string, sta EngineState) {
 	sys.t.Helper()
 	sys.put(EngineKey(id), string(EngineEntry(sta)))
 }
 
-// Order writes an operator's order of a roll-out.
-func (sys *System) Order(service, version string, period time.Duration) {
+// OrderRollout writes an operator's order of a roll-out.
+func (sys *System) OrderRollout(service, version string, period time.Duration) {
 	sys.t.Helper()
 	sys.put("op/rollout/"+service, fmt.Sprintf(`{"service":%q,"target_version":%q,"period_s":%g}`, service, version, period.Seconds()))
 }
@@ -92,8 +92,8 @@
 	assert.NilError(sys.t, sys.Store.Write(store.Write{Key: EvacuationKey(domain), Data: []byte(value), Blind: true}))
 }
 
-// TakeBack deletes the order to evacuate a failure domain.
-func (sys *System) TakeBack(domain string) {
+// CancelEvacuation deletes the order to evacuate a failure domain.
+func (sys *System) CancelEvacuation(domain string) {
 	sys.t.Helper()
 	assert.NilError(sys.t, sys.Store.Write(store.Write{Key: EvacuationKey(domain), Delete: true, Blind: true}))
 }
@@ -106,8 +106,8 @@
 
 // EvacuationState is the published state of an evacuation.
 type EvacuationState struct {
-	State string `json:"state"`
-	Order uint64 `json:"revision"`
+	State    string `json:"state"`
+	Revision uint64 `json:"revision"`
 }
 
 // EvacuationState returns the published state of an evacuation; the zero value for none.
@@ -125,12 +125,12 @@
 func (sys *System) AddEngines(engines ...*upstreamtest.Engine) {
 	sys.t.Helper()
 	for _, eng := range engines {
-		sys.Enter(eng, sys.Listen(eng), false)
+		sys.RegisterEngine(eng, sys.StartEngine(eng), false)
 	}
 }
 
-// Listen starts an engine without registering it and returns its address.
-func (sys *System) Listen(eng *upstreamtest.Engine) string {
+// StartEngine starts an engine without registering it and returns its address.
+func (sys *System) StartEngine(eng *upstreamtest.Engine) string {
 	sys.t.Helper()
 	srv := httptest.NewServer(eng.Handler())
 	sys.t.Cleanup(srv.CloseClientConnections)
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -32,7 +32,7 @@
 	vis := visitor.New(visitor.Config{
 		Directories: directories, HostName: entrytest.HostName, Domain: "d0", Prefix: fmt.Sprintf("s%d-culprit", seed), Random: rand.New(rand.NewPCG(seed, 77)),
 	})
-	req := visitor.Request{Path: "/stream/", Kind: route.KindStreaming, PromptTokens: 100, MaxTokens: 50, Key: entrytest.Key, Body: entrytest.CrashBody, Deadline: 2 * time.Second}
+	req := visitor.Request{Path: "/stream/", Kind: route.KindStreaming, PromptTokens: 100, MaxTokens: 50, Key: entrytest.Key, Body: entrytest.PoisonBody, Deadline: 2 * time.Second}
 	end := make(chan struct{})
 	go func() {
 		defer close(end)
--- a/soak/places.go
+++ b/soak/places.go
@@ -51,7 +51,7 @@
 		assert.NilError(sys.t, json.Unmarshal(data, &sta))
 	}
 	order := sys.peek(entrytest.EvacuationKey(emptiedDomain))
-	if sta.State == "" || sta.Order != uint64(order.Revision) {
+	if sta.State == "" || sta.Revision != uint64(order.Revision) {
 		return
 	}
 	sys.toldOpen = true
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -216,7 +216,7 @@
 	sys.t.Helper()
 	args := []string{"upstream", "--id", id, "--service", service}
 	if service == entrytest.Model {
-		args = append(args, "--events", fmt.Sprint(events), "--step", "20ms", "--crash-body", entrytest.CrashBody)
+		args = append(args, "--events", fmt.Sprint(events), "--step", "20ms", "--crash-body", entrytest.PoisonBody)
 	}
 	pro, adr := processtest.Standin(sys.t, sys.dir, "engine-"+id, args...)
 	eng := &engine{id: id, service: service, domain: usedDomain, address: adr, ended: make(chan struct{})}
