--- a/entry/age_test.go
+++ b/entry/age_test.go
@@ -9,71 +9,71 @@
 )
 
 func TestClientWaitIsDifferenceToUsualTimeout(t *testing.T) {
-	cws := newWaitEstimator()
+	est := newWaitEstimator()
 	const clientTimeout = 12 * time.Second
 	for range minTimeoutCount - 1 {
-		assert.Equal(t, cws.observe("r", clientTimeout), time.Duration(0))
+		assert.Equal(t, est.observe("r", clientTimeout), time.Duration(0))
 	}
-	assert.Equal(t, cws.observe("r", 9*time.Second), time.Duration(0), "no timeout is usual yet")
-	assert.Equal(t, cws.observe("r", clientTimeout), time.Duration(0))
-	assert.Equal(t, cws.observe("r", 9100*time.Millisecond), 2900*time.Millisecond)
-	assert.Equal(t, cws.observe("other", 9100*time.Millisecond), time.Duration(0), "clients of another route")
-	assert.Equal(t, cws.observe("r", 0), time.Duration(0), "a client that reports no timeout")
-	assert.Equal(t, cws.observe("r", 15*time.Second), time.Duration(0), "longer than any usual timeout")
+	assert.Equal(t, est.observe("r", 9*time.Second), time.Duration(0), "no timeout is usual yet")
+	assert.Equal(t, est.observe("r", clientTimeout), time.Duration(0))
+	assert.Equal(t, est.observe("r", 9100*time.Millisecond), 2900*time.Millisecond)
+	assert.Equal(t, est.observe("other", 9100*time.Millisecond), time.Duration(0), "clients of another route")
+	assert.Equal(t, est.observe("r", 0), time.Duration(0), "a client that reports no timeout")
+	assert.Equal(t, est.observe("r", 15*time.Second), time.Duration(0), "longer than any usual timeout")
 }
 
 // Clients of one route may differ in their timeouts. A request with the shorter one is a
 // first attempt, not a retry of a client that has already waited.
 func TestShorterUsualTimeoutIsFirstAttempt(t *testing.T) {
-	cws := newWaitEstimator()
+	est := newWaitEstimator()
 	for range minTimeoutCount {
-		cws.observe("r", 12*time.Second)
-		cws.observe("r", 5*time.Second)
+		est.observe("r", 12*time.Second)
+		est.observe("r", 5*time.Second)
 	}
-	assert.Equal(t, cws.observe("r", 5*time.Second), time.Duration(0))
-	assert.Equal(t, cws.observe("r", 4*time.Second), time.Second)
-	assert.Equal(t, cws.observe("r", 7*time.Second), 5*time.Second)
+	assert.Equal(t, est.observe("r", 5*time.Second), time.Duration(0))
+	assert.Equal(t, est.observe("r", 4*time.Second), time.Second)
+	assert.Equal(t, est.observe("r", 7*time.Second), 5*time.Second)
 }
 
 // Clients that reached a host without power retry after the same time, some of them in the
 // same millisecond. That doesn't make their remaining timeout a usual one.
 func TestClusteredRetriesAreNotFirstAttempts(t *testing.T) {
-	cws := newWaitEstimator()
+	est := newWaitEstimator()
 	for range 10 * maxTimeoutCountRatio * minTimeoutCount {
-		cws.observe("r", 12*time.Second)
+		est.observe("r", 12*time.Second)
 	}
 	for range minTimeoutCount {
-		assert.Equal(t, cws.observe("r", 11*time.Second), time.Second)
+		assert.Equal(t, est.observe("r", 11*time.Second), time.Second)
 	}
 }
 
 // Clients of a route change their timeout: the new one becomes the usual one.
 func TestChangedTimeoutBecomesUsual(t *testing.T) {
-	cws := newWaitEstimator()
+	est := newWaitEstimator()
 	for range 100 * halvingCount {
-		cws.observe("r", 12*time.Second)
+		est.observe("r", 12*time.Second)
 	}
 	for range halvingCount / maxTimeoutCountRatio {
-		cws.observe("r", 5*time.Second)
+		est.observe("r", 5*time.Second)
 	}
-	assert.Equal(t, cws.observe("r", 5*time.Second), time.Duration(0))
-	assert.Equal(t, cws.observe("r", 4*time.Second), time.Second)
+	assert.Equal(t, est.observe("r", 5*time.Second), time.Duration(0))
+	assert.Equal(t, est.observe("r", 4*time.Second), time.Second)
 }
 
 // Whatever timeouts are reported, a request with the known usual timeout counts as a first
 // attempt.
 func TestFirstAttemptsHaveNoClientWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cws := newWaitEstimator()
+		est := newWaitEstimator()
 		const clientTimeout = 12 * time.Second
 		for range minTimeoutCount {
-			cws.observe("r", clientTimeout)
+			est.observe("r", clientTimeout)
 		}
 		for range rapid.IntRange(0, 200).Draw(t, "tries") {
 			reported := time.Duration(rapid.Int64Range(-1, int64(clientTimeout/time.Millisecond)).Draw(t, "told")) * time.Millisecond
-			waited := cws.observe("r", reported)
+			waited := est.observe("r", reported)
 			assert.Assert(t, waited >= 0 && waited <= clientTimeout)
-			assert.Equal(t, cws.observe("r", clientTimeout), time.Duration(0))
+			assert.Equal(t, est.observe("r", clientTimeout), time.Duration(0))
 		}
 	})
 }
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -29,11 +29,11 @@
 			assert.NilError(t, err)
 			hos.set.Domain = "here"
 			hos.broker.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{deregistered, remaining}})
-			sna := &snapshot{engines: make(map[string]fleet.Engine)}
+			snp := &snapshot{engines: make(map[string]fleet.Engine)}
 			for _, eng := range tst.known {
-				sna.engines[eng.ID.Name] = eng
+				snp.engines[eng.ID.Name] = eng
 			}
-			hos.snapshot.Store(sna)
+			hos.snapshot.Store(snp)
 			now := time.Now()
 			exc := &exchange{
 				host: hos, started: now, deadline: now.Add(time.Second), service: "plain",
--- a/entry/barred_test.go
+++ b/entry/barred_test.go
@@ -131,8 +131,8 @@
 	for _, grt := range []grant{
 		{grantedAt: now}, {rate: reservation.GrantRatePaced, grantedAt: now.Add(-time.Second)}, {rate: reservation.GrantRateEnded, requestedAt: now.Add(-time.Second), grantedAt: now},
 	} {
-		var unpaced *RateExceededError
-		assert.Assert(t, errors.As(hos.checkEngine(fleet.Engine{ID: run}, grt), &unpaced))
+		var exceeded *RateExceededError
+		assert.Assert(t, errors.As(hos.checkEngine(fleet.Engine{ID: run}, grt), &exceeded))
 		exc := &exchange{host: hos, route: route.Route{Public: true}, deadline: now.Add(time.Minute), grant: grt}
 		assert.Assert(t, blockedBeforeSend(exc.checkBeforeSend(fleet.Engine{ID: run})))
 		_, pro := exc.checkGrant("e1", request.ID{Unique: "r1"})
--- a/entry/changes_test.go
+++ b/entry/changes_test.go
@@ -12,14 +12,14 @@
 // However many hosts change at once, an update is logged in one line of bounded length.
 func TestManyHostChangesLogOneLine(t *testing.T) {
 	var buf bytes.Buffer
-	var chl memberChanges
-	chl.log(zerolog.New(&buf), 7)
+	var mch memberChanges
+	mch.log(zerolog.New(&buf), 7)
 	assert.Equal(t, buf.Len(), 0)
 	for idx := range 300 {
-		chl.registered = append(chl.registered, fmt.Sprint("host-", idx))
+		mch.registered = append(mch.registered, fmt.Sprint("host-", idx))
 	}
-	chl.deregistered = []string{"other"}
-	chl.log(zerolog.New(&buf), 7)
+	mch.deregistered = []string{"other"}
+	mch.log(zerolog.New(&buf), 7)
 	assert.Equal(t, bytes.Count(buf.Bytes(), []byte("\n")), 1)
 	assert.Assert(t, bytes.Contains(buf.Bytes(), []byte(`"Entered":300`)))
 	assert.Assert(t, bytes.Contains(buf.Bytes(), []byte(`"GoneNames":["other"]`)))
--- a/entry/cold_test.go
+++ b/entry/cold_test.go
@@ -36,14 +36,14 @@
 	cold := eng
 	cold.ColdUntil = now.Add(time.Hour)
 	hos.snapshot.Store(&snapshot{table: hos.snapshot.Load().table, engines: map[string]fleet.Engine{"e1": cold}})
-	var unpaced *RateExceededError
-	assert.Assert(t, errors.As(hos.checkEngine(eng, grant{grantedAt: now}), &unpaced), "the engine became cold after the grant")
-	assert.Assert(t, errors.As(hos.checkEngine(eng, grant{cold: true, grantedAt: now.Add(-time.Second)}), &unpaced), "the grant is too old")
+	var exceeded *RateExceededError
+	assert.Assert(t, errors.As(hos.checkEngine(eng, grant{grantedAt: now}), &exceeded), "the engine became cold after the grant")
+	assert.Assert(t, errors.As(hos.checkEngine(eng, grant{cold: true, grantedAt: now.Add(-time.Second)}), &exceeded), "the grant is too old")
 	assert.NilError(t, hos.checkEngine(eng, grant{cold: true, grantedAt: now}))
 	hos.snapshot.Store(&snapshot{table: hos.snapshot.Load().table, engines: map[string]fleet.Engine{"e1": eng}})
 	assert.NilError(t, hos.checkEngine(eng, grant{grantedAt: now}))
 	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: eng.ID}, Head: call.AnswerHead{Cold: time.Minute}})
-	assert.Assert(t, errors.As(hos.checkEngine(eng, grant{grantedAt: now}), &unpaced), "by its own signal")
+	assert.Assert(t, errors.As(hos.checkEngine(eng, grant{grantedAt: now}), &exceeded), "by its own signal")
 }
 
 // After an evacuation order is cancelled the domain's engines count as cold, since they were
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -90,8 +90,8 @@
 	evacuationUpdates chan struct{}
 	// resumed delivers the length of a suspension to handleSuspensions.
 	resumed chan time.Duration
-	// heldUpdates wakes maintainHeld. heldRevision is the store's revision of the held requests; 0 if the
-	// store has none.
+	// heldUpdates wakes maintainHeld. heldRevision is the store's revision of the held requests; 0 if
+	// the store has none.
 	heldUpdates  chan struct{}
 	heldRevision atomic.Uint64
 	// leaseChecks makes maintainLease renew the lease soon.
@@ -212,7 +212,8 @@
 	}
 }
 
-// awaitPeersOrClient waits peerArrivalWait for other hosts to register, or until a client waits for the host.
+// awaitPeersOrClient waits peerArrivalWait for other hosts to register, or until a client waits for
+// the host.
 func (hos *Host) awaitPeersOrClient(ctx context.Context) {
 	timer := time.NewTimer(peerArrivalWait)
 	defer timer.Stop()
@@ -282,8 +283,8 @@
 	drainMargin = 500 * time.Millisecond
 )
 
-// runMaintenance regularly closes connections to engines that were deregistered or replaced and those
-// that have been idle for long, and drops expired notices.
+// runMaintenance regularly closes connections to engines that were deregistered or replaced and
+// those that have been idle for long, and drops expired notices.
 func (hos *Host) runMaintenance(ctx context.Context) error {
 	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
@@ -298,8 +299,8 @@
 	}
 }
 
-// currentEngineRuns returns a function that reports whether an endpoint is a known engine that has not
-// been replaced by a later run.
+// currentEngineRuns returns a function that reports whether an endpoint is a known engine that has
+// not been replaced by a later run.
 func (hos *Host) currentEngineRuns() func(upstream.Endpoint) bool {
 	engines := hos.snapshot.Load().engines
 	return func(end upstream.Endpoint) bool {
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -91,8 +91,8 @@
 	return eva.gate.Kept()
 }
 
-// reportEnforcedOrders reports the orders that this host enforces to the schedulers that decide for it, or
-// would next.
+// reportEnforcedOrders reports the orders that this host enforces to the schedulers that decide for
+// it, or would next.
 func (bro *broker) reportEnforcedOrders() {
 	msg := reservation.Emptying{Orders: bro.host.evacuations.enforced()}
 	bro.mutex.Lock()
@@ -208,8 +208,8 @@
 	}
 }
 
-// logUnknownDomain logs an order for a failure domain without engines and hosts: another domain may be
-// meant. The order is in force all the same, for engines that register later.
+// logUnknownDomain logs an order for a failure domain without engines and hosts: another domain may
+// be meant. The order is in force all the same, for engines that register later.
 func (wat *storeWatcher) logUnknownDomain(ord evacuation.Order) {
 	known := slices.ContainsFunc(wat.directory.Engines(), func(eng fleet.Engine) bool { return eng.Domain == ord.Domain }) ||
 		slices.ContainsFunc(wat.directory.Members(), func(mem fleet.Member) bool { return mem.Domain == ord.Domain })
--- a/entry/held.go
+++ b/entry/held.go
@@ -43,8 +43,8 @@
 	wat.host.broker.handle(scheduler.HoldsRead{Holds: holds})
 }
 
-// clearHeldRevision records that the store holds no held requests. Those that are known stay held: another
-// writer may have deleted the key.
+// clearHeldRevision records that the store holds no held requests. Those that are known stay held:
+// another writer may have deleted the key.
 func (wat *storeWatcher) clearHeldRevision() {
 	wat.host.heldRevision.Store(0)
 }
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// awaitLeaseRenewal waits until the lease is due for renewal, or may have expired. It reports false once
-// the host stops.
+// awaitLeaseRenewal waits until the lease is due for renewal, or may have expired. It reports false
+// once the host stops.
 func (hos *Host) awaitLeaseRenewal(ctx context.Context, wait time.Duration) bool {
 	wake := hos.leaseChecks
 	timer := time.NewTimer(wait)
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -12,9 +12,9 @@
 // it is passed on. This host enforces them by itself, regardless of the scheduler and of the store:
 // the scheduler may not have received them, and the store may be unreachable.
 
-// noticeLogInterval is the least time between two log lines about the backoff, rate or cold signals of
-// one engine run, and between two about invalid signals of all engines: a thousand such answers a
-// second must not push other lines out of the log.
+// noticeLogInterval is the least time between two log lines about the backoff, rate or cold signals
+// of one engine run, and between two about invalid signals of all engines: a thousand such answers
+// a second must not push other lines out of the log.
 const noticeLogInterval = time.Second
 
 // notices holds the signals that engines have sent in their answers to this host.
@@ -118,9 +118,9 @@
 	}
 }
 
-// logThrottled reports whether a signal of the run was logged within noticeLogInterval, and otherwise
-// records that one is logged now; the mutex must be held. Draining and replacement are always
-// logged.
+// logThrottled reports whether a signal of the run was logged within noticeLogInterval, and
+// otherwise records that one is logged now; the mutex must be held. Draining and replacement are
+// always logged.
 func (ntc *notices) logThrottled(now time.Time, not fleet.Notice) bool {
 	switch not.Word.(type) {
 	case fleet.Leaving, fleet.Replaced:
@@ -152,8 +152,9 @@
 	evt.Msg("engine says of itself")
 }
 
-// recordInvalid logs and counts an invalid signal. An invalid backoff has no effect, so the engine is
-// judged by its health alone; the rate limit that was named before an invalid rate stays in force.
+// recordInvalid logs and counts an invalid signal. An invalid backoff has no effect, so the engine
+// is judged by its health alone; the rate limit that was named before an invalid rate stays in
+// force.
 func (ntc *notices) recordInvalid(hrd upstream.Heard) {
 	ntc.host.metrics.count("EngineNotices.Unread")
 	now := ntc.host.clock.Now()
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -19,13 +19,13 @@
 	// batchInterval is how long further changes are collected after some have arrived: each answer is
 	// a call, and a bound of seconds on their delay leaves room for it.
 	batchInterval = 100 * time.Millisecond
-	// startupBatchInterval is the same shortly after the host's start, for startupPeriod: hosts that start
-	// together decide alone until they know one another, which costs more than the calls that a
+	// startupBatchInterval is the same shortly after the host's start, for startupPeriod: hosts that
+	// start together decide alone until they know one another, which costs more than the calls that a
 	// longer pause saves.
 	startupBatchInterval = 50 * time.Millisecond
 	startupPeriod        = 1500 * time.Millisecond
-	// minStoreRetry and maxStoreRetry bound the backoff before the store is called again: each call counts
-	// against its rate limit, and a configuration must be in force soon.
+	// minStoreRetry and maxStoreRetry bound the backoff before the store is called again: each call
+	// counts against its rate limit, and a configuration must be in force soon.
 	minStoreRetry = 50 * time.Millisecond
 	maxStoreRetry = 200 * time.Millisecond
 	// peerReadInterval is how often other hosts are asked meanwhile: draining engines must get no new
@@ -36,8 +36,8 @@
 	// expiryHold is how long after an outage of the store entries that expired in it are kept: their
 	// owners register again within about two seconds.
 	expiryHold = 2200 * time.Millisecond
-	// maxPeerReadGap is the longest gap between two successful reads from other hosts in which the store
-	// is taken to serve them: where nothing changes, their copies are as old as their watches.
+	// maxPeerReadGap is the longest gap between two successful reads from other hosts in which the
+	// store is taken to serve them: where nothing changes, their copies are as old as their watches.
 	maxPeerReadGap = watchTimeout
 )
 
@@ -56,8 +56,8 @@
 	// rollouts is the stored state of roll-outs.
 	rollouts rollouts
 	// evacuations is the stored state of evacuations by failure domain. evacuationsChanged is set
-	// until it is published. reopened are the domains whose order was withdrawn since, and
-	// loggedOrders the orders that were logged because their domain is unknown.
+	// until it is published. withdrawnDomains are the domains whose order was withdrawn since, and
+	// loggedOrders are the domains whose order was logged because their domain is unknown.
 	evacuations        map[string]evacuation.Standing
 	evacuationsChanged bool
 	withdrawnDomains   []string
@@ -172,8 +172,8 @@
 	wat.backoff = min(limit, 2*wat.backoff)
 }
 
-// readFromPeersUntil reads from other hosts until the next call to the store. That may take long while the
-// store's rate limit is exhausted, and draining engines must be known before then.
+// readFromPeersUntil reads from other hosts until the next call to the store. That may take long
+// while the store's rate limit is exhausted, and draining engines must be known before then.
 func (wat *storeWatcher) readFromPeersUntil(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil {
 		wat.readFromPeers(ctx)
@@ -204,10 +204,11 @@
 	wat.peerReadAt = time.Time{}
 }
 
-// storeServesPeers reports whether the store certainly serves other hosts while this host can't reach
-// it. In an outage entries expire although their owners live, so expired entries are held. Where
-// only this host is cut off, a removed entry is of an engine or host that has stopped, which must
-// get no requests. Other hosts notice an outage within maxPeerCopyAge, which is less than expiryHold.
+// storeServesPeers reports whether the store certainly serves other hosts while this host can't
+// reach it. In an outage entries expire although their owners live, so expired entries are held.
+// Where only this host is cut off, a removed entry is of an engine or host that has stopped, which
+// must get no requests. Other hosts notice an outage within maxPeerCopyAge, which is less than
+// expiryHold.
 func (wat *storeWatcher) storeServesPeers(now time.Time) bool {
 	return now.Sub(wat.peerReadAt) <= maxPeerReadGap && now.Sub(wat.peersCurrentSince) > expiryHold
 }
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -22,11 +22,11 @@
 	}
 	wat.publishRollouts()
 	wat.host.broker.handle(scheduler.EnginesChanged{Engines: engines})
-	ros := membership{members: snp.members, candidates: snp.members, unregistered: wat.directory.Missing(wat.host.set.Name)}
-	if ros.unregistered {
-		ros.candidates = wat.directory.Current()
+	mbs := membership{members: snp.members, candidates: snp.members, unregistered: wat.directory.Missing(wat.host.set.Name)}
+	if mbs.unregistered {
+		mbs.candidates = wat.directory.Current()
 	}
-	wat.host.broker.updateMembership(ros)
+	wat.host.broker.updateMembership(mbs)
 }
 
 // endPreviousRuns ends all calls that still wait for engines that have been restarted.
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -11,8 +11,8 @@
 	// minRelayHosts is the least number of hosts in a failure domain for which one of them reads
 	// the store for all: with fewer hosts that saves too little.
 	minRelayHosts = 3
-	// maxRelayCandidates is how many hosts of a failure domain are tried in turn as the one that reads for
-	// all, before each host reads by itself: the first may be lost, and the second rejected by the
+	// maxRelayCandidates is how many hosts of a failure domain are tried in turn as the one that reads
+	// for all, before each host reads by itself: the first may be lost, and the second rejected by the
 	// store, at the same time.
 	maxRelayCandidates = 3
 	// relaySkipTime is how long a host that failed is skipped: hosts come back within seconds, and a
--- a/entry/readers_test.go
+++ b/entry/readers_test.go
@@ -30,16 +30,16 @@
 	}
 	// The first two hosts are lost, one after the other.
 	for lost := range maxRelayCandidates - 1 {
-		for _, rea := range all[lost+1:] {
-			mem, found := rea.choose(now, peers)
+		for _, rch := range all[lost+1:] {
+			mem, found := rch.choose(now, peers)
 			assert.Assert(t, found)
 			assert.Equal(t, mem.Epoch, peers[lost].Epoch)
-			rea.recordFailure(now, mem)
+			rch.recordFailure(now, mem)
 		}
 		reading := 0
-		for _, rea := range all[lost+1:] {
-			if _, found := rea.choose(now, peers); !found {
-				assert.Assert(t, rea.isRelay(now, peers))
+		for _, rch := range all[lost+1:] {
+			if _, found := rch.choose(now, peers); !found {
+				assert.Assert(t, rch.isRelay(now, peers))
 				reading++
 			}
 		}
@@ -57,9 +57,9 @@
 
 func TestHostsOfSmallDomainReadStoreThemselves(t *testing.T) {
 	now := time.Unix(100, 0)
-	rea := newRelayChooser(2)
-	_, found := rea.choose(now, testPeers(minRelayHosts-1))
-	assert.Assert(t, !found && !rea.isRelay(now, testPeers(minRelayHosts-1)))
-	_, found = rea.choose(now, testPeers(minRelayHosts))
+	rch := newRelayChooser(2)
+	_, found := rch.choose(now, testPeers(minRelayHosts-1))
+	assert.Assert(t, !found && !rch.isRelay(now, testPeers(minRelayHosts-1)))
+	_, found = rch.choose(now, testPeers(minRelayHosts))
 	assert.Assert(t, found)
 }
--- a/entry/refused.go
+++ b/entry/refused.go
@@ -7,8 +7,8 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// maxInvalidKeys bounds the keys whose invalid values are remembered. Further ones are counted but not
-// logged, so that a writer of many invalid values can't fill the log.
+// maxInvalidKeys bounds the keys whose invalid values are remembered. Further ones are counted but
+// not logged, so that a writer of many invalid values can't fill the log.
 const maxInvalidKeys = 256
 
 // invalidValues records the keys of the store whose values are invalid. Each is logged when its
--- a/entry/refused_test.go
+++ b/entry/refused_test.go
@@ -124,9 +124,9 @@
 			upd.changes.Changes[0].Deleted = rapid.Bool().Draw(rt, "deleted")
 			wat.apply(upd)
 		}
-		sna := wat.host.snapshot.Load()
-		if engineNames(wat) != "e1 e2" || len(sna.engines) != 2 || len(sna.members) != 2 || sna.table != nil {
-			rt.Fatalf("engines %s, %d hosts, configuration %v", engineNames(wat), len(sna.members), sna.table)
+		snp := wat.host.snapshot.Load()
+		if engineNames(wat) != "e1 e2" || len(snp.engines) != 2 || len(snp.members) != 2 || snp.table != nil {
+			rt.Fatalf("engines %s, %d hosts, configuration %v", engineNames(wat), len(snp.members), snp.table)
 		}
 	})
 }
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -48,8 +48,8 @@
 	return ordered
 }
 
-// applyRolloutOrder applies an operator's order. An invalid one is ignored, and the previous one stays in
-// force.
+// applyRolloutOrder applies an operator's order. An invalid one is ignored, and the previous one
+// stays in force.
 func (wat *storeWatcher) applyRolloutOrder(val store.Value) {
 	ord, err := platform.DecodeOrder(val)
 	if !wat.invalidValues.checkValue(val, err, "roll-out order refused, keeping the previous one") {
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -26,8 +26,8 @@
 	secretInterval = 10 * time.Second
 	// secretTimeout bounds the writing of a key ring.
 	secretTimeout = time.Second
-	// refusalLogInterval is the least time between two log lines about refused peers: an unauthenticated
-	// peer may try as often as it likes.
+	// refusalLogInterval is the least time between two log lines about refused peers: an
+	// unauthenticated peer may try as often as it likes.
 	refusalLogInterval = time.Second
 )
 
@@ -39,11 +39,12 @@
 	knownOnce sync.Once
 
 	mutex sync.Mutex
-	// revision is the store's revision of the key ring; 0 while there is none. broken is set while
+	// revision is the store's revision of the key ring; 0 while there is none. invalid is set while
 	// the stored ring is invalid.
 	revision store.Revision
 	invalid  bool
-	// refusalLoggedAt is when a refused peer was last logged; untold counts those refused since.
+	// refusalLoggedAt is when a refused peer was last logged; unloggedRefusals counts those refused
+	// since.
 	refusalLoggedAt  time.Time
 	unloggedRefusals int
 }
@@ -54,8 +55,8 @@
 	return sec
 }
 
-// recordRefusedPeer counts a peer that failed to authenticate as a host of the deployment, and logs it at
-// most once every refusalLogInterval.
+// recordRefusedPeer counts a peer that failed to authenticate as a host of the deployment, and logs
+// it at most once every refusalLogInterval.
 func (hos *Host) recordRefusedPeer(now time.Time, err error) {
 	hos.metrics.refusedPeers.Inc(1)
 	sec := hos.secrets
@@ -123,8 +124,8 @@
 	sec.revision, sec.invalid = 0, false
 }
 
-// maintainSecrets makes the deployment's secrets if there are none, and renews them while this host is
-// the coordinator. A host that can't reach the store continues with the secrets that it has.
+// maintainSecrets makes the deployment's secrets if there are none, and renews them while this host
+// is the coordinator. A host that can't reach the store continues with the secrets that it has.
 func (hos *Host) maintainSecrets(ctx context.Context) error {
 	if hos.hasPeerKey() {
 		<-ctx.Done()
@@ -181,8 +182,8 @@
 	}
 }
 
-// writeKeyRing writes secrets on condition of the key's revision. All hosts, this one included, read
-// the result from the store.
+// writeKeyRing writes secrets on condition of the key's revision. All hosts, this one included,
+// read the result from the store.
 func (hos *Host) writeKeyRing(ctx context.Context, ring credential.Ring, revision store.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, secretTimeout)
 	defer cancel()
--- a/entry/source.go
+++ b/entry/source.go
@@ -19,8 +19,8 @@
 	// watchTimeout is how long a watch waits for a change. Each answer confirms the age of the
 	// configuration, and a missing answer shows that the store doesn't respond.
 	watchTimeout = 1400 * time.Millisecond
-	// relayWatchTimeout is the same on a host that other hosts read through: their copies are older than
-	// its own by the time that they wait.
+	// relayWatchTimeout is the same on a host that other hosts read through: their copies are older
+	// than its own by the time that they wait.
 	relayWatchTimeout = 800 * time.Millisecond
 	// relayedWatchTimeout is how long a host waits for another host to pass on changes.
 	relayedWatchTimeout = 700 * time.Millisecond
@@ -30,8 +30,8 @@
 	probeWait = time.Millisecond
 	// maxPeerReads bounds how many other hosts are asked each time the store fails.
 	maxPeerReads = 3
-	// relayProbeTimeout bounds the first call to a host before reading through it. Entries outlive lost
-	// hosts by some seconds, and one without power would delay a starting host by a second. An
+	// relayProbeTimeout bounds the first call to a host before reading through it. Entries outlive
+	// lost hosts by some seconds, and one without power would delay a starting host by a second. An
 	// answer takes some milliseconds, and tens of milliseconds from a busy processor.
 	relayProbeTimeout = 200 * time.Millisecond
 	// maxPeerCopyAge is the age of another host's copy from which the store is read directly: that
@@ -40,22 +40,22 @@
 	// directReadTime is how long a host reads the store directly after reading through another host
 	// failed.
 	directReadTime = 2 * time.Second
-	// startupDirectReadTime is the same shortly after the host's start and after the store has recovered: the
-	// other host is seldom ready at that moment but soon is, and a whole fleet that reads directly
-	// meanwhile makes most of a day's calls.
+	// startupDirectReadTime is the same shortly after the host's start and after the store has
+	// recovered: the other host is seldom ready at that moment but soon is, and a whole fleet that
+	// reads directly meanwhile makes most of a day's calls.
 	startupDirectReadTime = 300 * time.Millisecond
-	// relayRetryInterval is the pause before a host that has nothing to pass on yet is asked again, and
-	// relayReadyTimeout bounds how long that is repeated: hosts that start together become ready
-	// within some tenths of a second, and a host that loses the one it reads through notices it
-	// within a few milliseconds of its domain peers.
+	// relayRetryInterval is the pause before a host that has nothing to pass on yet is asked again,
+	// and relayReadyTimeout bounds how long that is repeated: hosts that start together become ready
+	// within some tenths of a second, and a host that loses the one it reads through notices it within
+	// a few milliseconds of its domain peers.
 	relayRetryInterval = 40 * time.Millisecond
 	relayReadyTimeout  = 400 * time.Millisecond
-	// peerArrivalWait is how long a host that finds no other host waits for others to register, as long
-	// as no client waits: the entries of a fleet that starts for the first time don't exist yet,
+	// peerArrivalWait is how long a host that finds no other host waits for others to register, as
+	// long as no client waits: the entries of a fleet that starts for the first time don't exist yet,
 	// nor do those of a fleet whose leases expired in an outage.
 	peerArrivalWait = 400 * time.Millisecond
-	// relayedProbeInterval is the average interval at which a host that reads through another one probes
-	// an unreachable store itself, in case only the other host can't reach it.
+	// relayedProbeInterval is the average interval at which a host that reads through another one
+	// probes an unreachable store itself, in case only the other host can't reach it.
 	relayedProbeInterval = time.Second
 )
 
@@ -119,8 +119,8 @@
 	return !wat.waitedForHosts && wat.host.confirmed.Load() == neverConfirmed && len(wat.directory.Members()) <= 1
 }
 
-// readDirectly reads the store directly when reading through other hosts failed. Unless this host is
-// itself the one that reads for its domain peers, it continues to do so for directReadDuration.
+// readDirectly reads the store directly when reading through other hosts failed. Unless this host
+// is itself the one that reads for its domain peers, it continues to do so for directReadDuration.
 func (wat *storeWatcher) readDirectly(ctx context.Context, now time.Time, cause error) (update, error) {
 	if wat.defersStoreProbe(now) {
 		return update{}, cause
@@ -149,7 +149,8 @@
 	return errors.As(err, &unready) || errors.As(err, &behind)
 }
 
-// directReadDuration returns how long the store is read directly after reading through another host failed.
+// directReadDuration returns how long the store is read directly after reading through another host
+// failed.
 func (wat *storeWatcher) directReadDuration() time.Duration {
 	if wat.host.clock.Since(wat.host.started) < startupPeriod {
 		return startupDirectReadTime
@@ -157,8 +158,8 @@
 	return directReadTime
 }
 
-// readThroughRelay reads through a host of the own failure domain. The host must have answered a short
-// call before a long wait is spent on it.
+// readThroughRelay reads through a host of the own failure domain. The host must have answered a
+// short call before a long wait is spent on it.
 func (wat *storeWatcher) readThroughRelay(ctx context.Context, mem fleet.Member) (update, error) {
 	if wat.probedRelay == mem.Epoch {
 		return wat.readFromHost(ctx, mem, relayedWatchTimeout)
@@ -180,8 +181,8 @@
 	return wat.watch(ctx)
 }
 
-// storeProbeDue reports whether a host that reads through another one is to probe an unreachable store
-// now, and if so schedules the next probe.
+// storeProbeDue reports whether a host that reads through another one is to probe an unreachable
+// store now, and if so schedules the next probe.
 func (wat *storeWatcher) storeProbeDue(now time.Time) bool {
 	if now.Before(wat.nextProbe) {
 		return false
@@ -240,8 +241,8 @@
 	return fmt.Sprintf("copy of the store on host %s is behind: at revision %d, want at least %d", bme.Member, bme.Revision, bme.Known)
 }
 
-// readFromPeers reads through any other host while this host can't reach the store. It records whether
-// the store is unreachable for other hosts too.
+// readFromPeers reads through any other host while this host can't reach the store. It records
+// whether the store is unreachable for other hosts too.
 func (wat *storeWatcher) readFromPeers(ctx context.Context) {
 	members := wat.directory.Members()
 	unavailable := false
--- a/entry/spending_test.go
+++ b/entry/spending_test.go
@@ -16,29 +16,29 @@
 
 func TestDebtShrinksByHostShareOfRate(t *testing.T) {
 	start := time.Unix(100, 0)
-	spe := &accountDebt{debt: 100, rate: 80, hosts: 4, settledAt: start}
-	spe.settle(start.Add(2 * time.Second))
-	assert.Equal(t, spe.debt, 60.0)
-	spe.settle(start)
-	assert.Equal(t, spe.debt, 60.0, "an earlier time changes nothing")
-	spe.settle(start.Add(time.Minute))
-	assert.Equal(t, spe.debt, 0.0)
+	adb := &accountDebt{debt: 100, rate: 80, hosts: 4, settledAt: start}
+	adb.settle(start.Add(2 * time.Second))
+	assert.Equal(t, adb.debt, 60.0)
+	adb.settle(start)
+	assert.Equal(t, adb.debt, 60.0, "an earlier time changes nothing")
+	adb.settle(start.Add(time.Minute))
+	assert.Equal(t, adb.debt, 0.0)
 }
 
 // The debt from before the start is that of all hosts and is paid first. A host that learns of
 // more hosts reports a smaller share of it.
 func TestInitialDebtIsReportedByHostShare(t *testing.T) {
 	start := time.Unix(100, 0)
-	spe := &accountDebt{startDebt: 600, startDebtLeft: 600, rate: 120, hosts: 2, settledAt: start}
+	adb := &accountDebt{startDebt: 600, startDebtLeft: 600, rate: 120, hosts: 2, settledAt: start}
 	const burst = 900.0
-	assert.DeepEqual(t, spe.message("a", burst), reservation.Spent{Account: "a", Share: 150})
-	spe.hosts = 6
-	assert.DeepEqual(t, spe.message("a", burst), reservation.Spent{Account: "a", Share: 50})
-	spe.debt = 10
-	spe.settle(start.Add(time.Second))
-	assert.DeepEqual(t, spe.message("a", burst), reservation.Spent{Account: "a", Debt: 10 - 20, Share: 50})
-	spe.settle(start.Add(6 * time.Second))
-	assert.Equal(t, spe.message("a", burst).Share-spe.message("a", burst).Debt, burst/6)
+	assert.DeepEqual(t, adb.message("a", burst), reservation.Spent{Account: "a", Share: 150})
+	adb.hosts = 6
+	assert.DeepEqual(t, adb.message("a", burst), reservation.Spent{Account: "a", Share: 50})
+	adb.debt = 10
+	adb.settle(start.Add(time.Second))
+	assert.DeepEqual(t, adb.message("a", burst), reservation.Spent{Account: "a", Debt: 10 - 20, Share: 50})
+	adb.settle(start.Add(6 * time.Second))
+	assert.Equal(t, adb.message("a", burst).Share-adb.message("a", burst).Debt, burst/6)
 }
 
 // The number of accounts reported to a new coordinator is bounded by what its session can queue.
--- a/entry/survey.go
+++ b/entry/survey.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// measurementsInterval is how often the coordinator checks whether its measurements differ from the
-	// stored ones: each write is a call, and a change that all hosts read.
+	// measurementsInterval is how often the coordinator checks whether its measurements differ from
+	// the stored ones: each write is a call, and a change that all hosts read.
 	measurementsInterval = 3 * time.Second
 	// measurementsTimeout bounds the writing of the measurements.
 	measurementsTimeout = time.Second
@@ -46,8 +46,8 @@
 	return mea, bro.measurements.Differs(mea)
 }
 
-// maintainMeasurements writes this host's measurements of the engines' speed to the store while it is the
-// coordinator, so that starting hosts begin with them.
+// maintainMeasurements writes this host's measurements of the engines' speed to the store while it
+// is the coordinator, so that starting hosts begin with them.
 func (hos *Host) maintainMeasurements(ctx context.Context) error {
 	tick := time.NewTicker(measurementsInterval)
 	defer tick.Stop()
--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -9,9 +9,9 @@
 // leases, its place in the membership. All of these are checked against the host's clock, which
 // counts the time of the suspension. What stood still with the host is corrected here.
 
-// recordSuspension records a suspension and wakes handleSuspensions. Sessions that were silent for so long
-// have ended at the other side: until they are open again this host decides alone, with its own
-// share of the limits.
+// recordSuspension records a suspension and wakes handleSuspensions. Sessions that were silent for
+// so long have ended at the other side: until they are open again this host decides alone, with its
+// own share of the limits.
 func (hos *Host) recordSuspension(dur time.Duration) {
 	hos.metrics.count("Suspensions")
 	hos.log.Warn().Dur("For", dur).Msg("host was suspended")
@@ -22,8 +22,8 @@
 	}
 }
 
-// handleSuspensions renews the lease and, if needed, closes sessions after each suspension, until the
-// context ends.
+// handleSuspensions renews the lease and, if needed, closes sessions after each suspension, until
+// the context ends.
 func (hos *Host) handleSuspensions(ctx context.Context) error {
 	for {
 		select {
--- a/entry/take.go
+++ b/entry/take.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// applyDeletion applies the deletion of a key. A configuration, the measurements and a roll-out stay
-// in force after their keys are deleted.
+// applyDeletion applies the deletion of a key. A configuration, the measurements and a roll-out
+// stay in force after their keys are deleted.
 func (wat *storeWatcher) applyDeletion(cha store.Change) {
 	wat.invalidValues.recordValid(cha.Key)
 	switch kind, name := platform.KindOf(cha.Key); kind {
--- a/entry/unknown.go
+++ b/entry/unknown.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxUnrecognizedNames bounds the header names that are counted separately, maxUnrecognizedLines the log
-	// lines: engines may send any name.
+	// maxUnrecognizedNames bounds the header names that are counted separately, maxUnrecognizedLines
+	// the log lines: engines may send any name.
 	maxUnrecognizedNames = 32
 	maxUnrecognizedLines = 128
 	// maxNameBytes bounds the logged and counted part of a name.
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -51,8 +51,8 @@
 	policy  backoffPolicy
 	engines int
 	hosts   int
-	// shedShare is the share of engines that shed load at a time, for backoffShedPeriod; failureShare is
-	// the share of answers of the other engines that fail.
+	// shedShare is the share of engines that shed load at a time, for backoffShedPeriod; failureShare
+	// is the share of answers of the other engines that fail.
 	shedShare    float64
 	failureShare float64
 	maxAttempts  int
@@ -77,8 +77,8 @@
 	fleet.Engine
 	shedUntil     time.Time
 	awaitsRequest bool
-	// backoffAt is when the engine last sent each host a backoff request, sent how many requests it has
-	// got from the host since.
+	// backoffAt is when the engine last sent each host a backoff request, sent how many requests it
+	// has got from the host since.
 	backoffAt map[request.Epoch]time.Time
 	sent      map[request.Epoch]int
 }
--- a/scheduler/quarantine_test.go
+++ b/scheduler/quarantine_test.go
@@ -228,9 +228,9 @@
 	}
 }
 
-// BenchmarkManyWaiting measures a tick while a thousand requests wait and one engine has crashed. In
-// the second case a thousand unconfirmed crashes have been reported too, and one more is reported
-// before each tick.
+// BenchmarkManyWaiting measures a tick while a thousand requests wait and one engine has crashed.
+// In the second case a thousand unconfirmed crashes have been reported too, and one more is
+// reported before each tick.
 func BenchmarkManyWaiting(b *testing.B) {
 	for _, unconfirmed := range []int{0, 1000} {
 		b.Run(fmt.Sprint(unconfirmed, "doubts"), func(b *testing.B) {
--- a/scheduler/rate_sim_test.go
+++ b/scheduler/rate_sim_test.go
@@ -47,8 +47,8 @@
 	rateWindow   = 4 * time.Second
 	rateFactor   = 1.5
 	rateSlack    = 5
-	// slowConnectProbability is the probability that connecting takes up to a second, rateGrantTTL how long a
-	// host may use a grant of an engine with a rate limit.
+	// slowConnectProbability is the probability that connecting takes up to a second, rateGrantTTL how
+	// long a host may use a grant of an engine with a rate limit.
 	slowConnectProbability = 0.03
 	rateGrantTTL           = 500 * time.Millisecond
 )
--- a/scheduler/rate_ways_test.go
+++ b/scheduler/rate_ways_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// All hosts together never send an engine more than its allowance within a window, for any partition
-// of the hosts and any coordinators.
+// All hosts together never send an engine more than its allowance within a window, for any
+// partition of the hosts and any coordinators.
 func TestRateLimitHoldsForAnyPartition(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := rateSimConfig{
@@ -56,8 +56,8 @@
 }
 
 // BenchmarkRateLimitPolicies reports for each policy the peak use of an engine's allowance within a
-// window, the smallest share of its rate limit that an engine got, the share of requests refused, and
-// the mean wait of the requests served.
+// window, the smallest share of its rate limit that an engine got, the share of requests refused,
+// and the mean wait of the requests served.
 func BenchmarkRateLimitPolicies(b *testing.B) {
 	policies := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "parts", rateByLease: "lease", rateByGrant: "grant"}
 	for _, size := range []struct{ engines, hosts int }{{4, 4}, {18, 7}, {140, 300}} {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	cor := scheduler.New(scheduler.Config{Self: epoch, RetryBudget: rep})
+//	cor := scheduler.New(scheduler.Config{Self: epoch, RetryBudget: budget})
 //	cor.Handle(now, scheduler.EnginesChanged{Engines: dir.Engines()})
 //	for _, snd := range cor.Handle(now, scheduler.Received{From: gateway, Message: reserve}) {
 //		// snd.Message is a reservation.Grant or a reservation.Refuse
