--- a/tools/mutate/mutations.go
+++ b/tools/mutate/mutations.go
@@ -7,119 +7,119 @@
 // cores are the unit tests of the pure cores and the exhaustive checks.
 var cores = []string{"./gateway", "./coordinator", "./modeltest", "-run", "Test[^M]"}
 
-// words are the tests of what engines say of themselves.
-var words = []string{"./entry", "./scheduler", "./fleet", "-run", "Notice|Pause|Word|WantsNothing|Leaves|WaitsForAConnection|AsksAgain|Told|WhoGivesIt|SessionThatOpens"}
+// signals are the tests of the signals of engines.
+var signals = []string{"./entry", "./scheduler", "./fleet", "-run", "Notice|Signal|Backoff|Pause|Draining|Blocked|Crashes"}
 
-// rates are those of the rates that engines name.
-var rates = []string{"./entry", "./scheduler", "./fleet", "-run", "Rate"}
+// rates are the tests of rate limits.
+var rates = []string{"./entry", "./scheduler", "./fleet", "-run", "Rate|SpendsNoToken|DeregisteredEngine"}
 
-// places are the tests of failure domains that are emptied, of cold engines and of regions.
-var places = []string{"./evacuation", "./entry", "./scheduler", "./fleet", "./route", "-run", "Emptied|Emptying|Order|Domain|Cold|Warm|Region|Told|Allowed|Callers|Chill|HostKeeps|HostThatStarts|Outside"}
+// placement are the tests of the evacuation of failure domains, of cold engines and of regions.
+var placement = []string{"./evacuation", "./entry", "./scheduler", "./fleet", "./route", "-run", "Evacuat|Emptied|Emptying|Order|Domain|Cold|Warm|Region|Told|Allowed|Enforce|Chill|HostKeeps|StartingHost|Outside|Addresses|Unreachable|Retry"}
 
 var mutations = []mutation{
 	{
 		"Place: a host keeps to an order right before it sends", "evacuation/gate.go",
-		"	if _, closed := gat.orders[domain]; closed {\n		return false\n	}\n	gat.writing", "	gat.writing", places,
+		"	if _, closed := gat.orders[domain]; closed {\n		return false\n	}\n	gat.writing", "	gat.writing", placement,
 	},
 	{
 		"Place: an order is told once all hosts keep to it", "evacuation/board.go",
-		"len(brd.hosts) == 0 || len(brd.missing(ord)) > 0", "len(brd.hosts) == 0", places,
+		"len(brd.hosts) == 0 || len(brd.missing(ord)) > 0", "len(brd.hosts) == 0", placement,
 	},
 	{
 		"Place: a host keeps to an order once nothing of its own is on its way", "evacuation/gate.go",
-		"		if gat.writing[domain] == 0 {\n", "		if gat.writing[domain] >= 0 {\n", places,
+		"		if gat.writing[domain] == 0 {\n", "		if gat.writing[domain] >= 0 {\n", placement,
 	},
 	{
 		"Place: what was told of a former order isn't told of this one", "evacuation/board.go",
-		"std.Told.Revision > 0 && std.Told.Order == std.Order.Revision {\n		return", "std.Told.Revision > 0 {\n		return", places,
+		"std.Told.Revision > 0 && std.Told.Order == std.Order.Revision {\n		return", "std.Told.Revision > 0 {\n		return", placement,
 	},
 	{
 		"Place: two that tell don't tell twice", "evacuation/board.go",
-		"Expect: std.Told.Revision}", "}", places,
+		"Expect: std.Told.Revision}", "}", placement,
 	},
 	{
 		"Place: an emptied engine is granted to nobody", "fleet/engine.go",
-		"return eng.Draining || eng.Emptied", "return eng.Draining", places,
+		"return eng.Draining || eng.Emptied", "return eng.Draining", placement,
 	},
 	{
 		"Place: a gateway that keeps to an order is granted nothing there", "scheduler/place.go",
-		"	if pla.closed[ene.Domain] {\n		return false\n	}\n", "", places,
+		"	if pla.closed[ene.Domain] {\n		return false\n	}\n", "", placement,
 	},
 	{
 		"Place: a reading without the order takes it back", "entry/evacuations.go",
-		"		if !given[domain] {\n", "		if false {\n", places,
+		"		if !given[domain] {\n", "		if false {\n", placement,
 	},
 	{
 		"Place: a cold engine is granted what it bears", "scheduler/cold.go",
-		"	cor.pace(now, ene).chill(now, until, rate)\n", "	cor.pace(now, ene)\n", places,
+		"	cor.limiterOf(now, ene).setCold(now, until, rate)\n", "	cor.limiterOf(now, ene)\n", placement,
 	},
 	{
 		"Place: a host holds grants against its own knowledge of cold engines", "entry/cold.go",
-		"	if left <= 0 {\n		return nil\n	}\n	age", "	if true {\n		return nil\n	}\n	age", places,
+		"	if left <= 0 {\n		return nil\n	}\n	age", "	if true {\n		return nil\n	}\n	age", placement,
 	},
 	{
 		"Place: a grant of a cold engine is used while it is fresh", "entry/cold.go",
-		"grt.cold && age < coldGrantHolds", "grt.cold", places,
+		"grt.cold && age < maxColdGrantAge", "grt.cold", placement,
 	},
 	{
 		"Place: an entry that is read again doesn't keep an engine cold", "fleet/directory.go",
-		"eng.Sequence != former.Sequence && told.After(until)", "told.After(until)", places,
+		"eng.Sequence != former.Sequence && told.After(until)", "told.After(until)", placement,
 	},
 	{
 		"Place: engines of a domain that is used again are taken to be cold", "entry/evacuations.go",
-		"coldFor(tab))\n", "coldFor(nil))\n", places,
+		"coldFor(tab))\n", "coldFor(nil))\n", placement,
 	},
 	{
 		"Place: an engine that ended is cold when it is back", "scheduler/quarantine.go",
-		"		cor.chillEnded(now, ene)\n", "", places,
+		"		cor.markCrashedCold(now, ene)\n", "", placement,
 	},
 	{
 		"Place: a request runs in the regions that are allowed", "scheduler/place.go",
-		"	return len(pla.regions) == 0 || slices.Contains", "	return true || slices.Contains", places,
+		"	return len(pla.regions) == 0 || slices.Contains", "	return true || slices.Contains", placement,
 	},
 	{
 		"Place: the account's regions bind beside the route's", "route/region.go",
-		"Regions: common(rou.Regions, acc.Regions)}", "Regions: rou.Regions}", places,
+		"Regions: common(rou.Regions, acc.Regions)}", "Regions: rou.Regions}", placement,
 	},
 	{
 		"Place: callers are sent where their requests may be held", "entry/directory.go",
-		"	if !sco.Bounded || slices.Contains(sco.Regions, own) {", "	if true || slices.Contains(sco.Regions, own) {", places,
+		"	if !sco.Bounded || slices.Contains(sco.Regions, own) {", "	if true || slices.Contains(sco.Regions, own) {", placement,
 	},
 	{
 		"Rate: an engine is granted what it takes", "scheduler/rate.go",
-		"	return pac.tokens >= 1\n", "	return true\n", rates,
+		"	return lim.tokens >= 1\n", "	return true\n", rates,
 	},
 	{
 		"Rate: nothing is saved up while another core decides", "scheduler/rate.go",
-		"		pac.tokens = 0\n", "", rates,
+		"		lim.tokens = 0\n", "", rates,
 	},
 	{
 		"Rate: a core keeps to its share", "scheduler/rate.go",
-		"	return 1 / cor.parts\n", "	return 1\n", rates,
+		"	return 1 / cor.divisor\n", "	return 1\n", rates,
 	},
 	{
 		"Rate: an older answer doesn't end it", "scheduler/rate.go",
-		"!rnn.inherited && rnn.given.After(pac.namedAt)", "!rnn.inherited", rates,
+		"!rnn.inherited && rnn.grantedAt.After(lim.signaledAt)", "!rnn.inherited", rates,
 	},
 	{
 		"Rate: an inherited run's answer doesn't end it", "scheduler/rate.go",
-		"!rnn.inherited && rnn.given.After(pac.namedAt)", "rnn.given.After(pac.namedAt)", rates,
+		"!rnn.inherited && rnn.grantedAt.After(lim.signaledAt)", "rnn.grantedAt.After(lim.signaledAt)", rates,
 	},
 	{
 		"Rate: a grant that isn't sent costs nothing", "scheduler/core.go",
-		"		ene.pacing.giveBack(rnn.gateway)\n", "", rates,
+		"		ene.limiter.refund(rnn.gateway)\n", "", rates,
 	},
 	{
 		"Rate: who can't be granted hears at once", "scheduler/line.go",
-		"han == handleUsual && cor.refuseSpent(", "false && cor.refuseSpent(", rates,
+		"han == handleNormal && cor.refuseRateLimited(", "false && cor.refuseRateLimited(", rates,
 	},
 	{
 		"Rate: a host sends back what isn't within it", "entry/barred.go",
-		"	if err := hos.unpaced(eng.ID, grt); err != nil {\n		return err\n	}\n", "", rates,
+		"	if err := hos.checkRate(eng.ID, grt); err != nil {\n		return err\n	}\n", "", rates,
 	},
 	{
 		"Rate: a host sends back what was granted long ago", "entry/barred.go",
-		"GrantRatePaced && age < grantHolds", "GrantRatePaced && age < time.Hour", rates,
+		"GrantRatePaced && age < maxRateGrantAge", "GrantRatePaced && age < time.Hour", rates,
 	},
 	{
 		"Rate: its end is told with grants", "scheduler/rate.go",
@@ -127,11 +127,11 @@
 	},
 	{
 		"Rate: its end is believed of who had heard that it was named", "entry/barred.go",
-		" && grt.asked.After(lim.At):", ":", rates,
+		" && grt.requestedAt.After(lim.At):", ":", rates,
 	},
 	{
 		"Rate: an answer to another request doesn't end it", "entry/notices.go",
-		"	case !hrd.Stray && ntc.heard", "	case ntc.heard", rates,
+		"	case !hrd.Stray && ntc.received", "	case ntc.received", rates,
 	},
 	{
 		"Rate: an answer to what was sent before doesn't end it", "fleet/notices.go",
@@ -147,35 +147,35 @@
 	},
 	{
 		"Word: a host looks at a grant's engine again", "entry/reserve.go",
-		"		if err := hos.maySend(eng, exc.grant); err != nil {", "		if err := hos.maySend(eng, exc.grant); false && err != nil {", words,
+		"		if err := hos.checkEngine(eng, exc.grant); err != nil {", "		if err := hos.checkEngine(eng, exc.grant); false && err != nil {", signals,
 	},
 	{
 		"Word: a host looks again right before it sends", "entry/attempt.go",
-		"	if err := hos.maySend(eng, exc.grant); err != nil {\n		return err\n	}\n	return hos.evac", "	return hos.evac", words,
+		"	if err := hos.checkEngine(eng, exc.grant); err != nil {\n		return err\n	}\n	return hos.evac", "	return hos.evac", signals,
 	},
 	{
 		"Word: it is its speaker's", "entry/notices.go",
-		"	case head.Instance != \"\" && head.Instance != hrd.Engine.Name, head.Misdirected && head.Instance == \"\":\n		return nil\n", "", words,
+		"	case head.Instance != \"\" && head.Instance != hrd.Engine.Name, head.Misdirected && head.Instance == \"\":\n		return nil\n", "", signals,
 	},
 	{
 		"Word: an engine that leaves is granted to nobody", "scheduler/notice.go",
-		"	return sai.leaves || now.Before(sai.sharedUntil)", "	return now.Before(sai.sharedUntil)", words,
+		"	return sig.draining || now.Before(sig.sharedBackoffUntil)", "	return now.Before(sig.sharedBackoffUntil)", signals,
 	},
 	{
 		"Word: a host that was asked for a pause isn't granted the engine", "scheduler/notice.go",
-		"	return sai.barsAll(now) || now.Before(sai.asked[gateway])\n", "	return sai.barsAll(now)\n", words,
+		"	return sig.blocksAll(now) || now.Before(sig.backoffUntil[gateway])\n", "	return sig.blocksAll(now)\n", signals,
 	},
 	{
 		"Word: one request at a time tries an engine after a pause", "scheduler/notice.go",
-		" || sai.probing(now)\n", "\n", words,
+		" || sig.probing(now)\n", "\n", signals,
 	},
 	{
 		"Word: a host that may decide next is told", "entry/sessions.go",
-		"	des.tellNotices(lin.member)\n", "", words,
+		"	bro.sendNotices(lin.member)\n", "", signals,
 	},
 	{
 		"Word: a pause is no failure", "scheduler/core.go",
-		"	case rel.BackedOff:\n		ene.health.forgotten()\n", "", words,
+		"	case rel.BackedOff:\n		ene.health.recordUnknown()\n", "", signals,
 	},
 	{
 		"Fence: a promise holds lower ballots off", "coordinator/ledger.go",
