--- a/bench/bench.go
+++ b/bench/bench.go
@@ -1,14 +1,14 @@
-// Package bench measures a whole system in one process: what a request costs on
-// its way through lynxwell, and how a host's control work grows with the number
-// of hosts and with the rate of requests.
+// Package bench measures a complete system in one process: the overhead of a
+// request through lynxwell, and how a host's control traffic grows with the
+// number of hosts and the request rate.
 //
 // # Usage
 //
 //	rows, err := bench.Overhead(ctx, bench.OverheadConfig{InFlight: []int{1, 64, 512}})
 //	rows, err := bench.Capacity(ctx, bench.CapacityConfig{Hosts: []int{6, 24}, Rates: []float64{0, 5}})
 //
-// Everything shares one machine, so times are upper bounds for a host and
-// ratios and slopes are what to read.
+// All hosts share one machine, so the times are upper bounds for a single host;
+// compare ratios and slopes instead of absolute times.
 package bench
 
 import (
@@ -25,7 +25,7 @@
 	"lynxwell.dev/lynxwell/settings"
 )
 
-// The names of the measured system's resources.
+// The resource names of the measured system.
 const (
 	serviceName = "menus"
 	tierName    = "Normal"
@@ -33,10 +33,10 @@
 	accountKey  = "the key of the benchmark"
 )
 
-// startLimit bounds the start of a system.
-const startLimit = 60 * time.Second
+// startTimeout bounds the start of a system.
+const startTimeout = 60 * time.Second
 
-// fastEngines returns engines whose own work hardly shows.
+// fastEngines returns engines whose processing time is negligible.
 func fastEngines(count, slots int) []enginetest.Config {
 	var engines []enginetest.Config
 	for num := range count {
@@ -48,7 +48,7 @@
 	return engines
 }
 
-// systemConfig says which system to start.
+// systemConfig is the configuration of a system to start.
 type systemConfig struct {
 	hosts, domains int
 	engines        int
@@ -59,7 +59,7 @@
 }
 
 func start(ctx context.Context, cfg systemConfig) (*embedded.System, error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	sys, err := embedded.Start(ctx, embedded.Config{
 		Hosts: cfg.hosts, Domains: cfg.domains, Engines: fastEngines(cfg.engines, cfg.slots), Timing: cfg.timing, Log: cfg.log,
--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -19,67 +19,69 @@
 	"lynxwell.dev/lynxwell/task"
 )
 
-// CapacityConfig holds what a measurement of the capacity is made from.
+// CapacityConfig is the configuration of Capacity.
 type CapacityConfig struct {
-	// Hosts are the numbers of hosts to measure at.
+	// Hosts are the numbers of hosts to measure.
 	Hosts []int
-	// Rates are the requests a second and host to measure at; 0 is idle.
+	// Rates are the request rates to measure, in requests per second per host; 0 is idle.
 	Rates []float64
 	// Accounts is the number of client accounts in the configuration.
 	Accounts int
-	// For is how long each measurement lasts.
+	// For is the length of each measurement.
 	For time.Duration
-	// Heartbeat is how often idle sessions beat; 0 stands for the default.
+	// Heartbeat is the heartbeat interval of idle sessions; 0 selects the default.
 	Heartbeat time.Duration
 	Log       zerolog.Logger
 }
 
-// CapacityRow is one measurement, per host and second where nothing else is said.
+// CapacityRow is one measurement. Its values are per host and second unless a field says
+// otherwise.
 type CapacityRow struct {
 	Hosts int
 	Rate  float64
-	// ControlBytes is what a host sends to and receives from the others.
+	// ControlBytes is the number of bytes that a host sends to and receives from other hosts.
 	ControlBytes float64
-	// BytesARequest is what the rate adds to that, per request, over the row
-	// of the same number of hosts without requests.
+	// BytesARequest is the increase of ControlBytes per request, compared with
+	// the row of the same number of hosts at rate 0.
 	BytesARequest float64
 	// CPU is the processor time of the whole process in percent of one core,
-	// per host; engines, callers and the platform's stand-in are in it.
+	// per host; it includes the fake engines, the clients and the fake platform.
 	CPU float64
-	// HeapBytes and Goroutines are per host, those stand-ins included.
+	// HeapBytes and Goroutines are values per host and include those components.
 	HeapBytes  float64
 	Goroutines float64
-	// PlatformCalls is per second for the whole system.
+	// PlatformCalls is the number of platform calls per second of the whole system.
 	PlatformCalls float64
-	// ConfigurationTime is from an operator's call until all hosts have the
-	// change in force.
+	// ConfigurationTime is the time from an operator's call until the change is
+	// in force on all hosts.
 	ConfigurationTime time.Duration
-	// Sessions is how many sessions a host keeps, both ways.
+	// Sessions is the mean number of sessions of a host, in both directions.
 	Sessions float64
-	// Whole and Sent count the requests.
+	// Whole counts the requests with a complete answer, Sent all requests.
 	Whole, Sent int
 }
 
-// The measured system: domains as in the users' aim.
+// The measured system: 5 failure domains as in the users' requirements, and the slots of an engine.
 const (
 	capacityDomains = 5
 	capacitySlots   = 16
 )
 
-// Capacity measures each number of hosts at each rate.
+// Capacity measures each number of hosts at each rate. It calls progress after each
+// measurement and returns all rows, or the rows so far and an error.
 func Capacity(ctx context.Context, cfg CapacityConfig, progress func(CapacityRow)) ([]CapacityRow, error) {
 	var rows []CapacityRow
 	for _, hosts := range cfg.Hosts {
-		some, err := capacityOf(ctx, cfg, hosts, progress)
+		hostRows, err := measureHosts(ctx, cfg, hosts, progress)
 		if err != nil {
 			return rows, err
 		}
-		rows = append(rows, some...)
+		rows = append(rows, hostRows...)
 	}
 	return rows, nil
 }
 
-func capacityOf(ctx context.Context, cfg CapacityConfig, hosts int, progress func(CapacityRow)) ([]CapacityRow, error) {
+func measureHosts(ctx context.Context, cfg CapacityConfig, hosts int, progress func(CapacityRow)) ([]CapacityRow, error) {
 	sys, err := start(ctx, systemConfig{
 		hosts: hosts, domains: min(hosts, capacityDomains), engines: 2 * hosts, slots: capacitySlots, accounts: cfg.Accounts,
 		timing: settings.Timing{Heartbeat: format.Duration(cfg.Heartbeat)}, log: cfg.Log,
@@ -88,15 +90,15 @@
 		return nil, errors.Wrapf(err, "%d hosts", hosts)
 	}
 	defer sys.Stop()
-	if err := rest(ctx, settleTime); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return nil, err
 	}
 	var rows []CapacityRow
 	idle := 0.0
 	for _, rate := range cfg.Rates {
-		row, err := measure(ctx, sys, cfg, rate)
+		row, err := measureRate(ctx, sys, cfg, rate)
 		if err != nil {
-			return rows, errors.Wrapf(err, "%d hosts at %g requests a second", hosts, rate)
+			return rows, errors.Wrapf(err, "%d hosts at %g requests per second per host", hosts, rate)
 		}
 		if rate == 0 {
 			idle = row.ControlBytes
@@ -109,46 +111,46 @@
 	return rows, nil
 }
 
-// settleTime is how long a system rests after its start: sessions are busy for
-// a while after they were opened.
+// settleTime is the delay between the start of a system and its first measurement,
+// because newly opened sessions exchange more data than idle ones.
 const settleTime = 5 * time.Second
 
-// rest lets the time pass.
-func rest(ctx context.Context, length time.Duration) error {
+// sleep waits for the given time; it returns the context's error if that ends first.
+func sleep(ctx context.Context, length time.Duration) error {
 	if !task.Sleep(ctx, length) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-// reading is what the counters show at one time.
-type reading struct {
+// counters is a snapshot of the cumulative counters of a system.
+type counters struct {
 	bytes uint64
 	calls uint64
 	cpu   time.Duration
 }
 
-func read(ctx context.Context, sys *embedded.System) (reading, error) {
-	var rea reading
+func readCounters(ctx context.Context, sys *embedded.System) (counters, error) {
+	var cou counters
 	for idx := range sys.Hosts {
 		dum, err := dump(ctx, sys, idx)
 		if err != nil {
-			return rea, err
+			return cou, err
 		}
-		rea.bytes += dum.Traffic.Received + dum.Traffic.Sent
+		cou.bytes += dum.Traffic.Received + dum.Traffic.Sent
 	}
 	for _, count := range sys.Platform.Counts() {
-		rea.calls += count
+		cou.calls += count
 	}
 	var use syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &use); err != nil {
-		return rea, errors.Wrap(err, "read processor time")
+		return cou, errors.Wrap(err, "read processor time")
 	}
-	rea.cpu = time.Duration(use.Utime.Nano() + use.Stime.Nano())
-	return rea, nil
+	cou.cpu = time.Duration(use.Utime.Nano() + use.Stime.Nano())
+	return cou, nil
 }
 
-// dumpPart is the part of a host's dump that is read here.
+// dumpPart holds the fields of a host's dump that the measurement uses.
 type dumpPart struct {
 	Traffic  struct{ Received, Sent uint64 }
 	Peers    []struct{ Up bool }
@@ -166,18 +168,18 @@
 	return dum, errors.Wrap(json.Unmarshal(raw, &dum), "decode dump")
 }
 
-func measure(ctx context.Context, sys *embedded.System, cfg CapacityConfig, rate float64) (CapacityRow, error) {
+func measureRate(ctx context.Context, sys *embedded.System, cfg CapacityConfig, rate float64) (CapacityRow, error) {
 	hosts := float64(len(sys.Hosts))
 	row := CapacityRow{Hosts: len(sys.Hosts), Rate: rate}
-	before, err := read(ctx, sys)
+	before, err := readCounters(ctx, sys)
 	if err != nil {
 		return row, err
 	}
 	begun := time.Now()
-	if err := row.use(ctx, sys, cfg, rate*hosts); err != nil {
+	if err := row.runLoad(ctx, sys, cfg, rate*hosts); err != nil {
 		return row, err
 	}
-	after, err := read(ctx, sys)
+	after, err := readCounters(ctx, sys)
 	if err != nil {
 		return row, err
 	}
@@ -185,17 +187,18 @@
 	row.ControlBytes = float64(after.bytes-before.bytes) / took / hosts
 	row.PlatformCalls = float64(after.calls-before.calls) / took
 	row.CPU = 100 * (after.cpu - before.cpu).Seconds() / took / hosts
-	row.memory(hosts)
-	if err := row.sessions(ctx, sys); err != nil {
+	row.measureMemory(hosts)
+	if err := row.measureSessions(ctx, sys); err != nil {
 		return row, err
 	}
-	return row, row.configure(ctx, sys)
+	return row, row.measureConfiguration(ctx, sys)
 }
 
-// use sends requests at the rate, or lets the time pass.
-func (row *CapacityRow) use(ctx context.Context, sys *embedded.System, cfg CapacityConfig, rate float64) error {
+// runLoad sends requests at the rate, in requests per second of the whole system, for
+// cfg.For; at rate 0 it only waits.
+func (row *CapacityRow) runLoad(ctx context.Context, sys *embedded.System, cfg CapacityConfig, rate float64) error {
 	if rate == 0 {
-		return rest(ctx, cfg.For)
+		return sleep(ctx, cfg.For)
 	}
 	cli := load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: accountKey, Seed: 1})
 	defer cli.Close()
@@ -213,7 +216,7 @@
 	return err
 }
 
-func (row *CapacityRow) memory(hosts float64) {
+func (row *CapacityRow) measureMemory(hosts float64) {
 	runtime.GC()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
@@ -221,7 +224,7 @@
 	row.Goroutines = float64(runtime.NumGoroutine()) / hosts
 }
 
-func (row *CapacityRow) sessions(ctx context.Context, sys *embedded.System) error {
+func (row *CapacityRow) measureSessions(ctx context.Context, sys *embedded.System) error {
 	for idx := range sys.Hosts {
 		dum, err := dump(ctx, sys, idx)
 		if err != nil {
@@ -233,8 +236,8 @@
 	return nil
 }
 
-// configure measures how long a change takes until it is in force everywhere.
-func (row *CapacityRow) configure(ctx context.Context, sys *embedded.System) error {
+// measureConfiguration measures the time until a change is in force on all hosts.
+func (row *CapacityRow) measureConfiguration(ctx context.Context, sys *embedded.System) error {
 	begun := time.Now()
 	name := fmt.Sprintf("tier-%d", begun.UnixNano())
 	err := sys.Apply(ctx, resource.Set{Tiers: []resource.Tier{{Name: name}}})
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -17,17 +17,17 @@
 	"lynxwell.dev/lynxwell/engine"
 )
 
-// OverheadConfig holds what a measurement of the overhead is made from.
+// OverheadConfig is the configuration of Overhead.
 type OverheadConfig struct {
-	// InFlight are the numbers of requests in flight to measure at.
+	// InFlight are the numbers of concurrent requests to measure.
 	InFlight []int
-	// For is how long each measurement lasts.
+	// For is the length of each measurement.
 	For time.Duration
 	Log zerolog.Logger
 }
 
-// OverheadRow is one measurement: the same request direct to the engine's
-// stand-in and through lynxwell.
+// OverheadRow is one measurement: the same request sent directly to fake engines and
+// through lynxwell. Rates are in requests per second.
 type OverheadRow struct {
 	InFlight   int
 	DirectRate float64
@@ -38,14 +38,15 @@
 	P99        time.Duration
 }
 
-// The measured system: enough slots that nothing waits for one.
+// The measured system: it has enough slots that no request is queued.
 const (
 	overheadHosts   = 4
 	overheadEngines = 4
 	overheadSlots   = 1024
 )
 
-// Overhead measures a request through lynxwell against the same one direct.
+// Overhead compares requests through lynxwell with the same requests sent directly to
+// engines.
 func Overhead(ctx context.Context, cfg OverheadConfig) ([]OverheadRow, error) {
 	sys, err := start(ctx, systemConfig{hosts: overheadHosts, domains: overheadHosts, engines: overheadEngines, slots: overheadSlots, log: cfg.Log})
 	if err != nil {
@@ -68,73 +69,73 @@
 		}
 		rows = append(rows, OverheadRow{
 			InFlight: inFlight, DirectRate: direct.rate(cfg.For), Rate: through.rate(cfg.For),
-			DirectP50: direct.at(50), P50: through.at(50), DirectP99: direct.at(99), P99: through.at(99),
+			DirectP50: direct.quantile(50), P50: through.quantile(50), DirectP99: direct.quantile(99), P99: through.quantile(99),
 		})
 	}
 	return rows, nil
 }
 
-// timings are the times of the requests of one loop.
-type timings struct {
+// latencies are the latencies of the requests of one loop.
+type latencies struct {
 	histogram *hdrhistogram.Histogram
 }
 
-func (tim timings) at(quantile float64) time.Duration {
-	return time.Duration(tim.histogram.ValueAtQuantile(quantile)) * time.Microsecond
+func (lat latencies) quantile(quantile float64) time.Duration {
+	return time.Duration(lat.histogram.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-func (tim timings) rate(length time.Duration) float64 {
-	return float64(tim.histogram.TotalCount()) / length.Seconds()
+func (lat latencies) rate(length time.Duration) float64 {
+	return float64(lat.histogram.TotalCount()) / length.Seconds()
 }
 
-// maxMicros is the longest time that the histograms hold.
+// maxMicros is the maximum value of the histograms, in microseconds.
 const maxMicros = 60_000_000
 
-// closedLoop keeps so many requests in flight at the addresses for the time.
-func closedLoop(ctx context.Context, addresses []netip.AddrPort, inFlight int, length time.Duration) (timings, error) {
+// closedLoop keeps inFlight requests in flight to the addresses for the given time.
+func closedLoop(ctx context.Context, addresses []netip.AddrPort, inFlight int, length time.Duration) (latencies, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: inFlight, IdleConnTimeout: time.Minute, DisableCompression: true}
 	cli := &http.Client{Transport: transport}
 	defer cli.CloseIdleConnections()
 	body, err := json.Marshal(engine.ChatRequest{Model: serviceName, Messages: []engine.Message{{Role: "user", Content: "is it safe?"}}, MaxTokens: 1, Stream: true})
 	if err != nil {
-		return timings{}, errors.Wrap(err, "encode request")
+		return latencies{}, errors.Wrap(err, "encode request")
 	}
-	ends := make(chan loopEnd)
+	ends := make(chan loopResult)
 	until := time.Now().Add(length)
 	for num := range inFlight {
-		go func() { ends <- loop(ctx, cli, addresses[num%len(addresses)], body, until) }()
+		go func() { ends <- sendUntil(ctx, cli, addresses[num%len(addresses)], body, until) }()
 	}
-	tim := timings{histogram: hdrhistogram.New(1, maxMicros, 3)}
+	lat := latencies{histogram: hdrhistogram.New(1, maxMicros, 3)}
 	for range inFlight {
 		end := <-ends
 		if end.err != nil {
 			err = end.err
 			continue
 		}
-		tim.histogram.Merge(end.histogram)
+		lat.histogram.Merge(end.histogram)
 	}
-	return tim, err
+	return lat, err
 }
 
-type loopEnd struct {
+type loopResult struct {
 	histogram *hdrhistogram.Histogram
 	err       error
 }
 
-func loop(ctx context.Context, cli *http.Client, adr netip.AddrPort, body []byte, until time.Time) loopEnd {
-	end := loopEnd{histogram: hdrhistogram.New(1, maxMicros, 3)}
+func sendUntil(ctx context.Context, cli *http.Client, adr netip.AddrPort, body []byte, until time.Time) loopResult {
+	end := loopResult{histogram: hdrhistogram.New(1, maxMicros, 3)}
 	for time.Now().Before(until) {
 		begun := time.Now()
-		if end.err = once(ctx, cli, adr, body); end.err != nil {
+		if end.err = sendOnce(ctx, cli, adr, body); end.err != nil {
 			return end
 		}
-		// Times out of the range would be faults of the tool.
+		// Values beyond the range can only come from a defect of this tool.
 		_ = end.histogram.RecordValue(max(1, time.Since(begun).Microseconds()))
 	}
 	return end
 }
 
-func once(ctx context.Context, cli *http.Client, adr netip.AddrPort, body []byte) error {
+func sendOnce(ctx context.Context, cli *http.Client, adr netip.AddrPort, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+adr.String()+engine.PathChat, bytes.NewReader(body))
 	if err != nil {
 		return err
--- a/cmd/addressescmd.go
+++ b/cmd/addressescmd.go
@@ -12,23 +12,23 @@
 	"lynxwell.dev/lynxwell/load"
 )
 
-// addressesCmd asks a host which addresses callers should use.
+// addressesCmd implements the addresses command, which asks a host for the addresses that clients should use.
 type addressesCmd struct {
 	sub  *flaggy.Subcommand
 	opts addressesOptions
 }
 
-// addressesOptions are the options of addresses.
+// addressesOptions holds the options of the addresses command.
 type addressesOptions struct {
 	entry   netip.AddrPort
 	timeout time.Duration
 }
 
 func newAddressesCmd() *addressesCmd {
-	com := &addressesCmd{sub: newSubcommand("addresses", "ask a host which addresses callers should use", "    lynxwell addresses --entry 127.0.0.1:7001")}
+	com := &addressesCmd{sub: newSubcommand("addresses", "ask a host for the addresses that clients should use", "    lynxwell addresses --entry 127.0.0.1:7001")}
 	com.opts.timeout = defaultTimeout
-	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "a host's address for callers, IP:PORT")
-	com.sub.Duration(&com.opts.timeout, "", "timeout", "bound on the whole command (default 30s)")
+	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "client address of a host, IP:PORT")
+	com.sub.Duration(&com.opts.timeout, "", "timeout", "time limit for the whole command (default 30s)")
 	return com
 }
 
--- a/cmd/applycmd.go
+++ b/cmd/applycmd.go
@@ -13,13 +13,13 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// applyCmd writes a file of resources.
+// applyCmd implements the apply command, which writes the resources of a file.
 type applyCmd struct {
 	sub  *flaggy.Subcommand
 	opts applyOptions
 }
 
-// applyOptions are the options of apply.
+// applyOptions holds the options of the apply command.
 type applyOptions struct {
 	hostOptions
 	file   string
@@ -31,7 +31,7 @@
 		"    lynxwell apply --file menus.json --host 127.0.0.1:7003 --key-file operator.key\n    lynxwell apply --file - --dry-run")}
 	com.opts.attach(com.sub)
 	com.sub.String(&com.opts.file, "f", "file", "file of resources, JSON with comments; - for standard input")
-	com.sub.Bool(&com.opts.dryRun, "", "dry-run", "read and check the file alone")
+	com.sub.Bool(&com.opts.dryRun, "", "dry-run", "only parse and validate the file")
 	return com
 }
 
@@ -77,7 +77,7 @@
 	return resource.ParseSet(file, data)
 }
 
-// dryRun checks the file as a configuration of its own.
+// dryRun validates the file as a complete configuration.
 func dryRun(str streams, file string, set resource.Set) error {
 	cha := resource.Change{ID: "dry-run"}
 	for _, res := range set.Resources() {
@@ -86,7 +86,7 @@
 	if _, err := (resource.Configuration{}).With(cha); err != nil {
 		return err
 	}
-	fmt.Fprintf(str.out, "%s: %d resources are fit for use\n", file, len(cha.Edits))
+	fmt.Fprintf(str.out, "%s: %d resources are valid\n", file, len(cha.Edits))
 	return nil
 }
 
--- a/cmd/benchcmd.go
+++ b/cmd/benchcmd.go
@@ -13,7 +13,7 @@
 	"lynxwell.dev/lynxwell/format"
 )
 
-// benchCmd measures a whole system in this process.
+// benchCmd implements the bench command, which measures a complete system in this process.
 type benchCmd struct {
 	sub      *flaggy.Subcommand
 	overhead *flaggy.Subcommand
@@ -21,7 +21,7 @@
 	opts     benchOptions
 }
 
-// benchOptions are the options of bench.
+// benchOptions holds the options of the bench command.
 type benchOptions struct {
 	json      bool
 	length    time.Duration
@@ -32,26 +32,26 @@
 	heartbeat time.Duration
 }
 
-// benchLength is how long each measurement lasts by default.
+// benchLength is the default length of each measurement.
 const benchLength = 5 * time.Second
 
 func newBenchCmd() *benchCmd {
 	com := &benchCmd{
-		sub:      newSubcommand("bench", "measure a whole system in this process", "    lynxwell bench overhead\n    lynxwell bench capacity --hosts 6 --hosts 24 --rate 0 --rate 7"),
-		overhead: newSubcommand("overhead", "a request through lynxwell against the same one direct", "    lynxwell bench overhead --in-flight 1 --in-flight 64"),
-		capacity: newSubcommand("capacity", "how control work grows with hosts and requests", "    lynxwell bench capacity --hosts 6 --hosts 24 --rate 0 --rate 7"),
+		sub:      newSubcommand("bench", "measure a complete system in this process", "    lynxwell bench overhead\n    lynxwell bench capacity --hosts 6 --hosts 24 --rate 0 --rate 7"),
+		overhead: newSubcommand("overhead", "compare requests through lynxwell with requests sent directly to an engine", "    lynxwell bench overhead --in-flight 1 --in-flight 64"),
+		capacity: newSubcommand("capacity", "measure how control traffic grows with hosts and requests", "    lynxwell bench capacity --hosts 6 --hosts 24 --rate 0 --rate 7"),
 	}
 	com.opts.length = benchLength
 	for _, sub := range []*flaggy.Subcommand{com.overhead, com.capacity} {
 		sub.Bool(&com.opts.json, "j", "json", "print the result as JSON")
-		sub.Duration(&com.opts.length, "", "for", "how long each measurement lasts (default 5s)")
+		sub.Duration(&com.opts.length, "", "for", "length of each measurement (default 5s)")
 		com.sub.AttachSubcommand(sub, 1)
 	}
-	com.overhead.IntSlice(&com.opts.inFlight, "", "in-flight", "requests in flight; may be given again (default 1, 64, 512)")
-	com.capacity.IntSlice(&com.opts.hosts, "", "hosts", "number of hosts; may be given again (default 6, 12, 24)")
-	com.capacity.Float64Slice(&com.opts.rates, "", "rate", "requests a second and host; may be given again (default 0, 3.5, 7)")
-	com.capacity.Int(&com.opts.accounts, "", "accounts", "client accounts in the configuration")
-	com.capacity.Duration(&com.opts.heartbeat, "", "heartbeat", "how often idle sessions beat (default 500ms)")
+	com.overhead.IntSlice(&com.opts.inFlight, "", "in-flight", "requests in flight; repeatable (default 1, 64, 512)")
+	com.capacity.IntSlice(&com.opts.hosts, "", "hosts", "number of hosts; repeatable (default 6, 12, 24)")
+	com.capacity.Float64Slice(&com.opts.rates, "", "rate", "requests per second per host; repeatable (default 0, 3.5, 7)")
+	com.capacity.Int(&com.opts.accounts, "", "accounts", "number of client accounts in the configuration")
+	com.capacity.Duration(&com.opts.heartbeat, "", "heartbeat", "heartbeat interval of idle sessions (default 500ms)")
 	return com
 }
 
@@ -93,11 +93,11 @@
 	return tab.Flush()
 }
 
-func ratio(one, two time.Duration) float64 {
-	if two == 0 {
+func ratio(num, den time.Duration) float64 {
+	if den == 0 {
 		return 0
 	}
-	return float64(one) / float64(two)
+	return float64(num) / float64(den)
 }
 
 func (com *benchCmd) runCapacity(ctx context.Context, str streams, log zerolog.Logger) error {
--- a/cmd/checkcmd.go
+++ b/cmd/checkcmd.go
@@ -15,23 +15,23 @@
 	"lynxwell.dev/lynxwell/settings"
 )
 
-// checkCmd checks files before they are put in force.
+// checkCmd implements the check command, which validates settings and configuration files.
 type checkCmd struct {
 	sub  *flaggy.Subcommand
 	opts checkOptions
 }
 
-// checkOptions are the options of check.
+// checkOptions holds the options of the check command.
 type checkOptions struct {
 	settings      string
 	configuration string
 }
 
 func newCheckCmd() *checkCmd {
-	com := &checkCmd{sub: newSubcommand("check", "check settings and a configuration for the users' platform",
+	com := &checkCmd{sub: newSubcommand("check", "validate settings and a configuration for the users' platform",
 		"    lynxwell check --settings entry.json\n    lynxwell check --configuration config.json")}
-	com.sub.String(&com.opts.settings, "s", "settings", "file of a host's settings")
-	com.sub.String(&com.opts.configuration, "f", "configuration", "file of a configuration, as operators write it to the store")
+	com.sub.String(&com.opts.settings, "s", "settings", "settings file of a host")
+	com.sub.String(&com.opts.configuration, "f", "configuration", "configuration file, in the form that operators write to the store")
 	return com
 }
 
@@ -45,7 +45,7 @@
 		if _, err := settings.LoadEntry(com.opts.settings); err != nil {
 			return err
 		}
-		fmt.Fprintf(str.out, "%s: settings are fit for use\n", com.opts.settings)
+		fmt.Fprintf(str.out, "%s: settings are valid\n", com.opts.settings)
 	}
 	if com.opts.configuration != "" {
 		return checkConfiguration(str, com.opts.configuration)
@@ -65,13 +65,13 @@
 	if _, err := route.NewTable(con); err != nil {
 		return errors.Wrap(err, name)
 	}
-	unread := platform.UnreadFields(data)
-	for _, field := range slices.Sorted(maps.Keys(unread)) {
-		if unread[field] {
-			fmt.Fprintf(str.out, "%s: passed over: unknown field %q\n", name, field)
+	unrecognized := platform.UnreadFields(data)
+	for _, field := range slices.Sorted(maps.Keys(unrecognized)) {
+		if unrecognized[field] {
+			fmt.Fprintf(str.out, "%s: ignored: unknown field %q\n", name, field)
 		}
 	}
-	fmt.Fprintf(str.out, "%s: version %d is fit for use: %d routes, %d services, %d client accounts\n",
+	fmt.Fprintf(str.out, "%s: version %d is valid: %d routes, %d services, %d client accounts\n",
 		name, con.Version, len(con.Routes), len(con.Services), len(con.Accounts))
 	return nil
 }
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -1,11 +1,11 @@
-// Package cmd holds the commands of the lynxwell program, one a file.
+// Package cmd implements the commands of the lynxwell program, one per file.
 //
 // # Usage
 //
 //	code := cmd.Run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)
 //
-// The exit code is 0 for success, 1 for a failure, 2 for a command line that
-// can't be read, and 3 for a conflict with another operator's change.
+// The exit code is 0 for success, 1 for a failure, 2 for an invalid command line,
+// and 3 for a conflict with another operator's change.
 package cmd
 
 import (
@@ -34,7 +34,7 @@
 	exitConflict = 3
 )
 
-// streams are where a command reads and writes.
+// streams holds the standard streams of a command.
 type streams struct {
 	in  io.Reader
 	out io.Writer
@@ -43,13 +43,13 @@
 
 // command is one command of the program.
 type command interface {
-	// subcommand returns the command's part of the command line.
+	// subcommand returns the definition of the command's flags and arguments.
 	subcommand() *flaggy.Subcommand
-	// run does the command's work.
+	// run executes the command.
 	run(ctx context.Context, str streams) error
 }
 
-// commands returns all commands, in the order of the help.
+// commands returns all commands in the order in which the help lists them.
 func commands() []command {
 	return []command{
 		newDemoCmd(),
@@ -74,7 +74,7 @@
 	}
 }
 
-// Run runs the command that the arguments name and returns the exit code.
+// Run executes the command that the arguments name and returns its exit code.
 func Run(args []string, in io.Reader, out, errOut io.Writer) int {
 	str := streams{in: in, out: out, err: errOut}
 	all := commands()
@@ -123,13 +123,12 @@
 	return exitFailure
 }
 
-// usageError reports a flag or an argument that can't be used.
+// usageError reports an invalid flag or argument.
 type usageError struct {
 	flag   string
 	reason string
 }
 
-// Error names the flag and the reason.
 func (uer *usageError) Error() string {
 	return uer.flag + ": " + uer.reason
 }
@@ -141,8 +140,8 @@
 	return sub
 }
 
-// timeFormat is that of the log's times: what happens to a request within a
-// second must stay in order.
+// timeFormat is the format of log times. It includes milliseconds so that the
+// events of a request within one second can be ordered.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func newLogger(out io.Writer, level string) (zerolog.Logger, error) {
--- a/cmd/deletecmd.go
+++ b/cmd/deletecmd.go
@@ -8,13 +8,13 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// deleteCmd removes a resource.
+// deleteCmd implements the delete command, which removes a resource.
 type deleteCmd struct {
 	sub  *flaggy.Subcommand
 	opts deleteOptions
 }
 
-// deleteOptions are the options of delete.
+// deleteOptions holds the options of the delete command.
 type deleteOptions struct {
 	hostOptions
 	kind string
--- a/cmd/democmd.go
+++ b/cmd/democmd.go
@@ -15,13 +15,13 @@
 	"lynxwell.dev/lynxwell/load"
 )
 
-// demoCmd runs a whole system in one process under a small load.
+// demoCmd implements the demo command, which runs a complete system in one process under a small load.
 type demoCmd struct {
 	sub  *flaggy.Subcommand
 	opts demoOptions
 }
 
-// demoOptions are the options of demo.
+// demoOptions holds the options of the demo command.
 type demoOptions struct {
 	json     bool
 	length   time.Duration
@@ -29,16 +29,16 @@
 	logLevel string
 }
 
-// demoLength is how long requests are sent by default.
+// demoLength is the default time for which requests are sent.
 const demoLength = 12 * time.Second
 
 func newDemoCmd() *demoCmd {
-	com := &demoCmd{sub: newSubcommand("demo", "run a whole system in this process under a small load", "    lynxwell demo\n    lynxwell demo --json")}
+	com := &demoCmd{sub: newSubcommand("demo", "run a complete system in this process under a small load", "    lynxwell demo\n    lynxwell demo --json")}
 	com.opts = demoOptions{length: demoLength, seed: 1, logLevel: zerolog.WarnLevel.String()}
 	com.sub.Bool(&com.opts.json, "j", "json", "print the result as JSON")
-	com.sub.Duration(&com.opts.length, "", "for", "how long requests are sent (default 12s)")
-	com.sub.UInt64(&com.opts.seed, "", "seed", "seed of the load (default 1)")
-	com.sub.String(&com.opts.logLevel, "", "log-level", "level of the hosts' logs (default warn)")
+	com.sub.Duration(&com.opts.length, "", "for", "time for which requests are sent (default 12s)")
+	com.sub.UInt64(&com.opts.seed, "", "seed", "random seed of the load (default 1)")
+	com.sub.String(&com.opts.logLevel, "", "log-level", "log level of the hosts (default warn)")
 	return com
 }
 
--- a/cmd/dumpcmd.go
+++ b/cmd/dumpcmd.go
@@ -14,13 +14,13 @@
 	"lynxwell.dev/lynxwell/entry"
 )
 
-// dumpCmd prints the state of a host's process.
+// dumpCmd implements the dump command, which prints the state of a host's process.
 type dumpCmd struct {
 	sub  *flaggy.Subcommand
 	opts dumpOptions
 }
 
-// dumpOptions are the options of dump.
+// dumpOptions holds the options of the dump command.
 type dumpOptions struct {
 	hostOptions
 	address string
@@ -31,9 +31,9 @@
 func newDumpCmd() *dumpCmd {
 	com := &dumpCmd{sub: newSubcommand("dump", "print the state of a host's process", "    lynxwell dump 127.0.0.1:7003 --key-file operator.key\n    lynxwell dump 127.0.0.1:7003 --metrics\n    lynxwell dump --entry 10.1.0.25:7601")}
 	com.opts.attach(com.sub)
-	com.sub.AddPositionalValue(&com.opts.address, "HOST", 1, false, "operator address of the host, instead of --host")
-	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host on the users' platform, which needs no key")
-	com.sub.Bool(&com.opts.metrics, "m", "metrics", "print the measurements instead")
+	com.sub.AddPositionalValue(&com.opts.address, "HOST", 1, false, "operator address of the host, replaces --host")
+	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host on the users' platform; needs no key")
+	com.sub.Bool(&com.opts.metrics, "m", "metrics", "print the metrics instead of the state")
 	return com
 }
 
@@ -68,7 +68,7 @@
 	return printIndented(str, raw)
 }
 
-// runEntry prints the state, or the figures, of a host on the users' platform.
+// runEntry prints the state or the metrics of a host on the users' platform.
 func (com *dumpCmd) runEntry(ctx context.Context, str streams) error {
 	ctx, cancel := context.WithTimeout(ctx, com.opts.timeout)
 	defer cancel()
@@ -87,11 +87,12 @@
 	return printIndented(str, raw)
 }
 
-// fetchEntry asks a host on the users' platform on its metrics address.
+// fetchEntry sends a GET request for the path to the metrics address of a host on
+// the users' platform and returns the body.
 func fetchEntry(ctx context.Context, adr netip.AddrPort, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+adr.String()+path, http.NoBody)
 	if err != nil {
-		return nil, errors.Wrap(err, "make call")
+		return nil, errors.Wrap(err, "build request")
 	}
 	rep, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -99,7 +100,7 @@
 	}
 	defer rep.Body.Close()
 	raw, err := io.ReadAll(rep.Body)
-	return raw, errors.Wrap(err, "read answer")
+	return raw, errors.Wrap(err, "read response body")
 }
 
 func printIndented(str streams, raw []byte) error {
--- a/cmd/entrycmd.go
+++ b/cmd/entrycmd.go
@@ -21,17 +21,17 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// logLines is how many lines wait for a slow reader of the log before the
-// oldest are dropped: some seconds of a busy host.
+// logLines is the number of log lines buffered for a slow log reader before the
+// oldest are dropped; a busy host writes that many in some seconds.
 const logLines = 4096
 
-// entryCmd runs a host on the users' platform.
+// entryCmd implements the entry command, which runs a host on the users' platform.
 type entryCmd struct {
 	sub  *flaggy.Subcommand
 	opts entryOptions
 }
 
-// entryOptions are the options of entry.
+// entryOptions holds the options of the entry command.
 type entryOptions struct {
 	settings string
 	check    bool
@@ -40,8 +40,8 @@
 func newEntryCmd() *entryCmd {
 	com := &entryCmd{sub: newSubcommand("entry", "run one host on the users' platform",
 		"    lynxwell entry --settings entry.json\n    lynxwell entry --settings entry.json --check")}
-	com.sub.String(&com.opts.settings, "s", "settings", "file of settings, JSON with comments; else the platform's variable names it")
-	com.sub.Bool(&com.opts.check, "c", "check", "check the settings and end")
+	com.sub.String(&com.opts.settings, "s", "settings", "settings file, JSON with comments (default: the file named by the platform's environment variable)")
+	com.sub.Bool(&com.opts.check, "c", "check", "validate the settings and exit")
 	return com
 }
 
@@ -60,7 +60,7 @@
 		return err
 	}
 	if com.opts.check {
-		fmt.Fprintf(str.out, "%s: settings are fit for use\n", file)
+		fmt.Fprintf(str.out, "%s: settings are valid\n", file)
 		return nil
 	}
 	out := newLogWriter(str.out)
@@ -75,8 +75,8 @@
 	return runEntry(ctx, entry.Config{Settings: set, Log: log, SettingsFile: file, Hangups: hangups, LinesDropped: out.dropped.Load})
 }
 
-// logWriter never has whoever logs wait for the log's reader: when it lags, the
-// oldest lines are dropped and counted.
+// logWriter is a log writer that never blocks. If the log's reader lags, it drops
+// and counts the oldest lines.
 type logWriter struct {
 	diode.Writer
 	dropped atomic.Int64
@@ -88,12 +88,12 @@
 	return low
 }
 
-// runEntry runs the host until the context ends, then makes a planned stop.
+// runEntry runs the host until the context is done, then drains and stops it.
 func runEntry(ctx context.Context, cfg entry.Config) error {
 	app := fx.New(
 		fx.Supply(cfg),
 		fx.Provide(newEntryStore, newEntry),
-		fx.Invoke(keepEntry),
+		fx.Invoke(appendEntryHooks),
 		fx.StopTimeout(cfg.Settings.Bounds.Grace()+time.Second),
 		fx.WithLogger(func() fxevent.Logger { return &fxLogger{log: cfg.Log} }),
 	)
@@ -109,8 +109,9 @@
 	return entry.New(cfg)
 }
 
-// keepEntry ties the host to the process's life: its end is a planned stop.
-func keepEntry(lic fx.Lifecycle, hos *entry.Host) {
+// appendEntryHooks starts the host with the application and drains it when the
+// application stops.
+func appendEntryHooks(lic fx.Lifecycle, hos *entry.Host) {
 	lic.Append(fx.Hook{
 		OnStart: hos.Start,
 		OnStop: func(ctx context.Context) error {
--- a/cmd/evacuationcmd.go
+++ b/cmd/evacuationcmd.go
@@ -16,17 +16,18 @@
 	"lynxwell.dev/lynxwell/evacuation"
 )
 
-// evacuationInterval is how often the emptying of a failure domain is looked at with --watch:
-// it takes seconds.
+// evacuationInterval is the polling interval of --watch; evacuating a failure domain takes
+// seconds.
 const evacuationInterval = time.Second
 
-// evacuationCmd tells which failure domains are being emptied, and which engines are cold.
+// evacuationCmd implements the evacuation command, which prints the progress of evacuations and
+// the cold engines.
 type evacuationCmd struct {
 	sub  *flaggy.Subcommand
 	opts evacuationOptions
 }
 
-// evacuationOptions are the options of evacuation.
+// evacuationOptions holds the options of the evacuation command.
 type evacuationOptions struct {
 	domain  string
 	entry   netip.AddrPort
@@ -35,12 +36,12 @@
 }
 
 func newEvacuationCmd() *evacuationCmd {
-	com := &evacuationCmd{sub: newSubcommand("evacuation", "tell how far failure domains are emptied, and which engines are cold", "    lynxwell evacuation --entry 10.1.0.25:7601\n    lynxwell evacuation domain-a --entry 10.1.0.25:7601 --watch")}
+	com := &evacuationCmd{sub: newSubcommand("evacuation", "print the progress of evacuations and the cold engines", "    lynxwell evacuation --entry 10.1.0.25:7601\n    lynxwell evacuation domain-a --entry 10.1.0.25:7601 --watch")}
 	com.opts.timeout = 5 * time.Second
-	com.sub.AddPositionalValue(&com.opts.domain, "DOMAIN", 1, false, "the failure domain, all where it is left out")
-	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host; the one that decides knows who is missing")
-	com.sub.Duration(&com.opts.timeout, "t", "timeout", "how long an answer may take")
-	com.sub.Bool(&com.opts.watch, "w", "watch", "tell again each second until all are empty")
+	com.sub.AddPositionalValue(&com.opts.domain, "DOMAIN", 1, false, "failure domain (default: all)")
+	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host; only the coordinator knows the missing hosts")
+	com.sub.Duration(&com.opts.timeout, "t", "timeout", "time limit for each response")
+	com.sub.Bool(&com.opts.watch, "w", "watch", "print the state every second until all are empty")
 	return com
 }
 
@@ -65,7 +66,7 @@
 	}
 }
 
-// show prints the state once, and reports whether all domains that were asked for are empty.
+// show prints the state once and reports whether all selected domains are empty.
 func (com *evacuationCmd) show(ctx context.Context, str streams) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, com.opts.timeout)
 	defer cancel()
@@ -75,7 +76,7 @@
 	}
 	var dum entry.Dump
 	if err := json.Unmarshal(raw, &dum); err != nil {
-		return false, errors.Wrap(err, "read state")
+		return false, errors.Wrap(err, "decode state")
 	}
 	found, empty := false, true
 	for _, evd := range dum.Evacuations {
@@ -89,33 +90,33 @@
 		}
 	}
 	if com.opts.domain != "" && !found {
-		return false, errors.Newf("%s knows of no order to empty %s", dum.Host, com.opts.domain)
+		return false, errors.Newf("%s has no evacuation order for %s", dum.Host, com.opts.domain)
 	}
 	if !found {
-		fmt.Fprintf(str.out, "%s knows of no failure domain that is being emptied\n", dum.Host)
+		fmt.Fprintf(str.out, "%s has no evacuation order\n", dum.Host)
 	}
 	return empty, printCold(str.out, dum)
 }
 
-// printEvacuation prints one failure domain: how far it is, and what it waits for.
+// printEvacuation prints the progress of one failure domain and the hosts it waits for.
 func printEvacuation(out io.Writer, evd evacuation.Dump, dum entry.Dump) error {
 	var text strings.Builder
 	if evd.Order == 0 {
-		fmt.Fprintf(&text, "%s: taken back\n", evd.Domain)
+		fmt.Fprintf(&text, "%s: order withdrawn\n", evd.Domain)
 	} else {
-		fmt.Fprintf(&text, "%s: %s (order %d), told %q, %d running\n", evd.Domain, evd.State, evd.Order, evd.Told, evd.Running)
+		fmt.Fprintf(&text, "%s: %s (order %d), published %q, %d running\n", evd.Domain, evd.State, evd.Order, evd.Told, evd.Running)
 	}
 	if len(evd.Missing) > 0 && dum.Own {
-		fmt.Fprintf(&text, "  waits for %d hosts, epochs %s\n", len(evd.Missing), strings.Join(evd.Missing, " "))
+		fmt.Fprintf(&text, "  waiting for %d hosts, epochs %s\n", len(evd.Missing), strings.Join(evd.Missing, " "))
 	}
 	if !dum.Own {
-		fmt.Fprintf(&text, "  decided by the host with epoch %s, which knows who is missing\n", dum.Coordinator)
+		fmt.Fprintf(&text, "  coordinated by the host with epoch %s, which knows the missing hosts\n", dum.Coordinator)
 	}
 	_, err := io.WriteString(out, text.String())
 	return err
 }
 
-// printCold prints the engines that are cold, and what they get.
+// printCold prints the cold engines and their request rates.
 func printCold(out io.Writer, dum entry.Dump) error {
 	var text strings.Builder
 	for _, svc := range dum.Scheduler.Services {
@@ -123,7 +124,7 @@
 			if eng.ColdFor == "" || eng.Rate == nil {
 				continue
 			}
-			fmt.Fprintf(&text, "%s of %s is cold for %s: %g requests a second at most, %g granted here\n", eng.ID, svc.Name, eng.ColdFor, eng.Rate.PerSecond, eng.Rate.Own)
+			fmt.Fprintf(&text, "%s of %s is cold for %s: at most %g requests per second, %g granted by this host\n", eng.ID, svc.Name, eng.ColdFor, eng.Rate.PerSecond, eng.Rate.Own)
 		}
 	}
 	_, err := io.WriteString(out, text.String())
--- a/cmd/evacuationcmd_test.go
+++ b/cmd/evacuationcmd_test.go
@@ -17,14 +17,14 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// hostEmptying answers as a host that decides for all while domain d1 is emptied, in each of
-// the states in turn.
-func hostEmptying(t *testing.T, told ...string) netip.AddrPort {
+// startEvacuatingHost starts a fake of the coordinator host while domain d1 is evacuated. It
+// publishes the given states in turn and repeats the last.
+func startEvacuatingHost(t *testing.T, published ...string) netip.AddrPort {
 	t.Helper()
-	asked := 0
+	calls := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
-		now := told[min(asked, len(told)-1)]
-		asked++
+		now := published[min(calls, len(published)-1)]
+		calls++
 		evd := evacuation.Dump{Domain: "d1", Order: 7, State: "Ordered", Told: now, Running: 2}
 		if now == "" {
 			evd.Missing = []string{"00000000000000aa"}
@@ -39,23 +39,23 @@
 	return netip.MustParseAddrPort(srv.Listener.Addr().String())
 }
 
-func TestEvacuationTellsWhatItWaitsFor(t *testing.T) {
+func TestEvacuationPrintsMissingHostsAndColdEngines(t *testing.T) {
 	com := newEvacuationCmd()
-	com.opts.entry = hostEmptying(t, "")
+	com.opts.entry = startEvacuatingHost(t, "")
 	var out bytes.Buffer
 	assert.NilError(t, com.run(t.Context(), streams{out: &out}))
-	for _, want := range []string{"d1: Ordered (order 7)", "2 running", "waits for 1 hosts, epochs 00000000000000aa", "e1 of menus is cold for 2s: 8 requests a second at most, 4 granted here"} {
+	for _, want := range []string{"d1: Ordered (order 7)", "2 running", "waiting for 1 hosts, epochs 00000000000000aa", "e1 of menus is cold for 2s: at most 8 requests per second, 4 granted by this host"} {
 		assert.Assert(t, strings.Contains(out.String(), want), out.String())
 	}
 	com.opts.domain = "d2"
-	assert.ErrorContains(t, com.run(t.Context(), streams{out: &out}), "no order to empty d2")
+	assert.ErrorContains(t, com.run(t.Context(), streams{out: &out}), "no evacuation order for d2")
 	com.opts.entry = netip.AddrPort{}
 	assert.ErrorContains(t, com.run(t.Context(), streams{out: &out}), "--entry")
 }
 
-func TestEvacuationIsWatchedUntilItIsEmpty(t *testing.T) {
+func TestEvacuationWatchStopsWhenDomainIsEmpty(t *testing.T) {
 	com := newEvacuationCmd()
-	com.opts.entry, com.opts.watch = hostEmptying(t, "Closed", "Empty"), true
+	com.opts.entry, com.opts.watch = startEvacuatingHost(t, "Closed", "Empty"), true
 	var out bytes.Buffer
 	assert.NilError(t, com.run(t.Context(), streams{out: &out}))
 	assert.Equal(t, strings.Count(out.String(), "d1: "), 2)
--- a/cmd/getcmd.go
+++ b/cmd/getcmd.go
@@ -12,13 +12,13 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// getCmd prints resources.
+// getCmd implements the get command, which prints resources.
 type getCmd struct {
 	sub  *flaggy.Subcommand
 	opts getOptions
 }
 
-// getOptions are the options of get.
+// getOptions holds the options of the get command.
 type getOptions struct {
 	hostOptions
 	kind string
@@ -32,7 +32,7 @@
 	com.opts.attach(com.sub)
 	com.sub.AddPositionalValue(&com.opts.kind, "KIND", 1, false, "Service, Engine, Tier or ClientAccount")
 	com.sub.AddPositionalValue(&com.opts.name, "NAME", 2, false, "name of a resource")
-	com.sub.Bool(&com.opts.json, "j", "json", "print the whole state as JSON")
+	com.sub.Bool(&com.opts.json, "j", "json", "print the complete resources as JSON")
 	return com
 }
 
@@ -63,15 +63,15 @@
 }
 
 func (com *getCmd) matching(entries []resource.Entry) []resource.Entry {
-	var some []resource.Entry
+	var matches []resource.Entry
 	for _, ent := range entries {
 		key := ent.Resource.Key()
 		wanted := com.opts.kind == "" || string(key.Kind) == com.opts.kind
 		if wanted && (com.opts.name == "" || key.Name == com.opts.name) {
-			some = append(some, ent)
+			matches = append(matches, ent)
 		}
 	}
-	return some
+	return matches
 }
 
 func (com *getCmd) print(str streams, list operator.EntryList) error {
--- a/cmd/heldcmd.go
+++ b/cmd/heldcmd.go
@@ -19,13 +19,13 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// heldCmd lists the requests that end engines, and lets one go.
+// heldCmd implements the held command, which lists poison requests and releases one from quarantine.
 type heldCmd struct {
 	sub  *flaggy.Subcommand
 	opts heldOptions
 }
 
-// heldOptions are the options of held.
+// heldOptions holds the options of the held command.
 type heldOptions struct {
 	entry   netip.AddrPort
 	timeout time.Duration
@@ -33,11 +33,11 @@
 }
 
 func newHeldCmd() *heldCmd {
-	com := &heldCmd{sub: newSubcommand("held", "list requests that end engines, or let one go", "    lynxwell held --entry 10.1.0.25:7601\n    lynxwell held --entry 10.1.0.25:7601 --free 87383c4a3e4700b3e513b4d0fc388e8a")}
+	com := &heldCmd{sub: newSubcommand("held", "list requests that crash engines, or release one from quarantine", "    lynxwell held --entry 10.1.0.25:7601\n    lynxwell held --entry 10.1.0.25:7601 --free 87383c4a3e4700b3e513b4d0fc388e8a")}
 	com.opts.timeout = 5 * time.Second
-	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host; the one that decides knows most")
-	com.sub.Duration(&com.opts.timeout, "t", "timeout", "how long an answer may take")
-	com.sub.String(&com.opts.free, "f", "free", "digest of a request to let go")
+	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host; the coordinator knows most")
+	com.sub.Duration(&com.opts.timeout, "t", "timeout", "time limit for each response")
+	com.sub.String(&com.opts.free, "f", "free", "digest of a request to release")
 	return com
 }
 
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithTimeout(ctx, com.opts.timeout)
 	defer cancel()
 	if com.opts.free != "" {
-		return com.letGo(ctx, str)
+		return com.release(ctx, str)
 	}
 	raw, err := fetchEntry(ctx, com.opts.entry, entry.PathDump)
 	if err != nil {
@@ -58,13 +58,13 @@
 	}
 	var dum entry.Dump
 	if err := json.Unmarshal(raw, &dum); err != nil {
-		return errors.Wrap(err, "read state")
+		return errors.Wrap(err, "decode state")
 	}
 	return printCases(str.out, dum)
 }
 
-// letGo has a host let a request go.
-func (com *heldCmd) letGo(ctx context.Context, str streams) error {
+// release asks a host to release a request from quarantine.
+func (com *heldCmd) release(ctx context.Context, str streams) error {
 	dig, err := call.ParseDigest(com.opts.free)
 	if err != nil {
 		return &usageError{flag: "--free", reason: err.Error()}
@@ -72,7 +72,7 @@
 	target := url.URL{Scheme: "http", Host: com.opts.entry.String(), Path: entry.PathFree, RawQuery: url.Values{"digest": {dig.String()}}.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target.String(), http.NoBody)
 	if err != nil {
-		return errors.Wrap(err, "make call")
+		return errors.Wrap(err, "build request")
 	}
 	rep, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -81,38 +81,39 @@
 	defer rep.Body.Close()
 	body, err := io.ReadAll(rep.Body)
 	if err != nil {
-		return errors.Wrap(err, "read answer")
+		return errors.Wrap(err, "read response body")
 	}
 	if rep.StatusCode != http.StatusOK {
 		return errors.Newf("%s: %s", com.opts.entry, strings.TrimSpace(string(body)))
 	}
-	_, err = fmt.Fprintf(str.out, "%s is let go\n", dig)
+	_, err = fmt.Fprintf(str.out, "%s is released\n", dig)
 	return err
 }
 
-// printCases prints what a host knows against requests, the worst first.
+// printCases prints the quarantine cases of a host in the order of its dump, the worst first,
+// and then the restricted traffic sources.
 func printCases(out io.Writer, dum entry.Dump) error {
 	var text strings.Builder
 	if len(dum.Scheduler.Cases)+len(dum.Scheduler.Restricted) == 0 {
-		fmt.Fprintf(&text, "%s knows of no request that ended an engine\n", dum.Host)
+		fmt.Fprintf(&text, "%s has no record of a request that crashed an engine\n", dum.Host)
 	}
 	for _, cas := range dum.Scheduler.Cases {
 		fmt.Fprintf(&text, "%s %s%s\n", cas.Digest, cas.Level, heldUntil(cas))
-		fmt.Fprintf(&text, "  of %s by %s to %s\n", orNone(cas.Account), cas.Route, cas.Service)
-		fmt.Fprintf(&text, "  ended %s, alone on the last: %t, let out %d times\n", strings.Join(cas.Engines, " "), cas.Alone, cas.Trials)
+		fmt.Fprintf(&text, "  account %s, route %s, service %s\n", accountOrPublic(cas.Account), cas.Route, cas.Service)
+		fmt.Fprintf(&text, "  crashed %s, ran exclusively on the last: %t, released %d times on trial\n", strings.Join(cas.Engines, " "), cas.Alone, cas.Trials)
 	}
 	for _, src := range dum.Scheduler.Restricted {
-		fmt.Fprintf(&text, "all of %s by %s to %s run apart: they end engines and change each time\n", orNone(src.Account), src.Route, src.Service)
+		fmt.Fprintf(&text, "isolated: all requests of account %s, route %s, service %s, because they crash engines with a new digest each time\n", accountOrPublic(src.Account), src.Route, src.Service)
 	}
 	_, err := io.WriteString(out, text.String())
 	return err
 }
 
-// heldUntil tells for how long a request is held; nothing for one that isn't.
+// heldUntil describes when the hold on a request ends; it is empty for a request that isn't held.
 func heldUntil(cas scheduler.CaseDump) string {
 	switch {
 	case cas.ForGood:
-		return " until it is let go"
+		return " until it is released"
 	case cas.Until.IsZero():
 		return ""
 	default:
@@ -120,8 +121,9 @@
 	}
 }
 
-// orNone names an account; requests on public routes have none.
-func orNone(account string) string {
+// accountOrPublic returns the account's name, or "(public)" for requests on public routes, which
+// have no account.
+func accountOrPublic(account string) string {
 	if account == "" {
 		return "(public)"
 	}
--- a/cmd/hostoptions.go
+++ b/cmd/hostoptions.go
@@ -12,7 +12,7 @@
 	"lynxwell.dev/lynxwell/operator"
 )
 
-// hostOptions say how to reach a host's interface for operators.
+// hostOptions holds the options that select a host's operator API.
 type hostOptions struct {
 	host    netip.AddrPort
 	key     string
@@ -20,21 +20,21 @@
 	timeout time.Duration
 }
 
-// The environment variables that stand for flags that aren't given.
+// The environment variables that replace absent flags.
 const (
 	envHost    = "LYNXWELL_HOST"
 	envKeyFile = "LYNXWELL_KEY_FILE"
 )
 
-// defaultTimeout bounds a command that speaks to a host.
+// defaultTimeout is the default time limit of commands that call a host.
 const defaultTimeout = 30 * time.Second
 
 func (opt *hostOptions) attach(sub *flaggy.Subcommand) {
 	opt.timeout = defaultTimeout
 	sub.NetipAddrPort(&opt.host, "", "host", "operator address of a host, IP:PORT (or "+envHost+")")
-	sub.String(&opt.key, "", "key", "operators' key")
-	sub.String(&opt.keyFile, "", "key-file", "file of the operators' key (or "+envKeyFile+")")
-	sub.Duration(&opt.timeout, "", "timeout", "bound on the whole command (default 30s)")
+	sub.String(&opt.key, "", "key", "key of the operators")
+	sub.String(&opt.keyFile, "", "key-file", "file with the operators' key (or "+envKeyFile+")")
+	sub.Duration(&opt.timeout, "", "timeout", "time limit for the whole command (default 30s)")
 }
 
 func (opt *hostOptions) client() (*operator.Client, error) {
--- a/cmd/keycmd.go
+++ b/cmd/keycmd.go
@@ -14,22 +14,22 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// keyLen is the length of a new key, in bytes of randomness.
+// keyLen is the number of random bytes in a new key.
 const keyLen = 24
 
-// keyCmd makes a client account's key, or the digest of one.
+// keyCmd implements the key command, which generates a client account's key or prints the digest of one.
 type keyCmd struct {
 	sub  *flaggy.Subcommand
 	opts keyOptions
 }
 
-// keyOptions are the options of key.
+// keyOptions holds the options of the key command.
 type keyOptions struct {
 	digest bool
 }
 
 func newKeyCmd() *keyCmd {
-	com := &keyCmd{sub: newSubcommand("key", "make a client account's key and its digest", "    lynxwell key\n    lynxwell key --digest < key-file")}
+	com := &keyCmd{sub: newSubcommand("key", "generate a client account's key and its digest", "    lynxwell key\n    lynxwell key --digest < key-file")}
 	com.sub.Bool(&com.opts.digest, "d", "digest", "print the digest of the key on standard input")
 	return com
 }
--- a/cmd/loadcmd.go
+++ b/cmd/loadcmd.go
@@ -15,66 +15,66 @@
 	"lynxwell.dev/lynxwell/visitor"
 )
 
-// loadCmd sends requests as callers on the users' platform do.
+// loadCmd implements the load command, which sends requests as clients on the users' platform do.
 type loadCmd struct {
 	sub  *flaggy.Subcommand
 	opts loadOptions
 }
 
-// loadOptions are the options of load.
+// loadOptions holds the options of the load command.
 type loadOptions struct {
-	directories []string
-	hostName    string
-	path        string
-	key         string
-	kind        string
-	domain      string
-	visitors    int
-	rate        float64
-	length      time.Duration
-	deadline    time.Duration
-	aim         time.Duration
-	retries     int
-	prompt      int
-	answer      int
-	seed        uint64
+	directories   []string
+	hostName      string
+	path          string
+	key           string
+	kind          string
+	domain        string
+	visitors      int
+	rate          float64
+	length        time.Duration
+	deadline      time.Duration
+	latencyTarget time.Duration
+	retries       int
+	prompt        int
+	answer        int
+	seed          uint64
 }
 
-// The defaults of load: a small load that any system carries.
+// The default options: a small load that any system can serve.
 const (
-	defaultVisitors = 8
-	defaultRate     = 20.0
-	defaultDeadline = 5 * time.Second
-	defaultAim      = time.Second
+	defaultVisitors      = 8
+	defaultRate          = 20.0
+	defaultDeadline      = 5 * time.Second
+	defaultLatencyTarget = time.Second
 )
 
 func newLoadCmd() *loadCmd {
-	com := &loadCmd{sub: newSubcommand("load", "send requests as callers on the users' platform do",
+	com := &loadCmd{sub: newSubcommand("load", "send requests as clients on the users' platform do",
 		"    lynxwell load --directory 10.1.0.25:8220 --host-name menus.example --path /rebuild/x --kind streaming --key KEY --prompt 2000 --answer 200 --rate 50 --for 30s")}
 	opt := &com.opts
 	opt.kind, opt.visitors, opt.rate = "unsafe", defaultVisitors, defaultRate
-	opt.length, opt.deadline, opt.aim, opt.retries = benchLength, defaultDeadline, defaultAim, 1
-	com.sub.StringSlice(&opt.directories, "d", "directory", "address to ask where to go, IP:PORT; may be given again, the near ones first")
+	opt.length, opt.deadline, opt.latencyTarget, opt.retries = benchLength, defaultDeadline, defaultLatencyTarget, 1
+	com.sub.StringSlice(&opt.directories, "d", "directory", "directory address of a host, IP:PORT; repeatable, the nearest first")
 	com.sub.String(&opt.hostName, "", "host-name", "host name of the route")
 	com.sub.String(&opt.path, "p", "path", "path and query of the requests")
 	com.sub.String(&opt.key, "k", "key", "key of a client account")
 	com.sub.String(&opt.kind, "", "kind", "unsafe, safe, streaming or resumable (default unsafe)")
-	com.sub.String(&opt.domain, "", "domain", "failure domain of the callers")
-	com.sub.Int(&opt.visitors, "", "visitors", "number of callers (default 8)")
-	com.sub.Float64(&opt.rate, "r", "rate", "requests a second in all (default 20)")
-	com.sub.Duration(&opt.length, "", "for", "how long (default 5s)")
-	com.sub.Duration(&opt.deadline, "", "deadline", "how long a caller waits (default 5s)")
-	com.sub.Duration(&opt.aim, "", "aim", "within what time an answer's first part is in time (default 1s)")
-	com.sub.Int(&opt.retries, "", "retries", "how often a caller tries again (default 1)")
-	com.sub.Int(&opt.prompt, "", "prompt", "tokens of the prompt")
-	com.sub.Int(&opt.answer, "", "answer", "most tokens of the answer")
-	com.sub.UInt64(&opt.seed, "", "seed", "decides which address a caller takes, and when it sends")
+	com.sub.String(&opt.domain, "", "domain", "failure domain of the clients")
+	com.sub.Int(&opt.visitors, "", "visitors", "number of clients (default 8)")
+	com.sub.Float64(&opt.rate, "r", "rate", "total requests per second (default 20)")
+	com.sub.Duration(&opt.length, "", "for", "time for which requests are sent (default 5s)")
+	com.sub.Duration(&opt.deadline, "", "deadline", "client timeout (default 5s)")
+	com.sub.Duration(&opt.latencyTarget, "", "aim", "latency target for the first part of an answer (default 1s)")
+	com.sub.Int(&opt.retries, "", "retries", "retries of a client (default 1)")
+	com.sub.Int(&opt.prompt, "", "prompt", "length of the prompt in tokens")
+	com.sub.Int(&opt.answer, "", "answer", "maximum length of the answer in tokens")
+	com.sub.UInt64(&opt.seed, "", "seed", "random seed for the choice of addresses and the send times")
 	return com
 }
 
 func (com *loadCmd) subcommand() *flaggy.Subcommand { return com.sub }
 
-// request returns what each caller sends.
+// request returns the request that every client sends.
 func (opt loadOptions) request() (visitor.Request, error) {
 	req := visitor.Request{
 		Path: opt.path, Key: opt.key, Deadline: opt.deadline, Retries: opt.retries, PromptTokens: opt.prompt, MaxTokens: opt.answer,
@@ -110,10 +110,10 @@
 		directories = append(directories, adr)
 	}
 	results := com.send(ctx, directories, req)
-	return report(str, results, com.opts.aim)
+	return report(str, results, com.opts.latencyTarget)
 }
 
-// send has all callers send at their times and returns what came of it.
+// send runs all clients until the load ends and returns the results of their requests.
 func (com *loadCmd) send(ctx context.Context, directories []netip.AddrPort, req visitor.Request) []visitor.Result {
 	opt := com.opts
 	ends := make(chan []visitor.Result)
@@ -153,36 +153,36 @@
 	return results
 }
 
-// maxMicros and digits shape the histograms of times: up to ten minutes, to one
-// part in a thousand.
+// maxMicros and digits set the range and precision of the latency histograms: up to
+// ten minutes, with three significant digits.
 const (
 	maxMicros = int64(10 * time.Minute / time.Microsecond)
 	digits    = 3
 )
 
-// report prints how the requests ended.
-func report(str streams, results []visitor.Result, aim time.Duration) error {
+// report prints the outcomes and latencies of the requests.
+func report(str streams, results []visitor.Result, latencyTarget time.Duration) error {
 	first := hdrhistogram.New(1, maxMicros, digits)
 	whole := hdrhistogram.New(1, maxMicros, digits)
 	ends := make(map[string]int)
-	inAim := 0
+	inTime := 0
 	for _, res := range results {
 		att := res.Last()
 		if !att.Served() {
-			ends[endOf(att)]++
+			ends[outcomeOf(att)]++
 			continue
 		}
 		ends["Served"]++
 		toFirst := res.Took - att.Took + att.First
-		if toFirst <= aim {
-			inAim++
+		if toFirst <= latencyTarget {
+			inTime++
 		}
-		// What is over the largest value counts as nothing else would.
+		// Values are capped at the histogram's largest value, so recording them can't fail.
 		_ = first.RecordValue(min(maxMicros, toFirst.Microseconds()))
 		_ = whole.RecordValue(min(maxMicros, res.Took.Microseconds()))
 	}
 	tab := tabwriter.NewWriter(str.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(tab, "Asked\t%d\nInAim\t%d\n", len(results), inAim)
+	fmt.Fprintf(tab, "Asked\t%d\nInAim\t%d\n", len(results), inTime)
 	for _, name := range []string{"Served", "Refused", "Failed", "BrokenOff", "NotReached"} {
 		fmt.Fprintf(tab, "%s\t%d\n", name, ends[name])
 	}
@@ -192,7 +192,7 @@
 	return tab.Flush()
 }
 
-func endOf(att visitor.Attempt) string {
+func outcomeOf(att visitor.Attempt) string {
 	switch {
 	case att.Unsent:
 		return "NotReached"
--- a/cmd/logwriter_test.go
+++ b/cmd/logwriter_test.go
@@ -8,25 +8,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// stuck is a reader of the log that has stopped reading.
-type stuck struct {
-	read chan struct{}
-	buf  bytes.Buffer
+// blockedWriter is a writer whose writes block until unblock is closed, like a log reader that
+// has stopped reading.
+type blockedWriter struct {
+	unblock chan struct{}
+	buf     bytes.Buffer
 }
 
-func (stu *stuck) Write(data []byte) (int, error) {
-	<-stu.read
-	return stu.buf.Write(data)
+func (blw *blockedWriter) Write(data []byte) (int, error) {
+	<-blw.unblock
+	return blw.buf.Write(data)
 }
 
-// A reader of the log that stops reading costs lines, not time.
-func TestStuckReaderOfTheLogHoldsNobodyUp(t *testing.T) {
-	stu := &stuck{read: make(chan struct{})}
-	out := newLogWriter(stu)
+// A log reader that stops reading must not block the writer; lines are dropped and counted instead.
+func TestLogWriterDropsLinesInsteadOfBlocking(t *testing.T) {
+	blw := &blockedWriter{unblock: make(chan struct{})}
+	out := newLogWriter(blw)
 	written := make(chan struct{})
 	go func() {
 		for range 3 * logLines {
-			// The writer takes every line without an error.
+			// logWriter accepts every line without an error.
 			_, _ = out.Write([]byte("{}\n"))
 		}
 		close(written)
@@ -34,11 +35,11 @@
 	select {
 	case <-written:
 	case <-time.After(10 * time.Second):
-		t.Fatal("writing the log waits for its reader")
+		t.Fatal("writing to the log blocked for 10 s because its reader stopped")
 	}
-	close(stu.read)
+	close(blw.unblock)
 	assert.NilError(t, out.Close())
-	lines := int64(bytes.Count(stu.buf.Bytes(), []byte("\n")))
+	lines := int64(bytes.Count(blw.buf.Bytes(), []byte("\n")))
 	assert.Assert(t, out.dropped.Load() > 0)
-	assert.Assert(t, lines+out.dropped.Load() <= 3*logLines, "%d and %d", lines, out.dropped.Load())
+	assert.Assert(t, lines+out.dropped.Load() <= 3*logLines, "%d lines written and %d dropped", lines, out.dropped.Load())
 }
--- a/cmd/rolloutcmd.go
+++ b/cmd/rolloutcmd.go
@@ -17,17 +17,17 @@
 	"lynxwell.dev/lynxwell/rollout"
 )
 
-// rolloutInterval is how often a roll-out is looked at with --watch: it is decided ten
-// times a second, and one lasts some seconds at least.
+// rolloutInterval is the polling interval of --watch. The coordinator evaluates a roll-out
+// ten times per second, and a roll-out takes at least some seconds.
 const rolloutInterval = time.Second
 
-// rolloutCmd tells how far roll-outs are.
+// rolloutCmd implements the rollout command, which prints the progress of roll-outs.
 type rolloutCmd struct {
 	sub  *flaggy.Subcommand
 	opts rolloutOptions
 }
 
-// rolloutOptions are the options of rollout.
+// rolloutOptions holds the options of the rollout command.
 type rolloutOptions struct {
 	service string
 	entry   netip.AddrPort
@@ -36,12 +36,12 @@
 }
 
 func newRolloutCmd() *rolloutCmd {
-	com := &rolloutCmd{sub: newSubcommand("rollout", "tell how far roll-outs are, and why they wait", "    lynxwell rollout menus --entry 10.1.0.25:7601\n    lynxwell rollout menus --entry 10.1.0.25:7601 --watch")}
+	com := &rolloutCmd{sub: newSubcommand("rollout", "print the progress of roll-outs and why they wait", "    lynxwell rollout menus --entry 10.1.0.25:7601\n    lynxwell rollout menus --entry 10.1.0.25:7601 --watch")}
 	com.opts.timeout = 5 * time.Second
-	com.sub.AddPositionalValue(&com.opts.service, "SERVICE", 1, false, "the service, all where it is left out")
-	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host; the one that decides knows the evidence")
-	com.sub.Duration(&com.opts.timeout, "t", "timeout", "how long an answer may take")
-	com.sub.Bool(&com.opts.watch, "w", "watch", "tell again each second until the roll-out has ended")
+	com.sub.AddPositionalValue(&com.opts.service, "SERVICE", 1, false, "service (default: all)")
+	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host; only the coordinator knows the counts")
+	com.sub.Duration(&com.opts.timeout, "t", "timeout", "time limit for each response")
+	com.sub.Bool(&com.opts.watch, "w", "watch", "print the state every second until the roll-out has ended")
 	return com
 }
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// show prints the roll-outs once, and reports whether all have ended.
+// show prints the roll-outs once and reports whether all have ended.
 func (com *rolloutCmd) show(ctx context.Context, str streams) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, com.opts.timeout)
 	defer cancel()
@@ -76,7 +76,7 @@
 	}
 	var dum entry.Dump
 	if err := json.Unmarshal(raw, &dum); err != nil {
-		return false, errors.Wrap(err, "read state")
+		return false, errors.Wrap(err, "decode state")
 	}
 	found, ended := false, true
 	for _, svc := range dum.Scheduler.Services {
@@ -90,25 +90,25 @@
 		}
 	}
 	if !found {
-		return false, errors.Newf("%s knows of no roll-out of %s", dum.Host, com.opts.service)
+		return false, errors.Newf("%s has no roll-out of %s", dum.Host, com.opts.service)
 	}
 	return ended, nil
 }
 
-// printRollout prints one roll-out: its state, what it has been given, and the answers by
-// route.
+// printRollout prints one roll-out: its state, the requests that it was granted, and the
+// answers by route.
 func printRollout(out io.Writer, rod rollout.Dump, dum entry.Dump) error {
 	text := fmt.Sprintf("%s to %s: %s (%s)\n", rod.Service, rod.Version, rod.State, rod.Reason)
 	if !rod.Began.IsZero() {
-		text += fmt.Sprintf("  begun %s ago, period %s, moving %t\n", time.Since(rod.Began).Round(time.Millisecond), rod.Period, rod.Moving)
+		text += fmt.Sprintf("  began %s ago, period %s, moving %t\n", time.Since(rod.Began).Round(time.Millisecond), rod.Period, rod.Moving)
 	}
-	text += fmt.Sprintf("  given at most %d of %d requests, %d by this host\n", rod.Reserved, rod.Requests, rod.Given)
+	text += fmt.Sprintf("  canary requests: at most %d of %d, %d by this host\n", rod.Reserved, rod.Requests, rod.Given)
 	if !dum.Own {
-		text += fmt.Sprintf("  decided by the host with epoch %s; %s knows what that has written\n", dum.Coordinator, dum.Host)
+		text += fmt.Sprintf("  coordinated by the host with epoch %s; %s knows only the state that the coordinator stored\n", dum.Coordinator, dum.Host)
 	}
 	for _, name := range slices.Sorted(maps.Keys(rod.Routes)) {
 		cou := rod.Routes[name]
-		text += fmt.Sprintf("  route %s: new %d good, %d bad (%d under load); former %d good, %d bad\n",
+		text += fmt.Sprintf("  route %s: new version %d good, %d bad answers (%d under load); old version %d good, %d bad\n",
 			name, cou.NewGood, cou.NewBad, cou.Loaded, cou.FormerGood, cou.FormerBad)
 	}
 	_, err := io.WriteString(out, text)
--- a/cmd/rolloutcmd_test.go
+++ b/cmd/rolloutcmd_test.go
@@ -18,13 +18,14 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// hostTelling answers as a host whose roll-out is in each of the states in turn.
-func hostTelling(t *testing.T, states ...rollout.State) netip.AddrPort {
+// startRolloutHost starts a fake of a host whose roll-out is in the given states in turn; the last
+// one repeats.
+func startRolloutHost(t *testing.T, states ...rollout.State) netip.AddrPort {
 	t.Helper()
-	asked := 0
+	calls := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
-		sta := states[min(asked, len(states)-1)]
-		asked++
+		sta := states[min(calls, len(states)-1)]
+		calls++
 		rod := &rollout.Dump{
 			Service: "menus", Version: "v2", State: sta.String(), Reason: "too soon", Period: "12s", Reserved: 25, Requests: 400, Given: 12,
 			Routes: map[string]rollout.Counts{"r1": {NewGood: 11, NewBad: 1, Loaded: 9, FormerGood: 300, FormerBad: 2}},
@@ -38,12 +39,12 @@
 	return netip.MustParseAddrPort(srv.Listener.Addr().String())
 }
 
-func TestRolloutTellsItsStateAndEvidence(t *testing.T) {
+func TestRolloutPrintsStateAndCounts(t *testing.T) {
 	com := newRolloutCmd()
-	com.opts.entry, com.opts.service = hostTelling(t, rollout.StateRunning), "menus"
+	com.opts.entry, com.opts.service = startRolloutHost(t, rollout.StateRunning), "menus"
 	var out bytes.Buffer
 	assert.NilError(t, com.run(t.Context(), streams{out: &out}))
-	for _, want := range []string{"menus to v2: Running (too soon)", "given at most 25 of 400 requests, 12 by this host", "route r1: new 11 good, 1 bad (9 under load); former 300 good, 2 bad"} {
+	for _, want := range []string{"menus to v2: Running (too soon)", "canary requests: at most 25 of 400, 12 by this host", "route r1: new version 11 good, 1 bad answers (9 under load); old version 300 good, 2 bad"} {
 		assert.Assert(t, strings.Contains(out.String(), want), out.String())
 	}
 	com.opts.service = "plain"
@@ -52,9 +53,9 @@
 	assert.ErrorContains(t, com.run(t.Context(), streams{out: &out}), "--entry")
 }
 
-func TestRolloutIsWatchedToItsEnd(t *testing.T) {
+func TestRolloutWatchStopsWhenRolloutCompletes(t *testing.T) {
 	com := newRolloutCmd()
-	com.opts.entry, com.opts.watch = hostTelling(t, rollout.StateRunning, rollout.StateCompleted), true
+	com.opts.entry, com.opts.watch = startRolloutHost(t, rollout.StateRunning, rollout.StateCompleted), true
 	var out bytes.Buffer
 	assert.NilError(t, com.run(t.Context(), streams{out: &out}))
 	assert.Equal(t, strings.Count(out.String(), "menus to v2"), 2)
--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -17,7 +17,7 @@
 	})
 }
 
-// addressNames are the variables that scripts find free addresses in.
+// addressNames are the environment variables that give scripts free addresses.
 var addressNames = []string{"CALLER", "PEER", "OPERATOR", "PLATFORM", "ENGINE"}
 
 func TestScripts(t *testing.T) {
@@ -33,7 +33,7 @@
 	})
 }
 
-// substitute writes a file with the script's variables put in.
+// substitute copies a file and expands the script's variables in it.
 func substitute(ts *testscript.TestScript, _ bool, args []string) {
 	text := os.Expand(ts.ReadFile(args[0]), ts.Getenv)
 	ts.Check(os.WriteFile(ts.MkAbs(args[1]), []byte(text), 0o600))
@@ -41,16 +41,16 @@
 
 // The bounds of retry.
 const (
-	retryTries = 100
-	retryPause = 50 * time.Millisecond
+	retryAttempts = 100
+	retryDelay    = 50 * time.Millisecond
 )
 
 // retry runs a command until it succeeds.
 func retry(ts *testscript.TestScript, _ bool, args []string) {
-	ticker := time.NewTicker(retryPause)
+	ticker := time.NewTicker(retryDelay)
 	defer ticker.Stop()
 	var err error
-	for range retryTries {
+	for range retryAttempts {
 		if err = ts.Exec(args[0], args[1:]...); err == nil {
 			return
 		}
--- a/cmd/servecmd.go
+++ b/cmd/servecmd.go
@@ -17,16 +17,16 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// startTimeout bounds the start of the daemon.
+// startTimeout is the time limit for the start of the daemon.
 const startTimeout = 15 * time.Second
 
-// serveCmd runs the daemon.
+// serveCmd implements the serve command, which runs the daemon.
 type serveCmd struct {
 	sub  *flaggy.Subcommand
 	opts serveOptions
 }
 
-// serveOptions are the options of serve.
+// serveOptions holds the options of the serve command.
 type serveOptions struct {
 	settings string
 	check    bool
@@ -35,8 +35,8 @@
 func newServeCmd() *serveCmd {
 	com := &serveCmd{sub: newSubcommand("serve", "run one host of the system",
 		"    lynxwell serve --settings host.json\n    lynxwell serve --settings host.json --check")}
-	com.sub.String(&com.opts.settings, "s", "settings", "file of settings, JSON with comments")
-	com.sub.Bool(&com.opts.check, "c", "check", "check the settings and end")
+	com.sub.String(&com.opts.settings, "s", "settings", "settings file, JSON with comments")
+	com.sub.Bool(&com.opts.check, "c", "check", "validate the settings and exit")
 	return com
 }
 
@@ -55,25 +55,25 @@
 		return err
 	}
 	if com.opts.check {
-		fmt.Fprintf(str.out, "%s: settings are fit for use\n", com.opts.settings)
+		fmt.Fprintf(str.out, "%s: settings are valid\n", com.opts.settings)
 		return nil
 	}
 	return serve(ctx, set, log)
 }
 
-// serve runs the daemon until the context ends, then makes a planned stop.
+// serve runs the daemon until the context is done, then drains and stops it.
 func serve(ctx context.Context, set settings.Settings, log zerolog.Logger) error {
 	app := fx.New(
 		fx.Supply(set, log),
 		fx.Provide(newStore, newHost),
-		fx.Invoke(runHost),
+		fx.Invoke(appendHostHooks),
 		fx.StopTimeout(set.Timing.DrainLimit.Std()+startTimeout),
 		fx.WithLogger(func() fxevent.Logger { return &fxLogger{log: log} }),
 	)
 	return runApp(ctx, app)
 }
 
-// runApp runs an application until the context ends, then stops it.
+// runApp starts an application, waits until the context is done, and stops it.
 func runApp(ctx context.Context, app *fx.App) error {
 	starting, cancel := context.WithTimeout(context.WithoutCancel(ctx), startTimeout)
 	defer cancel()
@@ -88,8 +88,10 @@
 
 func newStore(set settings.Settings, log zerolog.Logger) store.Store {
 	return platform.NewClient(platform.ClientConfig{
-		Address:    set.PlatformAddress,
-		PassedOver: func(err error) { log.Warn().Err(err).Msg("backend server's entry passed over") },
+		Address: set.PlatformAddress,
+		PassedOver: func(err error) {
+			log.Warn().Err(err).Msg("invalid backend server entry in the platform's store ignored")
+		},
 	})
 }
 
@@ -97,8 +99,8 @@
 	return host.New(host.Config{Settings: set, Log: log, Store: sto})
 }
 
-// runHost ties the host to the daemon's life: its end is a planned stop.
-func runHost(lic fx.Lifecycle, hos *host.Host, set settings.Settings) {
+// appendHostHooks starts the host with the daemon, and drains and stops it when the daemon stops.
+func appendHostHooks(lic fx.Lifecycle, hos *host.Host, set settings.Settings) {
 	lic.Append(fx.Hook{
 		OnStart: hos.Start,
 		OnStop: func(ctx context.Context) error {
@@ -111,7 +113,7 @@
 	})
 }
 
-// fxLogger reports what fails in the start and the stop of the daemon.
+// fxLogger logs errors during the start and the stop of the daemon.
 type fxLogger struct {
 	log zerolog.Logger
 }
@@ -130,6 +132,6 @@
 
 func (fxl *fxLogger) report(err error, step string) {
 	if err != nil {
-		fxl.log.Error().Err(err).Str("Step", step).Msg("daemon step failed")
+		fxl.log.Error().Err(err).Str("Step", step).Msg("daemon start or stop step failed")
 	}
 }
--- a/cmd/standincmd.go
+++ b/cmd/standincmd.go
@@ -18,7 +18,7 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// standinCmd runs one of the stand-ins of the systems around lynxwell.
+// standinCmd implements the standin command, which runs a fake of one of the systems around lynxwell.
 type standinCmd struct {
 	sub      *flaggy.Subcommand
 	platform *flaggy.Subcommand
@@ -28,7 +28,7 @@
 	opts     standinOptions
 }
 
-// standinOptions are the options of the stand-ins.
+// standinOptions holds the options of the standin command.
 type standinOptions struct {
 	listen    netip.AddrPort
 	hostsLag  time.Duration
@@ -39,42 +39,42 @@
 
 func newStandinCmd() *standinCmd {
 	com := &standinCmd{
-		sub: newSubcommand("standin", "run a stand-in of a system around lynxwell",
+		sub: newSubcommand("standin", "run a fake of a system around lynxwell",
 			"    lynxwell standin platform --listen 127.0.0.1:7100\n    lynxwell standin engine --listen 127.0.0.1:7200 --name fast-1 --slots 8\n    lynxwell standin backend --listen 127.0.0.1:7300 --name kitchen-1"),
-		platform: newSubcommand("platform", "run a stand-in of the platform's key-value service", "    lynxwell standin platform --listen 127.0.0.1:7100"),
-		engine:   newSubcommand("engine", "run a stand-in of a language-model engine", "    lynxwell standin engine --listen 127.0.0.1:7200 --name fast-1 --slots 8"),
-		backend:  newSubcommand("backend", "run a stand-in of a plain service's backend server", "    lynxwell standin backend --listen 127.0.0.1:7300 --name kitchen-1"),
+		platform: newSubcommand("platform", "run a fake of the platform's key-value service", "    lynxwell standin platform --listen 127.0.0.1:7100"),
+		engine:   newSubcommand("engine", "run a fake of a language-model engine", "    lynxwell standin engine --listen 127.0.0.1:7200 --name fast-1 --slots 8"),
+		backend:  newSubcommand("backend", "run a fake of a plain service's backend server", "    lynxwell standin backend --listen 127.0.0.1:7300 --name kitchen-1"),
 	}
-	com.upstream = newSubcommand("upstream", "run a stand-in of an engine or backend server of the users' platform", "    lynxwell standin upstream --listen 127.0.0.1:7400 --id m1 --service model --events 8")
-	com.upstream.String(&com.opts.upCfg.ID, "i", "id", "the run of the engine, as its entry in the store is named")
-	com.upstream.String(&com.opts.upCfg.Service, "", "service", "the service that it belongs to")
-	com.upstream.Int(&com.opts.upCfg.Slots, "", "slots", "requests that run at once; 0 is no bound")
-	com.upstream.Int(&com.opts.upCfg.Events, "", "events", "length of a stream; 0 answers whole")
-	com.upstream.String(&com.opts.upCfg.CrashBody, "", "crash-body", "text in a request's body that ends the process, as some requests end an engine")
-	com.upstream.Duration(&com.opts.upCfg.Reading, "", "reading", "time to read one token of a prompt")
-	com.upstream.Duration(&com.opts.upCfg.Step, "", "step", "time between two events")
+	com.upstream = newSubcommand("upstream", "run a fake of an engine or backend server of the users' platform", "    lynxwell standin upstream --listen 127.0.0.1:7400 --id m1 --service model --events 8")
+	com.upstream.String(&com.opts.upCfg.ID, "i", "id", "id of the engine's run, the name of its entry in the store")
+	com.upstream.String(&com.opts.upCfg.Service, "", "service", "service of the engine")
+	com.upstream.Int(&com.opts.upCfg.Slots, "", "slots", "maximum number of concurrent requests; 0 is unlimited")
+	com.upstream.Int(&com.opts.upCfg.Events, "", "events", "number of events in a stream; 0 answers without a stream")
+	com.upstream.String(&com.opts.upCfg.CrashBody, "", "crash-body", "text in a request's body that crashes the process, as poison requests crash an engine")
+	com.upstream.Duration(&com.opts.upCfg.Reading, "", "reading", "prefill time per prompt token")
+	com.upstream.Duration(&com.opts.upCfg.Step, "", "step", "interval between events")
 	for _, sub := range []*flaggy.Subcommand{com.platform, com.engine, com.backend, com.upstream} {
 		sub.NetipAddrPort(&com.opts.listen, "l", "listen", "address to listen on, IP:PORT")
 		com.sub.AttachSubcommand(sub, 1)
 	}
-	com.platform.Duration(&com.opts.hostsLag, "", "hosts-lag", "how much the list of hosts lags")
+	com.platform.Duration(&com.opts.hostsLag, "", "hosts-lag", "delay of the list of hosts")
 	com.engineFlags()
 	com.backend.String(&com.opts.backCfg.Name, "n", "name", "name of the backend server")
-	com.backend.Duration(&com.opts.backCfg.Work, "w", "work", "how long a call takes")
+	com.backend.Duration(&com.opts.backCfg.Work, "w", "work", "duration of a call")
 	return com
 }
 
 func (com *standinCmd) engineFlags() {
 	cfg := &com.opts.engineCfg
 	com.engine.String(&cfg.Name, "n", "name", "name of the engine")
-	com.engine.Int(&cfg.Slots, "", "slots", "requests that run at once (default 4)")
-	com.engine.Float64(&cfg.PrefillTokensPerSecond, "", "prefill", "prompt tokens a second (default 8000)")
-	com.engine.Float64(&cfg.DecodeTokensPerSecond, "", "decode", "answer tokens a second of one stream (default 80)")
-	com.engine.Float64(&cfg.BatchSlowdown, "", "batch-slowdown", "slowdown by each further stream (default 0.05)")
-	com.engine.Int(&cfg.PrefixMemoryTokens, "", "prefix-memory", "tokens of cached prompt prefixes (default 65536)")
+	com.engine.Int(&cfg.Slots, "", "slots", "maximum number of concurrent requests (default 4)")
+	com.engine.Float64(&cfg.PrefillTokensPerSecond, "", "prefill", "prompt tokens per second (default 8000)")
+	com.engine.Float64(&cfg.DecodeTokensPerSecond, "", "decode", "answer tokens per second of one stream (default 80)")
+	com.engine.Float64(&cfg.BatchSlowdown, "", "batch-slowdown", "relative slowdown per additional stream (default 0.05)")
+	com.engine.Int(&cfg.PrefixMemoryTokens, "", "prefix-memory", "capacity of the prompt prefix cache in tokens (default 65536)")
 	com.engine.Duration(&cfg.LoadLag, "", "load-lag", "age of load reports (default 200ms)")
 	com.engine.Duration(&cfg.EventLag, "", "event-lag", "age of cache events (default 500ms)")
-	com.engine.Int(&cfg.EventGap, "", "event-gap", "drop every so manieth cache event")
+	com.engine.Int(&cfg.EventGap, "", "event-gap", "drop every Nth cache event; 0 drops none")
 }
 
 func (com *standinCmd) subcommand() *flaggy.Subcommand { return com.sub }
@@ -110,8 +110,8 @@
 	return err
 }
 
-// serveStandin serves until the context ends. It says on which address, so
-// that port 0 may be asked for.
+// serveStandin serves until the context is done. It prints the address that it
+// listens on, so that callers can request port 0.
 func serveStandin(ctx context.Context, str streams, adr netip.AddrPort, handler http.Handler) error {
 	if !adr.IsValid() {
 		return &usageError{flag: "--listen", reason: "want IP:PORT"}
--- a/cmd/statuscmd.go
+++ b/cmd/statuscmd.go
@@ -12,22 +12,22 @@
 	"lynxwell.dev/lynxwell/operator"
 )
 
-// statusCmd prints what the hosts report.
+// statusCmd implements the status command, which prints the status that the hosts report.
 type statusCmd struct {
 	sub  *flaggy.Subcommand
 	opts statusOptions
 }
 
-// statusOptions are the options of status.
+// statusOptions holds the options of the status command.
 type statusOptions struct {
 	hostOptions
 	json bool
 }
 
 func newStatusCmd() *statusCmd {
-	com := &statusCmd{sub: newSubcommand("status", "print what the hosts report", "    lynxwell status --host 127.0.0.1:7003")}
+	com := &statusCmd{sub: newSubcommand("status", "print the status that the hosts report", "    lynxwell status --host 127.0.0.1:7003")}
 	com.opts.attach(com.sub)
-	com.sub.Bool(&com.opts.json, "j", "json", "print the whole status as JSON")
+	com.sub.Bool(&com.opts.json, "j", "json", "print the complete status as JSON")
 	return com
 }
 
--- a/cmd/storycmd.go
+++ b/cmd/storycmd.go
@@ -11,37 +11,37 @@
 	"lynxwell.dev/lynxwell/story"
 )
 
-// storyCmd tells what happened to one request.
+// storyCmd implements the story command, which prints what happened to one request.
 type storyCmd struct {
 	sub  *flaggy.Subcommand
 	opts storyOptions
 }
 
-// storyOptions are the options of story.
+// storyOptions holds the options of the story command.
 type storyOptions struct {
 	id   string
 	logs []string
 }
 
 func newStoryCmd() *storyCmd {
-	com := &storyCmd{sub: newSubcommand("story", "tell what happened to one request, from the hosts' logs",
+	com := &storyCmd{sub: newSubcommand("story", "print what happened to one request, from the hosts' logs",
 		"    lynxwell story 9c41d07be2a35f68 --log host-1.log --log host-2.log\n    cat *.log | lynxwell story 9c41d07be2a35f68")}
 	com.sub.AddPositionalValue(&com.opts.id, "REQUEST", 1, true, "the request's id")
-	com.sub.StringSlice(&com.opts.logs, "l", "log", "file of a host's log; may be given again; else the standard input")
+	com.sub.StringSlice(&com.opts.logs, "l", "log", "log file of a host; repeatable (default: standard input)")
 	return com
 }
 
 func (com *storyCmd) subcommand() *flaggy.Subcommand { return com.sub }
 
 func (com *storyCmd) run(_ context.Context, str streams) error {
-	tel := story.NewTeller(com.opts.id)
-	if err := readLogs(tel, com.opts.logs, str.in); err != nil {
+	tli := story.NewTeller(com.opts.id)
+	if err := readLogs(tli, com.opts.logs, str.in); err != nil {
 		return err
 	}
-	return tel.Write(str.out)
+	return tli.Write(str.out)
 }
 
-// readLogs reads the files, or the standard input where none is named.
+// readLogs reads the named files, or in if no file is named.
 func readLogs(to logReader, names []string, in io.Reader) error {
 	if len(names) == 0 {
 		return to.Read(in)
--- a/cmd/versioncmd.go
+++ b/cmd/versioncmd.go
@@ -8,7 +8,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// versionCmd prints the program's version.
+// versionCmd implements the version command, which prints the program's version.
 type versionCmd struct {
 	sub *flaggy.Subcommand
 }
--- a/cmd/watchcmd.go
+++ b/cmd/watchcmd.go
@@ -10,13 +10,13 @@
 	"lynxwell.dev/lynxwell/operator"
 )
 
-// watchCmd prints the status each time it changes.
+// watchCmd implements the watch command, which prints the status each time it changes.
 type watchCmd struct {
 	sub  *flaggy.Subcommand
 	opts watchOptions
 }
 
-// watchOptions are the options of watch.
+// watchOptions holds the options of the watch command.
 type watchOptions struct {
 	hostOptions
 	json     bool
@@ -27,8 +27,8 @@
 	com := &watchCmd{sub: newSubcommand("watch", "print the status each time it changes",
 		"    lynxwell watch --host 127.0.0.1:7003\n    lynxwell watch --until-revision 12 --timeout 10s")}
 	com.opts.attach(com.sub)
-	com.sub.Bool(&com.opts.json, "j", "json", "print each status as a line of JSON")
-	com.sub.UInt64(&com.opts.revision, "u", "until-revision", "end once every host has this revision in force")
+	com.sub.Bool(&com.opts.json, "j", "json", "print each status as one line of JSON")
+	com.sub.UInt64(&com.opts.revision, "u", "until-revision", "exit when every host has this revision in force")
 	return com
 }
 
@@ -47,7 +47,7 @@
 	}
 	err = cli.Watch(ctx, func(sta operator.Status) bool {
 		com.print(str, sta)
-		return com.opts.revision == 0 || !everywhere(sta, com.opts.revision)
+		return com.opts.revision == 0 || !inForceOnAllHosts(sta, com.opts.revision)
 	})
 	if com.opts.revision == 0 && ctx.Err() != nil {
 		return nil
@@ -57,7 +57,7 @@
 
 func (com *watchCmd) print(str streams, sta operator.Status) {
 	if com.opts.json {
-		// A Status always encodes; a closed output ends the process by itself.
+		// A Status can always be encoded, and writing to a closed standard output ends the process.
 		_ = json.NewEncoder(str.out).Encode(sta)
 		return
 	}
@@ -70,8 +70,8 @@
 	fmt.Fprintf(str.out, "view %d, revision %d in force on %d of %d hosts\n", sta.View, sta.Revision, ready, len(sta.Hosts))
 }
 
-// everywhere reports whether every host has the revision in force.
-func everywhere(sta operator.Status, revision uint64) bool {
+// inForceOnAllHosts reports whether every host has the revision or a later one in force.
+func inForceOnAllHosts(sta operator.Status, revision uint64) bool {
 	for _, hst := range sta.Hosts {
 		if !hst.Reached || hst.Revision < revision {
 			return false
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,11 +1,11 @@
-// Package demo runs a whole system in one process under a small mixed load, in
-// the terms of the users: resident files, crew weeks, allergy checks,
-// plausibility flags and tray labels.
+// Package demo runs a complete system in one process under a small mixed load
+// with the users' kinds of requests: resident files, substitutions, crew weeks,
+// allergy checks, plausibility flags and tray labels.
 //
 // # Usage
 //
 //	rep, err := demo.Run(ctx, demo.Config{For: 12 * time.Second, Seed: 1, Progress: os.Stdout})
-//	err = demo.Check(rep) // did each caller get its own whole answer, once?
+//	err = demo.Check(rep) // fails unless each request got its own complete answer once
 package demo
 
 import (
@@ -24,39 +24,39 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// The shape of the demonstration's system.
+// The size of the demo system.
 const (
 	hostCount   = 6
 	domainCount = 4
 )
 
-// The accounts' keys, which exist only within the process.
+// The keys of the client accounts; they are used only within this process.
 const (
 	kitchenKey = "demo key of the care homes"
 	payrollKey = "demo key of the building firms"
 )
 
-// The tiers of the demonstration.
+// The tiers of the demo.
 const (
 	tierUrgent  = "Urgent"
 	tierNormal  = "Normal"
 	tierRoutine = "Routine"
 )
 
-// Config holds what a run is made from.
+// Config is the configuration of a run.
 type Config struct {
-	// For is how long requests are sent.
+	// For is the time for which requests are sent.
 	For  time.Duration
 	Seed uint64
 	Log  zerolog.Logger
-	// Progress is where lines about the progress go.
+	// Progress receives progress messages.
 	Progress io.Writer
 }
 
-// startLimit bounds the start of the system.
-const startLimit = 20 * time.Second
+// startTimeout bounds the start of the system.
+const startTimeout = 20 * time.Second
 
-// Engines returns the demonstration's engines, of unequal speed.
+// Engines returns the engines of the demo, which have unequal speeds.
 func Engines() []enginetest.Config {
 	var engines []enginetest.Config
 	speeds := []struct {
@@ -82,7 +82,7 @@
 	return engines
 }
 
-// Backends returns the demonstration's backend servers of its plain service.
+// Backends returns the backend servers of the demo's plain service.
 func Backends() []backendtest.Config {
 	return []backendtest.Config{
 		{Name: "labels-1", Work: 20 * time.Millisecond},
@@ -90,7 +90,7 @@
 	}
 }
 
-// Kinds returns the demonstration's requests.
+// Kinds returns the kinds of requests that the demo sends.
 func Kinds() []load.Kind {
 	seconds := func(count int) format.Duration { return format.Duration(time.Duration(count) * time.Second) }
 	return []load.Kind{
@@ -121,7 +121,7 @@
 	}
 }
 
-// Set returns the resources that operators write for the running system.
+// Set returns the resources that an operator writes to configure the running system.
 func Set(sys *embedded.System) resource.Set {
 	set := resource.Set{
 		Tiers: []resource.Tier{{Name: tierUrgent, Rank: 30}, {Name: tierNormal, Rank: 20}, {Name: tierRoutine, Rank: 10}},
@@ -153,7 +153,7 @@
 	}
 }
 
-// serviceOf takes the service from an engine's name, which starts with it.
+// serviceOf returns the service of an engine, the part of its name before the first hyphen.
 func serviceOf(engine string) string {
 	for idx, chr := range engine {
 		if chr == '-' {
@@ -163,9 +163,9 @@
 	return engine
 }
 
-// Run starts the system, sends the load and reports.
+// Run starts the system, sends the load and returns the report.
 func Run(ctx context.Context, cfg Config) (load.Report, error) {
-	starting, cancel := context.WithTimeout(ctx, startLimit)
+	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	fmt.Fprintf(cfg.Progress, "starting %d hosts in %d failure domains, %d engines, %d backend servers\n",
 		hostCount, domainCount, len(Engines()), len(Backends()))
@@ -184,48 +184,47 @@
 		"care-homes":     load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: kitchenKey, Seed: cfg.Seed}),
 		"building-firms": load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: payrollKey, Seed: cfg.Seed + 1}),
 	}
-	ended, err := load.Run(ctx, load.Config{Clients: clients, Kinds: Kinds(), For: cfg.For, Seed: cfg.Seed, Progress: progressTo(cfg.Progress)})
+	ended, err := load.Run(ctx, load.Config{Clients: clients, Kinds: Kinds(), For: cfg.For, Seed: cfg.Seed, Progress: progressPrinter(cfg.Progress)})
 	if err != nil {
 		return load.Report{}, err
 	}
 	return load.Summarize(ended, load.AuditRun(ended, sys.Dispatches())), nil
 }
 
-// progressInterval is how often the progress is shown.
+// progressInterval is the interval between progress messages.
 const progressInterval = 2 * time.Second
 
-func progressTo(out io.Writer) func(load.Counts) {
+func progressPrinter(out io.Writer) func(load.Counts) {
 	next := time.Now().Add(progressInterval)
 	return func(cou load.Counts) {
 		if time.Now().Before(next) && cou.Ended < cou.Sent {
 			return
 		}
 		next = time.Now().Add(progressInterval)
-		fmt.Fprintf(out, "%d of %d requests ended, %d with their own whole answer\n", cou.Ended, cou.Sent, cou.Whole)
+		fmt.Fprintf(out, "%d of %d requests finished, %d with their own complete answer\n", cou.Ended, cou.Sent, cou.Whole)
 	}
 }
 
-// FailedError reports a run in which not each caller got its own whole answer once.
+// FailedError reports a run in which some request didn't get its own complete answer exactly once.
 type FailedError struct {
 	Tier   string
 	Reason string
 }
 
-// Error names the tier and the reason.
 func (fer *FailedError) Error() string {
-	return fmt.Sprintf("demonstration failed: %s: %s", fer.Tier, fer.Reason)
+	return fmt.Sprintf("demo failed: tier %s: %s", fer.Tier, fer.Reason)
 }
 
-// Check returns a *FailedError unless each caller got its own whole answer once.
+// Check returns a *FailedError unless each request got its own complete answer exactly once.
 func Check(rep load.Report) error {
 	for _, tir := range rep.Tiers {
 		if tir.Whole != tir.Sent {
-			return &FailedError{Tier: tir.Tier, Reason: fmt.Sprintf("%d of %d requests got their own whole answer", tir.Whole, tir.Sent)}
+			return &FailedError{Tier: tir.Tier, Reason: fmt.Sprintf("%d of %d requests got their own complete answer", tir.Whole, tir.Sent)}
 		}
 	}
 	aud := rep.Audit
 	if len(aud.Doubled)+aud.Mixed+len(aud.FalselyNotRun) > 0 {
-		return &FailedError{Tier: "all", Reason: fmt.Sprintf("%d doubled, %d mixed, %d falsely told NotRun", len(aud.Doubled), aud.Mixed, len(aud.FalselyNotRun))}
+		return &FailedError{Tier: "all", Reason: fmt.Sprintf("%d requests dispatched twice, %d mixed-up answers, %d requests falsely reported as NotRun", len(aud.Doubled), aud.Mixed, len(aud.FalselyNotRun))}
 	}
 	return nil
 }
--- a/format/format.go
+++ b/format/format.go
@@ -1,6 +1,6 @@
-// Package format reads and writes the project's own file formats: JSON with
-// comments and trailing commas, whose names are the Pascal case names of the
-// Go fields.
+// Package format decodes and encodes the project's file format: JSON with
+// comments and trailing commas, whose member names are the Pascal case names of
+// the Go fields.
 //
 // # Usage
 //
@@ -10,8 +10,8 @@
 //		errors.As(err, &fer) // fer.Line, fer.Field
 //	}
 //
-// Decode refuses unknown and repeated names instead of dropping them, so that a
-// misspelt setting is never silently ignored.
+// Decode rejects unknown and duplicate names, so that a misspelt setting is never
+// silently ignored.
 package format
 
 import (
@@ -25,15 +25,15 @@
 	"github.com/tailscale/hujson"
 )
 
-// FieldError reports a field of a file that can't be taken.
+// FieldError reports an invalid field of a file.
 type FieldError struct {
 	// File is the name of the file, as given by the caller.
 	File string
-	// Line counts from 1; 0 when the line isn't known.
+	// Line is the line number from 1, or 0 if it is unknown.
 	Line int
 	// Field is the path of the field, for example "Engines[2].Slots".
 	Field string
-	// Reason says what is wrong with the field.
+	// Reason describes the error.
 	Reason string
 }
 
@@ -42,9 +42,9 @@
 	return fmt.Sprintf("%s:%d: %s: %s", fer.File, fer.Line, fer.Field, fer.Reason)
 }
 
-// Decode reads one JSON value with comments from data into target, a pointer
+// Decode decodes one JSON value with comments from data into target, a pointer
 // to a struct. It returns a *FieldError for a syntax error, an unknown or
-// repeated name, or a value of the wrong type.
+// duplicate name, or a value of the wrong type; file is the file name in it.
 func Decode(file string, data []byte, target any) error {
 	root, err := hujson.Parse(data)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return line
 }
 
-// checker walks the syntax tree beside the Go type it is decoded into.
+// checker compares a syntax tree with the Go type that it is decoded into.
 type checker struct {
 	file string
 	data []byte
@@ -109,7 +109,7 @@
 		name := literal.String()
 		field := join(path, name)
 		if seen[name] {
-			return che.fail(mem.Name.StartOffset, field, "name stands twice")
+			return che.fail(mem.Name.StartOffset, field, "duplicate name")
 		}
 		seen[name] = true
 		sub, known := memberType(typ, name)
@@ -149,15 +149,15 @@
 func (che *checker) typeError(err error) error {
 	var ute *json.UnmarshalTypeError
 	if errors.As(err, &ute) {
-		reason := fmt.Sprintf("a %s doesn't fit, want %s", ute.Value, ute.Type)
-		// Pack keeps every byte's place, so the decoder's offset is the file's.
+		reason := fmt.Sprintf("invalid type %s, want %s", ute.Value, ute.Type)
+		// Pack preserves byte offsets, so the decoder's offset is the offset in the file.
 		return che.fail(int(ute.Offset), ute.Field, reason)
 	}
 	return &FieldError{File: che.file, Field: "(file)", Reason: err.Error()}
 }
 
-// memberType returns the type of the member called name; a nil type stands for
-// a member that is taken as it is.
+// memberType returns the type of the member with the given name, and whether the
+// member is known. The type is nil if the member's value isn't checked.
 func memberType(typ reflect.Type, name string) (reflect.Type, bool) {
 	switch typ.Kind() {
 	case reflect.Struct:
@@ -181,7 +181,7 @@
 
 func join(path, name string) string {
 	if name == "" {
-		// A field without a name must still show in the error.
+		// An empty name must be visible in the error.
 		name = `""`
 	}
 	if path == "" {
--- a/load/client.go
+++ b/load/client.go
@@ -1,14 +1,14 @@
-// Package load sends requests to a running system as its callers do, and
-// reports what became of them.
+// Package load sends requests to a running system as its clients do, and
+// reports their outcomes.
 //
 // # Usage
 //
 //	cli := load.NewClient(load.ClientConfig{Entries: addresses, Key: key})
-//	ans := cli.Send(ctx, req)            // one request, repeated as documented
+//	ans := cli.Send(ctx, req)            // one request, with the documented retries
 //	rep := load.Run(ctx, load.Config{Client: cli, Kinds: kinds, For: 10 * time.Second})
 //
-// Arrivals are open-loop: they don't wait for answers, and times count from
-// the moment a request was meant to be sent.
+// Arrivals are open-loop: they don't wait for answers, and latencies are measured
+// from the intended send time of a request.
 package load
 
 import (
@@ -32,72 +32,72 @@
 	"lynxwell.dev/lynxwell/transport"
 )
 
-// The pauses of a caller that repeats.
+// The retry policy of a client.
 const (
-	repeatPause    = 50 * time.Millisecond
-	addressesRetry = 200 * time.Millisecond
-	attemptLimit   = 40
+	retryDelay        = 50 * time.Millisecond
+	addressRetryDelay = 200 * time.Millisecond
+	maxAttempts       = 40
 )
 
-// attemptTime is how long an address may say nothing before the request is
-// repeated at another one: a host that is frozen takes connections and is silent.
-const attemptTime = 3 * time.Second
+// headerTimeout bounds the wait for response headers before the request is retried at
+// another address. A frozen host accepts connections but sends nothing.
+const headerTimeout = 3 * time.Second
 
-// avoidTime is for how long an address that failed is passed over.
-const avoidTime = 3 * time.Second
+// avoidDuration is how long an address isn't used after it failed.
+const avoidDuration = 3 * time.Second
 
-// maxAnswerBytes bounds one answer.
+// maxAnswerBytes bounds the size of a response body.
 const maxAnswerBytes = 64 << 20
 
-// ClientConfig holds what a Client is made from.
+// ClientConfig is the configuration of a Client.
 type ClientConfig struct {
-	// Entries are addresses to ask for the addresses.
+	// Entries are host addresses from which the client fetches the list of addresses.
 	Entries []netip.AddrPort
 	// Key is the client account's bearer key.
 	Key string
-	// Seed makes the choice of addresses repeatable.
+	// Seed makes the choice of addresses reproducible.
 	Seed uint64
-	// KeepForever has the client never ask for the addresses again of itself.
+	// KeepForever disables refreshing the addresses when they expire.
 	KeepForever bool
 }
 
-// Client is a caller that behaves as documented: it keeps the addresses for a
-// while, gives each request an id, and repeats under the same id.
+// Client is a client that behaves as documented: it caches the addresses, gives
+// each request an id, and retries under the same id.
 type Client struct {
-	cfg     ClientConfig
-	http    *http.Client
-	mutex   sync.Mutex
-	random  *rand.Rand
-	known   caller.Addresses
-	fetched time.Time
-	count   uint64
-	// salt keeps the ids of different clients apart, whatever their seeds.
+	cfg       ClientConfig
+	http      *http.Client
+	mutex     sync.Mutex
+	random    *rand.Rand
+	known     caller.Addresses
+	fetchedAt time.Time
+	count     uint64
+	// salt makes the request ids of clients with equal seeds distinct.
 	salt uint32
-	// silent are the addresses that failed lately, since when.
-	silent map[netip.AddrPort]time.Time
+	// failedAt maps an address to the time of its last failure.
+	failedAt map[netip.AddrPort]time.Time
 }
 
-// NewClient returns a client that knows no addresses yet.
+// NewClient returns a client; it fetches the addresses on the first request.
 func NewClient(cfg ClientConfig) *Client {
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: 1024, IdleConnTimeout: time.Minute, DisableCompression: true, ResponseHeaderTimeout: attemptTime,
+		MaxIdleConnsPerHost: 1024, IdleConnTimeout: time.Minute, DisableCompression: true, ResponseHeaderTimeout: headerTimeout,
 	}
 	return &Client{
 		cfg: cfg, http: &http.Client{Transport: transport},
 		random: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed+1)), salt: rand.Uint32(),
-		silent: make(map[netip.AddrPort]time.Time),
+		failedAt: make(map[netip.AddrPort]time.Time),
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (cli *Client) Close() {
 	cli.http.CloseIdleConnections()
 }
 
-// Addresses returns the kept addresses, or fresh ones when they are too old.
+// Addresses returns the cached addresses, and refreshes them first if they have expired.
 func (cli *Client) Addresses(ctx context.Context) (caller.Addresses, error) {
 	cli.mutex.Lock()
-	known, fetched := cli.known, cli.fetched
+	known, fetched := cli.known, cli.fetchedAt
 	cli.mutex.Unlock()
 	fresh := cli.cfg.KeepForever || time.Since(fetched) < time.Duration(known.KeepSeconds)*time.Second
 	if len(known.Addresses) > 0 && fresh {
@@ -106,23 +106,24 @@
 	return cli.Refresh(ctx)
 }
 
-// Refresh asks the entries, and then the known addresses, in some order.
+// Refresh fetches the addresses from the entries and the known addresses, in random
+// order, until one responds.
 func (cli *Client) Refresh(ctx context.Context) (caller.Addresses, error) {
 	var last error
-	for _, adr := range cli.toAsk() {
+	for _, adr := range cli.refreshCandidates() {
 		var ans caller.Addresses
 		if last = cli.fetch(ctx, adr, &ans); last != nil {
 			continue
 		}
 		cli.mutex.Lock()
-		cli.known, cli.fetched = ans, time.Now()
+		cli.known, cli.fetchedAt = ans, time.Now()
 		cli.mutex.Unlock()
 		return ans, nil
 	}
-	return caller.Addresses{}, errors.Wrap(last, "no address answers")
+	return caller.Addresses{}, errors.Wrap(last, "no address returned the list of addresses")
 }
 
-func (cli *Client) toAsk() []netip.AddrPort {
+func (cli *Client) refreshCandidates() []netip.AddrPort {
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
 	all := append([]netip.AddrPort(nil), cli.cfg.Entries...)
@@ -133,7 +134,7 @@
 	return all
 }
 
-// fetchTimeout bounds one question for the addresses.
+// fetchTimeout bounds one fetch of the addresses.
 const fetchTimeout = time.Second
 
 func (cli *Client) fetch(ctx context.Context, adr netip.AddrPort, target any) error {
@@ -141,7 +142,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+adr.String()+"/v1/addresses", http.NoBody)
 	if err != nil {
-		return errors.Wrap(err, "make call")
+		return errors.Wrap(err, "build request")
 	}
 	rep, err := cli.http.Do(req)
 	if err != nil {
@@ -149,7 +150,7 @@
 	}
 	defer rep.Body.Close()
 	if rep.StatusCode != http.StatusOK {
-		return errors.Newf("addresses: status %d", rep.StatusCode)
+		return errors.Newf("GET /v1/addresses: got status %d, want 200", rep.StatusCode)
 	}
 	return json.NewDecoder(io.LimitReader(rep.Body, maxAnswerBytes)).Decode(target)
 }
@@ -161,26 +162,27 @@
 	Body   []byte
 	Tier   string
 	Once   bool
-	// Deadline is the time for the whole answer, from Intended on.
+	// Deadline bounds the time from Intended to the complete answer.
 	Deadline time.Duration
-	// Intended is when the request was meant to be sent; zero stands for now.
+	// Intended is the intended send time; the zero time stands for now.
 	Intended time.Time
-	// Unique is the request's own part of its id; empty has one made.
+	// Unique is the part of the request's id after the host's prefix; if it is empty, the
+	// client generates one.
 	Unique string
 }
 
-// Answer is what became of a request.
+// Answer is the result of a request.
 type Answer struct {
-	// IDs are the ids that it was sent under, the last one last.
+	// IDs are the ids under which the request was sent, in order.
 	IDs    []request.ID
 	Status int
 	Body   []byte
-	// Whole is set for a whole answer of status 200.
+	// Whole is set for a complete answer with status 200.
 	Whole bool
-	// Outcome is what the caller was last told; empty for a whole answer.
+	// Outcome is the last outcome reported to the client; it is empty for a complete answer.
 	Outcome request.Outcome
 	Code    string
-	// Told are the ids with the outcome that the caller was told finally.
+	// Told maps each id to the last outcome reported for it.
 	Told       map[request.ID]request.Outcome
 	Repeats    int
 	FirstToken time.Duration
@@ -188,85 +190,86 @@
 	Err        error
 }
 
-// Send sends the request and repeats it as documented until there is a final
-// answer or the deadline is over.
+// Send sends the request and retries it as documented until there is a final
+// answer or the deadline has passed.
 func (cli *Client) Send(ctx context.Context, req Request) Answer {
 	if req.Intended.IsZero() {
 		req.Intended = time.Now()
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.Intended.Add(req.Deadline))
 	defer cancel()
-	sen := &sending{client: cli, request: req}
-	sen.answer.Told = make(map[request.ID]request.Outcome)
-	for range attemptLimit {
-		if sen.attempt(ctx) || ctx.Err() != nil {
+	exc := &exchange{client: cli, request: req}
+	exc.answer.Told = make(map[request.ID]request.Outcome)
+	for range maxAttempts {
+		if exc.attempt(ctx) || ctx.Err() != nil {
 			break
 		}
 	}
-	sen.answer.Total = time.Since(req.Intended)
-	return sen.answer
+	exc.answer.Total = time.Since(req.Intended)
+	return exc.answer
 }
 
-// sending is one request on its way to an answer.
-type sending struct {
+// exchange is the state of one request until its final answer.
+type exchange struct {
 	client  *Client
 	request Request
 	answer  Answer
 	id      request.ID
-	named   bool
-	// sent is set once anything may have been sent under the id.
-	sent bool
-	last netip.AddrPort
+	hasID   bool
+	// maybeSent is set once any data may have been sent under the id.
+	maybeSent   bool
+	lastAddress netip.AddrPort
 }
 
-// attempt sends the request once; it reports whether that settled it.
-func (sen *sending) attempt(ctx context.Context) bool {
-	adr, err := sen.choose(ctx)
+// attempt sends the request once and reports whether the result is final.
+func (exc *exchange) attempt(ctx context.Context) bool {
+	adr, err := exc.chooseAddress(ctx)
 	if err != nil {
-		sen.answer.Err = err
-		task.Sleep(ctx, addressesRetry)
+		exc.answer.Err = err
+		task.Sleep(ctx, addressRetryDelay)
 		return false
 	}
-	rep, err := sen.post(ctx, adr)
+	rep, err := exc.send(ctx, adr)
 	if err != nil {
-		sen.client.avoid(adr)
-		sen.unname(err)
-		return sen.broken(ctx, err)
+		exc.client.avoid(adr)
+		exc.dropUnusedID(err)
+		return exc.backOff(ctx, err)
 	}
-	sen.sent = true
+	exc.maybeSent = true
 	defer rep.Body.Close()
-	return sen.read(ctx, rep)
+	return exc.handleResponse(ctx, rep)
 }
 
-// choose takes an address, another one than the last if it can, and names the
-// request after the first.
-func (sen *sending) choose(ctx context.Context) (netip.AddrPort, error) {
-	known, err := sen.client.Addresses(ctx)
+// chooseAddress returns the address for the next attempt, if possible not the one of
+// the last attempt. If the request has no id yet, it gets one with the prefix of
+// this address.
+func (exc *exchange) chooseAddress(ctx context.Context) (netip.AddrPort, error) {
+	known, err := exc.client.Addresses(ctx)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	adr := sen.client.pick(known, sen.last)
-	sen.last = adr.Address
-	if sen.named {
+	adr := exc.client.pick(known, exc.lastAddress)
+	exc.lastAddress = adr.Address
+	if exc.hasID {
 		return adr.Address, nil
 	}
-	id, err := request.ParseID(adr.Prefix + "-" + sen.unique())
+	id, err := request.ParseID(adr.Prefix + "-" + exc.unique())
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	sen.id = id
-	sen.named = true
-	sen.answer.IDs = append(sen.answer.IDs, id)
+	exc.id = id
+	exc.hasID = true
+	exc.answer.IDs = append(exc.answer.IDs, id)
 	return adr.Address, nil
 }
 
-func (sen *sending) unique() string {
-	base := sen.request.Unique
+func (exc *exchange) unique() string {
+	base := exc.request.Unique
 	if base == "" {
-		base = sen.client.nextUnique()
+		base = exc.client.nextUnique()
 	}
-	if len(sen.answer.IDs) > 0 {
-		return base + "." + strconv.Itoa(len(sen.answer.IDs))
+	if len(exc.answer.IDs) > 0 {
+		return base + "." + strconv.Itoa(len(exc.answer.IDs))
 	}
 	return base
 }
@@ -285,108 +288,110 @@
 	start := cli.random.IntN(count)
 	for step := range count {
 		adr := known.Addresses[(start+step)%count]
-		if adr.Address != last && time.Since(cli.silent[adr.Address]) > avoidTime {
+		if adr.Address != last && time.Since(cli.failedAt[adr.Address]) > avoidDuration {
 			return adr
 		}
 	}
 	return known.Addresses[start]
 }
 
-// avoid passes an address over for a while.
+// avoid excludes an address from pick for avoidDuration.
 func (cli *Client) avoid(adr netip.AddrPort) {
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
-	cli.silent[adr] = time.Now()
+	cli.failedAt[adr] = time.Now()
 }
 
-func (sen *sending) post(ctx context.Context, adr netip.AddrPort) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, sen.request.Method, "http://"+adr.String()+sen.request.Path, bytes.NewReader(sen.request.Body))
+func (exc *exchange) send(ctx context.Context, adr netip.AddrPort) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(ctx, exc.request.Method, "http://"+adr.String()+exc.request.Path, bytes.NewReader(exc.request.Body))
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+sen.client.cfg.Key)
+	req.Header.Set("Authorization", "Bearer "+exc.client.cfg.Key)
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set(caller.HeaderID, sen.id.String())
-	req.Header.Set(caller.HeaderTier, sen.request.Tier)
-	if sen.request.Once {
+	req.Header.Set(caller.HeaderID, exc.id.String())
+	req.Header.Set(caller.HeaderTier, exc.request.Tier)
+	if exc.request.Once {
 		req.Header.Set(caller.HeaderOnce, "true")
 	}
-	left := time.Until(sen.request.Intended.Add(sen.request.Deadline))
+	left := time.Until(exc.request.Intended.Add(exc.request.Deadline))
 	req.Header.Set(caller.HeaderDeadline, max(left, time.Millisecond).Round(time.Microsecond).String())
-	return sen.client.http.Do(req)
+	return exc.client.http.Do(req)
 }
 
-// unname has the request take a new id where nothing was sent under this one:
-// its prefix names the host that couldn't be reached.
-func (sen *sending) unname(err error) {
+// dropUnusedID discards the request's id if nothing was sent under it. Its prefix
+// belongs to the host that couldn't be reached, so the next attempt needs a new one.
+func (exc *exchange) dropUnusedID(err error) {
 	if !transport.NotSent(err) {
-		sen.sent = true
+		exc.maybeSent = true
 	}
-	if !sen.sent {
-		sen.named = false
+	if !exc.maybeSent {
+		exc.hasID = false
 	}
 }
 
-// broken repeats after a connection that failed, under the same id.
-func (sen *sending) broken(ctx context.Context, err error) bool {
-	sen.answer.Err = err
-	sen.answer.Repeats++
-	task.Sleep(ctx, repeatPause)
+// backOff records a failed connection and waits for retryDelay; the retry uses the
+// same id.
+func (exc *exchange) backOff(ctx context.Context, err error) bool {
+	exc.answer.Err = err
+	exc.answer.Repeats++
+	task.Sleep(ctx, retryDelay)
 	return false
 }
 
-// read takes an answer; it reports whether that settles the request.
-func (sen *sending) read(ctx context.Context, rep *http.Response) bool {
-	ans := &sen.answer
-	first := &firstReader{reader: rep.Body}
+// handleResponse processes a response and reports whether it is final.
+func (exc *exchange) handleResponse(ctx context.Context, rep *http.Response) bool {
+	ans := &exc.answer
+	first := &firstByteReader{reader: rep.Body}
 	body, err := io.ReadAll(io.LimitReader(first, maxAnswerBytes))
 	if err != nil {
-		return sen.broken(ctx, err)
+		return exc.backOff(ctx, err)
 	}
 	ans.Err = nil
 	ans.Status, ans.Body = rep.StatusCode, body
-	if rep.StatusCode == http.StatusOK && isWhole(rep, body) {
+	if rep.StatusCode == http.StatusOK && isComplete(rep, body) {
 		ans.Whole = true
 		ans.Outcome, ans.Code = "", ""
-		ans.FirstToken = first.at.Sub(sen.request.Intended)
+		ans.FirstToken = first.at.Sub(exc.request.Intended)
 		return true
 	}
 	if rep.StatusCode == http.StatusOK {
-		return sen.broken(ctx, io.ErrUnexpectedEOF)
+		return exc.backOff(ctx, io.ErrUnexpectedEOF)
 	}
-	return sen.refused(ctx, rep, body)
+	return exc.handleRejection(ctx, rep, body)
 }
 
-// isWhole reports whether a stream has its end mark; what isn't a stream is
-// whole by its length.
-func isWhole(rep *http.Response, body []byte) bool {
+// isComplete reports whether a stream ends with its end marker. Any other response is
+// complete, because its length was checked while it was read.
+func isComplete(rep *http.Response, body []byte) bool {
 	if rep.Header.Get("Content-Type") != "text/event-stream" {
 		return true
 	}
 	return bytes.HasSuffix(bytes.TrimSpace(body), []byte("data: [DONE]"))
 }
 
-// refused takes an answer other than a whole one.
-func (sen *sending) refused(ctx context.Context, rep *http.Response, body []byte) bool {
-	ans := &sen.answer
+// handleRejection processes a response that isn't a complete answer and reports whether
+// it is final.
+func (exc *exchange) handleRejection(ctx context.Context, rep *http.Response, body []byte) bool {
+	ans := &exc.answer
 	var eb caller.ErrorBody
 	_ = json.Unmarshal(body, &eb)
 	ans.Code = eb.Error.Code
 	ans.Outcome = request.Outcome(rep.Header.Get(caller.HeaderOutcome))
-	ans.Told[sen.id] = ans.Outcome
+	ans.Told[exc.id] = ans.Outcome
 	after, retry := retryAfter(rep)
 	switch {
 	case !retry:
 		return true
 	case ans.Outcome == request.NotRun && after == 0:
-		// The host or the prefix is going away: a new id at another address.
-		sen.named, sen.sent = false, false
-		_, _ = sen.client.Refresh(ctx)
-		task.Sleep(ctx, repeatPause)
+		// The host or the prefix is being retired: retry under a new id at another address.
+		exc.hasID, exc.maybeSent = false, false
+		_, _ = exc.client.Refresh(ctx)
+		task.Sleep(ctx, retryDelay)
 		return false
 	case ans.Outcome == request.Unknown:
 		ans.Repeats++
-		task.Sleep(ctx, max(after, repeatPause))
+		task.Sleep(ctx, max(after, retryDelay))
 		return false
 	default:
 		return true
@@ -401,17 +406,17 @@
 	return time.Duration(seconds) * time.Second, true
 }
 
-// firstReader notes when the first byte came.
-type firstReader struct {
+// firstByteReader records the arrival time of the first byte.
+type firstByteReader struct {
 	reader io.Reader
 	at     time.Time
 }
 
 // Read implements io.Reader.
-func (fir *firstReader) Read(buf []byte) (int, error) {
-	count, err := fir.reader.Read(buf)
-	if count > 0 && fir.at.IsZero() {
-		fir.at = time.Now()
+func (fbr *firstByteReader) Read(buf []byte) (int, error) {
+	count, err := fbr.reader.Read(buf)
+	if count > 0 && fbr.at.IsZero() {
+		fbr.at = time.Now()
 	}
 	return count, err
 }
--- a/load/kind.go
+++ b/load/kind.go
@@ -15,56 +15,57 @@
 
 // Kind is one kind of request in a load.
 type Kind struct {
-	// Name says what the request is, for example "AllergyCheck".
+	// Name is the name of the kind, for example "AllergyCheck".
 	Name string
-	// Service is the service asked.
+	// Service is the name of the requested service.
 	Service string
-	// Plain is set for a plain service.
+	// Plain is set if the service is a plain service.
 	Plain bool
-	// Tier is the tier asked for.
+	// Tier is the requested tier.
 	Tier string
-	// Account names the client account; the runner knows its key.
+	// Account is the name of the client account; Config.Clients holds its client.
 	Account string
-	// PerSecond is the mean rate of arrivals.
+	// PerSecond is the mean arrival rate in requests per second.
 	PerSecond float64
-	// PromptTokens is the whole prompt, SharedTokens the part that requests
-	// have in common; SharedPrefixes is how many different such parts there are.
+	// PromptTokens is the length of the prompt, SharedTokens the length of its
+	// prefix that requests share, and SharedPrefixes the number of distinct
+	// prefixes.
 	PromptTokens   int
 	SharedTokens   int
 	SharedPrefixes int
-	// AnswerTokens is the length of the answer.
+	// AnswerTokens is the length of the answer in tokens.
 	AnswerTokens int
-	// Deadline is the time for the whole answer.
+	// Deadline bounds the time to the complete answer.
 	Deadline format.Duration
-	// Once marks the requests as not to be repeated.
+	// Once marks the requests as not repeatable.
 	Once bool
 }
 
-// shot is one request of a kind, with what its answer must be.
-type shot struct {
+// sample is one request of a kind with the expected answer.
+type sample struct {
 	kind     Kind
 	request  Request
 	messages []engine.Message
 	text     string
 }
 
-// bytesPerToken is the length of a token in the texts made here.
+// bytesPerToken is the length of a token in the generated texts.
 const bytesPerToken = 4
 
-func (kin Kind) shot(random *rand.Rand, number int) (shot, error) {
-	sho := shot{kind: kin}
-	sho.request = Request{Method: http.MethodPost, Tier: kin.Tier, Once: kin.Once, Deadline: kin.Deadline.Std()}
+func (kin Kind) newSample(random *rand.Rand, number int) (sample, error) {
+	smp := sample{kind: kin}
+	smp.request = Request{Method: http.MethodPost, Tier: kin.Tier, Once: kin.Once, Deadline: kin.Deadline.Std()}
 	if kin.Plain {
-		sho.text = fmt.Sprintf("%s %d %08x", kin.Name, number, random.Uint32())
-		sho.request.Path = "/services/" + kin.Service + "/print"
-		sho.request.Body = []byte(sho.text)
-		return sho, nil
+		smp.text = fmt.Sprintf("%s %d %08x", kin.Name, number, random.Uint32())
+		smp.request.Path = "/services/" + kin.Service + "/print"
+		smp.request.Body = []byte(smp.text)
+		return smp, nil
 	}
-	sho.messages = kin.messages(random, number)
-	body, err := json.Marshal(engine.ChatRequest{Model: kin.Service, Messages: sho.messages, MaxTokens: kin.AnswerTokens, Stream: true})
-	sho.request.Path = engine.PathChat
-	sho.request.Body = body
-	return sho, err
+	smp.messages = kin.messages(random, number)
+	body, err := json.Marshal(engine.ChatRequest{Model: kin.Service, Messages: smp.messages, MaxTokens: kin.AnswerTokens, Stream: true})
+	smp.request.Path = engine.PathChat
+	smp.request.Body = body
+	return smp, err
 }
 
 func (kin Kind) messages(random *rand.Rand, number int) []engine.Message {
@@ -83,16 +84,16 @@
 	return strings.Repeat(words, length/len(words)+1)[:length]
 }
 
-// isOwn reports whether the answer is the one to this very request.
-func (sho shot) isOwn(ans Answer) bool {
-	if sho.kind.Plain {
+// matches reports whether the answer is the expected answer to this request.
+func (smp sample) matches(ans Answer) bool {
+	if smp.kind.Plain {
 		var echo backendtest.Echo
-		return json.Unmarshal(ans.Body, &echo) == nil && echo.Body == sho.text
+		return json.Unmarshal(ans.Body, &echo) == nil && echo.Body == smp.text
 	}
-	return streamText(ans.Body) == enginetest.Answer(sho.messages, sho.kind.AnswerTokens)
+	return streamText(ans.Body) == enginetest.Answer(smp.messages, smp.kind.AnswerTokens)
 }
 
-// streamText joins the text of a stream's events.
+// streamText returns the concatenated text of a stream's events.
 func streamText(body []byte) string {
 	var text strings.Builder
 	for line := range strings.Lines(string(body)) {
--- a/load/report.go
+++ b/load/report.go
@@ -12,29 +12,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of the histograms, in microseconds.
+// The maximum value of the histograms in microseconds, and their significant digits.
 const (
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Report sums a run up.
+// Report summarizes a run.
 type Report struct {
 	Tiers []TierReport
 	Audit Audit
-	// Codes counts the answers without a whole one by kind and code.
+	// Codes counts the requests without their own complete answer, by kind and code.
 	Codes map[string]int
 }
 
-// TierReport sums one tier up.
+// TierReport summarizes the requests of one tier.
 type TierReport struct {
 	Tier string
 	Sent int
-	// Whole counts whole answers, InTime those within the deadline.
-	Whole   int
-	InTime  int
+	// Whole counts complete answers, InTime those within the deadline.
+	Whole  int
+	InTime int
+	// GivenUp counts requests that ended with a reported outcome instead.
 	GivenUp int
-	// Lost counts requests without any answer.
+	// Lost counts requests without an answer.
 	Lost          int
 	Repeats       int
 	FirstTokenP50 time.Duration
@@ -42,7 +43,7 @@
 	WastedTokens  int
 }
 
-// Summarize makes the report of a run.
+// Summarize returns the report of a run.
 func Summarize(ended []Ended, aud Audit) Report {
 	rep := Report{Audit: aud, Codes: make(map[string]int)}
 	byTier := make(map[string][]Ended)
@@ -52,8 +53,8 @@
 			rep.Codes[end.Kind.Name+" "+codeOf(end.Answer)]++
 		}
 	}
-	for tier, some := range byTier {
-		rep.Tiers = append(rep.Tiers, summarizeTier(tier, some, aud.WastedByTier[tier]))
+	for tier, results := range byTier {
+		rep.Tiers = append(rep.Tiers, summarizeTier(tier, results, aud.WastedByTier[tier]))
 	}
 	slices.SortFunc(rep.Tiers, func(one, two TierReport) int { return cmp.Compare(one.Tier, two.Tier) })
 	return rep
@@ -79,7 +80,7 @@
 		switch {
 		case end.Own:
 			tir.Whole++
-			// Times out of the range would be faults of the tool.
+			// Values beyond the range can only come from a defect of this tool.
 			_ = first.RecordValue(max(1, ans.FirstToken.Microseconds()))
 			if ans.Total <= end.Kind.Deadline.Std() {
 				tir.InTime++
@@ -108,15 +109,15 @@
 	}
 	aud := rep.Audit
 	for _, code := range slices.Sorted(maps.Keys(rep.Codes)) {
-		fmt.Fprintf(out, "without a whole answer: %d %s\n", rep.Codes[code], code)
+		fmt.Fprintf(out, "without a complete answer: %d %s\n", rep.Codes[code], code)
 	}
-	_, err := fmt.Fprintf(out, "dispatches: %d for %d requests, %d doubled, %d mixed answers, %d falsely told NotRun\nprefill: %d tokens, %d wasted (%.2f%%)\n",
+	_, err := fmt.Fprintf(out, "dispatches: %d for %d requests, %d dispatched twice, %d mixed-up answers, %d falsely reported as NotRun\nprefill: %d tokens, %d wasted (%.2f%%)\n",
 		aud.Dispatches, aud.Requests, len(aud.Doubled), aud.Mixed, len(aud.FalselyNotRun),
-		aud.PrefillTokens, aud.WastedTokens, share(aud.WastedTokens, aud.PrefillTokens))
+		aud.PrefillTokens, aud.WastedTokens, percentage(aud.WastedTokens, aud.PrefillTokens))
 	return err
 }
 
-func share(part, whole int) float64 {
+func percentage(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
--- a/load/run.go
+++ b/load/run.go
@@ -13,54 +13,54 @@
 	"lynxwell.dev/lynxwell/task"
 )
 
-// Config holds what a run is made from.
+// Config is the configuration of a run.
 type Config struct {
-	// Clients are the callers by client account.
+	// Clients maps the names of client accounts to their clients.
 	Clients map[string]*Client
 	Kinds   []Kind
-	// For is how long requests are sent; the run ends when the last is answered.
+	// For is the time for which requests are sent; the run ends after the last answer.
 	For  time.Duration
 	Seed uint64
-	// Progress, when set, is called after every request that ended.
+	// Progress, if set, is called after every finished request.
 	Progress func(Counts)
 }
 
-// Counts are the totals so far.
+// Counts are the totals of a run so far.
 type Counts struct {
 	Sent  int
 	Ended int
 	Whole int
 }
 
-// Ended is one request with what became of it.
+// Ended is a finished request with its answer.
 type Ended struct {
 	Kind   Kind
 	Answer Answer
-	// Own is set when the answer is the one to this very request.
+	// Own is set if the answer is the expected answer to this request.
 	Own bool
 }
 
-// Run sends the load and returns what became of every request, in the order in
-// which they were meant to be sent.
+// Run sends the load and returns the result of every request in the order of the
+// intended send times.
 func Run(ctx context.Context, cfg Config) ([]Ended, error) {
-	arrivals, err := plan(cfg)
+	arrivals, err := planArrivals(cfg)
 	if err != nil {
 		return nil, err
 	}
-	type numbered struct {
+	type indexedEnd struct {
 		index int
 		ended Ended
 	}
-	ends := make(chan numbered)
+	ends := make(chan indexedEnd)
 	start := time.Now()
 	go func() {
 		for idx, arr := range arrivals {
 			task.Sleep(ctx, time.Until(start.Add(arr.at)))
-			arr.shot.request.Intended = start.Add(arr.at)
+			arr.sample.request.Intended = start.Add(arr.at)
 			go func() {
-				cli := cfg.Clients[arr.shot.kind.Account]
-				ans := cli.Send(ctx, arr.shot.request)
-				ends <- numbered{idx, Ended{Kind: arr.shot.kind, Answer: ans, Own: ans.Whole && arr.shot.isOwn(ans)}}
+				cli := cfg.Clients[arr.sample.kind.Account]
+				ans := cli.Send(ctx, arr.sample.request)
+				ends <- indexedEnd{idx, Ended{Kind: arr.sample.kind, Answer: ans, Own: ans.Whole && arr.sample.matches(ans)}}
 			}()
 		}
 	}()
@@ -81,14 +81,14 @@
 	return all, nil
 }
 
-// arrival is one request and when it is meant to be sent.
+// arrival is one request and its send time, relative to the start of the run.
 type arrival struct {
-	at   time.Duration
-	shot shot
+	at     time.Duration
+	sample sample
 }
 
-// plan draws every arrival of the run beforehand, from the seed alone.
-func plan(cfg Config) ([]arrival, error) {
+// planArrivals generates every arrival of the run in advance, from the seed alone.
+func planArrivals(cfg Config) ([]arrival, error) {
 	var arrivals []arrival
 	for num, kin := range cfg.Kinds {
 		if cfg.Clients[kin.Account] == nil {
@@ -101,47 +101,47 @@
 			if at >= cfg.For {
 				break
 			}
-			sho, err := kin.shot(random, count)
+			smp, err := kin.newSample(random, count)
 			if err != nil {
 				return nil, errors.Wrapf(err, "kind %s", kin.Name)
 			}
-			arrivals = append(arrivals, arrival{at: at, shot: sho})
+			arrivals = append(arrivals, arrival{at: at, sample: smp})
 		}
 	}
 	slices.SortStableFunc(arrivals, func(one, two arrival) int { return int(one.at - two.at) })
 	return arrivals, nil
 }
 
-// Audit compares what the engines received with what the callers were told.
+// Audit compares the dispatches that engines received with the outcomes reported to clients.
 type Audit struct {
-	// Dispatches counts all dispatches at the engines, Requests the distinct
+	// Dispatches counts all dispatches to engines, Requests the distinct request
 	// ids among them.
 	Dispatches int
 	Requests   int
 	// Doubled are ids that were dispatched more than once.
 	Doubled []string
-	// FalselyNotRun are ids of which a caller was told NotRun and which ran.
+	// FalselyNotRun are ids that were reported as NotRun although they were dispatched.
 	FalselyNotRun []string
-	// Mixed counts whole answers that weren't the caller's own.
+	// Mixed counts complete answers that belong to another request.
 	Mixed int
-	// PrefillTokens is all prompt work done, WastedTokens what of it led to no
-	// whole answer.
+	// PrefillTokens is the number of prompt tokens that engines processed,
+	// WastedTokens the number that led to no complete answer.
 	PrefillTokens int
 	WastedTokens  int
 	WastedByTier  map[string]int
 }
 
-// AuditRun makes the comparison.
+// AuditRun returns the audit of a run.
 func AuditRun(ended []Ended, dispatches []engine.DispatchRecord) Audit {
 	aud := Audit{Dispatches: len(dispatches), WastedByTier: make(map[string]int)}
 	owner := make(map[string]Ended)
-	told := make(map[string]request.Outcome)
+	reported := make(map[string]request.Outcome)
 	for _, end := range ended {
 		for _, id := range end.Answer.IDs {
 			owner[id.String()] = end
 		}
 		for id, outcome := range end.Answer.Told {
-			told[id.String()] = outcome
+			reported[id.String()] = outcome
 		}
 		if end.Answer.Whole && !end.Own {
 			aud.Mixed++
@@ -153,7 +153,7 @@
 		if seen[dis.ID] == 2 {
 			aud.Doubled = append(aud.Doubled, dis.ID+" by "+dis.Call)
 		}
-		if seen[dis.ID] == 1 && told[dis.ID] == request.NotRun {
+		if seen[dis.ID] == 1 && reported[dis.ID] == request.NotRun {
 			aud.FalselyNotRun = append(aud.FalselyNotRun, dis.ID)
 		}
 		aud.PrefillTokens += dis.PrefillTokens
--- a/operator/client.go
+++ b/operator/client.go
@@ -18,16 +18,16 @@
 	"lynxwell.dev/lynxwell/task"
 )
 
-// maxAnswerBytes bounds an answer.
+// maxAnswerBytes bounds the size of a response body.
 const maxAnswerBytes = 64 << 20
 
-// changeTries bounds how often a change is asked about whose reply was lost.
-const changeTries = 5
+// changeAttempts bounds how often a change is sent while its result is unknown.
+const changeAttempts = 5
 
-// changePause is the wait between those.
-const changePause = 200 * time.Millisecond
+// changeRetryDelay is the delay between these attempts.
+const changeRetryDelay = 200 * time.Millisecond
 
-// ClientConfig holds what a Client is made from.
+// ClientConfig is the configuration of a Client.
 type ClientConfig struct {
 	// Address is a host's operator address.
 	Address netip.AddrPort
@@ -35,18 +35,18 @@
 	Key string
 }
 
-// Client reaches one host's interface for operators.
+// Client calls the operator API of one host.
 type Client struct {
 	cfg  ClientConfig
 	http *http.Client
 }
 
-// NewClient returns a client without any connection yet.
+// NewClient returns a client; it opens no connection until the first call.
 func NewClient(cfg ClientConfig) *Client {
 	return &Client{cfg: cfg, http: &http.Client{Transport: &http.Transport{IdleConnTimeout: time.Minute}}}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (cli *Client) Close() {
 	cli.http.CloseIdleConnections()
 }
@@ -58,8 +58,9 @@
 	return list, err
 }
 
-// Apply writes every resource of the set as it was just seen: a resource that
-// another operator changes meanwhile gives an *AnswerError with a conflict.
+// Apply reads the current revisions and writes every resource of the set on
+// condition that its revision hasn't changed. If another operator changes one of
+// them in between, it returns an *AnswerError with CodeConflict.
 func (cli *Client) Apply(ctx context.Context, set resource.Set) (ChangeResult, error) {
 	list, err := cli.Resources(ctx)
 	if err != nil {
@@ -74,7 +75,10 @@
 	return cli.Change(ctx, cha)
 }
 
-// Delete removes a resource as it was just seen.
+// Delete reads the resource's current revision and removes the resource on
+// condition that its revision hasn't changed. If the resource doesn't exist or
+// another operator changes it in between, it returns an *AnswerError with
+// CodeNotFound or CodeConflict.
 func (cli *Client) Delete(ctx context.Context, key resource.Key) (ChangeResult, error) {
 	list, err := cli.Resources(ctx)
 	if err != nil {
@@ -96,7 +100,7 @@
 	return seen
 }
 
-// NewChangeID returns an id for a change.
+// NewChangeID returns a random id for a change.
 func NewChangeID() string {
 	var raw [12]byte
 	// crypto/rand's Read never fails.
@@ -104,17 +108,18 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// Change writes a change. Where no reply comes, it asks again under the same
-// id, which never makes the change twice.
+// Change writes a change. If no reply arrives, it sends the change again under
+// the same id, so that the change takes effect at most once. It returns a
+// *NotDecidedError if the result is still unknown after the last attempt.
 func (cli *Client) Change(ctx context.Context, cha ChangeBody) (ChangeResult, error) {
 	var res ChangeResult
 	var err error
-	for range changeTries {
+	for range changeAttempts {
 		err = cli.call(ctx, http.MethodPost, PathChanges, cha, &res)
 		if err == nil || isDecided(err) {
 			return res, err
 		}
-		if !task.Sleep(ctx, changePause) {
+		if !task.Sleep(ctx, changeRetryDelay) {
 			break
 		}
 	}
@@ -126,7 +131,7 @@
 	return errors.As(err, &aer) && aer.Body.Code != CodeNotDecided
 }
 
-// Status returns what the hosts report.
+// Status returns the status that the hosts report.
 func (cli *Client) Status(ctx context.Context) (Status, error) {
 	var sta Status
 	err := cli.call(ctx, http.MethodGet, PathStatus, nil, &sta)
@@ -140,16 +145,16 @@
 	return raw, err
 }
 
-// Metrics returns the measurements of the host's process as JSON.
+// Metrics returns the metrics of the host's process as JSON.
 func (cli *Client) Metrics(ctx context.Context) (json.RawMessage, error) {
 	var raw json.RawMessage
 	err := cli.call(ctx, http.MethodGet, PathMetrics, nil, &raw)
 	return raw, err
 }
 
-// Watch calls the function with each new status until it returns false, the
-// stream ends or the context does.
-func (cli *Client) Watch(ctx context.Context, take func(Status) bool) error {
+// Watch calls handle with each new status until handle returns false, the stream
+// ends or the context is done.
+func (cli *Client) Watch(ctx context.Context, handle func(Status) bool) error {
 	rep, err := cli.do(ctx, http.MethodGet, PathWatch, nil)
 	if err != nil {
 		return err
@@ -159,13 +164,13 @@
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return errors.Wrap(err, "watch ended")
+			return errors.Wrap(err, "read status stream")
 		}
 		var sta Status
 		if err := json.Unmarshal(line, &sta); err != nil {
 			return errors.Wrap(err, "decode status")
 		}
-		if !take(sta) {
+		if !handle(sta) {
 			return nil
 		}
 	}
@@ -176,13 +181,13 @@
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
-			return nil, errors.Wrap(err, "encode call")
+			return nil, errors.Wrap(err, "encode request body")
 		}
 		reader = bytes.NewReader(data)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+cli.cfg.Address.String()+path, reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make call")
+		return nil, errors.Wrap(err, "build request")
 	}
 	req.Header.Set("Authorization", "Bearer "+cli.cfg.Key)
 	rep, err := cli.http.Do(req)
@@ -209,7 +214,7 @@
 	defer rep.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(rep.Body, maxAnswerBytes))
 	if err != nil {
-		return errors.Wrap(err, "read answer")
+		return errors.Wrap(err, "read response body")
 	}
-	return errors.Wrap(json.Unmarshal(data, res), "decode answer")
+	return errors.Wrap(json.Unmarshal(data, res), "decode response body")
 }
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,14 +1,15 @@
-// Package operator is the interface for operators: the declared resources, the
-// changes to them, the status that hosts report, and the dump of a process.
+// Package operator implements the operator API and its client: the declared
+// resources, changes to them, the status that the hosts report, and the dump and
+// the metrics of a process.
 //
 // # Usage
 //
 //	cli := operator.NewClient(operator.ClientConfig{Address: adr, Key: key})
-//	rev, err := cli.Apply(ctx, set)      // a file of resources
-//	sta, err := cli.Status(ctx)          // what is in force where
+//	res, err := cli.Apply(ctx, set)      // the resources of a file
+//	sta, err := cli.Status(ctx)          // the revisions in force on each host
 //
-// A change carries an id of its writer's choice, so that a writer whose reply
-// was lost asks again under the same id and learns whether it took effect.
+// A change carries an id that its writer chooses. A writer whose reply was lost
+// sends the change again under the same id and learns whether it took effect.
 package operator
 
 import (
@@ -18,7 +19,7 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// The paths of the operators' interface.
+// The paths of the operator API.
 const (
 	PathResources = "/v1/resources"
 	PathChanges   = "/v1/changes"
@@ -34,11 +35,11 @@
 	Entries  []resource.Entry
 }
 
-// EditBody is one edit of a change as it travels.
+// EditBody is the wire form of one edit of a change.
 type EditBody struct {
 	Kind resource.Kind
 	Name string
-	// Seen is the resource's revision that the operator saw; 0 for none.
+	// Seen is the revision of the resource that the operator read; 0 if it didn't exist.
 	Seen uint64
 	// Delete removes the resource instead of writing Spec.
 	Delete bool
@@ -51,14 +52,15 @@
 	Edits []EditBody
 }
 
-// ChangeResult says in which revision a change is in the configuration.
+// ChangeResult is the result of an accepted change.
 type ChangeResult struct {
+	// Revision is a revision of the configuration that contains the change.
 	Revision uint64
-	// Unchanged is set when the configuration was so already.
+	// Unchanged is set when the configuration already contained the change.
 	Unchanged bool
 }
 
-// Status is what the hosts report.
+// Status is the status of the system, merged from the reports of all hosts.
 type Status struct {
 	// Revision is the highest revision that any host has in force.
 	Revision uint64
@@ -68,7 +70,7 @@
 	Resources []ResourceStatus
 }
 
-// HostStatus is what one host reports.
+// HostStatus is the status of one host.
 type HostStatus struct {
 	Name     string
 	Epoch    request.Epoch
@@ -77,29 +79,29 @@
 	Reached  bool
 	View     uint64
 	Revision uint64
-	// Problem says why the host isn't ready; empty when it is.
+	// Problem describes why the host isn't ready; it is empty if the host is ready.
 	Problem string `json:",omitempty"`
 }
 
-// ResourceStatus is the state of one resource over all hosts.
+// ResourceStatus is the state of one resource across all hosts.
 type ResourceStatus struct {
 	Kind     resource.Kind
 	Name     string
 	Revision uint64
-	// Observed is the configuration revision that each host has in force.
+	// Observed maps host names to the configuration revision in force there.
 	Observed   map[string]uint64
 	Conditions []Condition
 }
 
-// Condition is one statement about a resource.
+// Condition is one condition of a resource.
 type Condition struct {
-	// Type names the statement: "InForce" or "TakesWork".
+	// Type is "InForce" or "TakesWork".
 	Type   string
 	Status bool
 	Reason string
 }
 
-// ErrorBody is the body of every answer that isn't 200.
+// ErrorBody is the body of every response whose status isn't 200.
 type ErrorBody struct {
 	Code     string
 	Message  string
@@ -107,7 +109,7 @@
 	Problems []ProblemBody `json:",omitempty"`
 }
 
-// ConflictBody names what another writer has changed.
+// ConflictBody names the resource and the fields that another writer has changed.
 type ConflictBody struct {
 	Kind   resource.Kind
 	Name   string
@@ -116,7 +118,7 @@
 	Fields []string
 }
 
-// ProblemBody names a field that can't be accepted.
+// ProblemBody names a field with an invalid value.
 type ProblemBody struct {
 	Kind   resource.Kind
 	Name   string
@@ -124,7 +126,7 @@
 	Reason string
 }
 
-// The codes of ErrorBody.
+// The values of ErrorBody.Code.
 const (
 	CodeUnauthorized = "Unauthorized"
 	CodeBadRequest   = "BadRequest"
@@ -135,30 +137,28 @@
 	CodePlatform     = "PlatformNotAvailable"
 )
 
-// AnswerError reports an answer other than 200.
+// AnswerError reports a response whose status isn't 200.
 type AnswerError struct {
 	Status int
 	Body   ErrorBody
 }
 
-// Error returns the message of the answer.
+// Error returns the code and the message of the response.
 func (aer *AnswerError) Error() string {
 	return fmt.Sprintf("%s: %s", aer.Body.Code, aer.Body.Message)
 }
 
-// NotDecidedError reports a change of which isn't known whether it took effect.
-// Asking again under the same id settles it.
+// NotDecidedError reports a change for which it is unknown whether it took effect.
+// Sending it again under the same id gives the result.
 type NotDecidedError struct {
 	ChangeID string
 	Cause    error
 }
 
-// Error names the change.
 func (ner *NotDecidedError) Error() string {
-	return fmt.Sprintf("change %s: it isn't known whether it took effect; ask again under the same id: %v", ner.ChangeID, ner.Cause)
+	return fmt.Sprintf("change %s: unknown whether it took effect; send it again under the same id: %v", ner.ChangeID, ner.Cause)
 }
 
-// Unwrap returns the cause.
 func (ner *NotDecidedError) Unwrap() error {
 	return ner.Cause
 }
--- a/operator/server.go
+++ b/operator/server.go
@@ -18,32 +18,32 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// maxChangeBytes bounds a change.
+// maxChangeBytes bounds the request body of a change.
 const maxChangeBytes = 8 << 20
 
-// watchInterval is how often a watch looks for a new status.
+// watchInterval is the polling interval of a watch.
 const watchInterval = 200 * time.Millisecond
 
-// headerTimeout bounds how long a connection may take to say what it wants.
+// headerTimeout bounds the time for reading a request's headers.
 const headerTimeout = 10 * time.Second
 
-// Backend is the host as far as operators are concerned.
+// Backend is the part of a host that the operator API needs.
 type Backend interface {
 	// Configuration returns the configuration in force on this host.
 	Configuration() resource.Configuration
-	// Change has a change accepted by the platform. It returns a
+	// Change writes a change to the platform. It returns a
 	// *resource.ConflictError, a *resource.CheckError, a *NotDecidedError or
 	// one of the platform's errors.
 	Change(ctx context.Context, cha resource.Change) (ChangeResult, error)
-	// Status asks all hosts.
+	// Status queries all hosts and returns their merged status.
 	Status(ctx context.Context) Status
 	// Dump returns the state of this process.
 	Dump(ctx context.Context) any
-	// Metrics returns the process's measurements.
+	// Metrics returns the metrics of this process.
 	Metrics() any
 }
 
-// ServerConfig holds what a Server is made from.
+// ServerConfig is the configuration of a Server.
 type ServerConfig struct {
 	Backend Backend
 	// Key is the operators' bearer key.
@@ -51,44 +51,44 @@
 	Log zerolog.Logger
 }
 
-// Server serves operators.
+// Server serves the operator API.
 type Server struct {
 	cfg ServerConfig
 }
 
-// NewServer returns a server.
+// NewServer returns a server that serves cfg.Backend.
 func NewServer(cfg ServerConfig) *Server {
 	return &Server{cfg: cfg}
 }
 
-// HTTPServer returns an HTTP server for the handler.
+// HTTPServer returns an HTTP server with the server's handler.
 func (srv *Server) HTTPServer() *http.Server {
 	return &http.Server{Handler: srv.Handler(), ReadHeaderTimeout: headerTimeout}
 }
 
-// Handler returns the HTTP handler; requests without the key get 401.
+// Handler returns the HTTP handler, which answers 401 to requests without the key.
 func (srv *Server) Handler() http.Handler {
 	rou := mux.NewRouter()
-	rou.Use(srv.authenticated)
+	rou.Use(srv.requireKey)
 	rou.HandleFunc(PathResources, srv.serveResources).Methods(http.MethodGet)
 	rou.HandleFunc(PathResources+"/{kind}/{name}", srv.serveResource).Methods(http.MethodGet)
 	rou.HandleFunc(PathChanges, srv.serveChange).Methods(http.MethodPost)
 	rou.HandleFunc(PathStatus, srv.serveStatus).Methods(http.MethodGet)
 	rou.HandleFunc(PathWatch, srv.serveWatch).Methods(http.MethodGet)
 	rou.HandleFunc(PathDump, func(wri http.ResponseWriter, req *http.Request) {
-		send(wri, http.StatusOK, srv.cfg.Backend.Dump(req.Context()))
+		writeJSON(wri, http.StatusOK, srv.cfg.Backend.Dump(req.Context()))
 	}).Methods(http.MethodGet)
 	rou.HandleFunc(PathMetrics, func(wri http.ResponseWriter, _ *http.Request) {
-		send(wri, http.StatusOK, srv.cfg.Backend.Metrics())
+		writeJSON(wri, http.StatusOK, srv.cfg.Backend.Metrics())
 	}).Methods(http.MethodGet)
 	return rou
 }
 
-func (srv *Server) authenticated(next http.Handler) http.Handler {
+func (srv *Server) requireKey(next http.Handler) http.Handler {
 	want := []byte("Bearer " + srv.cfg.Key)
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(req.Header.Get("Authorization")), want) != 1 {
-			send(wri, http.StatusUnauthorized, ErrorBody{Code: CodeUnauthorized, Message: "Authorization: want the operators' bearer key"})
+			writeJSON(wri, http.StatusUnauthorized, ErrorBody{Code: CodeUnauthorized, Message: "Authorization: want \"Bearer\" and the operators' key"})
 			return
 		}
 		next.ServeHTTP(wri, req)
@@ -97,26 +97,26 @@
 
 func (srv *Server) serveResources(wri http.ResponseWriter, _ *http.Request) {
 	con := srv.cfg.Backend.Configuration()
-	send(wri, http.StatusOK, EntryList{Revision: con.Revision, Entries: con.Entries()})
+	writeJSON(wri, http.StatusOK, EntryList{Revision: con.Revision, Entries: con.Entries()})
 }
 
 func (srv *Server) serveResource(wri http.ResponseWriter, req *http.Request) {
 	kin, err := resource.ParseKind(mux.Vars(req)["kind"])
 	if err != nil {
-		send(wri, http.StatusBadRequest, ErrorBody{Code: CodeBadRequest, Message: err.Error()})
+		writeJSON(wri, http.StatusBadRequest, ErrorBody{Code: CodeBadRequest, Message: err.Error()})
 		return
 	}
 	key := resource.Key{Kind: kin, Name: mux.Vars(req)["name"]}
 	con := srv.cfg.Backend.Configuration()
 	ent, known := con.Entry(key)
 	if !known {
-		send(wri, http.StatusNotFound, ErrorBody{Code: CodeNotFound, Message: "there is no " + key.String()})
+		writeJSON(wri, http.StatusNotFound, ErrorBody{Code: CodeNotFound, Message: "there is no " + key.String()})
 		return
 	}
-	send(wri, http.StatusOK, EntryList{Revision: con.Revision, Entries: []resource.Entry{ent}})
+	writeJSON(wri, http.StatusOK, EntryList{Revision: con.Revision, Entries: []resource.Entry{ent}})
 }
 
-// editWire is an EditBody whose spec isn't read yet.
+// editWire is an EditBody whose Spec isn't decoded yet.
 type editWire struct {
 	Kind   resource.Kind
 	Name   string
@@ -130,14 +130,14 @@
 	Edits []editWire
 }
 
-// parseChange reads the body of a change; errors name the field.
+// parseChange decodes the request body of a change; errors name the field.
 func parseChange(data []byte) (resource.Change, error) {
 	var raw changeWire
 	if err := format.Decode("change", data, &raw); err != nil {
 		return resource.Change{}, err
 	}
 	if raw.ID == "" {
-		return resource.Change{}, &format.FieldError{File: "change", Field: "ID", Reason: "want an id of your choice"}
+		return resource.Change{}, &format.FieldError{File: "change", Field: "ID", Reason: "want an id that you choose, found none"}
 	}
 	cha := resource.Change{ID: raw.ID}
 	for idx, edi := range raw.Edits {
@@ -164,7 +164,7 @@
 		return resource.Edit{}, err
 	}
 	if res.Key() != edi.Key {
-		return resource.Edit{}, &format.FieldError{File: "change", Field: path + ".Spec.Name", Reason: "must be the edit's Name"}
+		return resource.Edit{}, &format.FieldError{File: "change", Field: path + ".Spec.Name", Reason: "must equal the Kind and Name of the edit"}
 	}
 	edi.Resource = res
 	return edi, nil
@@ -173,23 +173,23 @@
 func (srv *Server) serveChange(wri http.ResponseWriter, req *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(wri, req.Body, maxChangeBytes))
 	if err != nil {
-		send(wri, http.StatusBadRequest, ErrorBody{Code: CodeBadRequest, Message: "body: " + err.Error()})
+		writeJSON(wri, http.StatusBadRequest, ErrorBody{Code: CodeBadRequest, Message: "body: " + err.Error()})
 		return
 	}
 	cha, err := parseChange(data)
 	if err != nil {
-		send(wri, http.StatusBadRequest, ErrorBody{Code: CodeBadRequest, Message: err.Error()})
+		writeJSON(wri, http.StatusBadRequest, ErrorBody{Code: CodeBadRequest, Message: err.Error()})
 		return
 	}
 	res, err := srv.cfg.Backend.Change(req.Context(), cha)
 	if err != nil {
 		status, body := errorBodyOf(err)
-		srv.cfg.Log.Warn().Str("ChangeID", cha.ID).Str("Code", body.Code).Err(err).Msg("change refused")
-		send(wri, status, body)
+		srv.cfg.Log.Warn().Str("ChangeID", cha.ID).Str("Code", body.Code).Err(err).Msg("change rejected")
+		writeJSON(wri, status, body)
 		return
 	}
 	srv.cfg.Log.Info().Str("ChangeID", cha.ID).Uint64("Revision", res.Revision).Msg("change accepted")
-	send(wri, http.StatusOK, res)
+	writeJSON(wri, http.StatusOK, res)
 }
 
 func errorBodyOf(err error) (int, ErrorBody) {
@@ -223,10 +223,10 @@
 }
 
 func (srv *Server) serveStatus(wri http.ResponseWriter, req *http.Request) {
-	send(wri, http.StatusOK, srv.cfg.Backend.Status(req.Context()))
+	writeJSON(wri, http.StatusOK, srv.cfg.Backend.Status(req.Context()))
 }
 
-// serveWatch streams the status, a JSON value a line, each time it changes.
+// serveWatch streams the status, one JSON value per line, each time it changes.
 func (srv *Server) serveWatch(wri http.ResponseWriter, req *http.Request) {
 	wri.Header().Set("Content-Type", "application/jsonl")
 	ticker := time.NewTicker(watchInterval)
@@ -252,7 +252,7 @@
 	}
 }
 
-func send(wri http.ResponseWriter, status int, body any) {
+func writeJSON(wri http.ResponseWriter, status int, body any) {
 	data, err := format.Encode(body)
 	if err != nil {
 		http.Error(wri, err.Error(), http.StatusInternalServerError)
@@ -260,6 +260,6 @@
 	}
 	wri.Header().Set("Content-Type", "application/json")
 	wri.WriteHeader(status)
-	// An operator that has left can't be told anything more.
+	// Write fails only if the operator has disconnected.
 	_, _ = wri.Write(data)
 }
--- a/story/losses.go
+++ b/story/losses.go
@@ -14,60 +14,60 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Losses counts what became of the requests in the hosts' logs, by how long ago
-// they came, their route and their size: where and why answers are lost or late.
+// Losses counts the outcomes of the requests in the hosts' logs by arrival time,
+// route and size. It shows where and why answers are lost or late.
 //
 //	los := story.NewLosses(2 * time.Second)
 //	err := los.Read(file)
 //	err = los.Write(os.Stdout)
 type Losses struct {
 	window   time.Duration
-	requests []ended
+	requests []finishedRequest
 }
 
-// ended is one request that had its final answer.
-type ended struct {
-	begun   time.Time
+// finishedRequest is one request whose final answer was logged.
+type finishedRequest struct {
+	start   time.Time
 	route   string
 	outcome string
-	// tokens is its size; 0 for a request without a prompt.
+	// tokens is the size of the request; 0 for a request without a prompt.
 	tokens float64
 }
 
-// The fields of a request's line that losses are counted by.
+// The fields, messages and outcomes of the log lines that Losses reads.
 const (
-	fieldRoute   = "Route"
-	fieldCause   = "Cause"
-	fieldTimely  = "Timely"
-	fieldStatus  = "Status"
-	fieldPrompt  = "PromptTokens"
-	fieldHint    = "HintTokens"
-	messageEnd   = "request"
-	outcomeInAim = "InTime"
-	// outcomeFailed is an answer that the engine itself gave as a failure.
+	fieldRoute     = "Route"
+	fieldCause     = "Cause"
+	fieldTimely    = "Timely"
+	fieldStatus    = "Status"
+	fieldPrompt    = "PromptTokens"
+	fieldHint      = "HintTokens"
+	messageRequest = "request"
+	outcomeInTime  = "InTime"
+	// outcomeFailed is an error answer that came from the engine itself.
 	outcomeFailed = "EngineFailed"
 )
 
-// NewLosses returns an empty count by windows of the given length, of which 0
-// stands for 2 s.
+// NewLosses returns an empty count with time windows of the given length; 0
+// selects 2 s.
 func NewLosses(window time.Duration) *Losses {
 	const defaultWindow = 2 * time.Second
 	return &Losses{window: cmp.Or(window, defaultWindow)}
 }
 
-// Read reads one log to its end.
+// Read reads one log to its end and counts the requests that finished in it.
 func (los *Losses) Read(log io.Reader) error {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		if lin, known := parseLine(lines.Bytes()); known && lin.text(fieldMessage) == messageEnd {
-			los.take(lin)
+		if lin, known := parseLine(lines.Bytes()); known && lin.text(fieldMessage) == messageRequest {
+			los.add(lin)
 		}
 	}
 	return errors.Wrap(lines.Err(), "read log")
 }
 
-func (los *Losses) take(lin line) {
+func (los *Losses) add(lin line) {
 	outcome := lin.text(fieldCause)
 	if timely := lin.text(fieldTimely); timely != "" {
 		outcome = timely
@@ -75,30 +75,32 @@
 			outcome = outcomeFailed
 		}
 	}
-	los.requests = append(los.requests, ended{
-		begun:   lin.at.Add(-time.Duration(lin.number(fieldTook) * float64(time.Millisecond))),
+	los.requests = append(los.requests, finishedRequest{
+		start:   lin.at.Add(-time.Duration(lin.number(fieldTook) * float64(time.Millisecond))),
 		route:   lin.text(fieldRoute),
 		outcome: outcome,
 		tokens:  lin.number(fieldPrompt) + lin.number(fieldHint),
 	})
 }
 
-// EmptyLogError reports logs without the end of any request.
+// EmptyLogError reports logs in which no request finished.
 type EmptyLogError struct{}
 
-// Error says what is missing.
-func (*EmptyLogError) Error() string { return "no line tells of a request's end" }
+func (*EmptyLogError) Error() string {
+	return "no log line with the message \"request\": no finished request to count"
+}
 
-// tally counts requests by their outcome.
+// tally counts requests by outcome.
 type tally map[string]int
 
-// Write writes two tables: by windows of time, and by routes, the largest tenth of
-// each by itself.
+// Write writes two tables: outcomes by time window, and outcomes by route, with
+// the largest tenth of each route's requests in a row of its own. It returns an
+// *EmptyLogError if no request was counted.
 func (los *Losses) Write(out io.Writer) error {
 	if len(los.requests) == 0 {
 		return &EmptyLogError{}
 	}
-	slices.SortStableFunc(los.requests, func(one, two ended) int { return one.begun.Compare(two.begun) })
+	slices.SortStableFunc(los.requests, func(one, two finishedRequest) int { return one.start.Compare(two.start) })
 	if err := los.writeTable(out, "FROM", los.byWindow()); err != nil {
 		return err
 	}
@@ -109,30 +111,30 @@
 }
 
 func (los *Losses) byWindow() map[string]tally {
-	first := los.requests[0].begun
+	first := los.requests[0].start
 	rows := make(map[string]tally)
 	for _, end := range los.requests {
-		number := end.begun.Sub(first) / los.window
+		number := end.start.Sub(first) / los.window
 		count(rows, fmt.Sprintf("%7.1fs", (number*los.window).Seconds()), end)
 	}
 	return rows
 }
 
-// largestShare is the part of a route's requests that is counted by itself.
+// largestShare is the fraction of a route's requests, by size, that gets its own row.
 const largestShare = 0.1
 
 func (los *Losses) byRoute() map[string]tally {
-	routes := make(map[string][]ended)
+	routes := make(map[string][]finishedRequest)
 	for _, end := range los.requests {
 		routes[end.route] = append(routes[end.route], end)
 	}
 	rows := make(map[string]tally)
 	for name, ends := range routes {
-		slices.SortStableFunc(ends, func(one, two ended) int { return cmp.Compare(one.tokens, two.tokens) })
+		slices.SortStableFunc(ends, func(one, two finishedRequest) int { return cmp.Compare(one.tokens, two.tokens) })
 		large := len(ends) - int(largestShare*float64(len(ends)))
-		for place, end := range ends {
+		for idx, end := range ends {
 			row := name
-			if place >= large && end.tokens > 0 {
+			if idx >= large && end.tokens > 0 {
 				row += " (largest)"
 			}
 			count(rows, cmp.Or(row, "(none)"), end)
@@ -141,15 +143,15 @@
 	return rows
 }
 
-func count(rows map[string]tally, row string, end ended) {
+func count(rows map[string]tally, row string, end finishedRequest) {
 	if rows[row] == nil {
 		rows[row] = make(tally)
 	}
 	rows[row][end.outcome]++
 }
 
-// writeTable writes the rows, with a column for each outcome: what was in time first,
-// then the most usual.
+// writeTable writes the rows with one column per outcome: InTime first, then the
+// others in descending order of frequency.
 func (los *Losses) writeTable(out io.Writer, title string, rows map[string]tally) error {
 	total := make(tally)
 	for _, row := range rows {
@@ -158,7 +160,7 @@
 		}
 	}
 	outcomes := slices.SortedFunc(maps.Keys(total), func(one, two string) int {
-		switch outcomeInAim {
+		switch outcomeInTime {
 		case one:
 			return -1
 		case two:
--- a/story/losses_test.go
+++ b/story/losses_test.go
@@ -11,9 +11,9 @@
 	"lynxwell.dev/lynxwell/story"
 )
 
-// An engine's own failure is passed on as it came, quickly as a rule. It is no answer
-// in time, nor a late one.
-func TestLossesTellTheEnginesOwnFailures(t *testing.T) {
+// An error answer from the engine is relayed to the client unchanged and usually arrives
+// quickly. It must count as EngineFailed, neither as InTime nor as late.
+func TestLossesCountEngineErrorsAsEngineFailed(t *testing.T) {
 	const log = `{"Request":"a","Route":"r","Cause":"Answered","Status":200,"Took":5,"Timely":"InTime","time":"2026-01-14T09:28:35.037Z","message":"request"}
 {"Request":"b","Route":"r","Cause":"Answered","Status":500,"Took":5,"Timely":"InTime","time":"2026-01-14T09:28:35.047Z","message":"request"}
 {"Request":"c","Route":"r","Cause":"Answered","Status":500,"Took":5,"Timely":"LateFirst","time":"2026-01-14T09:28:35.057Z","message":"request"}
--- a/story/story.go
+++ b/story/story.go
@@ -1,14 +1,16 @@
-// Package story reads the hosts' logs and tells what happened to one request:
-// its own lines on every host, and what the hosts came to believe meanwhile.
+// Package story reads the hosts' logs and reconstructs what happened to one
+// request: the request's own lines on every host, and the changes of state that
+// its hosts logged in the meantime. It also counts the outcomes of all requests
+// (see Losses).
 //
 // # Usage
 //
-//	tel := story.NewTeller("9c41d07be2a35f68")
-//	err := tel.Read(file)
-//	err = tel.Write(os.Stdout)
+//	tli := story.NewTeller("9c41d07be2a35f68")
+//	err := tli.Read(file)
+//	err = tli.Write(os.Stdout)
 //
-// A line of a log may have anything before its JSON object, as a time or the
-// name of a host.
+// A log line may have any text in front of its JSON object, such as a time or
+// the name of a host.
 package story
 
 import (
@@ -27,7 +29,7 @@
 // maxLineBytes bounds a line of a log.
 const maxLineBytes = 1 << 20
 
-// The fields of a line that the story goes by.
+// The log fields that the package reads.
 const (
 	fieldRequest = "Request"
 	fieldEngine  = "Engine"
@@ -38,11 +40,11 @@
 	fieldTook    = "Took"
 )
 
-// before is how long before a request's first sign other lines are told: what a
-// host acted on may be some seconds old.
-const before = 5 * time.Second
+// lookback is how long before a request's start other lines are included,
+// because a host may act on information that is some seconds old.
+const lookback = 5 * time.Second
 
-// line is one line of a log.
+// line is one parsed log line.
 type line struct {
 	at     time.Time
 	fields map[string]any
@@ -56,56 +58,56 @@
 	return text
 }
 
-// Teller collects the lines of one request's story.
+// Teller collects the log lines that concern one request.
 type Teller struct {
-	id    string
-	own   []line
-	other []line
-	read  int
+	id           string
+	requestLines []line
+	otherLines   []line
+	linesRead    int
 }
 
-// NewTeller returns a teller of the request's story.
+// NewTeller returns an empty timeline of the request with the given id.
 func NewTeller(id string) *Teller {
 	return &Teller{id: id}
 }
 
-// NotFoundError reports a request of which no log says anything.
+// NotFoundError reports a request that no log line mentions.
 type NotFoundError struct {
 	ID string
-	// Lines is how many lines were read.
+	// Lines is the number of log lines read.
 	Lines int
 }
 
-// Error names the id.
 func (nfe *NotFoundError) Error() string {
-	return fmt.Sprintf("no line of %d tells of request %s", nfe.Lines, nfe.ID)
+	return fmt.Sprintf("none of %d log lines mentions request %s", nfe.Lines, nfe.ID)
 }
 
 // Read reads one log to its end.
-func (tel *Teller) Read(log io.Reader) error {
+func (tli *Teller) Read(log io.Reader) error {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		tel.take(lines.Bytes())
+		tli.add(lines.Bytes())
 	}
 	return errors.Wrap(lines.Err(), "read log")
 }
 
-func (tel *Teller) take(raw []byte) {
+func (tli *Teller) add(raw []byte) {
 	lin, known := parseLine(raw)
 	if !known {
 		return
 	}
-	tel.read++
+	tli.linesRead++
 	switch lin.text(fieldRequest) {
-	case tel.id:
-		tel.own = append(tel.own, lin)
+	case tli.id:
+		tli.requestLines = append(tli.requestLines, lin)
 	case "":
-		tel.other = append(tel.other, lin)
+		tli.otherLines = append(tli.otherLines, lin)
 	}
 }
 
-// parseLine reads one line of a log; what isn't a host's line isn't known.
+// parseLine parses one log line; it returns false for a line without a JSON object
+// or a valid time.
 func parseLine(raw []byte) (line, bool) {
 	var lin line
 	begin := bytes.IndexByte(raw, '{')
@@ -120,7 +122,7 @@
 	return lin, true
 }
 
-// number returns a field's number; 0 where it has none.
+// number returns a field's number; 0 if the field is absent or not a number.
 func (lin line) number(field string) float64 {
 	number, isNumber := lin.fields[field].(float64)
 	if !isNumber {
@@ -129,16 +131,17 @@
 	return number
 }
 
-// Write writes the story, in the order of time.
-func (tel *Teller) Write(out io.Writer) error {
-	if len(tel.own) == 0 {
-		return &NotFoundError{ID: tel.id, Lines: tel.read}
+// Write writes the collected lines in order of time and marks the request's own lines
+// with an asterisk. It returns a *NotFoundError if no line mentions the request.
+func (tli *Teller) Write(out io.Writer) error {
+	if len(tli.requestLines) == 0 {
+		return &NotFoundError{ID: tli.id, Lines: tli.linesRead}
 	}
-	lines := append(slices.Clone(tel.own), tel.around()...)
+	lines := append(slices.Clone(tli.requestLines), tli.surroundingLines()...)
 	slices.SortStableFunc(lines, func(one, two line) int { return one.at.Compare(two.at) })
 	for _, lin := range lines {
 		mark := " "
-		if lin.text(fieldRequest) == tel.id {
+		if lin.text(fieldRequest) == tli.id {
 			mark = "*"
 		}
 		if _, err := fmt.Fprintf(out, "%s %s  %-18s %s%s\n", mark, lin.at.Format("15:04:05.000"), lin.text(fieldHost), lin.text(fieldMessage), lin.details()); err != nil {
@@ -148,12 +151,13 @@
 	return nil
 }
 
-// around returns what the request's hosts came to believe meanwhile, and what
-// any host learned of its engines.
-func (tel *Teller) around() []line {
+// surroundingLines returns the lines without a request that the request's hosts
+// logged between lookback before its start and its last line: those about no
+// engine, and those about engines that the request used.
+func (tli *Teller) surroundingLines() []line {
 	hosts, engines := make(map[string]bool), make(map[string]bool)
-	first, last := tel.own[0].at, tel.own[0].at
-	for _, lin := range tel.own {
+	first, last := tli.requestLines[0].at, tli.requestLines[0].at
+	for _, lin := range tli.requestLines {
 		hosts[lin.text(fieldHost)] = true
 		engines[lin.text(fieldEngine)] = true
 		took, _ := lin.fields[fieldTook].(float64)
@@ -166,9 +170,9 @@
 		}
 	}
 	var lines []line
-	for _, lin := range tel.other {
+	for _, lin := range tli.otherLines {
 		engine := lin.text(fieldEngine)
-		near := !lin.at.Before(first.Add(-before)) && !lin.at.After(last)
+		near := !lin.at.Before(first.Add(-lookback)) && !lin.at.After(last)
 		if near && ((engine == "" && hosts[lin.text(fieldHost)]) || (engine != "" && engines[engine] && hosts[lin.text(fieldHost)])) {
 			lines = append(lines, lin)
 		}
@@ -176,7 +180,7 @@
 	return lines
 }
 
-// details returns the other fields, sorted by their names.
+// details returns the remaining fields, sorted by name.
 func (lin line) details() string {
 	var names []string
 	for name := range lin.fields {
