--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -57,7 +57,7 @@
 	ConfigurationTime time.Duration
 	// Sessions is the mean number of sessions of a host, in both directions.
 	Sessions float64
-	// Whole counts the requests with a complete answer, Sent all requests.
+	// Whole counts the requests with their own complete answer, Sent all requests.
 	Whole, Sent int
 }
 
@@ -206,10 +206,10 @@
 		Name: "Check", Service: serviceName, Tier: tierName, Account: accountName, PerSecond: rate,
 		PromptTokens: 60, AnswerTokens: 4, Deadline: format.Duration(20 * time.Second),
 	}
-	ended, err := load.Run(ctx, load.Config{Clients: map[string]*load.Client{accountName: cli}, Kinds: []load.Kind{kind}, For: cfg.For, Seed: 1})
-	for _, end := range ended {
+	results, err := load.Run(ctx, load.Config{Clients: map[string]*load.Client{accountName: cli}, Kinds: []load.Kind{kind}, For: cfg.For, Seed: 1})
+	for _, res := range results {
 		row.Sent++
-		if end.Own {
+		if res.Own {
 			row.Whole++
 		}
 	}
--- a/cmd/heldcmd.go
+++ b/cmd/heldcmd.go
@@ -35,7 +35,7 @@
 func newHeldCmd() *heldCmd {
 	com := &heldCmd{sub: newSubcommand("held", "list requests that crash engines, or release one from quarantine", "    lynxwell held --entry 10.1.0.25:7601\n    lynxwell held --entry 10.1.0.25:7601 --free 87383c4a3e4700b3e513b4d0fc388e8a")}
 	com.opts.timeout = 5 * time.Second
-	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host; the coordinator knows most")
+	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host; the list of the coordinator is the most complete")
 	com.sub.Duration(&com.opts.timeout, "t", "timeout", "time limit for each response")
 	com.sub.String(&com.opts.free, "f", "free", "digest of a request to release")
 	return com
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -184,11 +184,11 @@
 		"care-homes":     load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: kitchenKey, Seed: cfg.Seed}),
 		"building-firms": load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: payrollKey, Seed: cfg.Seed + 1}),
 	}
-	ended, err := load.Run(ctx, load.Config{Clients: clients, Kinds: Kinds(), For: cfg.For, Seed: cfg.Seed, Progress: progressPrinter(cfg.Progress)})
+	results, err := load.Run(ctx, load.Config{Clients: clients, Kinds: Kinds(), For: cfg.For, Seed: cfg.Seed, Progress: progressPrinter(cfg.Progress)})
 	if err != nil {
 		return load.Report{}, err
 	}
-	return load.Summarize(ended, load.AuditRun(ended, sys.Dispatches())), nil
+	return load.Summarize(results, load.AuditRun(results, sys.Dispatches())), nil
 }
 
 // progressInterval is the interval between progress messages.
--- a/load/report.go
+++ b/load/report.go
@@ -33,7 +33,7 @@
 	// Whole counts complete answers, InTime those within the deadline.
 	Whole  int
 	InTime int
-	// GivenUp counts requests that ended with a reported outcome instead.
+	// GivenUp counts requests whose final answer was an error with an outcome.
 	GivenUp int
 	// Lost counts requests without an answer.
 	Lost          int
@@ -44,17 +44,17 @@
 }
 
 // Summarize returns the report of a run.
-func Summarize(ended []Ended, aud Audit) Report {
+func Summarize(results []Ended, aud Audit) Report {
 	rep := Report{Audit: aud, Codes: make(map[string]int)}
 	byTier := make(map[string][]Ended)
-	for _, end := range ended {
-		byTier[end.Kind.Tier] = append(byTier[end.Kind.Tier], end)
-		if !end.Own {
-			rep.Codes[end.Kind.Name+" "+codeOf(end.Answer)]++
+	for _, res := range results {
+		byTier[res.Kind.Tier] = append(byTier[res.Kind.Tier], res)
+		if !res.Own {
+			rep.Codes[res.Kind.Name+" "+codeOf(res.Answer)]++
 		}
 	}
-	for tier, results := range byTier {
-		rep.Tiers = append(rep.Tiers, summarizeTier(tier, results, aud.WastedByTier[tier]))
+	for tier, tierResults := range byTier {
+		rep.Tiers = append(rep.Tiers, summarizeTier(tier, tierResults, aud.WastedByTier[tier]))
 	}
 	slices.SortFunc(rep.Tiers, func(one, two TierReport) int { return cmp.Compare(one.Tier, two.Tier) })
 	return rep
@@ -71,18 +71,18 @@
 	}
 }
 
-func summarizeTier(tier string, ended []Ended, wasted int) TierReport {
-	tir := TierReport{Tier: tier, Sent: len(ended), WastedTokens: wasted}
+func summarizeTier(tier string, results []Ended, wasted int) TierReport {
+	tir := TierReport{Tier: tier, Sent: len(results), WastedTokens: wasted}
 	first := hdrhistogram.New(1, histogramMax, histogramDigits)
-	for _, end := range ended {
-		ans := end.Answer
+	for _, res := range results {
+		ans := res.Answer
 		tir.Repeats += ans.Repeats
 		switch {
-		case end.Own:
+		case res.Own:
 			tir.Whole++
 			// Values beyond the range can only come from a defect of this tool.
 			_ = first.RecordValue(max(1, ans.FirstToken.Microseconds()))
-			if ans.Total <= end.Kind.Deadline.Std() {
+			if ans.Total <= res.Kind.Deadline.Std() {
 				tir.InTime++
 			}
 		case ans.Outcome != "" && ans.Err == nil:
--- a/load/run.go
+++ b/load/run.go
@@ -47,11 +47,11 @@
 	if err != nil {
 		return nil, err
 	}
-	type indexedEnd struct {
-		index int
-		ended Ended
+	type indexedResult struct {
+		index  int
+		result Ended
 	}
-	ends := make(chan indexedEnd)
+	results := make(chan indexedResult)
 	start := time.Now()
 	go func() {
 		for idx, arr := range arrivals {
@@ -60,18 +60,18 @@
 			go func() {
 				cli := cfg.Clients[arr.sample.kind.Account]
 				ans := cli.Send(ctx, arr.sample.request)
-				ends <- indexedEnd{idx, Ended{Kind: arr.sample.kind, Answer: ans, Own: ans.Whole && arr.sample.matches(ans)}}
+				results <- indexedResult{idx, Ended{Kind: arr.sample.kind, Answer: ans, Own: ans.Whole && arr.sample.matches(ans)}}
 			}()
 		}
 	}()
 	all := make([]Ended, len(arrivals))
 	counts := Counts{Sent: len(arrivals)}
 	for range arrivals {
-		end := <-ends
-		end.ended.Answer.Body = nil
-		all[end.index] = end.ended
+		res := <-results
+		res.result.Answer.Body = nil
+		all[res.index] = res.result
 		counts.Ended++
-		if end.ended.Own {
+		if res.result.Own {
 			counts.Whole++
 		}
 		if cfg.Progress != nil {
@@ -132,18 +132,18 @@
 }
 
 // AuditRun returns the audit of a run.
-func AuditRun(ended []Ended, dispatches []engine.DispatchRecord) Audit {
+func AuditRun(results []Ended, dispatches []engine.DispatchRecord) Audit {
 	aud := Audit{Dispatches: len(dispatches), WastedByTier: make(map[string]int)}
 	owner := make(map[string]Ended)
 	reported := make(map[string]request.Outcome)
-	for _, end := range ended {
-		for _, id := range end.Answer.IDs {
-			owner[id.String()] = end
+	for _, res := range results {
+		for _, id := range res.Answer.IDs {
+			owner[id.String()] = res
 		}
-		for id, outcome := range end.Answer.Told {
+		for id, outcome := range res.Answer.Told {
 			reported[id.String()] = outcome
 		}
-		if end.Answer.Whole && !end.Own {
+		if res.Answer.Whole && !res.Own {
 			aud.Mixed++
 		}
 	}
@@ -157,9 +157,9 @@
 			aud.FalselyNotRun = append(aud.FalselyNotRun, dis.ID)
 		}
 		aud.PrefillTokens += dis.PrefillTokens
-		if end, known := owner[dis.ID]; !known || !end.Own {
+		if res, known := owner[dis.ID]; !known || !res.Own {
 			aud.WastedTokens += dis.PrefillTokens
-			aud.WastedByTier[end.Kind.Tier] += dis.PrefillTokens
+			aud.WastedByTier[res.Kind.Tier] += dis.PrefillTokens
 		}
 	}
 	aud.Requests = len(seen)
