--- a/load/report.go
+++ b/load/report.go
@@ -30,7 +30,7 @@
 type TierReport struct {
 	Tier string
 	Sent int
-	// Whole counts complete answers, InTime those within the deadline.
+	// The numbers of complete answers and of complete answers within the deadline.
 	Whole  int
 	InTime int
 	// GivenUp counts requests whose final answer was an error with an outcome.
