--- a/load/report.go
+++ b/load/report.go
@@ -12,29 +12,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of the histograms, in microseconds.
+// The maximum value of the histograms in microseconds, and their significant digits.
 const (
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Report sums a run up.
+// Report summarizes a run.
 type Report struct {
 	Tiers []TierReport
 	Audit Audit
-	// Codes counts the answers without a whole one by kind and code.
+	// Codes counts the requests without their own complete answer, by kind and code.
 	Codes map[string]int
 }
 
-// TierReport sums one tier up.
+// TierReport summarizes the requests of one tier.
 type TierReport struct {
 	Tier string
 	Sent int
-	// Whole counts whole answers, InTime those within the deadline.
-	Whole   int
-	InTime  int
+	// The numbers of complete answers and of complete answers within the deadline.
+	Whole  int
+	InTime int
+	// GivenUp counts requests whose final answer was an error with an outcome.
 	GivenUp int
-	// Lost counts requests without any answer.
+	// Lost counts requests without an answer.
 	Lost          int
 	Repeats       int
 	FirstTokenP50 time.Duration
@@ -42,18 +43,18 @@
 	WastedTokens  int
 }
 
-// Summarize makes the report of a run.
-func Summarize(ended []Ended, aud Audit) Report {
+// Summarize returns the report of a run.
+func Summarize(results []Ended, aud Audit) Report {
 	rep := Report{Audit: aud, Codes: make(map[string]int)}
 	byTier := make(map[string][]Ended)
-	for _, end := range ended {
-		byTier[end.Kind.Tier] = append(byTier[end.Kind.Tier], end)
-		if !end.Own {
-			rep.Codes[end.Kind.Name+" "+codeOf(end.Answer)]++
+	for _, res := range results {
+		byTier[res.Kind.Tier] = append(byTier[res.Kind.Tier], res)
+		if !res.Own {
+			rep.Codes[res.Kind.Name+" "+codeOf(res.Answer)]++
 		}
 	}
-	for tier, some := range byTier {
-		rep.Tiers = append(rep.Tiers, summarizeTier(tier, some, aud.WastedByTier[tier]))
+	for tier, tierResults := range byTier {
+		rep.Tiers = append(rep.Tiers, summarizeTier(tier, tierResults, aud.WastedByTier[tier]))
 	}
 	slices.SortFunc(rep.Tiers, func(one, two TierReport) int { return cmp.Compare(one.Tier, two.Tier) })
 	return rep
@@ -70,18 +71,18 @@
 	}
 }
 
-func summarizeTier(tier string, ended []Ended, wasted int) TierReport {
-	tir := TierReport{Tier: tier, Sent: len(ended), WastedTokens: wasted}
+func summarizeTier(tier string, results []Ended, wasted int) TierReport {
+	tir := TierReport{Tier: tier, Sent: len(results), WastedTokens: wasted}
 	first := hdrhistogram.New(1, histogramMax, histogramDigits)
-	for _, end := range ended {
-		ans := end.Answer
+	for _, res := range results {
+		ans := res.Answer
 		tir.Repeats += ans.Repeats
 		switch {
-		case end.Own:
+		case res.Own:
 			tir.Whole++
-			// Times out of the range would be faults of the tool.
+			// Values beyond the range can only come from a defect of this tool.
 			_ = first.RecordValue(max(1, ans.FirstToken.Microseconds()))
-			if ans.Total <= end.Kind.Deadline.Std() {
+			if ans.Total <= res.Kind.Deadline.Std() {
 				tir.InTime++
 			}
 		case ans.Outcome != "" && ans.Err == nil:
@@ -108,15 +109,15 @@
 	}
 	aud := rep.Audit
 	for _, code := range slices.Sorted(maps.Keys(rep.Codes)) {
-		fmt.Fprintf(out, "without a whole answer: %d %s\n", rep.Codes[code], code)
+		fmt.Fprintf(out, "without a complete answer: %d %s\n", rep.Codes[code], code)
 	}
-	_, err := fmt.Fprintf(out, "dispatches: %d for %d requests, %d doubled, %d mixed answers, %d falsely told NotRun\nprefill: %d tokens, %d wasted (%.2f%%)\n",
+	_, err := fmt.Fprintf(out, "dispatches: %d for %d requests, %d dispatched twice, %d mixed-up answers, %d falsely reported as NotRun\nprefill: %d tokens, %d wasted (%.2f%%)\n",
 		aud.Dispatches, aud.Requests, len(aud.Doubled), aud.Mixed, len(aud.FalselyNotRun),
-		aud.PrefillTokens, aud.WastedTokens, share(aud.WastedTokens, aud.PrefillTokens))
+		aud.PrefillTokens, aud.WastedTokens, percentage(aud.WastedTokens, aud.PrefillTokens))
 	return err
 }
 
-func share(part, whole int) float64 {
+func percentage(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -51,8 +51,8 @@
 	policy  backoffPolicy
 	engines int
 	hosts   int
-	// shedShare is the share of engines that shed load at a time, for backoffShedPeriod; failureShare is
-	// the share of answers of the other engines that fail.
+	// shedShare is the share of engines that shed load at a time, for backoffShedPeriod; failureShare
+	// is the share of answers of the other engines that fail.
 	shedShare    float64
 	failureShare float64
 	maxAttempts  int
@@ -77,8 +77,8 @@
 	fleet.Engine
 	shedUntil     time.Time
 	awaitsRequest bool
-	// backoffAt is when the engine last sent each host a backoff request, sent how many requests it has
-	// got from the host since.
+	// backoffAt is when the engine last sent each host a backoff request, sent how many requests it
+	// has got from the host since.
 	backoffAt map[request.Epoch]time.Time
 	sent      map[request.Epoch]int
 }
@@ -103,12 +103,12 @@
 )
 
 func newBackoffSim(cfg backoffSimConfig) *backoffSim {
-	scope := map[backoffPolicy]scheduler.PauseScope{backoffOfReceiver: scheduler.PauseAsked, backoffOfAll: scheduler.PauseAll}[cfg.policy]
+	scope := map[backoffPolicy]scheduler.BackoffScope{backoffOfReceiver: scheduler.BackoffRecipient, backoffOfAll: scheduler.BackoffAll}[cfg.policy]
 	sim := &backoffSim{
 		cfg: cfg, random: rand.New(rand.NewPCG(cfg.seed, 11)), engines: make(map[string]*backoffEngine),
 		notices: make(map[request.Epoch]*fleet.Notices), waiting: make(map[request.ID]*backoffRun),
 		har: &harness{
-			core: scheduler.New(scheduler.Config{Self: ownEpoch, Repeats: scheduler.Repeats{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}, LimitSlack: 1000, Pauses: scope}),
+			core: scheduler.New(scheduler.Config{Self: ownEpoch, RetryBudget: scheduler.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}, LimitSlack: 1000, BackoffScope: scope}),
 			now:  time.Unix(5000, 0),
 		},
 	}
