--- a/platformtest/memory.go
+++ b/platformtest/memory.go
@@ -58,15 +58,15 @@
 	deleted  map[string]store.Revision
 	revision store.Revision
 	// compacted is the revision up to which the history is forgotten.
-	compacted store.Revision
-	leases    map[store.LeaseID]*lease
-	lastID    store.LeaseID
-	hosts     map[string]hostChange
-	faults    Faults
-	tokens    float64
-	filled    time.Time
-	counts    map[string]uint64
-	changed   chan struct{}
+	compacted  store.Revision
+	leases     map[store.LeaseID]*lease
+	lastID     store.LeaseID
+	hosts      map[string]hostChange
+	faults     Faults
+	tokens     float64
+	refilledAt time.Time
+	counts     map[string]uint64
+	changed    chan struct{}
 }
 
 type lease struct {
@@ -107,8 +107,8 @@
 	defer mem.mutex.Unlock()
 	mem.faults = fau
 	mem.tokens = fau.CallsPerSecond
-	mem.filled = mem.cfg.Now()
-	mem.wake()
+	mem.refilledAt = mem.cfg.Now()
+	mem.notifyWatchers()
 }
 
 // Counts returns the number of calls by kind, failed ones among them.
@@ -126,24 +126,24 @@
 }
 
 // enter counts a call and applies the faults that precede its effect.
-func (mem *Memory) enter(ctx context.Context, kind string) error {
-	return mem.enterAt(ctx, kind, true)
+func (mem *Memory) beginCall(ctx context.Context, kind string) error {
+	return mem.applyFaults(ctx, kind, true)
 }
 
-func (mem *Memory) enterAt(ctx context.Context, kind string, counts bool) error {
+func (mem *Memory) applyFaults(ctx context.Context, kind string, counts bool) error {
 	mem.mutex.Lock()
 	mem.counts[kind]++
 	fau := mem.faults
 	wait := time.Duration(0)
 	if counts {
-		wait = mem.overRate()
+		wait = mem.takeToken()
 	}
 	mem.mutex.Unlock()
 	if fau.Down {
 		return &store.UnavailableError{Call: kind, Cause: errDown}
 	}
 	if fau.Silent {
-		return hang(ctx, kind)
+		return waitSilently(ctx, kind)
 	}
 	if wait > 0 {
 		return &store.RateError{RetryAfter: wait}
@@ -161,12 +161,12 @@
 	}
 }
 
-// silentLimit is how long a call hangs at most: a server doesn't always notice
+// maxSilence is how long a call hangs at most: a server doesn't always notice
 // that its caller has given up.
-const silentLimit = 4 * time.Second
+const maxSilence = 4 * time.Second
 
-func hang(ctx context.Context, kind string) error {
-	limit := time.NewTimer(silentLimit)
+func waitSilently(ctx context.Context, kind string) error {
+	limit := time.NewTimer(maxSilence)
 	defer limit.Stop()
 	select {
 	case <-limit.C:
@@ -175,14 +175,14 @@
 	return &store.UnavailableError{Call: kind, Cause: errDown}
 }
 
-func (mem *Memory) overRate() time.Duration {
+func (mem *Memory) takeToken() time.Duration {
 	rate := mem.faults.CallsPerSecond
 	if rate == 0 {
 		return 0
 	}
 	now := mem.cfg.Now()
-	mem.tokens = min(rate, mem.tokens+now.Sub(mem.filled).Seconds()*rate)
-	mem.filled = now
+	mem.tokens = min(rate, mem.tokens+now.Sub(mem.refilledAt).Seconds()*rate)
+	mem.refilledAt = now
 	if mem.tokens < 1 {
 		return time.Duration((1 - mem.tokens) / rate * float64(time.Second))
 	}
@@ -191,7 +191,7 @@
 }
 
 // leave returns the error of a write whose reply is lost.
-func (mem *Memory) leave(kind string) error {
+func (mem *Memory) endWrite(kind string) error {
 	if mem.faults.LoseReplies == 0 {
 		return nil
 	}
@@ -200,16 +200,16 @@
 }
 
 // lapse ends the leases that weren't renewed in time.
-func (mem *Memory) lapse() {
+func (mem *Memory) expireLeases() {
 	now := mem.cfg.Now()
 	for id, lea := range mem.leases {
 		if !now.Before(lea.expires) {
-			mem.endLease(id)
+			mem.removeLease(id)
 		}
 	}
 }
 
-func (mem *Memory) endLease(id store.LeaseID) {
+func (mem *Memory) removeLease(id store.LeaseID) {
 	delete(mem.leases, id)
 	for key, val := range mem.values {
 		if val.Lease == id {
@@ -225,22 +225,22 @@
 	delete(mem.values, key)
 	mem.revision++
 	mem.deleted[key] = mem.revision
-	mem.wake()
+	mem.notifyWatchers()
 }
 
-func (mem *Memory) wake() {
+func (mem *Memory) notifyWatchers() {
 	close(mem.changed)
 	mem.changed = make(chan struct{})
 }
 
 // Get implements store.Store.
 func (mem *Memory) Get(ctx context.Context, key string) (store.Value, error) {
-	if err := mem.enter(ctx, "Get"); err != nil {
+	if err := mem.beginCall(ctx, "Get"); err != nil {
 		return store.Value{}, err
 	}
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
-	mem.lapse()
+	mem.expireLeases()
 	val, known := mem.values[key]
 	if !known {
 		return store.Value{Key: key}, nil
@@ -250,7 +250,7 @@
 
 // List implements store.Store.
 func (mem *Memory) List(ctx context.Context, prefix string) ([]store.Value, store.Revision, error) {
-	if err := mem.enter(ctx, "List"); err != nil {
+	if err := mem.beginCall(ctx, "List"); err != nil {
 		return nil, 0, err
 	}
 	values, rev := mem.list(prefix)
@@ -260,7 +260,7 @@
 func (mem *Memory) list(prefix string) ([]store.Value, store.Revision) {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
-	mem.lapse()
+	mem.expireLeases()
 	var values []store.Value
 	for key, val := range mem.values {
 		if strings.HasPrefix(key, prefix) {
@@ -273,7 +273,7 @@
 
 // ListStale implements store.Store: the rate doesn't count.
 func (mem *Memory) ListStale(ctx context.Context, prefix string) ([]store.Value, store.Revision, error) {
-	if err := mem.enterAt(ctx, "ListStale", false); err != nil {
+	if err := mem.applyFaults(ctx, "ListStale", false); err != nil {
 		return nil, 0, err
 	}
 	values, rev := mem.list(prefix)
@@ -282,17 +282,17 @@
 
 // Put implements store.Store.
 func (mem *Memory) Put(ctx context.Context, wri store.Write) (store.Revision, error) {
-	if err := mem.enter(ctx, "Put"); err != nil {
+	if err := mem.beginCall(ctx, "Put"); err != nil {
 		return 0, err
 	}
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
-	mem.lapse()
-	if err := mem.mayPut(wri); err != nil {
+	mem.expireLeases()
+	if err := mem.checkWrite(wri); err != nil {
 		return 0, err
 	}
 	mem.write(wri)
-	return mem.revision, mem.leave("Put")
+	return mem.revision, mem.endWrite("Put")
 }
 
 // Write makes a write whatever is wrong with the store: those who make it have
@@ -300,8 +300,8 @@
 func (mem *Memory) Write(wri store.Write) error {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
-	mem.lapse()
-	if err := mem.mayPut(wri); err != nil {
+	mem.expireLeases()
+	if err := mem.checkWrite(wri); err != nil {
 		return err
 	}
 	mem.write(wri)
@@ -312,7 +312,7 @@
 func (mem *Memory) Peek(key string) store.Value {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
-	mem.lapse()
+	mem.expireLeases()
 	val, known := mem.values[key]
 	if !known {
 		return store.Value{Key: key}
@@ -328,10 +328,10 @@
 	mem.revision++
 	delete(mem.deleted, wri.Key)
 	mem.values[wri.Key] = store.Value{Key: wri.Key, Data: slices.Clone(wri.Data), Revision: mem.revision, Lease: wri.Lease}
-	mem.wake()
+	mem.notifyWatchers()
 }
 
-func (mem *Memory) mayPut(wri store.Write) error {
+func (mem *Memory) checkWrite(wri store.Write) error {
 	if len(wri.Data) > MaxValueBytes {
 		return errors.Newf("value of %d bytes is over the limit of %d", len(wri.Data), MaxValueBytes)
 	}
@@ -346,20 +346,20 @@
 
 // Watch implements store.Store.
 func (mem *Memory) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
-	if err := mem.enter(ctx, "Watch"); err != nil {
+	if err := mem.beginCall(ctx, "Watch"); err != nil {
 		return store.Changes{}, err
 	}
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
 	for {
-		changes, changed, err := mem.look(prefix, after)
+		changes, changed, err := mem.changesAfter(prefix, after)
 		if err != nil {
 			return store.Changes{}, err
 		}
 		if len(changes.Changes) > 0 {
 			return changes, nil
 		}
-		lapse := time.NewTimer(watchStep)
+		lapse := time.NewTimer(leaseCheckInterval)
 		select {
 		case <-changed:
 		case <-lapse.C:
@@ -374,14 +374,14 @@
 	}
 }
 
-// watchStep is how often a waiting watch looks for lapsed leases.
-const watchStep = 50 * time.Millisecond
+// leaseCheckInterval is how often a waiting watch looks for lapsed leases.
+const leaseCheckInterval = 50 * time.Millisecond
 
 // look returns what changed under the prefix after the revision.
-func (mem *Memory) look(prefix string, after store.Revision) (store.Changes, <-chan struct{}, error) {
+func (mem *Memory) changesAfter(prefix string, after store.Revision) (store.Changes, <-chan struct{}, error) {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
-	mem.lapse()
+	mem.expireLeases()
 	if mem.faults.Down {
 		return store.Changes{}, nil, &store.UnavailableError{Call: "Watch", Cause: errDown}
 	}
@@ -409,40 +409,40 @@
 	defer mem.mutex.Unlock()
 	mem.revision++
 	mem.compacted = mem.revision
-	mem.wake()
+	mem.notifyWatchers()
 }
 
 // GrantLease implements store.Store.
 func (mem *Memory) GrantLease(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
-	if err := mem.enter(ctx, "GrantLease"); err != nil {
+	if err := mem.beginCall(ctx, "GrantLease"); err != nil {
 		return 0, err
 	}
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
 	mem.lastID++
 	mem.leases[mem.lastID] = &lease{ttl: ttl, expires: mem.cfg.Now().Add(ttl)}
-	return mem.lastID, mem.leave("GrantLease")
+	return mem.lastID, mem.endWrite("GrantLease")
 }
 
 // RenewLease implements store.Store.
 func (mem *Memory) RenewLease(ctx context.Context, id store.LeaseID) error {
-	if err := mem.enter(ctx, "RenewLease"); err != nil {
+	if err := mem.beginCall(ctx, "RenewLease"); err != nil {
 		return err
 	}
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
-	mem.lapse()
+	mem.expireLeases()
 	lea := mem.leases[id]
 	if lea == nil {
 		return &store.LeaseError{Lease: id}
 	}
 	lea.expires = mem.cfg.Now().Add(lea.ttl)
-	return mem.leave("RenewLease")
+	return mem.endWrite("RenewLease")
 }
 
 // RevokeLease implements store.Store.
 func (mem *Memory) RevokeLease(ctx context.Context, id store.LeaseID) error {
-	if err := mem.enter(ctx, "RevokeLease"); err != nil {
+	if err := mem.beginCall(ctx, "RevokeLease"); err != nil {
 		return err
 	}
 	mem.mutex.Lock()
@@ -450,13 +450,13 @@
 	if mem.leases[id] == nil {
 		return &store.LeaseError{Lease: id}
 	}
-	mem.endLease(id)
-	return mem.leave("RevokeLease")
+	mem.removeLease(id)
+	return mem.endWrite("RevokeLease")
 }
 
 // Hosts implements store.Store.
 func (mem *Memory) Hosts(ctx context.Context) ([]store.HostState, error) {
-	if err := mem.enter(ctx, "Hosts"); err != nil {
+	if err := mem.beginCall(ctx, "Hosts"); err != nil {
 		return nil, err
 	}
 	mem.mutex.Lock()
@@ -479,9 +479,9 @@
 	return hosts
 }
 
-// hostValues returns the backend servers of the host list as entries of their
+// backendEntries returns the backend servers of the host list as entries of their
 // own under the prefix, which is how the platform shows them.
-func (mem *Memory) hostValues(prefix string) []store.Value {
+func (mem *Memory) backendEntries(prefix string) []store.Value {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
 	var values []store.Value
--- a/platformtest/server.go
+++ b/platformtest/server.go
@@ -93,21 +93,21 @@
 	rou.HandleFunc("/kv-lease", srv.serveGrant).Methods(http.MethodPost)
 	rou.HandleFunc("/kv-keep/{lease}", srv.serveRenewal).Methods(http.MethodPost)
 	rou.HandleFunc("/kv-lease-end/{lease}", srv.serveRevocation).Methods(http.MethodDelete)
-	srv.switches(rou)
+	srv.registerControlRoutes(rou)
 	return rou
 }
 
-func (srv *Server) switches(rou *mux.Router) {
+func (srv *Server) registerControlRoutes(rou *mux.Router) {
 	rou.HandleFunc(PathFaults, func(wri http.ResponseWriter, req *http.Request) {
 		var fau Faults
-		if read(wri, req, &fau) {
+		if decodeBody(wri, req, &fau) {
 			srv.memory.SetFaults(fau)
 			reply(wri, http.StatusOK, struct{}{})
 		}
 	}).Methods(http.MethodPost)
 	rou.HandleFunc(PathHost, func(wri http.ResponseWriter, req *http.Request) {
 		var cha HostChange
-		if !read(wri, req, &cha) {
+		if !decodeBody(wri, req, &cha) {
 			return
 		}
 		state := &cha.HostState
@@ -119,11 +119,11 @@
 	}).Methods(http.MethodPost)
 	rou.HandleFunc(PathPut, func(wri http.ResponseWriter, req *http.Request) {
 		var body store.Write
-		if !read(wri, req, &body) {
+		if !decodeBody(wri, req, &body) {
 			return
 		}
 		if err := srv.memory.Write(body); err != nil {
-			fail(wri, err)
+			replyError(wri, err)
 			return
 		}
 		reply(wri, http.StatusOK, struct{}{})
@@ -148,7 +148,7 @@
 	val, err := srv.memory.Get(req.Context(), req.URL.Query().Get("tls_key"))
 	switch {
 	case err != nil:
-		fail(wri, err)
+		replyError(wri, err)
 	case val.Revision == 0:
 		reply(wri, http.StatusNotFound, struct{}{})
 	default:
@@ -165,10 +165,10 @@
 	}
 	values, rev, err := list(req.Context(), prefix)
 	if err != nil {
-		fail(wri, err)
+		replyError(wri, err)
 		return
 	}
-	values = append(values, srv.memory.hostValues(prefix)...)
+	values = append(values, srv.memory.backendEntries(prefix)...)
 	res := page{Items: []item{}, Store: uint64(rev)}
 	for _, val := range values {
 		if val.Key <= after {
@@ -193,7 +193,7 @@
 	}
 	changes, err := srv.memory.Watch(req.Context(), query.Get("path_prefix"), store.Revision(after), time.Duration(wait)*time.Millisecond)
 	if err != nil {
-		fail(wri, err)
+		replyError(wri, err)
 		return
 	}
 	res := events{Events: []item{}, Store: uint64(changes.Revision)}
@@ -207,7 +207,7 @@
 
 func (srv *Server) serveTransaction(wri http.ResponseWriter, req *http.Request) {
 	var txn transaction
-	if !read(wri, req, &txn) {
+	if !decodeBody(wri, req, &txn) {
 		return
 	}
 	if len(txn.Writes)+len(txn.Remove) != 1 {
@@ -221,7 +221,7 @@
 	}
 	rev, err := srv.memory.Put(req.Context(), wri1)
 	if err != nil {
-		fail(wri, err)
+		replyError(wri, err)
 		return
 	}
 	reply(wri, http.StatusOK, committed{Revision: uint64(rev)})
@@ -244,12 +244,12 @@
 
 func (srv *Server) serveGrant(wri http.ResponseWriter, req *http.Request) {
 	var body leaseBody
-	if !read(wri, req, &body) {
+	if !decodeBody(wri, req, &body) {
 		return
 	}
 	id, err := srv.memory.GrantLease(req.Context(), time.Duration(body.TTL)*time.Millisecond)
 	if err != nil {
-		fail(wri, err)
+		replyError(wri, err)
 		return
 	}
 	reply(wri, http.StatusOK, leaseBody{Lease: uint64(id), TTL: body.TTL})
@@ -269,14 +269,14 @@
 		err = work(store.LeaseID(id))
 	}
 	if err != nil {
-		fail(wri, err)
+		replyError(wri, err)
 		return
 	}
 	reply(wri, http.StatusOK, struct{}{})
 }
 
 // read decodes a JSON body, or answers that it can't.
-func read(wri http.ResponseWriter, req *http.Request, target any) bool {
+func decodeBody(wri http.ResponseWriter, req *http.Request, target any) bool {
 	if err := json.NewDecoder(req.Body).Decode(target); err != nil {
 		reply(wri, http.StatusBadRequest, struct{}{})
 		return false
@@ -284,7 +284,7 @@
 	return true
 }
 
-func fail(wri http.ResponseWriter, err error) {
+func replyError(wri http.ResponseWriter, err error) {
 	var cer *store.ConflictError
 	var ler *store.LeaseError
 	var rer *store.RateError
