--- a/platformtest/contract_test.go
+++ b/platformtest/contract_test.go
@@ -16,14 +16,14 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// fixture is a store with the memory behind it and the time that it goes by.
+// fixture is a store under test with its underlying memory and simulated time.
 type fixture struct {
 	store  store.Store
 	memory *platformtest.Memory
 	now    *time.Time
 }
 
-// eachStore runs the test against every implementation of the interface.
+// eachStore runs the test against the in-memory store and against a client of it over HTTP.
 func eachStore(t *testing.T, test func(t *testing.T, fix fixture)) {
 	t.Helper()
 	newMemory := func() (*platformtest.Memory, *time.Time) {
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestLeaseTakesItsKeysAlong(t *testing.T) {
+func TestExpiredLeaseRemovesItsKeys(t *testing.T) {
 	eachStore(t, func(t *testing.T, fix fixture) {
 		ctx := t.Context()
 		id, err := fix.store.GrantLease(ctx, 10*time.Second)
@@ -93,7 +93,7 @@
 	})
 }
 
-func TestWatchWakesAtAChange(t *testing.T) {
+func TestWatchReturnsOnChange(t *testing.T) {
 	eachStore(t, func(t *testing.T, fix fixture) {
 		ctx := t.Context()
 		woken := make(chan error, 1)
@@ -122,7 +122,7 @@
 	})
 }
 
-func TestFaults(t *testing.T) {
+func TestFaultsGiveTypedErrors(t *testing.T) {
 	calls := map[string]func(ctx context.Context, sto store.Store) error{
 		"Get":  func(ctx context.Context, sto store.Store) error { _, err := sto.Get(ctx, "k"); return err },
 		"List": func(ctx context.Context, sto store.Store) error { _, _, err := sto.List(ctx, ""); return err },
@@ -156,9 +156,9 @@
 	}
 }
 
-// A write whose reply is lost has taken effect, and the writer knows that it
-// can't know.
-func TestLostReply(t *testing.T) {
+// A write whose reply is lost takes effect, and the writer gets an error that leaves the outcome
+// open.
+func TestLostReplyIsUncertain(t *testing.T) {
 	eachStore(t, func(t *testing.T, fix fixture) {
 		fix.memory.SetFaults(platformtest.Faults{LoseReplies: 1})
 		_, err := fix.store.Put(t.Context(), store.Write{Key: "k", Data: []byte("v")})
@@ -170,7 +170,7 @@
 	})
 }
 
-func TestReadOnlyRefusesWrites(t *testing.T) {
+func TestReadOnlyRejectsWrites(t *testing.T) {
 	sto := store.NewReadOnly(platformtest.NewMemory(platformtest.MemoryConfig{}))
 	var rer *store.ReadOnlyError
 	_, err := sto.Put(t.Context(), store.Write{Key: "k"})
--- a/platformtest/memory.go
+++ b/platformtest/memory.go
@@ -1,5 +1,6 @@
-// Package platformtest is a small stand-in of the platform: an in-memory store
-// with the faults of the real one, and a server that offers it over HTTP.
+// Package platformtest is a small fake of the platform: an in-memory store into
+// which the faults of the real one can be injected, and a server that offers it
+// over HTTP.
 //
 // # Usage
 //
@@ -8,7 +9,7 @@
 //	http.Serve(lis, srv.Handler())
 //	mem.SetFaults(platformtest.Faults{Down: true})
 //
-// Memory is itself a store.Store, for tests that need no network.
+// Memory is itself a store.Store, for tests that don't need a network.
 package platformtest
 
 import (
@@ -25,39 +26,40 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// MaxValueBytes is the platform's limit on a value.
+// MaxValueBytes is the platform's limit on the size of a value.
 const MaxValueBytes = 1 << 20
 
-// Faults is what is wrong with the platform for the time being.
+// Faults are the faults that a Memory simulates. The zero value is none.
 type Faults struct {
-	// Down has every call fail.
+	// Down makes every call fail with a *store.UnavailableError.
 	Down bool
-	// Silent has every call hang until its caller gives up, also after the silence.
+	// Silent makes every call hang until its context ends or 4 s have passed, and then fail. A
+	// call that hangs does so even if the fault is cleared meanwhile.
 	Silent bool
 	// Delay is added to every call.
 	Delay time.Duration
-	// LoseReplies has that many writes take effect without a reply.
+	// LoseReplies is how many of the next writes take effect without a reply.
 	LoseReplies int
-	// CallsPerSecond limits the rate; 0 is no limit.
+	// CallsPerSecond is the rate limit; 0 is no limit.
 	CallsPerSecond float64
 }
 
-// MemoryConfig holds what a Memory is made from.
+// MemoryConfig configures a Memory.
 type MemoryConfig struct {
-	// Now returns the time; nil stands for time.Now.
+	// Now returns the current time; nil is time.Now.
 	Now func() time.Time
-	// HostsLag is how much later the host list shows a change.
+	// HostsLag is the delay after which the host list shows a change.
 	HostsLag time.Duration
 }
 
-// Memory is the store.
+// Memory is an in-memory store.Store. It is safe for concurrent use.
 type Memory struct {
 	cfg      MemoryConfig
 	mutex    sync.Mutex
 	values   map[string]store.Value
 	deleted  map[string]store.Revision
 	revision store.Revision
-	// compacted is the revision up to which the history is forgotten.
+	// compacted is the revision up to which the history has been dropped.
 	compacted  store.Revision
 	leases     map[store.LeaseID]*lease
 	lastID     store.LeaseID
@@ -79,10 +81,10 @@
 	at            time.Time
 }
 
-// errLost stands for a reply that never comes.
+// errLost is the cause of errors about lost replies.
 var errLost = errors.New("reply lost")
 
-// errDown stands for an outage.
+// errDown is the cause of errors during an outage.
 var errDown = errors.New("platform is down")
 
 // NewMemory returns an empty store.
@@ -101,7 +103,7 @@
 	}
 }
 
-// SetFaults replaces what is wrong.
+// SetFaults replaces the simulated faults.
 func (mem *Memory) SetFaults(fau Faults) {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
@@ -111,31 +113,33 @@
 	mem.notifyWatchers()
 }
 
-// Counts returns the number of calls by kind, failed ones among them.
+// Counts returns the number of calls by kind, including failed ones.
 func (mem *Memory) Counts() map[string]uint64 {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
 	return maps.Clone(mem.counts)
 }
 
-// SetHost changes the host list; nil removes the host. Readers see it after the lag.
+// SetHost changes or adds an entry of the host list; a nil state removes it. Readers see the
+// change after the configured lag.
 func (mem *Memory) SetHost(name string, state *store.HostState) {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
 	mem.hosts[name] = hostChange{before: mem.hosts[name].after, after: state, at: mem.cfg.Now()}
 }
 
-// enter counts a call and applies the faults that precede its effect.
+// beginCall counts a call and applies the rate limit and the faults that precede its effect.
 func (mem *Memory) beginCall(ctx context.Context, kind string) error {
 	return mem.applyFaults(ctx, kind, true)
 }
 
-func (mem *Memory) applyFaults(ctx context.Context, kind string, counts bool) error {
+// applyFaults is beginCall, with the rate limit only if limited is set.
+func (mem *Memory) applyFaults(ctx context.Context, kind string, limited bool) error {
 	mem.mutex.Lock()
 	mem.counts[kind]++
 	fau := mem.faults
 	wait := time.Duration(0)
-	if counts {
+	if limited {
 		wait = mem.takeToken()
 	}
 	mem.mutex.Unlock()
@@ -161,10 +165,11 @@
 	}
 }
 
-// maxSilence is how long a call hangs at most: a server doesn't always notice
-// that its caller has given up.
+// maxSilence bounds how long a call hangs: a server doesn't always notice that its client has
+// disconnected.
 const maxSilence = 4 * time.Second
 
+// waitSilently blocks until the context ends or maxSilence has passed, and returns an outage.
 func waitSilently(ctx context.Context, kind string) error {
 	limit := time.NewTimer(maxSilence)
 	defer limit.Stop()
@@ -175,6 +180,8 @@
 	return &store.UnavailableError{Call: kind, Cause: errDown}
 }
 
+// takeToken takes a token of the rate limit's bucket. If there is none, it returns the time until
+// the next one.
 func (mem *Memory) takeToken() time.Duration {
 	rate := mem.faults.CallsPerSecond
 	if rate == 0 {
@@ -190,7 +197,7 @@
 	return 0
 }
 
-// leave returns the error of a write whose reply is lost.
+// endWrite returns the error of a write whose reply is to be lost, and nil for any other.
 func (mem *Memory) endWrite(kind string) error {
 	if mem.faults.LoseReplies == 0 {
 		return nil
@@ -199,7 +206,7 @@
 	return &store.UncertainError{Call: kind, Cause: errLost}
 }
 
-// lapse ends the leases that weren't renewed in time.
+// expireLeases removes the leases that weren't renewed in time, with their keys.
 func (mem *Memory) expireLeases() {
 	now := mem.cfg.Now()
 	for id, lea := range mem.leases {
@@ -271,7 +278,7 @@
 	return values, mem.revision
 }
 
-// ListStale implements store.Store: the rate doesn't count.
+// ListStale implements store.Store. The rate limit doesn't apply to it.
 func (mem *Memory) ListStale(ctx context.Context, prefix string) ([]store.Value, store.Revision, error) {
 	if err := mem.applyFaults(ctx, "ListStale", false); err != nil {
 		return nil, 0, err
@@ -295,8 +302,8 @@
 	return mem.revision, mem.endWrite("Put")
 }
 
-// Write makes a write whatever is wrong with the store: those who make it have
-// another way to it.
+// Write performs a write regardless of the simulated faults, for operators and engines, which
+// reach the store by another path than the hosts.
 func (mem *Memory) Write(wri store.Write) error {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
@@ -308,7 +315,7 @@
 	return nil
 }
 
-// Peek returns the value of a key whatever is wrong with the store.
+// Peek returns the value of a key regardless of the simulated faults.
 func (mem *Memory) Peek(key string) store.Value {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
@@ -333,7 +340,7 @@
 
 func (mem *Memory) checkWrite(wri store.Write) error {
 	if len(wri.Data) > MaxValueBytes {
-		return errors.Newf("value of %d bytes is over the limit of %d", len(wri.Data), MaxValueBytes)
+		return errors.Newf("value is %d bytes long, limit is %d bytes", len(wri.Data), MaxValueBytes)
 	}
 	if wri.Lease != 0 && mem.leases[wri.Lease] == nil {
 		return &store.LeaseError{Lease: wri.Lease}
@@ -359,25 +366,26 @@
 		if len(changes.Changes) > 0 {
 			return changes, nil
 		}
-		lapse := time.NewTimer(leaseCheckInterval)
+		leaseCheck := time.NewTimer(leaseCheckInterval)
 		select {
 		case <-changed:
-		case <-lapse.C:
+		case <-leaseCheck.C:
 		case <-limit.C:
-			lapse.Stop()
+			leaseCheck.Stop()
 			return changes, nil
 		case <-ctx.Done():
-			lapse.Stop()
+			leaseCheck.Stop()
 			return store.Changes{}, &store.UnavailableError{Call: "Watch", Cause: ctx.Err()}
 		}
-		lapse.Stop()
+		leaseCheck.Stop()
 	}
 }
 
-// leaseCheckInterval is how often a waiting watch looks for lapsed leases.
+// leaseCheckInterval is the interval at which a waiting watch checks for expired leases.
 const leaseCheckInterval = 50 * time.Millisecond
 
-// look returns what changed under the prefix after the revision.
+// changesAfter returns the changes under the prefix after the revision, and a channel that is
+// closed at the next change of the store.
 func (mem *Memory) changesAfter(prefix string, after store.Revision) (store.Changes, <-chan struct{}, error) {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
@@ -403,7 +411,8 @@
 	return changes, mem.changed, nil
 }
 
-// Compact has the store forget its history: watches from before are refused.
+// Compact drops the store's history. Watches from earlier revisions return a
+// *store.CompactedError.
 func (mem *Memory) Compact() {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
@@ -479,8 +488,8 @@
 	return hosts
 }
 
-// backendEntries returns the backend servers of the host list as entries of their
-// own under the prefix, which is how the platform shows them.
+// backendEntries returns the entries, under the prefix, of the backend servers in the host list.
+// On the platform each server has such an entry in the store.
 func (mem *Memory) backendEntries(prefix string) []store.Value {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
@@ -490,11 +499,11 @@
 		if state.Kind != store.HostBackend || !strings.HasPrefix(key, prefix) {
 			continue
 		}
-		word := "ready"
+		status := "ready"
 		if state.Leaving {
-			word = "draining"
+			status = "draining"
 		}
-		values = append(values, store.Value{Key: key, Data: []byte(`{"service":"plain","address":"127.0.0.1:1","zone":"d0","version":"v1","slots":1,"state":"` + word + `","cold_left_ms":0,"seq":1}`), Revision: max(1, mem.revision)})
+		values = append(values, store.Value{Key: key, Data: []byte(`{"service":"plain","address":"127.0.0.1:1","zone":"d0","version":"v1","slots":1,"state":"` + status + `","cold_left_ms":0,"seq":1}`), Revision: max(1, mem.revision)})
 	}
 	return values
 }
--- a/platformtest/server.go
+++ b/platformtest/server.go
@@ -13,33 +13,36 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// The paths of the stand-in's own switches.
+// Paths of the fake's control endpoints, which the platform doesn't have.
 const (
-	// PathFaults takes Faults by POST.
+	// PathFaults accepts Faults by POST.
 	PathFaults = "/standin/faults"
-	// PathCalls answers GET with the calls by kind.
+	// PathCalls answers GET with the number of calls by kind.
 	PathCalls = "/standin/calls"
-	// PathHost takes a store.HostState by POST; Gone removes it.
+	// PathHost accepts a HostChange by POST.
 	PathHost = "/standin/hosts"
-	// PathPut takes a store.Write by POST, as operators and engines make it.
+	// PathPut accepts a store.Write by POST and performs it regardless of the simulated faults,
+	// as a write of an operator or engine.
 	PathPut = "/standin/put"
-	// PathValue answers GET with the store.Value of the key in the query, as operators read it.
+	// PathValue answers GET with the store.Value of the query's key regardless of the simulated
+	// faults, as operators read it.
 	PathValue = "/standin/value"
-	// PathCompact has the store forget its history.
+	// PathCompact drops the store's history on POST.
 	PathCompact = "/standin/compact"
 )
 
 // HostChange is the body of PathHost.
 type HostChange struct {
 	store.HostState
+	// Gone removes the host from the list.
 	Gone bool
 }
 
-// pageItems is how many items a page of a range holds.
+// pageItems is the most items in a page of a range.
 const pageItems = 500
 
-// The store's protocol, as its own pages describe it; the stand-in keeps names
-// of its own so that a mistake of the adapter's shows.
+// Messages of the store's protocol, written after the platform's documentation. The fake
+// doesn't share them with package platform, so that a mistake in the adapter shows in tests.
 type (
 	item struct {
 		Key      string `json:"tls_key"`
@@ -73,17 +76,17 @@
 	}
 )
 
-// Server offers a Memory over HTTP, by the platform's protocol.
+// Server offers a Memory over HTTP by the platform's protocol.
 type Server struct {
 	memory *Memory
 }
 
-// NewServer returns a server of the store.
+// NewServer returns a server of mem.
 func NewServer(mem *Memory) *Server {
 	return &Server{memory: mem}
 }
 
-// Handler returns the HTTP handler.
+// Handler returns the HTTP handler of the store and of the control endpoints.
 func (srv *Server) Handler() http.Handler {
 	rou := mux.NewRouter()
 	rou.HandleFunc("/kv-key", srv.serveKey).Methods(http.MethodGet)
@@ -214,12 +217,12 @@
 		reply(wri, http.StatusBadRequest, struct{}{})
 		return
 	}
-	wri1 := writeOf(txn)
-	if strings.HasPrefix(wri1.Key, "op/") || strings.HasPrefix(wri1.Key, "servers/") {
+	write := writeOf(txn)
+	if strings.HasPrefix(write.Key, "op/") || strings.HasPrefix(write.Key, "servers/") {
 		reply(wri, http.StatusForbidden, struct{}{})
 		return
 	}
-	rev, err := srv.memory.Put(req.Context(), wri1)
+	rev, err := srv.memory.Put(req.Context(), write)
 	if err != nil {
 		replyError(wri, err)
 		return
@@ -227,7 +230,7 @@
 	reply(wri, http.StatusOK, committed{Revision: uint64(rev)})
 }
 
-// writeOf returns a transaction of one entry as the write that it is.
+// writeOf converts a transaction of one write or removal to a store.Write.
 func writeOf(txn transaction) store.Write {
 	var wri store.Write
 	if len(txn.Writes) > 0 {
@@ -263,10 +266,10 @@
 	srv.leaseCall(wri, req, func(id store.LeaseID) error { return srv.memory.RevokeLease(req.Context(), id) })
 }
 
-func (srv *Server) leaseCall(wri http.ResponseWriter, req *http.Request, work func(store.LeaseID) error) {
+func (srv *Server) leaseCall(wri http.ResponseWriter, req *http.Request, apply func(store.LeaseID) error) {
 	id, err := strconv.ParseUint(mux.Vars(req)["lease"], 10, 64)
 	if err == nil {
-		err = work(store.LeaseID(id))
+		err = apply(store.LeaseID(id))
 	}
 	if err != nil {
 		replyError(wri, err)
@@ -275,7 +278,7 @@
 	reply(wri, http.StatusOK, struct{}{})
 }
 
-// read decodes a JSON body, or answers that it can't.
+// decodeBody decodes a JSON body. If it is invalid, it replies with status 400 and returns false.
 func decodeBody(wri http.ResponseWriter, req *http.Request, target any) bool {
 	if err := json.NewDecoder(req.Body).Decode(target); err != nil {
 		reply(wri, http.StatusBadRequest, struct{}{})
@@ -284,22 +287,23 @@
 	return true
 }
 
+// replyError replies with the status that the platform uses for the error.
 func replyError(wri http.ResponseWriter, err error) {
 	var cer *store.ConflictError
 	var ler *store.LeaseError
 	var rer *store.RateError
 	var uer *store.UnavailableError
-	var gone *store.CompactedError
-	var lost *store.UncertainError
+	var compacted *store.CompactedError
+	var uncertain *store.UncertainError
 	switch {
-	case errors.As(err, &lost):
-		// The connection ends without a reply, as it would on a real loss.
+	case errors.As(err, &uncertain):
+		// Close the connection without a reply, as after a real loss.
 		panic(http.ErrAbortHandler)
 	case errors.As(err, &cer):
 		reply(wri, http.StatusPreconditionFailed, page{Items: []item{{Key: cer.Key, Revision: uint64(cer.Actual)}}})
 	case errors.As(err, &ler):
 		reply(wri, http.StatusNotFound, struct{}{})
-	case errors.As(err, &gone):
+	case errors.As(err, &compacted):
 		reply(wri, http.StatusGone, struct{}{})
 	case errors.As(err, &rer):
 		reply(wri, http.StatusTooManyRequests, struct{}{})
@@ -313,6 +317,6 @@
 func reply(wri http.ResponseWriter, status int, body any) {
 	wri.Header().Set("Content-Type", "application/json")
 	wri.WriteHeader(status)
-	// A caller that has left can't be told anything more.
+	// The error is ignored because the client has disconnected.
 	_ = json.NewEncoder(wri).Encode(body)
 }
--- a/store/change.go
+++ b/store/change.go
@@ -2,30 +2,30 @@
 
 import "fmt"
 
-// Change is one key as it was written, or its removal.
+// Change is the write or the removal of one key.
 type Change struct {
-	// Value is the key with what it holds; after a removal, only the key and
-	// the revision of the removal.
+	// Value is the key with its new value. For a removal only Key and Revision, the
+	// revision of the removal, are set.
 	Value
-	// Deleted is set for a removal.
+	// Deleted reports whether the key was removed.
 	Deleted bool
 }
 
-// Changes is what a watch brings.
+// Changes is the result of a watch.
 type Changes struct {
-	// Changes are in the order of their revisions; there may be none.
+	// Changes are in the order of their revisions; empty if the wait ended without any.
 	Changes []Change
-	// Revision is where the next watch continues from.
+	// Revision is the revision from which the next watch continues.
 	Revision Revision
 }
 
-// CompactedError reports a watch whose history the store has dropped: what it
-// missed must be read whole.
+// CompactedError reports a watch from a revision whose later history the store has compacted.
+// The watcher has to list all keys instead.
 type CompactedError struct {
 	After Revision
 }
 
-// Error names the revision that is gone.
+// Error names the revision of the watch.
 func (cer *CompactedError) Error() string {
-	return fmt.Sprintf("store: the changes after revision %d are gone", cer.After)
+	return fmt.Sprintf("store: changes after revision %d are compacted", cer.After)
 }
--- a/store/store.go
+++ b/store/store.go
@@ -1,16 +1,17 @@
-// Package store speaks to the platform's key-value service: compare-and-swap,
-// leases, watches and the lagging list of hosts.
+// Package store is the interface to the platform's key-value service, with
+// compare-and-swap, leases, watches and the platform's host list, which lags.
 //
 // # Usage
 //
 //	var sto store.Store = platform.NewClient(platform.ClientConfig{Address: adr})
-//	sto = store.NewRecorder(sto) // counts the calls by kind
+//	sto = store.NewRecorder(sto) // counts calls by kind
 //	val, err := sto.Get(ctx, "lynxwell/view/head")
 //	rev, err := sto.Put(ctx, store.Write{Key: val.Key, Data: data, Expect: val.Revision})
 //
-// Every call counts against the platform's rate, a waiting watch as one. A
-// write whose reply was lost gives an *UncertainError: the writer reads back to
-// find out whether it took effect.
+// Every call except ListStale counts against the platform's rate limit; a waiting
+// watch counts as one call. A write whose reply was lost returns an
+// *UncertainError, and the writer has to read the key to find out whether the write
+// took effect.
 package store
 
 import (
@@ -19,13 +20,13 @@
 	"time"
 )
 
-// Revision orders all writes of the store; 0 stands for a key that isn't there.
+// Revision orders all writes of the store; 0 is the revision of a key that doesn't exist.
 type Revision uint64
 
-// LeaseID names a lease; 0 is none.
+// LeaseID identifies a lease; 0 is no lease.
 type LeaseID uint64
 
-// Value is a key with what it holds.
+// Value is a key with its value.
 type Value struct {
 	Key      string
 	Data     []byte
@@ -33,66 +34,68 @@
 	Lease    LeaseID
 }
 
-// Write is a compare-and-swap of one key.
+// Write is a write or removal of one key, by compare-and-swap unless Blind is set.
 type Write struct {
 	Key  string
 	Data []byte
-	// Expect is the revision that the key must have; 0 stands for not there.
+	// Expect is the revision that the key must have; 0 requires that it doesn't exist.
 	Expect Revision
-	// Lease, when set, has the key go with the lease.
+	// Lease, if set, is the lease at whose end the store removes the key.
 	Lease LeaseID
 	// Delete removes the key instead of writing Data.
 	Delete bool
-	// Blind writes whatever revision the key has; Expect doesn't count.
+	// Blind writes unconditionally; Expect is ignored.
 	Blind bool
 }
 
-// HostKind says what runs on a host of the platform's list.
+// HostKind is what runs on a host of the platform's list.
 type HostKind string
 
 // The kinds of hosts.
 const (
-	// HostEntry is a host of lynxwell itself.
+	// HostEntry is a host of lynxwell.
 	HostEntry HostKind = "Entry"
-	// HostBackend is a backend server, named as its engine.
+	// HostBackend is a backend server, which has the name of its engine.
 	HostBackend HostKind = "Backend"
 )
 
-// HostState is one line of the platform's lagging list of hosts.
+// HostState is one entry of the platform's host list, which lags.
 type HostState struct {
-	Name    string
-	Kind    HostKind
+	Name string
+	Kind HostKind
+	// Leaving reports whether the host is draining.
 	Leaving bool
 }
 
-// Store is the platform's service as far as lynxwell uses it.
+// Store is the part of the platform's key-value service that lynxwell uses.
 type Store interface {
-	// Get returns the value of a key; a key that isn't there has Revision 0.
+	// Get returns the value of a key; Revision is 0 if the key doesn't exist.
 	Get(ctx context.Context, key string) (Value, error)
-	// List returns the values under a prefix, sorted, and the store's revision.
+	// List returns the values under a prefix, sorted by key, and the store's revision.
 	List(ctx context.Context, prefix string) ([]Value, Revision, error)
-	// ListStale is List as of some seconds ago, which costs the store little and
-	// counts against no rate; a watch from its revision on brings the rest.
+	// ListStale is List with the state of some seconds ago. It costs the store little and
+	// doesn't count against the rate limit; a watch from its revision returns the changes
+	// since.
 	ListStale(ctx context.Context, prefix string) ([]Value, Revision, error)
-	// Put swaps one key. It returns a *ConflictError when the key has another
-	// revision, and an *UncertainError when no reply came.
+	// Put writes or removes one key. It returns a *ConflictError if the key has another
+	// revision, and an *UncertainError if no reply arrived.
 	Put(ctx context.Context, wri Write) (Revision, error)
-	// Watch waits up to the given time until something under the prefix has
-	// changed after the revision, and returns what. It returns a
-	// *CompactedError when the store no longer knows.
+	// Watch returns the changes under a prefix after a revision. If there are none, it waits
+	// for one for up to the given time. It returns a *CompactedError if the store no longer
+	// has the history since the revision.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error)
-	// GrantLease returns a lease that lapses unless it is renewed in time.
+	// GrantLease returns a lease that expires after ttl unless it is renewed.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// RenewLease starts the lease's time anew; it returns a *LeaseError when it
-	// has lapsed.
+	// RenewLease restarts the lease's time to live. It returns a *LeaseError if the lease has
+	// expired.
 	RenewLease(ctx context.Context, id LeaseID) error
 	// RevokeLease ends the lease and removes its keys.
 	RevokeLease(ctx context.Context, id LeaseID) error
-	// Hosts returns the platform's list of hosts, which lags.
+	// Hosts returns the platform's host list, which lags.
 	Hosts(ctx context.Context) ([]HostState, error)
 }
 
-// ConflictError reports a key that has another revision than expected.
+// ConflictError reports a key whose revision isn't the expected one.
 type ConflictError struct {
 	Key    string
 	Expect Revision
@@ -104,28 +107,29 @@
 	return fmt.Sprintf("store: key %q has revision %d, expected %d", cer.Key, cer.Actual, cer.Expect)
 }
 
-// LeaseError reports a lease that has lapsed.
+// LeaseError reports a lease that has expired.
 type LeaseError struct {
 	Lease LeaseID
 }
 
 // Error names the lease.
 func (ler *LeaseError) Error() string {
-	return fmt.Sprintf("store: lease %d has lapsed", ler.Lease)
+	return fmt.Sprintf("store: lease %d has expired", ler.Lease)
 }
 
-// RateError reports that the platform's rate is used up.
+// RateError reports that the platform's rate limit is exceeded.
 type RateError struct {
-	// RetryAfter is when to come back.
+	// RetryAfter is the time to wait before a retry.
 	RetryAfter time.Duration
 }
 
-// Error names the time to come back.
+// Error names the time to wait before a retry.
 func (rer *RateError) Error() string {
-	return fmt.Sprintf("store: too many calls, come back in %s", rer.RetryAfter)
+	return fmt.Sprintf("store: rate limit exceeded, retry in %s", rer.RetryAfter)
 }
 
-// UnavailableError reports a call that certainly had no effect, or only read.
+// UnavailableError reports a failed call that had no effect: the store rejected it, or it was a
+// read.
 type UnavailableError struct {
 	Call  string
 	Cause error
@@ -133,7 +137,7 @@
 
 // Error names the call and the cause.
 func (uer *UnavailableError) Error() string {
-	return fmt.Sprintf("store: %s: not available: %v", uer.Call, uer.Cause)
+	return fmt.Sprintf("store: %s: store not available: %v", uer.Call, uer.Cause)
 }
 
 // Unwrap returns the cause.
@@ -141,7 +145,7 @@
 	return uer.Cause
 }
 
-// UncertainError reports a write that may have taken effect.
+// UncertainError reports a write without a reply, which may have taken effect.
 type UncertainError struct {
 	Call  string
 	Cause error
@@ -149,7 +153,7 @@
 
 // Error names the call and the cause.
 func (uer *UncertainError) Error() string {
-	return fmt.Sprintf("store: %s: no reply, may have taken effect: %v", uer.Call, uer.Cause)
+	return fmt.Sprintf("store: %s: no reply, the write may have taken effect: %v", uer.Call, uer.Cause)
 }
 
 // Unwrap returns the cause.
--- a/store/wrap.go
+++ b/store/wrap.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Recorder is a Store that counts the calls to another one by kind.
+// Recorder is a Store that counts the calls to an underlying store by kind.
 type Recorder struct {
 	store  Store
 	mutex  sync.Mutex
 	counts map[string]uint64
 }
 
-// NewRecorder returns a recorder around the store.
+// NewRecorder returns a Recorder that passes all calls on to sto.
 func NewRecorder(sto Store) *Recorder {
 	return &Recorder{store: sto, counts: make(map[string]uint64)}
 }
 
-// Counts returns the number of calls by kind.
+// Counts returns the number of calls by kind, which is the name of the method.
 func (rec *Recorder) Counts() map[string]uint64 {
 	rec.mutex.Lock()
 	defer rec.mutex.Unlock()
@@ -86,12 +86,12 @@
 	return rec.store.Hosts(ctx)
 }
 
-// ReadOnly is a Store that refuses every write to another one.
+// ReadOnly is a Store that rejects every write to an underlying store with a *ReadOnlyError.
 type ReadOnly struct {
 	Store
 }
 
-// NewReadOnly returns a store that only reads.
+// NewReadOnly returns a ReadOnly that passes reads on to sto.
 func NewReadOnly(sto Store) ReadOnly {
 	return ReadOnly{Store: sto}
 }
@@ -106,22 +106,22 @@
 	return "store: " + rer.Call + ": the store is read-only"
 }
 
-// Put refuses.
+// Put returns a *ReadOnlyError.
 func (ReadOnly) Put(context.Context, Write) (Revision, error) {
 	return 0, &ReadOnlyError{Call: "Put"}
 }
 
-// GrantLease refuses.
+// GrantLease returns a *ReadOnlyError.
 func (ReadOnly) GrantLease(context.Context, time.Duration) (LeaseID, error) {
 	return 0, &ReadOnlyError{Call: "GrantLease"}
 }
 
-// RenewLease refuses.
+// RenewLease returns a *ReadOnlyError.
 func (ReadOnly) RenewLease(context.Context, LeaseID) error {
 	return &ReadOnlyError{Call: "RenewLease"}
 }
 
-// RevokeLease refuses.
+// RevokeLease returns a *ReadOnlyError.
 func (ReadOnly) RevokeLease(context.Context, LeaseID) error {
 	return &ReadOnlyError{Call: "RevokeLease"}
 }
