--- a/platformtest/server.go
+++ b/platformtest/server.go
@@ -13,33 +13,36 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// The paths of the stand-in's own switches.
+// Paths of the fake's control endpoints, which the platform doesn't have.
 const (
-	// PathFaults takes Faults by POST.
+	// PathFaults accepts Faults by POST.
 	PathFaults = "/standin/faults"
-	// PathCalls answers GET with the calls by kind.
+	// PathCalls answers GET with the number of calls by kind.
 	PathCalls = "/standin/calls"
-	// PathHost takes a store.HostState by POST; Gone removes it.
+	// PathHost accepts a HostChange by POST.
 	PathHost = "/standin/hosts"
-	// PathPut takes a store.Write by POST, as operators and engines make it.
+	// PathPut accepts a store.Write by POST and performs it regardless of the simulated faults,
+	// as a write of an operator or engine.
 	PathPut = "/standin/put"
-	// PathValue answers GET with the store.Value of the key in the query, as operators read it.
+	// PathValue answers GET with the store.Value of the query's key regardless of the simulated
+	// faults, as operators read it.
 	PathValue = "/standin/value"
-	// PathCompact has the store forget its history.
+	// PathCompact drops the store's history on POST.
 	PathCompact = "/standin/compact"
 )
 
 // HostChange is the body of PathHost.
 type HostChange struct {
 	store.HostState
+	// Gone removes the host from the list.
 	Gone bool
 }
 
-// pageItems is how many items a page of a range holds.
+// pageItems is the most items in a page of a range.
 const pageItems = 500
 
-// The store's protocol, as its own pages describe it; the stand-in keeps names
-// of its own so that a mistake of the adapter's shows.
+// Messages of the store's protocol, written after the platform's documentation. The fake
+// doesn't share them with package platform, so that a mistake in the adapter shows in tests.
 type (
 	item struct {
 		Key      string `json:"tls_key"`
@@ -73,17 +76,17 @@
 	}
 )
 
-// Server offers a Memory over HTTP, by the platform's protocol.
+// Server offers a Memory over HTTP by the platform's protocol.
 type Server struct {
 	memory *Memory
 }
 
-// NewServer returns a server of the store.
+// NewServer returns a server of mem.
 func NewServer(mem *Memory) *Server {
 	return &Server{memory: mem}
 }
 
-// Handler returns the HTTP handler.
+// Handler returns the HTTP handler of the store and of the control endpoints.
 func (srv *Server) Handler() http.Handler {
 	rou := mux.NewRouter()
 	rou.HandleFunc("/kv-key", srv.serveKey).Methods(http.MethodGet)
@@ -93,21 +96,21 @@
 	rou.HandleFunc("/kv-lease", srv.serveGrant).Methods(http.MethodPost)
 	rou.HandleFunc("/kv-keep/{lease}", srv.serveRenewal).Methods(http.MethodPost)
 	rou.HandleFunc("/kv-lease-end/{lease}", srv.serveRevocation).Methods(http.MethodDelete)
-	srv.switches(rou)
+	srv.registerControlRoutes(rou)
 	return rou
 }
 
-func (srv *Server) switches(rou *mux.Router) {
+func (srv *Server) registerControlRoutes(rou *mux.Router) {
 	rou.HandleFunc(PathFaults, func(wri http.ResponseWriter, req *http.Request) {
 		var fau Faults
-		if read(wri, req, &fau) {
+		if decodeBody(wri, req, &fau) {
 			srv.memory.SetFaults(fau)
 			reply(wri, http.StatusOK, struct{}{})
 		}
 	}).Methods(http.MethodPost)
 	rou.HandleFunc(PathHost, func(wri http.ResponseWriter, req *http.Request) {
 		var cha HostChange
-		if !read(wri, req, &cha) {
+		if !decodeBody(wri, req, &cha) {
 			return
 		}
 		state := &cha.HostState
@@ -119,11 +122,11 @@
 	}).Methods(http.MethodPost)
 	rou.HandleFunc(PathPut, func(wri http.ResponseWriter, req *http.Request) {
 		var body store.Write
-		if !read(wri, req, &body) {
+		if !decodeBody(wri, req, &body) {
 			return
 		}
 		if err := srv.memory.Write(body); err != nil {
-			fail(wri, err)
+			replyError(wri, err)
 			return
 		}
 		reply(wri, http.StatusOK, struct{}{})
@@ -148,7 +151,7 @@
 	val, err := srv.memory.Get(req.Context(), req.URL.Query().Get("tls_key"))
 	switch {
 	case err != nil:
-		fail(wri, err)
+		replyError(wri, err)
 	case val.Revision == 0:
 		reply(wri, http.StatusNotFound, struct{}{})
 	default:
@@ -165,10 +168,10 @@
 	}
 	values, rev, err := list(req.Context(), prefix)
 	if err != nil {
-		fail(wri, err)
+		replyError(wri, err)
 		return
 	}
-	values = append(values, srv.memory.hostValues(prefix)...)
+	values = append(values, srv.memory.backendEntries(prefix)...)
 	res := page{Items: []item{}, Store: uint64(rev)}
 	for _, val := range values {
 		if val.Key <= after {
@@ -193,7 +196,7 @@
 	}
 	changes, err := srv.memory.Watch(req.Context(), query.Get("path_prefix"), store.Revision(after), time.Duration(wait)*time.Millisecond)
 	if err != nil {
-		fail(wri, err)
+		replyError(wri, err)
 		return
 	}
 	res := events{Events: []item{}, Store: uint64(changes.Revision)}
@@ -207,27 +210,27 @@
 
 func (srv *Server) serveTransaction(wri http.ResponseWriter, req *http.Request) {
 	var txn transaction
-	if !read(wri, req, &txn) {
+	if !decodeBody(wri, req, &txn) {
 		return
 	}
 	if len(txn.Writes)+len(txn.Remove) != 1 {
 		reply(wri, http.StatusBadRequest, struct{}{})
 		return
 	}
-	wri1 := writeOf(txn)
-	if strings.HasPrefix(wri1.Key, "op/") || strings.HasPrefix(wri1.Key, "servers/") {
+	write := writeOf(txn)
+	if strings.HasPrefix(write.Key, "op/") || strings.HasPrefix(write.Key, "servers/") {
 		reply(wri, http.StatusForbidden, struct{}{})
 		return
 	}
-	rev, err := srv.memory.Put(req.Context(), wri1)
+	rev, err := srv.memory.Put(req.Context(), write)
 	if err != nil {
-		fail(wri, err)
+		replyError(wri, err)
 		return
 	}
 	reply(wri, http.StatusOK, committed{Revision: uint64(rev)})
 }
 
-// writeOf returns a transaction of one entry as the write that it is.
+// writeOf converts a transaction of one write or removal to a store.Write.
 func writeOf(txn transaction) store.Write {
 	var wri store.Write
 	if len(txn.Writes) > 0 {
@@ -244,12 +247,12 @@
 
 func (srv *Server) serveGrant(wri http.ResponseWriter, req *http.Request) {
 	var body leaseBody
-	if !read(wri, req, &body) {
+	if !decodeBody(wri, req, &body) {
 		return
 	}
 	id, err := srv.memory.GrantLease(req.Context(), time.Duration(body.TTL)*time.Millisecond)
 	if err != nil {
-		fail(wri, err)
+		replyError(wri, err)
 		return
 	}
 	reply(wri, http.StatusOK, leaseBody{Lease: uint64(id), TTL: body.TTL})
@@ -263,20 +266,20 @@
 	srv.leaseCall(wri, req, func(id store.LeaseID) error { return srv.memory.RevokeLease(req.Context(), id) })
 }
 
-func (srv *Server) leaseCall(wri http.ResponseWriter, req *http.Request, work func(store.LeaseID) error) {
+func (srv *Server) leaseCall(wri http.ResponseWriter, req *http.Request, apply func(store.LeaseID) error) {
 	id, err := strconv.ParseUint(mux.Vars(req)["lease"], 10, 64)
 	if err == nil {
-		err = work(store.LeaseID(id))
+		err = apply(store.LeaseID(id))
 	}
 	if err != nil {
-		fail(wri, err)
+		replyError(wri, err)
 		return
 	}
 	reply(wri, http.StatusOK, struct{}{})
 }
 
-// read decodes a JSON body, or answers that it can't.
-func read(wri http.ResponseWriter, req *http.Request, target any) bool {
+// decodeBody decodes a JSON body. If it is invalid, it replies with status 400 and returns false.
+func decodeBody(wri http.ResponseWriter, req *http.Request, target any) bool {
 	if err := json.NewDecoder(req.Body).Decode(target); err != nil {
 		reply(wri, http.StatusBadRequest, struct{}{})
 		return false
@@ -284,22 +287,23 @@
 	return true
 }
 
-func fail(wri http.ResponseWriter, err error) {
+// replyError replies with the status that the platform uses for the error.
+func replyError(wri http.ResponseWriter, err error) {
 	var cer *store.ConflictError
 	var ler *store.LeaseError
 	var rer *store.RateError
 	var uer *store.UnavailableError
-	var gone *store.CompactedError
-	var lost *store.UncertainError
+	var compacted *store.CompactedError
+	var uncertain *store.UncertainError
 	switch {
-	case errors.As(err, &lost):
-		// The connection ends without a reply, as it would on a real loss.
+	case errors.As(err, &uncertain):
+		// Close the connection without a reply, as after a real loss.
 		panic(http.ErrAbortHandler)
 	case errors.As(err, &cer):
 		reply(wri, http.StatusPreconditionFailed, page{Items: []item{{Key: cer.Key, Revision: uint64(cer.Actual)}}})
 	case errors.As(err, &ler):
 		reply(wri, http.StatusNotFound, struct{}{})
-	case errors.As(err, &gone):
+	case errors.As(err, &compacted):
 		reply(wri, http.StatusGone, struct{}{})
 	case errors.As(err, &rer):
 		reply(wri, http.StatusTooManyRequests, struct{}{})
@@ -313,6 +317,6 @@
 func reply(wri http.ResponseWriter, status int, body any) {
 	wri.Header().Set("Content-Type", "application/json")
 	wri.WriteHeader(status)
-	// A caller that has left can't be told anything more.
+	// The error is ignored because the client has disconnected.
 	_ = json.NewEncoder(wri).Encode(body)
 }
