--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,12 +1,13 @@
-// Package backend speaks HTTP to the backend servers of plain services.
+// Package backend is the HTTP client for the backend servers of plain services.
 //
 // # Usage
 //
 //	cli := backend.NewClient(backend.ClientConfig{})
 //	res := cli.Call(ctx, backend.Call{Address: adr, ID: id, Method: "POST", Path: "/hours"}, sink)
 //
-// Method, path, query, end-to-end headers, body and status go through
-// unchanged. A call is sent once: nothing in this package repeats it.
+// Method, path, query, end-to-end headers, body and status are passed through
+// unchanged, except that the headers Idempotency-Key and Authorization are removed
+// and X-Request-Id is set. A call is sent at most once: this package never retries.
 package backend
 
 import (
@@ -25,36 +26,36 @@
 	"lynxwell.dev/lynxwell/transport"
 )
 
-// HeaderRequestID carries the request's id to the backend server.
+// HeaderRequestID is the header with the request's id.
 const HeaderRequestID = "X-Request-Id"
 
-// idleConnections is how many connections are kept to each backend server.
-const idleConnections = 64
+// maxIdleConnections bounds the idle connections to each backend server.
+const maxIdleConnections = 64
 
-// chunkBytes is how much of an answer is passed on at once.
+// chunkBytes bounds the part of an answer that is passed to the sink at once.
 const chunkBytes = 32 << 10
 
-// ClientConfig holds what a Client is made from. Zero stands for the defaults.
+// ClientConfig configures a Client. Zero values mean the defaults.
 type ClientConfig struct {
-	// SilenceTimeout is after how long without a byte a call counts as broken;
-	// 0 stands for 30 s.
+	// SilenceTimeout is the longest time without received data before a call is
+	// aborted; 0 means 30 s.
 	SilenceTimeout time.Duration
 }
 
-// Client reaches backend servers.
+// Client sends calls to backend servers.
 type Client struct {
 	cfg ClientConfig
-	// kept reuses connections; fresh makes a new one for each call.
-	kept  *http.Client
-	fresh *http.Client
+	// pooled reuses connections; unpooled opens a new one for each call.
+	pooled   *http.Client
+	unpooled *http.Client
 }
 
-// NewClient returns a client without any connection yet.
+// NewClient returns a client without open connections.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.SilenceTimeout == 0 {
 		cfg.SilenceTimeout = 30 * time.Second
 	}
-	return &Client{cfg: cfg, kept: httpClient(idleConnections), fresh: httpClient(0)}
+	return &Client{cfg: cfg, pooled: httpClient(maxIdleConnections), unpooled: httpClient(0)}
 }
 
 func httpClient(idle int) *http.Client {
@@ -62,13 +63,13 @@
 	return &http.Client{Transport: transport.New(idle), CheckRedirect: noRedirect}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (cli *Client) Close() {
-	cli.kept.CloseIdleConnections()
-	cli.fresh.CloseIdleConnections()
+	cli.pooled.CloseIdleConnections()
+	cli.unpooled.CloseIdleConnections()
 }
 
-// Call is one call of a plain service.
+// Call is a call to a plain service.
 type Call struct {
 	Address netip.AddrPort
 	ID      request.ID
@@ -80,26 +81,28 @@
 	Body   []byte
 }
 
-// Sink takes an answer as it comes: Head once, then Data.
+// Sink receives an answer as it arrives: Head is called once, then Data for each part.
 type Sink interface {
 	Head(status int, header http.Header)
 	Data(data []byte)
 }
 
-// Result is how a call ended.
+// Result is the outcome of a call.
 type Result struct {
-	// Dispatched is false when the backend server certainly never got the call.
+	// Dispatched is false if the connection failed, so that the call was not sent.
 	Dispatched bool
-	// Answered is set once it has answered at all.
+	// Answered is set once the head of an answer has arrived.
 	Answered bool
-	// Whole is set when the answer came to its end.
-	Whole     bool
+	// Whole is set if the answer was received to its end.
+	Whole bool
+	// FirstByte and Total are the times from the call to the answer's head and to its end.
 	FirstByte time.Duration
 	Total     time.Duration
-	Err       error
+	// Err is why the answer is missing or incomplete.
+	Err error
 }
 
-// Call makes the call and streams the answer into the sink.
+// Call sends the call and streams the answer to the sink.
 func (cli *Client) Call(ctx context.Context, cal Call, sink Sink) Result {
 	start := time.Now()
 	ctx, wat := transport.Watch(ctx, cli.cfg.SilenceTimeout)
@@ -108,26 +111,26 @@
 	if err != nil {
 		return Result{Err: err}
 	}
-	rep, err := cli.choose(req).Do(req)
+	rep, err := cli.clientFor(req).Do(req)
 	if err != nil {
 		return Result{Dispatched: !transport.NotSent(err), Err: transport.Cause(ctx, err)}
 	}
 	defer rep.Body.Close()
 	res := Result{Dispatched: true, Answered: true, FirstByte: time.Since(start)}
 	sink.Head(rep.StatusCode, EndToEnd(rep.Header))
-	res.Err = pass(rep.Body, sink, wat.Heard)
+	res.Err = copyBody(rep.Body, sink, wat.Heard)
 	res.Whole = res.Err == nil
 	res.Total = time.Since(start)
 	return res
 }
 
-// choose takes a fresh connection for a call that the transport would by
-// itself send again on a connection that had gone stale.
-func (cli *Client) choose(req *http.Request) *http.Client {
+// clientFor returns the client for a request. A request without a body gets a new
+// connection, since the transport retries it on its own if a reused connection is stale.
+func (cli *Client) clientFor(req *http.Request) *http.Client {
 	if req.Body == nil || req.Body == http.NoBody {
-		return cli.fresh
+		return cli.unpooled
 	}
-	return cli.kept
+	return cli.pooled
 }
 
 func newRequest(ctx context.Context, cal Call) (*http.Request, error) {
@@ -141,9 +144,9 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, cal.Method, url, body)
 	if err != nil {
-		return nil, errors.Wrap(err, "make call")
+		return nil, errors.Wrap(err, "create request")
 	}
-	// Without GetBody the transport never sends a body a second time.
+	// Without GetBody the transport can't retry the request with its body.
 	req.GetBody = nil
 	req.Header = EndToEnd(cal.Header)
 	req.Header.Del("Idempotency-Key")
@@ -152,42 +155,42 @@
 	return req, nil
 }
 
-func pass(body io.Reader, sink Sink, heard func()) error {
+func copyBody(body io.Reader, sink Sink, onData func()) error {
 	buf := make([]byte, chunkBytes)
 	for {
 		count, err := body.Read(buf)
 		if count > 0 {
-			heard()
+			onData()
 			sink.Data(buf[:count])
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(err, "answer broke off")
+			return errors.Wrap(err, "answer aborted before its end")
 		}
 	}
 }
 
-// hopByHop are the headers that are about one connection only (RFC 9110, 7.6.1).
+// hopByHop are the headers that apply to a single connection (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of the header without what is about one connection only.
+// EndToEnd returns a copy of the header without the hop-by-hop fields.
 func EndToEnd(header http.Header) http.Header {
-	kept := header.Clone()
-	if kept == nil {
-		kept = make(http.Header)
+	endToEnd := header.Clone()
+	if endToEnd == nil {
+		endToEnd = make(http.Header)
 	}
 	for _, line := range header["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
-			kept.Del(textproto.TrimString(name))
+			endToEnd.Del(textproto.TrimString(name))
 		}
 	}
 	for _, name := range hopByHop {
-		kept.Del(name)
+		endToEnd.Del(name)
 	}
-	return kept
+	return endToEnd
 }
--- a/backendtest/backendtest.go
+++ b/backendtest/backendtest.go
@@ -64,7 +64,7 @@
 	cfg     Config
 	mutex   sync.Mutex
 	faults  Faults
-	leaving bool
+	draining bool
 	running int
 	records []engine.DispatchRecord
 }
@@ -92,7 +92,7 @@
 func (srv *Server) SetLeaving(leaving bool) {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
-	srv.leaving = leaving
+	srv.draining = leaving
 }
 
 // Handler returns the HTTP handler.
@@ -120,7 +120,7 @@
 
 func (srv *Server) serveLoad(wri http.ResponseWriter, _ *http.Request) {
 	srv.mutex.Lock()
-	loa := engine.Load{Running: srv.running, Leaving: srv.leaving}
+	loa := engine.Load{Running: srv.running, Leaving: srv.draining}
 	srv.mutex.Unlock()
 	reply(wri, loa)
 }
@@ -131,7 +131,7 @@
 		http.Error(wri, err.Error(), http.StatusBadRequest)
 		return
 	}
-	fau := srv.take(req)
+	fau := srv.begin(req)
 	if fau.Dead {
 		panic(http.ErrAbortHandler)
 	}
@@ -141,14 +141,14 @@
 	case <-timer.C:
 	case <-req.Context().Done():
 	}
-	srv.end()
+	srv.finish()
 	if fau.DropReplies > 0 {
 		panic(http.ErrAbortHandler)
 	}
 	reply(wri, Echo{Server: srv.cfg.Name, Method: req.Method, Path: req.URL.Path, Query: req.URL.RawQuery, Body: string(body), Header: req.Header})
 }
 
-func (srv *Server) take(req *http.Request) Faults {
+func (srv *Server) begin(req *http.Request) Faults {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
 	fau := srv.faults
@@ -165,7 +165,7 @@
 	return fau
 }
 
-func (srv *Server) end() {
+func (srv *Server) finish() {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
 	srv.running--
--- a/engine/client.go
+++ b/engine/client.go
@@ -1,14 +1,14 @@
-// Package engine speaks to language-model engines: it dispatches requests,
-// streams and resumes answers, cancels them, and reads load and cache events.
+// Package engine is the client for language-model engines: it dispatches requests,
+// streams, resumes and cancels answers, and reads load reports and cache events.
 //
 // # Usage
 //
 //	cli := engine.NewClient(engine.ClientConfig{})
 //	res := cli.Dispatch(ctx, engine.Dispatch{Address: adr, ID: id, Body: body}, sink)
-//	if !res.Dispatched { /* the engine certainly never got it */ }
+//	if !res.Dispatched { /* the request was not sent; it may be dispatched elsewhere */ }
 //
-// A dispatch is sent once: nothing in this package repeats it. An answer that
-// breaks off is resumed by the request's id, which reads and never runs.
+// A dispatch is sent at most once: this package never retries. Client.Resume reads the
+// rest of an aborted answer by the request's id and never runs the request again.
 package engine
 
 import (
@@ -29,43 +29,43 @@
 	"lynxwell.dev/lynxwell/transport"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-// maxErrorBytes bounds the body of an engine's refusal.
+// maxErrorBytes bounds the body that is read of an error response.
 const maxErrorBytes = 64 << 10
 
-// idleConnections is how many connections are kept to each engine.
-const idleConnections = 256
+// maxIdleConnections bounds the idle connections to each engine.
+const maxIdleConnections = 256
 
-// drainTime bounds the wait for a stream's end after its end mark.
-const drainTime = 100 * time.Millisecond
+// drainTimeout bounds the wait for the end of the response body after doneMark.
+const drainTimeout = 100 * time.Millisecond
 
-// doneMark ends a stream that is whole.
+// doneMark is the last event of a complete stream.
 const doneMark = "[DONE]"
 
-// ClientConfig holds what a Client is made from. Zero stands for the defaults.
+// ClientConfig configures a Client. Zero values mean the defaults.
 type ClientConfig struct {
-	// SilenceTimeout is after how long without an event a stream counts as
-	// broken; 0 stands for 30 s.
+	// SilenceTimeout is the longest time without an event before a stream is
+	// aborted; 0 means 30 s.
 	SilenceTimeout time.Duration
 }
 
-// Client reaches engines.
+// Client sends requests to engines.
 type Client struct {
 	cfg  ClientConfig
 	http *http.Client
 }
 
-// NewClient returns a client without any connection yet.
+// NewClient returns a client without open connections.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.SilenceTimeout == 0 {
 		cfg.SilenceTimeout = 30 * time.Second
 	}
-	return &Client{cfg: cfg, http: &http.Client{Transport: transport.New(idleConnections)}}
+	return &Client{cfg: cfg, http: &http.Client{Transport: transport.New(maxIdleConnections)}}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (cli *Client) Close() {
 	cli.http.CloseIdleConnections()
 }
@@ -78,51 +78,51 @@
 	Body     []byte
 }
 
-// Sink takes the events of a stream as they come; data is the event's payload.
+// Sink receives the events of a stream as they arrive; data is the event's payload.
 type Sink func(data []byte)
 
-// RefusalError reports an engine's own answer other than 200.
+// RefusalError reports a response of the engine with a status other than 200.
 type RefusalError struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Error names the status.
+// Error returns the status.
 func (rer *RefusalError) Error() string {
-	return fmt.Sprintf("engine answered with status %d", rer.Status)
+	return fmt.Sprintf("engine responded with status %d, want 200", rer.Status)
 }
 
-// Result is how a stream ended.
+// Result is the outcome of a dispatch or a resumption.
 type Result struct {
-	// Dispatched is false when the engine certainly never got the request.
+	// Dispatched is false if the connection failed, so that the request was not sent.
 	Dispatched bool
-	// Answered is set once the engine has answered at all.
+	// Answered is set once the head of a response has arrived.
 	Answered bool
-	// Whole is set when the answer came to its end.
+	// Whole is set if the answer was received to its end.
 	Whole bool
-	// NotKnown is set when the engine to resume from knows no such request.
+	// NotKnown is set if the engine responded with 404: it has no such stream.
 	NotKnown bool
-	// Events counts the events of the answer, resumed ones included.
+	// Events counts the events of the answer, including those before a resumption's offset.
 	Events int
-	// Usage is the engine's count of tokens, where it told one.
+	// Usage is the engine's token count; zero if it sent none.
 	Usage Usage
-	// FirstToken and Total are the times from the dispatch on.
+	// FirstToken and Total are the times from the call to the first event and to the end.
 	FirstToken time.Duration
 	Total      time.Duration
-	// Err says why an answer isn't whole; a *RefusalError carries the engine's own.
+	// Err is why the answer is incomplete; a *RefusalError if the engine sent an error status.
 	Err error
 }
 
-// Dispatch sends the request and streams the answer into the sink.
+// Dispatch sends the request and streams the answer to the sink.
 func (cli *Client) Dispatch(ctx context.Context, dis Dispatch, sink Sink) Result {
 	start := time.Now()
 	url := "http://" + dis.Address.String() + PathChat
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(dis.Body))
 	if err != nil {
-		return Result{Err: errors.Wrap(err, "make dispatch")}
+		return Result{Err: errors.Wrap(err, "create dispatch request")}
 	}
-	// Without GetBody the transport never sends a body a second time.
+	// Without GetBody the transport can't retry the request with its body.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderRequestID, dis.ID.String())
@@ -130,14 +130,14 @@
 	return cli.stream(req, start, 0, sink)
 }
 
-// Resume reads the answer of a request that an engine got before, from the
-// event with the offset on. It never runs anything.
+// Resume reads the answer to a request that the engine has already received, starting at
+// the event with the offset. It never runs the request again.
 func (cli *Client) Resume(ctx context.Context, adr netip.AddrPort, id request.ID, offset int, sink Sink) Result {
 	start := time.Now()
 	url := "http://" + adr.String() + streamPath(id) + "?offset=" + strconv.Itoa(offset)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return Result{Err: errors.Wrap(err, "make resumption")}
+		return Result{Err: errors.Wrap(err, "create resumption request")}
 	}
 	return cli.stream(req, start, offset, sink)
 }
@@ -155,16 +155,16 @@
 	defer rep.Body.Close()
 	res.Answered = true
 	if rep.StatusCode != http.StatusOK {
-		return refusal(res, rep)
+		return withStatusError(res, rep)
 	}
 	rea := &eventReader{
 		lines: bufio.NewReaderSize(rep.Body, 4096), start: start,
-		heard: wat.Heard,
+		onEvent: wat.Heard,
 	}
 	rea.run(&res, sink)
 	res.Total = time.Since(start)
 	if res.Whole {
-		wat.Shorten(drainTime)
+		wat.Shorten(drainTimeout)
 		drain(rep.Body)
 	}
 	if res.Err != nil {
@@ -173,14 +173,15 @@
 	return res
 }
 
-// drain reads the end of a stream after its end mark, without which its
-// connection couldn't be used again.
+// drain reads the rest of a response body after doneMark, so that the connection can be
+// reused.
 func drain(body io.Reader) {
-	// What comes after the end mark is no part of the answer, whatever it is.
+	// Data after doneMark is not part of the answer, so errors are ignored.
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxErrorBytes))
 }
 
-func refusal(res Result, rep *http.Response) Result {
+// withStatusError adds the engine's error response to the result.
+func withStatusError(res Result, rep *http.Response) Result {
 	body, _ := io.ReadAll(io.LimitReader(rep.Body, maxErrorBytes))
 	res.NotKnown = rep.StatusCode == http.StatusNotFound
 	res.Err = &RefusalError{Status: rep.StatusCode, Header: rep.Header, Body: body}
@@ -189,9 +190,9 @@
 
 // eventReader reads server-sent events.
 type eventReader struct {
-	lines *bufio.Reader
-	start time.Time
-	heard func()
+	lines   *bufio.Reader
+	start   time.Time
+	onEvent func()
 }
 
 var dataField = []byte("data:")
@@ -200,10 +201,10 @@
 	for {
 		data, err := rea.next()
 		if err != nil {
-			res.Err = errors.Wrap(err, "answer broke off")
+			res.Err = errors.Wrap(err, "answer aborted before its end")
 			return
 		}
-		rea.heard()
+		rea.onEvent()
 		if string(data) == doneMark {
 			res.Whole = true
 			return
@@ -212,7 +213,7 @@
 			res.FirstToken = time.Since(rea.start)
 		}
 		res.Events++
-		noteUsage(res, data)
+		recordUsage(res, data)
 		sink(data)
 	}
 }
@@ -231,26 +232,26 @@
 }
 
 func (rea *eventReader) line() ([]byte, error) {
-	var whole []byte
+	var line []byte
 	for {
 		part, err := rea.lines.ReadSlice('\n')
-		whole = append(whole, part...)
+		line = append(line, part...)
 		if err == nil {
-			return whole, nil
+			return line, nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, io.ErrUnexpectedEOF
 		}
-		if len(whole) > maxEventBytes {
-			return nil, errors.Newf("event is over %d bytes", maxEventBytes)
+		if len(line) > maxEventBytes {
+			return nil, errors.Newf("stream event is larger than the limit of %d bytes", maxEventBytes)
 		}
 	}
 }
 
-var usageMark = []byte(`"usage":{`)
+var usagePrefix = []byte(`"usage":{`)
 
-func noteUsage(res *Result, data []byte) {
-	if !bytes.Contains(data, usageMark) {
+func recordUsage(res *Result, data []byte) {
+	if !bytes.Contains(data, usagePrefix) {
 		return
 	}
 	var chu Chunk
@@ -259,11 +260,11 @@
 	}
 }
 
-// Cancel stops a request at its engine.
+// Cancel cancels a request at its engine.
 func (cli *Client) Cancel(ctx context.Context, adr netip.AddrPort, id request.ID) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+adr.String()+streamPath(id), http.NoBody)
 	if err != nil {
-		return errors.Wrap(err, "make cancellation")
+		return errors.Wrap(err, "create cancellation request")
 	}
 	rep, err := cli.http.Do(req)
 	if err != nil {
@@ -272,14 +273,14 @@
 	return rep.Body.Close()
 }
 
-// Load reads an engine's report of its load.
+// Load reads an engine's load report.
 func (cli *Client) Load(ctx context.Context, adr netip.AddrPort) (Load, error) {
 	var loa Load
 	err := cli.getJSON(ctx, "http://"+adr.String()+PathLoad, &loa)
 	return loa, err
 }
 
-// CacheEvents reads the cache events from the sequence number on.
+// CacheEvents reads the cache events with sequence numbers greater than after.
 func (cli *Client) CacheEvents(ctx context.Context, adr netip.AddrPort, after uint64) (CacheEvents, error) {
 	var evs CacheEvents
 	err := cli.getJSON(ctx, "http://"+adr.String()+PathEvents+"?after="+strconv.FormatUint(after, 10), &evs)
@@ -289,7 +290,7 @@
 func (cli *Client) getJSON(ctx context.Context, url string, target any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return errors.Wrap(err, "make call")
+		return errors.Wrap(err, "create request")
 	}
 	rep, err := cli.http.Do(req)
 	if err != nil {
@@ -299,5 +300,5 @@
 	if rep.StatusCode != http.StatusOK {
 		return &RefusalError{Status: rep.StatusCode}
 	}
-	return errors.Wrap(json.NewDecoder(io.LimitReader(rep.Body, maxEventBytes)).Decode(target), "decode reply")
+	return errors.Wrap(json.NewDecoder(io.LimitReader(rep.Body, maxEventBytes)).Decode(target), "decode engine response")
 }
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -7,7 +7,7 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// The paths and headers of the engines' protocol.
+// The paths and headers of the engine protocol.
 const (
 	PathChat    = "/v1/chat/completions"
 	PathStreams = "/v1/streams/"
@@ -16,11 +16,11 @@
 
 	HeaderRequestID = "X-Request-Id"
 	HeaderPriority  = "X-Priority"
-	// HeaderOffset answers a resumption: the number of the first event sent.
+	// HeaderOffset is sent with a resumed stream: the offset of the first event sent.
 	HeaderOffset = "X-Stream-Offset"
 )
 
-// bytesPerToken is the rough length of a token of text.
+// bytesPerToken is an estimate of the length of a token.
 const bytesPerToken = 4
 
 // Message is one message of a chat.
@@ -29,8 +29,8 @@
 	Content string `json:"content"`
 }
 
-// ChatRequest is the part of a chat completions request that matters for its
-// scheduling; what else there is goes through untouched.
+// ChatRequest contains the fields of a chat completions request that are used for
+// scheduling. All other fields are passed through unchanged.
 type ChatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -48,7 +48,8 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Choice is one alternative of an answer; Delta streams it, Message has it whole.
+// Choice is one alternative of an answer: Delta is the next part of a stream, Message the
+// complete answer.
 type Choice struct {
 	Index        int      `json:"index"`
 	Delta        *Message `json:"delta,omitempty"`
@@ -64,12 +65,12 @@
 	Details          *UsageDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// UsageDetails tells how much of the prompt came from the engine's cache.
+// UsageDetails counts the prompt tokens that came from the engine's cache.
 type UsageDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Load is an engine's own report; it lags.
+// Load is an engine's report of its load; it may be out of date.
 type Load struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
@@ -77,45 +78,48 @@
 	Leaving bool `json:"leaving"`
 }
 
-// CacheEvent tells that a prompt prefix came into the engine's cache or left it.
+// CacheEvent reports that a prompt prefix was added to the engine's cache or evicted from it.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Prefix   uint64 `json:"prefix,string"`
 	Evicted  bool   `json:"evicted"`
 }
 
-// CacheEvents is a page of cache events; Next is where the following one starts.
+// CacheEvents is a page of cache events; Next is the sequence number to read the next page
+// after.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 	Next   uint64       `json:"next"`
 }
 
-// DispatchRecord is a dispatch that an engine's stand-in received.
+// DispatchRecord is a dispatch that a fake engine or backend server received.
 type DispatchRecord struct {
 	ID string
-	// Call is the method and path that it came by.
+	// Call is the method and path of the dispatch.
 	Call     string
 	Priority int
-	// PromptTokens is the whole prompt, PrefillTokens the part computed.
+	// PromptTokens is the length of the prompt, PrefillTokens how many of them were computed
+	// rather than read from the cache.
 	PromptTokens  int
 	PrefillTokens int
-	// Finished is set when the answer was computed whole.
+	// Finished is set if the answer was computed to its end.
 	Finished bool
 }
 
-// Prompt is what a prompt weighs.
+// Prompt is the estimated length of a prompt.
 type Prompt struct {
 	Tokens int
-	// PrefixHash names the shared part, PrefixTokens long.
+	// PrefixHash identifies the prompt's shared prefix, which is PrefixTokens long; 0 if it
+	// is too short to be cached.
 	PrefixHash   uint64
 	PrefixTokens int
 }
 
-// minPrefixTokens is the shortest shared part worth remembering.
+// minPrefixTokens is the shortest prefix that is cached.
 const minPrefixTokens = 16
 
-// Weigh estimates a prompt's length. Its shared part is everything but the
-// last message: what changes from request to request comes last.
+// Weigh estimates a prompt's length. The shared prefix is every message but the last,
+// since the part that differs between requests comes last.
 func Weigh(messages []Message) Prompt {
 	var pro Prompt
 	hsh := fnv.New64a()
@@ -135,8 +139,8 @@
 	return pro
 }
 
-// StreamBody returns the request's body changed to ask for a stream with a
-// count of tokens at its end; all else stays as it is.
+// StreamBody returns the request's body changed to request a stream that ends with a
+// token count. All other fields stay as they are.
 func StreamBody(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
--- a/enginetest/engine.go
+++ b/enginetest/engine.go
@@ -68,16 +68,16 @@
 	mutex      sync.Mutex
 	wake       chan struct{}
 	faults     Faults
-	leaving    bool
+	draining    bool
 	waiting    []*job
 	running    []*job
 	streams    map[string]*job
 	prefixes   *prefixCache
 	dispatches []*engine.DispatchRecord
-	reports    []datedLoad
+	reports    []timedLoad
 }
 
-type datedLoad struct {
+type timedLoad struct {
 	at   time.Time
 	load engine.Load
 }
@@ -89,7 +89,7 @@
 	model    string
 	mark     string
 	prompt   engine.Prompt
-	wanted   int
+	answerTokens   int
 	// prefill is the prompt work still to do, in tokens.
 	prefill int
 	cached  int
@@ -97,9 +97,9 @@
 	tokens    int
 	done      bool
 	cancelled bool
-	ended     time.Time
+	endTime     time.Time
 	readers   int
-	left      time.Time
+	readersChanged      time.Time
 	changed   chan struct{}
 }
 
@@ -151,15 +151,15 @@
 	defer eng.mutex.Unlock()
 	eng.faults = fau
 	if fau.Dead {
-		eng.dropAll()
+		eng.cancelAll()
 	}
 	for _, jb := range eng.streams {
 		jb.notify()
 	}
-	eng.nudge()
+	eng.signalWork()
 }
 
-func (eng *Engine) dropAll() {
+func (eng *Engine) cancelAll() {
 	for _, jb := range eng.streams {
 		jb.end(true)
 	}
@@ -172,7 +172,7 @@
 func (eng *Engine) SetLeaving(leaving bool) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.leaving = leaving
+	eng.draining = leaving
 }
 
 // Dispatches returns every dispatch ever received.
@@ -209,7 +209,7 @@
 	return fmt.Sprintf("%s.%d ", mark, idx)
 }
 
-func (eng *Engine) nudge() {
+func (eng *Engine) signalWork() {
 	select {
 	case eng.wake <- struct{}{}:
 	default:
@@ -221,12 +221,12 @@
 	for {
 		pause, busy := eng.step(time.Now())
 		if !busy {
-			pause = idleStep
+			pause = idleInterval
 		}
 		timer := time.NewTimer(pause)
 		select {
 		case <-timer.C:
-		case <-eng.idleWake(busy):
+		case <-eng.idleWakeups(busy):
 		case <-ctx.Done():
 			timer.Stop()
 			return
@@ -235,11 +235,11 @@
 	}
 }
 
-// idleStep is how often an idle engine looks after its streams.
-const idleStep = 100 * time.Millisecond
+// idleInterval is how often an idle engine looks after its streams.
+const idleInterval = 100 * time.Millisecond
 
-// idleWake returns the channel of new work, which must not cut a step short.
-func (eng *Engine) idleWake(busy bool) <-chan struct{} {
+// idleWakeups returns the channel of new work, which must not cut a step short.
+func (eng *Engine) idleWakeups(busy bool) <-chan struct{} {
 	if busy {
 		return nil
 	}
@@ -250,8 +250,8 @@
 func (eng *Engine) step(now time.Time) (time.Duration, bool) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.note(now)
-	eng.clean(now)
+	eng.recordLoad(now)
+	eng.expireStreams(now)
 	if eng.faults.Frozen || eng.faults.Dead {
 		return 0, false
 	}
@@ -259,7 +259,7 @@
 	if len(eng.running) == 0 {
 		return 0, false
 	}
-	return eng.work(now), true
+	return eng.runBatch(now), true
 }
 
 // prefillChunk is how much prompt work a step does at most, in tokens.
@@ -267,7 +267,7 @@
 
 // work does one step of the batch: some prompt work, and a token for each
 // stream whose prompt is done.
-func (eng *Engine) work(now time.Time) time.Duration {
+func (eng *Engine) runBatch(now time.Time) time.Duration {
 	budget := prefillChunk
 	decoding := 0
 	prefilled := 0
@@ -284,7 +284,7 @@
 		jb.tokens++
 		jb.notify()
 	}
-	eng.retire(now)
+	eng.removeFinished(now)
 	slow := max(1, eng.faults.Slow)
 	seconds := float64(prefilled) / eng.cfg.PrefillTokensPerSecond
 	if decoding > 0 {
@@ -294,12 +294,12 @@
 }
 
 // retire takes finished and cancelled requests out of the batch.
-func (eng *Engine) retire(now time.Time) {
+func (eng *Engine) removeFinished(now time.Time) {
 	kept := eng.running[:0]
 	for _, jb := range eng.running {
-		if jb.tokens >= jb.wanted {
+		if jb.tokens >= jb.answerTokens {
 			jb.record.Finished = true
-			jb.ended = now
+			jb.endTime = now
 			jb.end(false)
 		}
 		if !jb.done {
@@ -320,7 +320,7 @@
 		}
 		jb := eng.waiting[best]
 		eng.waiting = append(eng.waiting[:best], eng.waiting[best+1:]...)
-		if eng.prefixes.use(jb.prompt.PrefixHash, jb.prompt.PrefixTokens, time.Now()) {
+		if eng.prefixes.touch(jb.prompt.PrefixHash, jb.prompt.PrefixTokens, time.Now()) {
 			jb.cached = jb.prompt.PrefixTokens
 		}
 		jb.prefill = max(1, jb.prompt.Tokens-jb.cached)
@@ -329,25 +329,25 @@
 }
 
 // clean cancels streams without a reader and forgets old ones.
-func (eng *Engine) clean(now time.Time) {
+func (eng *Engine) expireStreams(now time.Time) {
 	for id, jb := range eng.streams {
 		switch {
-		case jb.done && now.Sub(jb.ended) > eng.cfg.Retention:
+		case jb.done && now.Sub(jb.endTime) > eng.cfg.Retention:
 			delete(eng.streams, id)
-		case !jb.done && jb.readers == 0 && now.Sub(jb.left) > eng.cfg.Unattended:
+		case !jb.done && jb.readers == 0 && now.Sub(jb.readersChanged) > eng.cfg.Unattended:
 			eng.cancel(jb, now)
 		}
 	}
 }
 
 func (eng *Engine) cancel(jb *job, now time.Time) {
-	jb.ended = now
+	jb.endTime = now
 	jb.end(true)
-	eng.waiting = without(eng.waiting, jb)
-	eng.running = without(eng.running, jb)
+	eng.waiting = remove(eng.waiting, jb)
+	eng.running = remove(eng.running, jb)
 }
 
-func without(jobs []*job, gone *job) []*job {
+func remove(jobs []*job, gone *job) []*job {
 	kept := make([]*job, 0, len(jobs))
 	for _, jb := range jobs {
 		if jb != gone {
@@ -358,9 +358,9 @@
 }
 
 // note remembers the load for the reports, which lag.
-func (eng *Engine) note(now time.Time) {
-	loa := engine.Load{Running: len(eng.running), Waiting: len(eng.waiting), Slots: eng.cfg.Slots, Leaving: eng.leaving}
-	eng.reports = append(eng.reports, datedLoad{at: now, load: loa})
+func (eng *Engine) recordLoad(now time.Time) {
+	loa := engine.Load{Running: len(eng.running), Waiting: len(eng.waiting), Slots: eng.cfg.Slots, Leaving: eng.draining}
+	eng.reports = append(eng.reports, timedLoad{at: now, load: loa})
 	for len(eng.reports) > 1 && now.Sub(eng.reports[1].at) >= eng.cfg.LoadLag {
 		eng.reports = eng.reports[1:]
 	}
--- a/enginetest/handler.go
+++ b/enginetest/handler.go
@@ -24,8 +24,8 @@
 // maxBodyBytes bounds a request.
 const maxBodyBytes = 16 << 20
 
-// defaultAnswer is the length of an answer where the request names none, in tokens.
-const defaultAnswer = 16
+// defaultAnswerTokens is the length of an answer where the request names none, in tokens.
+const defaultAnswerTokens = 16
 
 // Handler returns the HTTP handler.
 func (eng *Engine) Handler() http.Handler {
@@ -34,7 +34,7 @@
 	rou.HandleFunc(PathLeaving, eng.serveLeaving).Methods(http.MethodPost)
 	rou.HandleFunc(PathDispatches, eng.serveDispatches).Methods(http.MethodGet)
 	sub := rou.NewRoute().Subrouter()
-	sub.Use(eng.failing)
+	sub.Use(eng.applyFaults)
 	sub.HandleFunc(engine.PathChat, eng.serveChat).Methods(http.MethodPost)
 	sub.HandleFunc(engine.PathStreams+"{id}", eng.serveResume).Methods(http.MethodGet)
 	sub.HandleFunc(engine.PathStreams+"{id}", eng.serveCancel).Methods(http.MethodDelete)
@@ -44,7 +44,7 @@
 }
 
 // failing applies the faults that precede any work.
-func (eng *Engine) failing(next http.Handler) http.Handler {
+func (eng *Engine) applyFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		for {
 			eng.mutex.Lock()
@@ -56,7 +56,7 @@
 			if !fau.Frozen {
 				break
 			}
-			if !pause(req, idleStep) {
+			if !sleep(req, idleInterval) {
 				return
 			}
 		}
@@ -65,7 +65,7 @@
 }
 
 // pause waits; it returns false when the reader has left.
-func pause(req *http.Request, wait time.Duration) bool {
+func sleep(req *http.Request, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -82,7 +82,7 @@
 		http.Error(wri, err.Error(), http.StatusBadRequest)
 		return
 	}
-	jb, drop := eng.take(req, chat)
+	jb, drop := eng.accept(req, chat)
 	if drop {
 		panic(http.ErrAbortHandler)
 	}
@@ -90,27 +90,27 @@
 		eng.send(wri, req, jb, 0)
 		return
 	}
-	eng.sendWhole(wri, req, jb)
+	eng.sendComplete(wri, req, jb)
 }
 
 // take receives a dispatch; drop says that its reply is to be lost.
-func (eng *Engine) take(req *http.Request, chat engine.ChatRequest) (jb *job, drop bool) {
+func (eng *Engine) accept(req *http.Request, chat engine.ChatRequest) (jb *job, drop bool) {
 	priority, _ := strconv.Atoi(req.Header.Get(engine.HeaderPriority))
 	id := req.Header.Get(engine.HeaderRequestID)
 	prompt := engine.Weigh(chat.Messages)
 	wanted := chat.MaxTokens
-	orInt(&wanted, defaultAnswer)
+	orInt(&wanted, defaultAnswerTokens)
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	rec := &engine.DispatchRecord{ID: id, Call: req.Method + " " + req.URL.Path, Priority: priority, PromptTokens: prompt.Tokens}
 	eng.dispatches = append(eng.dispatches, rec)
 	jb = &job{
 		record: rec, priority: priority, model: chat.Model, mark: Mark(chat.Messages),
-		prompt: prompt, wanted: wanted, changed: make(chan struct{}), left: time.Now(),
+		prompt: prompt, answerTokens: wanted, changed: make(chan struct{}), readersChanged: time.Now(),
 	}
 	eng.streams[id] = jb
 	eng.waiting = append(eng.waiting, jb)
-	eng.nudge()
+	eng.signalWork()
 	if eng.faults.DropReplies > 0 {
 		eng.faults.DropReplies--
 		return jb, true
@@ -155,7 +155,7 @@
 	tokens    int
 	done      bool
 	cancelled bool
-	stopped   bool
+	frozen   bool
 	changed   <-chan struct{}
 }
 
@@ -164,22 +164,22 @@
 	defer eng.mutex.Unlock()
 	return progress{
 		tokens: jb.tokens, done: jb.done, cancelled: jb.cancelled,
-		stopped: eng.faults.Frozen, changed: jb.changed,
+		frozen: eng.faults.Frozen, changed: jb.changed,
 	}
 }
 
-func (eng *Engine) attend(jb *job, change int) {
+func (eng *Engine) addReaders(jb *job, change int) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	jb.readers += change
-	jb.left = time.Now()
+	jb.readersChanged = time.Now()
 }
 
 // send streams the answer from the event with the offset on. The last event
 // but the end mark carries the count of tokens.
 func (eng *Engine) send(wri http.ResponseWriter, req *http.Request, jb *job, offset int) {
-	eng.attend(jb, 1)
-	defer eng.attend(jb, -1)
+	eng.addReaders(jb, 1)
+	defer eng.addReaders(jb, -1)
 	wri.Header().Set("Content-Type", "text/event-stream")
 	wri.Header().Set(engine.HeaderOffset, strconv.Itoa(offset))
 	for {
@@ -187,7 +187,7 @@
 		if pro.cancelled {
 			panic(http.ErrAbortHandler)
 		}
-		if !pro.stopped {
+		if !pro.frozen {
 			offset = eng.sendTokens(wri, jb, offset, pro.tokens)
 			if pro.done {
 				eng.sendEnd(wri, jb, offset)
@@ -214,7 +214,7 @@
 }
 
 func (eng *Engine) sendEnd(wri http.ResponseWriter, jb *job, offset int) {
-	if offset <= jb.wanted {
+	if offset <= jb.answerTokens {
 		chu := chunkOf(jb, nil)
 		chu.Usage = usageOf(jb)
 		writeEvent(wri, chu)
@@ -223,15 +223,15 @@
 	flush(wri)
 }
 
-func (eng *Engine) sendWhole(wri http.ResponseWriter, req *http.Request, jb *job) {
-	eng.attend(jb, 1)
-	defer eng.attend(jb, -1)
+func (eng *Engine) sendComplete(wri http.ResponseWriter, req *http.Request, jb *job) {
+	eng.addReaders(jb, 1)
+	defer eng.addReaders(jb, -1)
 	for {
 		pro := eng.progressOf(jb)
 		if pro.cancelled {
 			panic(http.ErrAbortHandler)
 		}
-		if pro.done && !pro.stopped {
+		if pro.done && !pro.frozen {
 			break
 		}
 		select {
@@ -241,7 +241,7 @@
 		}
 	}
 	text := ""
-	for idx := range jb.wanted {
+	for idx := range jb.answerTokens {
 		text += token(jb.mark, idx)
 	}
 	chu := chunkOf(jb, nil)
@@ -266,7 +266,7 @@
 
 func usageOf(jb *job) *engine.Usage {
 	return &engine.Usage{
-		PromptTokens: jb.prompt.Tokens, CompletionTokens: jb.wanted, TotalTokens: jb.prompt.Tokens + jb.wanted,
+		PromptTokens: jb.prompt.Tokens, CompletionTokens: jb.answerTokens, TotalTokens: jb.prompt.Tokens + jb.answerTokens,
 		Details: &engine.UsageDetails{CachedTokens: jb.cached},
 	}
 }
--- a/enginetest/prefix.go
+++ b/enginetest/prefix.go
@@ -7,8 +7,8 @@
 	"lynxwell.dev/lynxwell/engine"
 )
 
-// eventsKept bounds the cache events that can still be read.
-const eventsKept = 4096
+// maxEvents bounds the cache events that can still be read.
+const maxEvents = 4096
 
 // prefixCache keeps prompt prefixes in limited memory, the last used longest.
 type prefixCache struct {
@@ -16,9 +16,9 @@
 	used     int
 	gap      int
 	order    *list.List
-	places   map[uint64]*list.Element
+	elements   map[uint64]*list.Element
 	sequence uint64
-	events   []datedEvent
+	events   []timedEvent
 }
 
 type cachedPrefix struct {
@@ -26,33 +26,33 @@
 	tokens int
 }
 
-type datedEvent struct {
+type timedEvent struct {
 	at    time.Time
 	event engine.CacheEvent
 }
 
 func newPrefixCache(capacity, gap int) *prefixCache {
-	return &prefixCache{capacity: capacity, gap: gap, order: list.New(), places: make(map[uint64]*list.Element)}
+	return &prefixCache{capacity: capacity, gap: gap, order: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
 func (pre *prefixCache) clear() {
 	pre.order.Init()
-	clear(pre.places)
+	clear(pre.elements)
 	pre.used = 0
 }
 
 // use reports whether the prefix is in memory, and puts it there.
-func (pre *prefixCache) use(hash uint64, tokens int, now time.Time) bool {
+func (pre *prefixCache) touch(hash uint64, tokens int, now time.Time) bool {
 	if hash == 0 {
 		return false
 	}
-	if ele := pre.places[hash]; ele != nil {
+	if ele := pre.elements[hash]; ele != nil {
 		pre.order.MoveToBack(ele)
 		return true
 	}
-	pre.places[hash] = pre.order.PushBack(cachedPrefix{hash: hash, tokens: tokens})
+	pre.elements[hash] = pre.order.PushBack(cachedPrefix{hash: hash, tokens: tokens})
 	pre.used += tokens
-	pre.tell(hash, false, now)
+	pre.addEvent(hash, false, now)
 	for pre.used > pre.capacity && pre.order.Len() > 1 {
 		pre.evict(now)
 	}
@@ -61,19 +61,19 @@
 
 func (pre *prefixCache) evict(now time.Time) {
 	oldest, _ := pre.order.Remove(pre.order.Front()).(cachedPrefix)
-	delete(pre.places, oldest.hash)
+	delete(pre.elements, oldest.hash)
 	pre.used -= oldest.tokens
-	pre.tell(oldest.hash, true, now)
+	pre.addEvent(oldest.hash, true, now)
 }
 
-func (pre *prefixCache) tell(hash uint64, evicted bool, now time.Time) {
+func (pre *prefixCache) addEvent(hash uint64, evicted bool, now time.Time) {
 	pre.sequence++
 	if pre.gap > 0 && pre.sequence%uint64(pre.gap) == 0 {
 		return
 	}
 	evt := engine.CacheEvent{Sequence: pre.sequence, Prefix: hash, Evicted: evicted}
-	pre.events = append(pre.events, datedEvent{at: now, event: evt})
-	if over := len(pre.events) - eventsKept; over > 0 {
+	pre.events = append(pre.events, timedEvent{at: now, event: evt})
+	if over := len(pre.events) - maxEvents; over > 0 {
 		pre.events = pre.events[over:]
 	}
 }
--- a/task/group.go
+++ b/task/group.go
@@ -1,10 +1,9 @@
-// Package task runs the goroutines of one part, each of which reports its end on
-// a channel that the part's owner reads.
+// Package task runs the goroutines of a component and logs those that fail.
 //
 // # Usage
 //
 //	grp := task.NewGroup(log)
-//	grp.Run("observer", func() error { return observe(ctx) })
+//	grp.Run("store watcher", func() error { return watch(ctx) })
 //	grp.Wait()
 package task
 
@@ -17,51 +16,52 @@
 	"github.com/rs/zerolog"
 )
 
-// Group is a part's goroutines.
+// Group is a set of named goroutines that end together.
 type Group struct {
 	log     zerolog.Logger
 	started int
-	ends    chan end
+	results chan result
 	mutex   sync.Mutex
 	running []string
 }
 
-// end is the end of one goroutine.
-type end struct {
+// result is the outcome of one goroutine.
+type result struct {
 	name string
 	err  error
 }
 
-// NewGroup returns a group without goroutines.
+// NewGroup returns an empty group that logs to log.
 func NewGroup(log zerolog.Logger) *Group {
-	return &Group{log: log, ends: make(chan end)}
+	return &Group{log: log, results: make(chan result)}
 }
 
-// Run starts a goroutine. All must be started before Wait is called.
+// Run starts a goroutine. It must not be called after Wait.
 func (grp *Group) Run(name string, work func() error) {
 	grp.started++
 	grp.mutex.Lock()
 	grp.running = append(grp.running, name)
 	grp.mutex.Unlock()
-	go func() { grp.ends <- end{name: name, err: work()} }()
+	go func() { grp.results <- result{name: name, err: work()} }()
 }
 
-// Names returns the goroutines that haven't ended.
+// Names returns the names of the goroutines that are still running.
 func (grp *Group) Names() []string {
 	grp.mutex.Lock()
 	defer grp.mutex.Unlock()
 	return slices.Clone(grp.running)
 }
 
-// Wait returns when every goroutine has ended; it logs those that failed.
+// Wait waits until all goroutines have ended and logs each error other than
+// context.Canceled.
 func (grp *Group) Wait() {
 	for range grp.started {
-		one := <-grp.ends
+		res := <-grp.results
 		grp.mutex.Lock()
-		grp.running = slices.DeleteFunc(grp.running, func(name string) bool { return name == one.name })
+		grp.running = slices.DeleteFunc(grp.running, func(name string) bool { return name == res.name })
 		grp.mutex.Unlock()
-		if one.err != nil && !errors.Is(one.err, context.Canceled) {
-			grp.log.Error().Err(one.err).Str("Task", one.name).Msg("task ended")
+		if res.err != nil && !errors.Is(res.err, context.Canceled) {
+			grp.log.Error().Err(res.err).Str("Task", res.name).Msg("task failed")
 		}
 	}
 }
--- a/task/serve.go
+++ b/task/serve.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Served returns the error of an HTTP server that ended otherwise than by its
-// closing.
+// Served returns the error of http.Server.Serve, or nil if the server was closed or shut
+// down.
 func Served(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
--- a/task/sleep.go
+++ b/task/sleep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sleep waits, but not beyond the context; it reports whether the whole time has
-// passed.
+// Sleep waits for the duration or until the context is done. It reports whether the full
+// duration has passed.
 func Sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/transport/liveness.go
+++ b/transport/liveness.go
@@ -10,20 +10,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Liveness has connections whose other end no longer answers fail, although
-// nothing tells so: some go silent for good while new ones work.
+// Liveness fails TCP connections whose peer stopped responding without closing them. Some
+// connections lose all traffic for good while new ones to the same address work.
 type Liveness struct {
-	// Limit is after how long without an acknowledgement of what was sent, a probe
-	// included, a connection fails.
+	// Limit is how long sent data or a keep-alive probe may stay unacknowledged before the
+	// connection fails.
 	Limit time.Duration
 }
 
 const (
-	// probeIdle is after how long without any byte a probe is sent, the shortest
-	// that the system takes: a waiting reader sends nothing that could go missing.
+	// probeIdle is the time without traffic after which a keep-alive probe is sent, and the
+	// interval of further probes. One second is the shortest that the kernel accepts. Probes
+	// are needed since a waiting reader sends no data that could go unacknowledged.
 	probeIdle = time.Second
-	// probeCount is how many probes may go unanswered, one a second; the limit
-	// ends the connection sooner where it is shorter.
+	// probeCount is how many probes, one a second, may go unacknowledged. A shorter Limit
+	// fails the connection sooner.
 	probeCount = 2
 )
 
@@ -31,15 +32,15 @@
 	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeIdle, Count: probeCount}
 }
 
-// Dialer returns a dialer whose connections are watched.
+// Dialer returns a dialer whose connections fail by the limit.
 func (liv Liveness) Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout, KeepAliveConfig: liv.keepAlive(),
-		Control: func(_, _ string, raw syscall.RawConn) error { return liv.bound(raw) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return liv.setUserTimeout(raw) },
 	}
 }
 
-// Listen returns a listener whose connections are watched.
+// Listen returns a TCP listener at the address whose accepted connections fail by the limit.
 func (liv Liveness) Listen(ctx context.Context, adr netip.AddrPort) (net.Listener, error) {
 	cfg := net.ListenConfig{KeepAliveConfig: liv.keepAlive()}
 	lis, err := cfg.Listen(ctx, "tcp", adr.String())
@@ -49,8 +50,8 @@
 	return &watchedListener{Listener: lis, liveness: liv}, nil
 }
 
-// bound sets the time for which sent bytes may stay unacknowledged.
-func (liv Liveness) bound(raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, the time for which sent bytes may stay unacknowledged.
+func (liv Liveness) setUserTimeout(raw syscall.RawConn) error {
 	var serr error
 	err := raw.Control(func(fd uintptr) {
 		serr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(liv.Limit.Milliseconds()))
@@ -78,9 +79,9 @@
 	}
 	raw, err := tcp.SyscallConn()
 	if err == nil {
-		// A connection that takes no options has ended already, which its first use
-		// tells; an error here would end the whole listener.
-		_ = wal.liveness.bound(raw)
+		// Setting the option fails only on a closed connection, whose first use returns an
+		// error. Returning the error here would stop the whole listener.
+		_ = wal.liveness.setUserTimeout(raw)
 	}
 	return con, nil
 }
--- a/transport/liveness_test.go
+++ b/transport/liveness_test.go
@@ -12,7 +12,7 @@
 	"lynxwell.dev/lynxwell/transport"
 )
 
-// option reads one of a connection's TCP options.
+// option returns the value of a socket option of a connection.
 func option(t *testing.T, con net.Conn, level, name int) int {
 	t.Helper()
 	raw, err := con.(*net.TCPConn).SyscallConn()
@@ -24,7 +24,7 @@
 	return value
 }
 
-func TestBothEndsOfAConnectionAreWatched(t *testing.T) {
+func TestDialedAndAcceptedConnectionsHaveLivenessOptions(t *testing.T) {
 	liv := transport.Liveness{Limit: 700 * time.Millisecond}
 	lis, err := liv.Listen(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 	assert.NilError(t, err)
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestAddressThatIsTakenIsAnError(t *testing.T) {
+func TestListenOnAddressInUseIsError(t *testing.T) {
 	liv := transport.Liveness{Limit: time.Second}
 	lis, err := liv.Listen(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 	assert.NilError(t, err)
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,5 +1,6 @@
-// Package transport holds what the clients of engines and of backend servers
-// have in common: calls that are sent once and given up on silence.
+// Package transport contains what the HTTP clients of engines and backend servers
+// share: connection settings, detection of dead TCP connections, and time-outs for
+// peers that send nothing.
 //
 // # Usage
 //
@@ -9,7 +10,7 @@
 //	if err != nil {
 //		return transport.NotSent(err), transport.Cause(ctx, err)
 //	}
-//	wat.Heard() // at each sign of life
+//	wat.Heard() // for each piece of data received
 package transport
 
 import (
@@ -22,11 +23,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// dialTimeout bounds a connection; nothing was sent before it stands.
+// dialTimeout bounds connection establishment, before which nothing is sent.
 const dialTimeout = 2 * time.Second
 
-// New returns a transport that keeps up to idle connections to each address;
-// with 0 it makes a new one for each call.
+// New returns a transport that keeps up to idle connections to each address. With 0 it
+// opens a new connection for each call.
 func New(idle int) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
@@ -35,26 +36,26 @@
 	}
 }
 
-// SilenceError reports another end that sent nothing for too long.
+// SilenceError reports a peer that sent nothing within the time limit.
 type SilenceError struct {
-	// After is how long it was silent.
+	// After is the time limit.
 	After time.Duration
 }
 
-// Error names the time of silence.
+// Error returns the time limit.
 func (ser *SilenceError) Error() string {
-	return fmt.Sprintf("silent for %s", ser.After)
+	return fmt.Sprintf("peer sent no data for %s", ser.After)
 }
 
-// Watcher ends a call's context when nothing is heard for too long.
+// Watcher cancels a call's context when the peer sends nothing within the time limit.
 type Watcher struct {
 	limit  time.Duration
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// Watch returns a context that ends with a *SilenceError when Heard isn't
-// called for so long.
+// Watch returns a context that is cancelled with a *SilenceError if Heard isn't called
+// within the limit. Stop releases the watcher.
 func Watch(ctx context.Context, limit time.Duration) (context.Context, *Watcher) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	wat := &Watcher{limit: limit, cancel: cancel}
@@ -62,23 +63,23 @@
 	return ctx, wat
 }
 
-// Heard starts the time anew.
+// Heard restarts the time limit, as data has been received.
 func (wat *Watcher) Heard() {
 	wat.timer.Reset(wat.limit)
 }
 
-// Shorten leaves only so long until the context ends.
+// Shorten restarts the time limit once with another duration.
 func (wat *Watcher) Shorten(limit time.Duration) {
 	wat.timer.Reset(limit)
 }
 
-// Stop ends the watch and the context.
+// Stop stops the watcher and cancels the context.
 func (wat *Watcher) Stop() {
 	wat.timer.Stop()
 	wat.cancel(nil)
 }
 
-// Cause returns why the context ended, or the error where it hasn't.
+// Cause returns the cause of the context's cancellation, or err if it isn't cancelled.
 func Cause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -86,8 +87,8 @@
 	return err
 }
 
-// NotSent reports whether no connection came to stand, so that certainly
-// nothing was sent.
+// NotSent reports whether a call failed while connecting, so that nothing was
+// sent.
 func NotSent(err error) bool {
 	var oer *net.OpError
 	return errors.As(err, &oer) && oer.Op == "dial"
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -19,27 +19,27 @@
 	"lynxwell.dev/lynxwell/transport"
 )
 
-// liveness ends calls on connections that went silent for good while there is
-// still time to go on elsewhere: callers of a stream leave after two seconds, and
-// three losses in a row on a bad link are over within one.
+// liveness fails calls on dead connections early enough for a retry on another engine:
+// clients abandon a silent stream after two seconds, and TCP recovers from three losses
+// in a row on a bad link within one second.
 var liveness = transport.Liveness{Limit: time.Second}
 
-// probeTimeout bounds the look whether an engine is there: a process that is gone refuses
-// within a round trip, and callers wait meanwhile.
+// probeTimeout bounds a probe of an engine's address. The host of a dead process refuses the
+// connection within one round trip, and clients wait for the result.
 const probeTimeout = 150 * time.Millisecond
 
-// Client reaches engines and backend servers.
+// Client sends calls to engines and backend servers.
 type Client struct {
 	cfg   ClientConfig
 	mutex sync.Mutex
 	idle  map[Endpoint][]*connection
 	// busy are the connections that carry a call.
 	busy map[*connection]struct{}
-	// probes are the looks at engines that go on.
+	// probes merges concurrent probes of the same address.
 	probes singleflight.Group
 }
 
-// NewClient returns a client without any connection yet.
+// NewClient returns a client without open connections.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.DialTimeout == 0 {
 		cfg.DialTimeout = defaultDialTimeout
@@ -58,8 +58,8 @@
 	cli.Retire(func(Endpoint) bool { return false })
 }
 
-// Retire closes the idle connections that have become old, and all to endpoints that
-// aren't to be kept.
+// Retire closes the idle connections past their idle limit and those to endpoints for
+// which keep returns false.
 func (cli *Client) Retire(keep func(Endpoint) bool) {
 	now := cli.cfg.Now()
 	cli.mutex.Lock()
@@ -67,7 +67,7 @@
 	for end, list := range cli.idle {
 		var kept []*connection
 		for _, con := range list {
-			if keep(end) && now.Before(con.retire) {
+			if keep(end) && now.Before(con.retireAt) {
 				kept = append(kept, con)
 				continue
 			}
@@ -81,19 +81,19 @@
 	}
 }
 
-// closeQuietly closes a connection whose fate matters to nobody any more.
+// closeQuietly closes a connection that is no longer used and ignores the error.
 func closeQuietly(con net.Conn) {
 	_ = con.Close()
 }
 
-// take returns an idle connection that is sound, the youngest first.
-func (cli *Client) take(end Endpoint) *connection {
+// takeIdle returns the most recently used reusable idle connection, or nil if there is none.
+func (cli *Client) takeIdle(end Endpoint) *connection {
 	for {
-		con := cli.pop(end)
+		con := cli.popIdle(end)
 		if con == nil {
 			return nil
 		}
-		if cli.cfg.Now().Before(con.retire) && con.quiet() {
+		if cli.cfg.Now().Before(con.retireAt) && con.isClean() {
 			con.reused = true
 			return con
 		}
@@ -101,7 +101,7 @@
 	}
 }
 
-func (cli *Client) pop(end Endpoint) *connection {
+func (cli *Client) popIdle(end Endpoint) *connection {
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
 	list := cli.idle[end]
@@ -113,7 +113,7 @@
 	return con
 }
 
-func (cli *Client) put(con *connection) {
+func (cli *Client) putIdle(con *connection) {
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
 	cli.idle[con.endpoint] = append(cli.idle[con.endpoint], con)
@@ -130,30 +130,31 @@
 	return newConnection(opened, end), nil
 }
 
-// Do sends the call and returns the answer's head with its body to be read. The
-// context ends the answer too, until Close.
+// Do sends the call and returns the answer as soon as its head has arrived; the body is
+// read from Answer.Body. Cancelling ctx also aborts the answer until it is closed. The error
+// is a *NotSentError if no byte was sent, and a *BrokenError otherwise.
 func (cli *Client) Do(ctx context.Context, cal Call) (*Answer, error) {
-	con := cli.take(cal.Endpoint)
+	con := cli.takeIdle(cal.Endpoint)
 	if con == nil {
 		var err error
 		if con, err = cli.dial(ctx, cal.Endpoint); err != nil {
 			return nil, &NotSentError{Address: cal.Address, Cause: err}
 		}
 	}
-	if err := cal.check(); err != nil {
-		// Nothing was written: whoever is next to ask needn't make one.
-		if con.retire.IsZero() {
-			con.retire = cli.cfg.Now().Add(defaultIdleLimit)
+	if err := cal.allowed(); err != nil {
+		// Nothing was written, so the next call can use this connection.
+		if con.retireAt.IsZero() {
+			con.retireAt = cli.cfg.Now().Add(defaultIdleLimit)
 		}
-		cli.put(con)
+		cli.putIdle(con)
 		return nil, &NotSentError{Address: cal.Address, Cause: err}
 	}
 	cli.setBusy(con, true)
 	exc := &exchange{client: cli, connection: con, written: make(chan error, 1)}
-	exc.stop = context.AfterFunc(ctx, exc.abort)
+	exc.stopAbort = context.AfterFunc(ctx, exc.abort)
 	ans, err := exc.run(cal)
 	if err != nil {
-		exc.stop()
+		exc.stopAbort()
 		cli.setBusy(con, false)
 		closeQuietly(con)
 		return nil, &BrokenError{Address: cal.Address, Cause: cause(ctx, err)}
@@ -161,20 +162,21 @@
 	return ans, nil
 }
 
-// Probe is what a look at an engine's address shows.
+// Probe is the result of probing an engine's address.
 type Probe uint8
 
 const (
-	// ProbeUnknown shows nothing: nobody answered in time.
+	// ProbeUnknown means that the probe timed out or failed for another reason.
 	ProbeUnknown Probe = iota
-	// ProbeListens shows that something listens there, the engine or a later one.
+	// ProbeListens means that the address accepts connections, from this run of the engine
+	// or a later one.
 	ProbeListens
-	// ProbeRefused shows that nothing listens there: its process is gone.
+	// ProbeRefused means that the connection was refused: the engine's process is dead.
 	ProbeRefused
 )
 
-// Probe looks whether anything listens at the endpoint. Those who ask at the same time
-// share one look: when an engine ends, all that it ran ask at once.
+// Probe reports whether the endpoint accepts connections. Concurrent probes of one address
+// share one connection attempt: when an engine crashes, all its requests probe it at once.
 func (cli *Client) Probe(ctx context.Context, end Endpoint) Probe {
 	found, _, _ := cli.probes.Do(end.Address.String(), func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
@@ -194,16 +196,16 @@
 	return pro
 }
 
-// EndedByPeer reports whether a call failed since the other end closed or reset its
-// connection, or is known to have ended.
+// EndedByPeer reports whether a call failed because the peer closed or reset its
+// connection, or because the engine has restarted.
 func EndedByPeer(err error) bool {
-	var later *RunEndedError
+	var ree *RunEndedError
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) ||
-		errors.Is(err, syscall.EPIPE) || errors.As(err, &later)
+		errors.Is(err, syscall.EPIPE) || errors.As(err, &ree)
 }
 
-// check returns why the call may not be made any more; nil while it may.
-func (cal Call) check() error {
+// allowed returns the error of Check, which forbids the call, or nil.
+func (cal Call) allowed() error {
 	if cal.Check == nil {
 		return nil
 	}
@@ -220,40 +222,40 @@
 	delete(cli.busy, con)
 }
 
-// EndFormer ends the calls at former runs of the engine: what has arrived of their
-// answers is read, and nothing more is waited for. A connection that was heard of about
-// when the later run started, or since, is left: it may lead to that one.
+// EndFormer aborts the calls to earlier runs of the engine. Bytes of their answers that
+// have already arrived are still read. A connection that received data after the later run
+// started, or up to maxClockSkew before, stays open, since it may lead to the later run.
 func (cli *Client) EndFormer(later fleet.EngineID) {
-	limit := later.Born.Add(-bornMargin)
+	limit := later.Born.Add(-maxClockSkew)
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
 	for con := range cli.busy {
-		if later.Follows(con.endpoint.Engine) && con.heardAt().Before(limit) {
-			con.end()
+		if later.Follows(con.endpoint.Engine) && con.lastReceivedAt().Before(limit) {
+			con.endRun()
 		}
 	}
 }
 
 func cause(ctx context.Context, err error) error {
-	if why := context.Cause(ctx); why != nil {
-		return why
+	if cse := context.Cause(ctx); cse != nil {
+		return cse
 	}
 	return err
 }
 
-// exchange is one request and its answer on a connection.
+// exchange is a request and its answer on one connection.
 type exchange struct {
 	client     *Client
 	connection *connection
-	// stop ends the watch on the context.
-	stop func() bool
-	// written brings the end of the request's writing.
+	// stopAbort detaches the exchange from the context; it returns false if abort was started.
+	stopAbort func() bool
+	// written receives the result of writing the request.
 	written chan error
 }
 
-// abort unblocks whatever waits on the connection.
+// abort unblocks all reads and writes on the connection.
 func (exc *exchange) abort() {
-	// A connection that takes no deadline is closed already.
+	// SetDeadline fails only on a closed connection.
 	_ = exc.connection.SetDeadline(past)
 }
 
@@ -263,7 +265,7 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 	if _, given := req.Header["User-Agent"]; !given {
-		// An empty value keeps the library from naming itself.
+		// An empty value keeps net/http from sending its own User-Agent.
 		req.Header["User-Agent"] = []string{""}
 	}
 	if len(cal.Body) > 0 {
@@ -289,12 +291,13 @@
 	return exc.read(cal, req, sent)
 }
 
-// read reads answers until one belongs to the call. A success must name it; a
-// failure without a name is taken for the engine's own that couldn't read it.
+// read reads answers until one carries the call's id. A success must carry an id; an error
+// status without one is accepted, since an engine that couldn't parse the request doesn't
+// know its id.
 func (exc *exchange) read(cal Call, req *http.Request, sent time.Time) (*Answer, error) {
 	var stray string
-	for range maxStray {
-		//nolint:bodyclose // Answer.Close ends the whole connection or keeps it.
+	for range maxStrayAnswers {
+		//nolint:bodyclose // Answer.Close closes the connection or returns it to the idle ones.
 		rep, err := http.ReadResponse(exc.connection.reader, req)
 		if err != nil {
 			return nil, err
@@ -309,7 +312,7 @@
 			return nil, &StrayError{}
 		}
 		if own {
-			return &Answer{Status: rep.StatusCode, Header: rep.Header, Head: head, Body: rep.Body, reply: rep, exchange: exc, strays: stray != ""}, nil
+			return &Answer{Status: rep.StatusCode, Header: rep.Header, Head: head, Body: rep.Body, response: rep, exchange: exc, afterStray: stray != ""}, nil
 		}
 		stray = head.ID
 		if _, err := io.Copy(io.Discard, io.LimitReader(rep.Body, maxStrayBytes)); err != nil {
@@ -319,22 +322,22 @@
 	return nil, &StrayError{ID: stray}
 }
 
-// Answer is an engine's answer; its body is read by the caller.
+// Answer is an engine's answer. The body is read from Body; Close must be called.
 type Answer struct {
 	Status int
 	Header http.Header
 	Head   call.AnswerHead
-	// Body ends with io.EOF only when the answer is whole.
+	// Body ends with io.EOF only if the answer is complete.
 	Body io.Reader
 
-	reply    *http.Response
-	exchange *exchange
-	whole    bool
-	strays   bool
+	response   *http.Response
+	exchange   *exchange
+	complete   bool
+	afterStray bool
 }
 
-// ReadWhole reads the body to its end. It returns an *AnswerTooLargeError for one
-// over the limit in bytes, of which nothing may be passed on as a whole.
+// ReadWhole reads the body to its end. It returns an *AnswerTooLargeError if the body is
+// larger than limit bytes; nothing of such a body may be passed on as a complete answer.
 func (ans *Answer) ReadWhole(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(ans.Body, limit+1))
 	if err != nil {
@@ -347,19 +350,19 @@
 	return body, nil
 }
 
-// Whole says that the body was read to its end, so that the connection may be
-// used again.
+// Whole records that the body was read to its end, which lets Close keep the connection
+// for reuse.
 func (ans *Answer) Whole() {
-	ans.whole = true
+	ans.complete = true
 }
 
-// Close ends the answer. Unless it was whole, its connection is closed, which
-// has most engines stop their work on it.
+// Close releases the answer's connection. If the answer wasn't read to its end, the
+// connection is closed, on which most engines stop working on the request.
 func (ans *Answer) Close() {
 	exc := ans.exchange
-	unbroken := exc.stop()
+	aborted := !exc.stopAbort()
 	exc.client.setBusy(exc.connection, false)
-	if !unbroken || !ans.whole || ans.strays || ans.reply.Close || !ans.framed() || !exc.sent() {
+	if aborted || !ans.complete || ans.afterStray || ans.response.Close || !ans.framed() || !exc.sent() {
 		closeQuietly(exc.connection)
 		return
 	}
@@ -367,21 +370,21 @@
 	if ans.Head.IdleLimit > 0 {
 		limit = ans.Head.IdleLimit - idleMargin
 	}
-	exc.connection.retire = exc.client.cfg.Now().Add(limit)
+	exc.connection.retireAt = exc.client.cfg.Now().Add(limit)
 	if limit <= 0 || exc.connection.reader.Buffered() > 0 {
 		closeQuietly(exc.connection)
 		return
 	}
-	exc.client.put(exc.connection)
+	exc.client.putIdle(exc.connection)
 }
 
-// framed reports whether the answer's end was told, rather than marked by the
-// end of its connection.
+// framed reports whether the answer declares its length or is chunked, rather than ending
+// with its connection.
 func (ans *Answer) framed() bool {
-	return ans.reply.ContentLength >= 0 || len(ans.reply.TransferEncoding) > 0
+	return ans.response.ContentLength >= 0 || len(ans.response.TransferEncoding) > 0
 }
 
-// sent reports whether the whole request was written.
+// sent reports whether the request was written completely.
 func (exc *exchange) sent() bool {
 	select {
 	case err := <-exc.written:
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -18,9 +18,9 @@
 	"lynxwell.dev/lynxwell/upstream"
 )
 
-// An answer over the limit is an error: its beginning isn't a whole answer, and
-// its connection isn't used again.
-func TestAnswerOverTheLimitIsNotWhole(t *testing.T) {
+// Guards against passing on the start of an answer over the size limit as a complete
+// answer, and against reusing its connection, on which the rest of the body follows.
+func TestAnswerOverLimitIsError(t *testing.T) {
 	const limit = 100
 	srv := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		size := limit
@@ -56,7 +56,7 @@
 	assert.Equal(t, dialed, 2)
 }
 
-// rawEngine answers each connection with the same bytes and closes it.
+// rawEngine writes the same bytes to each connection and closes its sending side.
 func rawEngine(t *testing.T, answer string) netip.AddrPort {
 	t.Helper()
 	var cfg net.ListenConfig
@@ -82,18 +82,19 @@
 	return netip.MustParseAddrPort(lis.Addr().String())
 }
 
-// namedClient reads an answer's id alone.
-func namedClient() *upstream.Client {
+// newIDClient returns a client that decodes only the id of an answer's head.
+func newIDClient() *upstream.Client {
 	return upstream.NewClient(upstream.ClientConfig{
 		Decode: func(_ int, header http.Header) call.AnswerHead { return call.AnswerHead{ID: header.Get("Id")} },
 	})
 }
 
-// A success must name the request that it answers; a failure may lack the name.
-func TestAnswerOfNobodyIsNotASuccess(t *testing.T) {
+// Guards against accepting a success that belongs to another request: a success must carry
+// the request's id, while an error status may lack it.
+func TestSuccessWithoutRequestIDIsRejected(t *testing.T) {
 	for _, tst := range []struct {
 		answer string
-		taken  bool
+		accept bool
 	}{
 		{"HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 2\r\n\r\nok", true},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false},
@@ -101,9 +102,9 @@
 		{"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", true},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 2\r\n\r\nok", false},
 	} {
-		cli := namedClient()
+		cli := newIDClient()
 		ans, err := cli.Do(t.Context(), upstream.Call{Endpoint: upstream.Endpoint{Address: rawEngine(t, tst.answer)}, ID: "mine", Method: http.MethodGet, Target: "/", Host: "a", Header: http.Header{}})
-		assert.Equal(t, err == nil, tst.taken, "%q: %v", tst.answer, err)
+		assert.Equal(t, err == nil, tst.accept, "%q: %v", tst.answer, err)
 		if err == nil {
 			ans.Close()
 		}
@@ -111,8 +112,9 @@
 	}
 }
 
-// Whatever an engine sends, a call ends with an error or with an answer that names
-// it, and a body is whole only if it was framed.
+// Guards against calls that hang, and against answers without the call's id, for arbitrary
+// bytes sent by an engine. An answer must carry the call's id or an error status, and its body
+// must be an error or within the limit.
 func FuzzAnswerOfAnEngine(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 2\r\n\r\nok")
 	f.Add("HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 9\r\n\r\nok")
@@ -123,12 +125,12 @@
 	f.Add("\x00\x01not an answer")
 	f.Fuzz(func(t *testing.T, answer string) {
 		const limit = 1 << 16
-		cli := namedClient()
+		cli := newIDClient()
 		defer cli.Close()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		ans, err := cli.Do(ctx, upstream.Call{Endpoint: upstream.Endpoint{Address: rawEngine(t, answer)}, ID: "mine", Method: http.MethodGet, Target: "/", Host: "a", Header: http.Header{}})
-		assert.NilError(t, ctx.Err(), "the call went on")
+		assert.NilError(t, ctx.Err(), "the call did not end within its time limit of 5 s")
 		if err != nil {
 			return
 		}
--- a/upstream/connection.go
+++ b/upstream/connection.go
@@ -11,57 +11,59 @@
 	"github.com/cockroachdb/errors"
 )
 
-// bornMargin is by how much the clocks of a host and an engine may differ: hosts keep
-// theirs close to the true time, and an engine needs longer than this to start again.
-const bornMargin = 250 * time.Millisecond
+// maxClockSkew bounds the difference between the clocks of a host and an engine. Hosts keep
+// their clocks synchronized, and an engine takes longer than this to restart.
+const maxClockSkew = 250 * time.Millisecond
 
-// past is a deadline that unblocks whatever waits on a connection.
+// past is a deadline that makes pending reads and writes return at once.
 var past = time.Unix(1, 0)
 
-// connection is one connection with what is buffered of it.
+// connection is a TCP connection with its read buffer.
 type connection struct {
 	net.Conn
 	reader   *bufio.Reader
 	endpoint Endpoint
-	retire   time.Time
+	// retireAt is when the idle connection must no longer be used.
+	retireAt time.Time
 	reused   bool
-	// heard is when the other end was last heard of, in nanoseconds since 1970.
-	heard atomic.Int64
-	// ended says that the run at the other end is over.
-	ended atomic.Bool
+	// lastReceived is when the peer last sent data, in nanoseconds since 1970.
+	lastReceived atomic.Int64
+	// runEnded is set once the engine run at the other end is known to have ended.
+	runEnded atomic.Bool
 }
 
 func newConnection(opened net.Conn, end Endpoint) *connection {
 	con := &connection{Conn: opened, endpoint: end}
 	con.reader = bufio.NewReaderSize(con, bufferBytes)
-	con.heard.Store(time.Now().UnixNano())
+	con.lastReceived.Store(time.Now().UnixNano())
 	return con
 }
 
-func (con *connection) heardAt() time.Time {
-	return time.Unix(0, con.heard.Load())
+func (con *connection) lastReceivedAt() time.Time {
+	return time.Unix(0, con.lastReceived.Load())
 }
 
-// end has reading go on only as far as bytes have arrived.
-func (con *connection) end() {
-	con.ended.Store(true)
-	// A connection that takes no deadline is closed already.
+// endRun limits further reads to the bytes that have already arrived.
+func (con *connection) endRun() {
+	con.runEnded.Store(true)
+	// SetDeadline fails only on a closed connection.
 	_ = con.SetDeadline(past)
 }
 
 // Read implements net.Conn.
 func (con *connection) Read(buf []byte) (int, error) {
 	count, err := con.Conn.Read(buf)
-	if err != nil && con.ended.Load() {
+	if err != nil && con.runEnded.Load() {
 		return con.readArrived(buf)
 	}
 	if count > 0 {
-		con.heard.Store(time.Now().UnixNano())
+		con.lastReceived.Store(time.Now().UnixNano())
 	}
 	return count, err
 }
 
-// readArrived reads what lies ready, whatever the deadline.
+// readArrived reads bytes that have already arrived, regardless of the deadline. It returns
+// a *RunEndedError if there are none.
 func (con *connection) readArrived(buf []byte) (int, error) {
 	ended := &RunEndedError{Endpoint: con.endpoint}
 	if len(buf) == 0 {
@@ -84,7 +86,7 @@
 	}
 }
 
-// control calls a function with the connection's descriptor, and returns its error.
+// control calls a function with the connection's file descriptor and returns its error.
 func (con *connection) control(call func(fd uintptr) error) error {
 	tcp, isTCP := con.Conn.(*net.TCPConn)
 	if !isTCP {
@@ -101,9 +103,9 @@
 	return cerr
 }
 
-// quiet reports whether nothing has come on an idle connection: neither its end
-// nor bytes that nobody asked for.
-func (con *connection) quiet() bool {
+// isClean reports whether an idle connection may be reused: the peer has neither closed it
+// nor sent unsolicited bytes.
+func (con *connection) isClean() bool {
 	if con.reader.Buffered() > 0 {
 		return false
 	}
--- a/upstream/connection_test.go
+++ b/upstream/connection_test.go
@@ -17,15 +17,15 @@
 	"lynxwell.dev/lynxwell/upstream"
 )
 
-// silentEngine begins each answer with what it is told to, and then says nothing more.
-// It tells of each request that has come.
-func silentEngine(t *testing.T, beginning string) (netip.AddrPort, <-chan struct{}) {
+// stallingEngine starts an engine that answers each request with start and then sends
+// nothing more. The channel receives a value for each request.
+func stallingEngine(t *testing.T, start string) (netip.AddrPort, <-chan struct{}) {
 	t.Helper()
 	var cfg net.ListenConfig
 	lis, err := cfg.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = lis.Close() })
-	came := make(chan struct{}, 10)
+	received := make(chan struct{}, 10)
 	go func() {
 		for {
 			con, err := lis.Accept()
@@ -37,87 +37,89 @@
 			if _, err := con.Read(request[:]); err != nil {
 				return
 			}
-			_, _ = io.WriteString(con, beginning)
-			came <- struct{}{}
+			_, _ = io.WriteString(con, start)
+			received <- struct{}{}
 		}
 	}()
-	return netip.MustParseAddrPort(lis.Addr().String()), came
+	return netip.MustParseAddrPort(lis.Addr().String()), received
 }
 
-func runClient(t *testing.T) *upstream.Client {
+func newClient(t *testing.T) *upstream.Client {
 	t.Helper()
 	cli := upstream.NewClient(upstream.ClientConfig{Decode: func(int, http.Header) call.AnswerHead { return call.AnswerHead{ID: "mine"} }})
 	t.Cleanup(cli.Close)
 	return cli
 }
 
-func callOf(end upstream.Endpoint) upstream.Call {
+func newCall(end upstream.Endpoint) upstream.Call {
 	return upstream.Call{Endpoint: end, ID: "mine", Method: http.MethodGet, Target: "/", Host: "a", Header: http.Header{}}
 }
 
-// A call at a run that is over isn't waited for; one whose connection was heard of when
-// the later run had started may be that run's, and goes on.
-func TestCallAtAFormerRunEndsWhenItIsKnownToBeOver(t *testing.T) {
-	former := fleet.NewEngineID("e", time.Now().Add(-time.Hour))
-	address, came := silentEngine(t, "")
-	cli := runClient(t)
-	ended := make(chan error, 1)
+// Guards against waiting for a call to an engine run that has result. A call whose connection
+// received data after the later run started may belong to that run and must continue.
+func TestCallToEarlierRunIsAbortedWhenLaterRunIsKnown(t *testing.T) {
+	earlier := fleet.NewEngineID("e", time.Now().Add(-time.Hour))
+	address, received := stallingEngine(t, "")
+	cli := newClient(t)
+	result := make(chan error, 1)
 	go func() {
-		ans, err := cli.Do(t.Context(), callOf(upstream.Endpoint{Address: address, Engine: former}))
+		ans, err := cli.Do(t.Context(), newCall(upstream.Endpoint{Address: address, Engine: earlier}))
 		if err == nil {
 			ans.Close()
 		}
-		ended <- err
+		result <- err
 	}()
-	<-came
+	<-received
 	cli.EndFormer(fleet.NewEngineID("other", time.Now().Add(time.Hour)))
-	cli.EndFormer(former)
+	cli.EndFormer(earlier)
 	cli.EndFormer(fleet.NewEngineID("e", time.Now().Add(-time.Minute)))
 	select {
-	case err := <-ended:
-		t.Fatalf("ended by what doesn't concern it: %v", err)
+	case err := <-result:
+		t.Fatalf("the call was aborted without a later run of its engine: %v", err)
 	default:
 	}
 	cli.EndFormer(fleet.NewEngineID("e", time.Now().Add(time.Minute)))
-	var over *upstream.RunEndedError
-	err := <-ended
-	assert.Assert(t, errors.As(err, &over), "%v", err)
-	assert.Equal(t, over.Endpoint.Engine, former)
+	var ree *upstream.RunEndedError
+	err := <-result
+	assert.Assert(t, errors.As(err, &ree), "%v", err)
+	assert.Equal(t, ree.Endpoint.Engine, earlier)
 }
 
-// What has arrived of an answer is read, also when its run is known to be over.
-func TestWhatHasArrivedIsReadToItsEnd(t *testing.T) {
+// Guards against dropping bytes of an answer that arrived before its run was known to have
+// result.
+func TestArrivedBytesAreReadAfterRunEnded(t *testing.T) {
 	const body = "whole answer"
 	for _, tst := range []struct {
-		name   string
-		length int
-		whole  bool
-	}{{"a whole answer", len(body), true}, {"a part", len(body) + 1, false}} {
+		name     string
+		length   int
+		complete bool
+	}{{"complete answer", len(body), true}, {"truncated answer", len(body) + 1, false}} {
 		t.Run(tst.name, func(t *testing.T) {
-			former := fleet.NewEngineID("e", time.Now().Add(-time.Hour))
-			address, came := silentEngine(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", tst.length, body))
-			cli := runClient(t)
-			ans, err := cli.Do(t.Context(), callOf(upstream.Endpoint{Address: address, Engine: former}))
+			earlier := fleet.NewEngineID("e", time.Now().Add(-time.Hour))
+			address, received := stallingEngine(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", tst.length, body))
+			cli := newClient(t)
+			ans, err := cli.Do(t.Context(), newCall(upstream.Endpoint{Address: address, Engine: earlier}))
 			assert.NilError(t, err)
-			<-came
+			<-received
 			cli.EndFormer(fleet.NewEngineID("e", time.Now().Add(time.Minute)))
 			got, err := io.ReadAll(ans.Body)
 			ans.Close()
 			assert.Equal(t, string(got), body)
-			var over *upstream.RunEndedError
-			assert.Equal(t, errors.As(err, &over), !tst.whole, "%v", err)
+			var ree *upstream.RunEndedError
+			assert.Equal(t, errors.As(err, &ree), !tst.complete, "%v", err)
 		})
 	}
 }
 
-// A connection that was opened to a former run carries nothing for the later one.
-func TestConnectionsBelongToOneRun(t *testing.T) {
+// Guards against sending a request for a later run on a connection to an earlier run at the
+// same address.
+func TestConnectionIsReusedOnlyForSameRun(t *testing.T) {
 	var cfg net.ListenConfig
 	lis, err := cfg.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	srv := &http.Server{Handler: http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(wri, "x") }), ReadHeaderTimeout: time.Minute}
 	go func() {
-		// It ends with the test, by being closed.
+		// Serve returns when the server is closed at the end of the test.
 		_ = srv.Serve(lis)
 	}()
 	t.Cleanup(func() { _ = srv.Close() })
@@ -131,7 +133,7 @@
 		born   int64
 		dialed int
 	}{{1000, 1}, {1000, 1}, {2000, 2}, {2000, 2}, {1000, 2}} {
-		ans, err := cli.Do(t.Context(), callOf(upstream.Endpoint{Address: address, Engine: fleet.NewEngineID("e", time.UnixMilli(tst.born))}))
+		ans, err := cli.Do(t.Context(), newCall(upstream.Endpoint{Address: address, Engine: fleet.NewEngineID("e", time.UnixMilli(tst.born))}))
 		assert.NilError(t, err)
 		_, err = ans.ReadWhole(10)
 		assert.NilError(t, err)
--- a/upstream/events.go
+++ b/upstream/events.go
@@ -9,25 +9,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-// Event is one whole event of a stream.
+// Event is one complete event of a stream.
 type Event struct {
-	// Raw is the event as it came, its empty line included.
+	// Raw is the event as received, including the empty line that ends it.
 	Raw []byte
-	// ID is the event's number; 0 where it has none.
+	// ID is the event's id; 0 if it has none.
 	ID int64
 }
 
-// EventTooLargeError reports an event beyond what is taken.
+// EventTooLargeError reports an event over the size limit.
 type EventTooLargeError struct {
+	// Limit is in bytes.
 	Limit int
 }
 
-// Error names the limit.
+// Error returns the limit.
 func (ete *EventTooLargeError) Error() string {
-	return "event is over " + strconv.Itoa(ete.Limit) + " bytes"
+	return "stream event is larger than the limit of " + strconv.Itoa(ete.Limit) + " bytes"
 }
 
 // EventReader reads a stream event by event.
@@ -35,15 +36,16 @@
 	lines *bufio.Reader
 }
 
-// NewEventReader returns a reader of the stream.
+// NewEventReader returns a reader of the stream in rea.
 func NewEventReader(rea io.Reader) *EventReader {
 	return &EventReader{lines: bufio.NewReaderSize(rea, bufferBytes)}
 }
 
 var idField = []byte("id:")
 
-// Next returns the next whole event; io.EOF comes only between events, and
-// io.ErrUnexpectedEOF within one.
+// Next returns the next complete event. It returns io.EOF if the stream ends between two
+// events, io.ErrUnexpectedEOF if it ends within one, and an *EventTooLargeError for an event
+// over the size limit.
 func (evr *EventReader) Next() (Event, error) {
 	var evt Event
 	for {
@@ -69,7 +71,7 @@
 		if text, isID := bytes.CutPrefix(trimmed, idField); isID {
 			num, err := strconv.ParseInt(string(bytes.TrimSpace(text)), 10, 64)
 			if err != nil {
-				return Event{}, errors.Wrap(err, "event id")
+				return Event{}, errors.Wrap(err, "event id: want an integer")
 			}
 			evt.ID = num
 		}
--- a/upstream/events_test.go
+++ b/upstream/events_test.go
@@ -12,20 +12,21 @@
 	"lynxwell.dev/lynxwell/upstream"
 )
 
-func TestEventsAreWhole(t *testing.T) {
+// Guards against passing on an incomplete event when a stream ends within it.
+func TestEventsAreComplete(t *testing.T) {
 	long := "data: " + strings.Repeat("x", 10_000)
 	for name, tst := range map[string]struct {
 		text string
 		ids  []int64
 		end  error
 	}{
-		"two events":       {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []int64{1, 2}, io.EOF},
-		"carriage returns": {"id:7\r\ndata: a\r\n\r\n", []int64{7}, io.EOF},
-		"no id":            {"data: a\n\n", []int64{0}, io.EOF},
-		"inside an event":  {"id: 1\ndata: a\n\nid: 2\ndata:", []int64{1}, io.ErrUnexpectedEOF},
-		"before its end":   {"id: 1\ndata: a\n", nil, io.ErrUnexpectedEOF},
-		"long line":        {"id: 3\n" + long + "\n\n", []int64{3}, io.EOF},
-		"nothing":          {"", nil, io.EOF},
+		"two events":             {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []int64{1, 2}, io.EOF},
+		"carriage returns":       {"id:7\r\ndata: a\r\n\r\n", []int64{7}, io.EOF},
+		"no id":                  {"data: a\n\n", []int64{0}, io.EOF},
+		"inside an event":        {"id: 1\ndata: a\n\nid: 2\ndata:", []int64{1}, io.ErrUnexpectedEOF},
+		"before the event's end": {"id: 1\ndata: a\n", nil, io.ErrUnexpectedEOF},
+		"long line":              {"id: 3\n" + long + "\n\n", []int64{3}, io.EOF},
+		"empty stream":           {"", nil, io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader := upstream.NewEventReader(strings.NewReader(tst.text))
@@ -43,20 +44,20 @@
 	}
 }
 
-func TestBadEventIDIsAnError(t *testing.T) {
+func TestInvalidEventIDIsError(t *testing.T) {
 	_, err := upstream.NewEventReader(strings.NewReader("id: x\n\n")).Next()
 	assert.ErrorContains(t, err, "event id")
 }
 
-// Whatever is cut off, what was passed on is a whole number of events.
-func TestCutStreamsGiveWholeEventsOnly(t *testing.T) {
+// Guards against passing on part of an event when a stream is truncated at an arbitrary byte.
+func TestTruncatedStreamYieldsCompleteEventsOnly(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var text strings.Builder
 		for range rapid.IntRange(0, 5).Draw(rt, "events") {
 			text.WriteString("id: 4\ndata: " + rapid.StringMatching(`[a-z]{0,20}`).Draw(rt, "data") + "\n\n")
 		}
-		whole := text.String()
-		part := whole[:rapid.IntRange(0, len(whole)).Draw(rt, "cut")]
+		stream := text.String()
+		part := stream[:rapid.IntRange(0, len(stream)).Draw(rt, "cut")]
 		reader := upstream.NewEventReader(strings.NewReader(part))
 		var passed string
 		for {
@@ -66,7 +67,7 @@
 			}
 			passed += string(evt.Raw)
 		}
-		if !strings.HasPrefix(whole, passed) || (passed != "" && !strings.HasSuffix(passed, "\n\n")) {
+		if !strings.HasPrefix(stream, passed) || (passed != "" && !strings.HasSuffix(passed, "\n\n")) {
 			rt.Fatalf("passed %q of %q", passed, part)
 		}
 	})
@@ -84,7 +85,7 @@
 			}
 			total += len(evt.Raw)
 			if total > len(text) {
-				t.Fatal("more came out than went in")
+				t.Fatal("events contain more bytes than the input")
 			}
 		}
 	})
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,16 +1,16 @@
-// Package upstream speaks HTTP/1.1 to engines and backend servers, on
-// connections whose every byte is accounted for: an answer that belongs to
-// another request, or comes unasked, never reaches a caller.
+// Package upstream is the HTTP/1.1 client for engines and backend servers. It
+// reuses a connection only if every byte received on it belongs to a request:
+// an answer to another request, or an unsolicited one, never reaches a client.
 //
 // # Usage
 //
-//	cli := upstream.NewClient(upstream.ClientConfig{})
-//	ans, err := cli.Do(ctx, upstream.Call{Endpoint: end, ID: id, Head: platform.DecodeAnswer, ...})
-//	var nse *upstream.NotSentError // nothing left this host
+//	cli := upstream.NewClient(upstream.ClientConfig{Decode: platform.DecodeAnswer})
+//	ans, err := cli.Do(ctx, upstream.Call{Endpoint: end, ID: id, Method: http.MethodPost, ...})
+//	var nse *upstream.NotSentError // errors.As(err, &nse): no byte was sent
 //	defer ans.Close()
-//	body, err := io.ReadAll(ans.Body)
+//	body, err := io.ReadAll(ans.Body) // or upstream.NewEventReader(ans.Body).Next()
 //
-// A call is sent once: nothing in this package repeats it.
+// A call is sent at most once: this package never retries.
 package upstream
 
 import (
@@ -23,133 +23,137 @@
 	"lynxwell.dev/lynxwell/fleet"
 )
 
-// ClientConfig holds what a Client is made from.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// DialTimeout bounds the making of a connection; 0 stands for 1 s.
+	// DialTimeout bounds connection establishment; 0 means 1 s.
 	DialTimeout time.Duration
-	// Decode reads an answer's head.
+	// Decode decodes an answer's head.
 	Decode func(status int, header http.Header) call.AnswerHead
-	// Now tells the time that idle connections count by; nil stands for time.Now.
+	// Now is the clock for idle connections and for HeadReceived.Sent; nil means time.Now.
 	Now func() time.Time
-	// Dialed is called for each new connection; nil for nobody.
+	// Dialed, if not nil, is called for each new connection.
 	Dialed func()
-	// Heard is called with the head of each answer of an engine, also of one that belongs
-	// to another request, before anything of it is passed on; nil for nobody.
+	// Heard, if not nil, is called with the head of each answer of an engine before any of
+	// the answer is passed on, including answers that belong to another request.
 	Heard func(Heard)
 }
 
 const (
-	// defaultDialTimeout leaves a lost opening packet no time to be sent again,
-	// which takes a second or more: another engine is faster.
+	// defaultDialTimeout ends before TCP retransmits a lost SYN, which takes one second or
+	// more; a retry on another engine is faster.
 	defaultDialTimeout = time.Second
-	// defaultIdleLimit is how long a connection is kept whose peer tells no limit.
+	// defaultIdleLimit is how long an idle connection is kept if the peer sends no limit.
 	defaultIdleLimit = 4 * time.Second
-	// idleMargin is how much sooner than the peer's limit a connection is retired:
-	// the limit is told in whole seconds, and a request is on its way for some ms.
+	// idleMargin is how long before the peer's idle limit a connection is retired: the
+	// limit is sent in whole seconds, and a request takes some milliseconds to arrive.
 	idleMargin = 1200 * time.Millisecond
-	// bufferBytes holds an answer's head and a few events.
+	// bufferBytes is enough for an answer's head and a few events.
 	bufferBytes = 4 << 10
-	// maxStray is how many answers of other requests are passed over.
-	maxStray = 4
-	// maxStrayBytes bounds the body of such an answer.
+	// maxStrayAnswers bounds the answers to other requests that are skipped.
+	maxStrayAnswers = 4
+	// maxStrayBytes bounds the body of a skipped answer.
 	maxStrayBytes = 1 << 20
-	// smallBodyBytes is what is written before the answer is read; more might
-	// fill the windows while the engine already answers.
+	// smallBodyBytes is the largest body that is written before the answer is read. A larger
+	// one is written concurrently: it might fill the TCP windows and block while the engine
+	// already sends its answer.
 	smallBodyBytes = 2 << 10
 )
 
-// Endpoint is one run of an engine at its address. Connections are kept by it: what was
-// opened to a former run never carries a request for the later one.
+// Endpoint is one run of an engine at its address. Idle connections are kept per endpoint:
+// a connection to an earlier run never carries a request for a later one.
 type Endpoint struct {
 	Address netip.AddrPort
 	Engine  fleet.EngineID
 }
 
-// Heard is the head of an answer that came on a connection to an engine.
+// Heard is the head of an answer received from an engine.
 type Heard struct {
 	Endpoint
 	Head call.AnswerHead
-	// Sent is when the request was written whose answer was waited for; Stray says that this
-	// one belongs to another request.
-	Sent  time.Time
+	// Sent is when writing of the pending request began.
+	Sent time.Time
+	// Stray is set if the answer belongs to a request other than the pending one.
 	Stray bool
 }
 
 // Call is a request to an engine.
 type Call struct {
 	Endpoint
-	// ID is the request's id, which the answer must carry.
+	// ID is the request's id, which a successful answer must carry.
 	ID     string
 	Method string
-	// Target is the request's path and query as the caller sent it.
+	// Target is the request's path and query as the client sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Check is asked right before anything is written, since what allowed the call may have
-	// lapsed while a connection was made; nil for nobody. What it returns ends the call.
+	// Check, if not nil, is called right before anything is written, since the permission for
+	// the call may have expired while the connection was established. An error that it
+	// returns cancels the call.
 	Check func() error
-	// Written is called once after Check allowed the call, when its request is written or never
-	// will be; nil for nobody.
+	// Written, if not nil, is called once after Check allowed the call, when the request has
+	// been written or writing has failed.
 	Written func()
 }
 
-// NotSentError reports a call of which nothing left this host.
+// NotSentError reports a call of which no byte was sent.
 type NotSentError struct {
 	Address netip.AddrPort
 	Cause   error
 }
 
-// Error names the address and the cause.
+// Error returns the address and the cause.
 func (nse *NotSentError) Error() string {
-	return "upstream: " + nse.Address.String() + ": not sent: " + nse.Cause.Error()
+	return "upstream: " + nse.Address.String() + ": request not sent: " + nse.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (nse *NotSentError) Unwrap() error { return nse.Cause }
 
-// BrokenError reports a call that was sent, at least in part, and got no answer.
+// BrokenError reports a call that was sent, at least in part, and received no valid answer.
 type BrokenError struct {
 	Address netip.AddrPort
 	Cause   error
 }
 
-// Error names the address and the cause.
+// Error returns the address and the cause.
 func (ber *BrokenError) Error() string {
-	return "upstream: " + ber.Address.String() + ": no answer: " + ber.Cause.Error()
+	return "upstream: " + ber.Address.String() + ": request sent, no valid answer: " + ber.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (ber *BrokenError) Unwrap() error { return ber.Cause }
 
-// RunEndedError reports a connection to a run of an engine that has ended, since the
-// engine has started again.
+// RunEndedError reports a connection to an engine run that has ended because the engine
+// was restarted.
 type RunEndedError struct {
 	Endpoint Endpoint
 }
 
-// Error names the run.
+// Error returns the engine run.
 func (ree *RunEndedError) Error() string {
-	return "engine " + ree.Endpoint.Engine.String() + " has started again"
+	return "engine run " + ree.Endpoint.Engine.String() + " ended: the engine was restarted"
 }
 
-// StrayError reports answers that all belong to other requests.
+// StrayError reports that all answers read belong to other requests, or that a success
+// carries no id.
 type StrayError struct {
+	// ID is the request id of the last answer; empty for a success without one.
 	ID string
 }
 
-// Error names the id of the last one.
+// Error returns the request id of the last answer.
 func (ser *StrayError) Error() string {
-	return "answer of another request: " + ser.ID
+	return "answer does not match the request: got request id " + ser.ID
 }
 
-// AnswerTooLargeError reports an answer beyond what is taken.
+// AnswerTooLargeError reports an answer body over the size limit.
 type AnswerTooLargeError struct {
 	// Limit is in bytes.
 	Limit int64
 }
 
-// Error names the limit.
+// Error returns the limit.
 func (atl *AnswerTooLargeError) Error() string {
-	return "answer is over " + strconv.FormatInt(atl.Limit, 10) + " bytes"
+	return "answer body is larger than the limit of " + strconv.FormatInt(atl.Limit, 10) + " bytes"
 }
--- a/upstreamtest/engine.go
+++ b/upstreamtest/engine.go
@@ -101,24 +101,24 @@
 type Engine struct {
 	cfg      Config
 	mutex    sync.Mutex
-	troubles []Trouble
+	faults []Trouble
 	runs     []Run
-	taken    int
+	active    int
 	// left counts the requests whose connection ended before their answer did.
-	left int
-	// onTaken is called once, at the next request.
-	onTaken func()
+	abandoned int
+	// onNextRequest is called once, at the next request.
+	onNextRequest func()
 	// leaves has every answer say that the engine leaves; over 0, pause has it turn all
 	// requests away and ask for so long a pause.
-	leaves bool
-	pause  time.Duration
+	draining bool
+	backoff  time.Duration
 	// rate is what all answers name as the most requests a second; nil for nothing.
-	rate     *float64
+	rateLimit     *float64
 	arrivals []Arrival
 	// coldRate is what the engine bears until coldUntil; fallen says that it got more.
 	coldRate  float64
 	coldUntil time.Time
-	fallen    bool
+	crashed    bool
 }
 
 // NewEngine returns a sound engine.
@@ -156,7 +156,7 @@
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	for range times {
-		eng.troubles = append(eng.troubles, trb)
+		eng.faults = append(eng.faults, trb)
 	}
 }
 
@@ -164,14 +164,14 @@
 func (eng *Engine) Clear() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.troubles = nil
+	eng.faults = nil
 }
 
 // OnTaken has a function called once, when the next request has its trouble.
 func (eng *Engine) OnTaken(call func()) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.onTaken = call
+	eng.onNextRequest = call
 }
 
 // Runs returns what the engine ran, in order.
@@ -185,13 +185,13 @@
 func (eng *Engine) Left() int {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	return eng.left
+	return eng.abandoned
 }
 
 // Handler returns the HTTP handler.
 func (eng *Engine) Handler() http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
-		if eng.serveSwitch(wri, req) {
+		if eng.serveControl(wri, req) {
 			return
 		}
 		if expected := req.Header.Get("Expect-Instance"); expected != "" && expected != eng.cfg.ID {
@@ -199,14 +199,14 @@
 			wri.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
-		if eng.speak(wri, req) {
+		if eng.sendSignals(wri, req) {
 			return
 		}
-		trb, room, taken := eng.enter()
+		trb, room, taken := eng.acquire()
 		if taken != nil {
 			taken()
 		}
-		defer eng.leave()
+		defer eng.release()
 		wri.Header().Set("Request-Id", req.Header.Get("Request-Id"))
 		if trb == TurnAway || !room {
 			wri.Header().Set("Not-Executed", "1")
@@ -214,15 +214,15 @@
 			return
 		}
 		if trb == Early {
-			eng.run(req, "")
-			eng.early(wri, req)
+			eng.recordRun(req, "")
+			eng.answerEarly(wri, req)
 			return
 		}
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
 			return
 		}
-		eng.run(req, string(body))
+		eng.recordRun(req, string(body))
 		if eng.cfg.CrashBody != "" && strings.Contains(string(body), eng.cfg.CrashBody) {
 			eng.cfg.Crash()
 			panic(http.ErrAbortHandler)
@@ -232,24 +232,24 @@
 }
 
 // enter takes the next trouble and a place.
-func (eng *Engine) enter() (Trouble, bool, func()) {
+func (eng *Engine) acquire() (Trouble, bool, func()) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.taken++
+	eng.active++
 	trb := None
-	if len(eng.troubles) > 0 {
-		trb, eng.troubles = eng.troubles[0], eng.troubles[1:]
+	if len(eng.faults) > 0 {
+		trb, eng.faults = eng.faults[0], eng.faults[1:]
 	}
 	if trb == None {
-		trb = eng.cfg.badVersion(len(eng.runs))
+		trb = eng.cfg.plannedFault(len(eng.runs))
 	}
-	taken := eng.onTaken
-	eng.onTaken = nil
-	return trb, eng.cfg.Slots == 0 || eng.taken <= 2*eng.cfg.Slots, taken
+	taken := eng.onNextRequest
+	eng.onNextRequest = nil
+	return trb, eng.cfg.Slots == 0 || eng.active <= 2*eng.cfg.Slots, taken
 }
 
-// badVersion returns what is wrong with the next answer of a version that is bad.
-func (cfg Config) badVersion(answers int) Trouble {
+// plannedFault returns what is wrong with the next answer of a version that is bad.
+func (cfg Config) plannedFault(answers int) Trouble {
 	answers -= cfg.Sound
 	switch {
 	case answers < 0:
@@ -263,13 +263,13 @@
 	}
 }
 
-func (eng *Engine) leave() {
+func (eng *Engine) release() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.taken--
+	eng.active--
 }
 
-func (eng *Engine) run(req *http.Request, body string) {
+func (eng *Engine) recordRun(req *http.Request, body string) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.runs = append(eng.runs, Run{
@@ -278,8 +278,8 @@
 	})
 }
 
-// slowTime is what an answer takes longer that is slow.
-const slowTime = 400 * time.Millisecond
+// slowAnswerDelay is what an answer takes longer that is slow.
+const slowAnswerDelay = 400 * time.Millisecond
 
 // PlainBody is the body of a plain answer to a request.
 func PlainBody(id string) string {
@@ -305,23 +305,23 @@
 	if trb != Unsigned {
 		wri.Header().Set("Response-Signature", "signed-"+id)
 	}
-	if trb == Slow && !wait(req, slowTime) {
-		eng.noteSilent(id)
-		eng.noteLeft()
+	if trb == Slow && !wait(req, slowAnswerDelay) {
+		eng.recordSilent(id)
+		eng.recordAbandoned()
 		return
 	}
 	switch trb {
 	case Error:
 		wri.WriteHeader(http.StatusInternalServerError)
 	case Hang:
-		eng.noteSilent(id)
+		eng.recordSilent(id)
 		<-req.Context().Done()
-		eng.noteLeft()
+		eng.recordAbandoned()
 	case Lose:
-		eng.noteSilent(id)
+		eng.recordSilent(id)
 		panic(http.ErrAbortHandler)
 	case Extra, StrayFirst, Unframed, UnframedReset:
-		eng.raw(wri, id, trb)
+		eng.writeRaw(wri, id, trb)
 	default:
 		if eng.cfg.Events > 0 {
 			eng.stream(wri, req, trb)
@@ -342,10 +342,10 @@
 	_, _ = io.WriteString(wri, body)
 }
 
-func (eng *Engine) noteLeft() {
+func (eng *Engine) recordAbandoned() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.left++
+	eng.abandoned++
 }
 
 // wait lets time pass, unless the request is given up.
@@ -370,8 +370,8 @@
 	first, _ := strconv.Atoi(req.Header.Get("Last-Event-Id"))
 	wri.Header().Set("Content-Type", "text/event-stream")
 	if !wait(req, time.Duration(tokens)*eng.cfg.Reading) {
-		eng.noteSilent(id)
-		eng.noteLeft()
+		eng.recordSilent(id)
+		eng.recordAbandoned()
 		return
 	}
 	for num := first + 1; num <= eng.cfg.Events; num++ {
@@ -390,7 +390,7 @@
 			err = http.NewResponseController(wri).Flush()
 		}
 		if err != nil || !wait(req, eng.cfg.Step) {
-			eng.noteLeft()
+			eng.recordAbandoned()
 			return
 		}
 	}
--- a/upstreamtest/raw.go
+++ b/upstreamtest/raw.go
@@ -9,7 +9,7 @@
 )
 
 // raw writes answers byte by byte, beside the library's framing.
-func (eng *Engine) raw(wri http.ResponseWriter, id string, trb Trouble) {
+func (eng *Engine) writeRaw(wri http.ResponseWriter, id string, trb Trouble) {
 	con, buf, err := http.NewResponseController(wri).Hijack()
 	if err != nil {
 		return
@@ -19,14 +19,14 @@
 	if eng.cfg.Events > 0 {
 		body = StreamBody(id, eng.cfg.Events)
 	}
-	more := eng.rawHeader()
+	more := eng.signalHeader()
 	switch trb {
 	case Extra:
-		framed(buf, id, body, more)
-		framed(buf, "other", PlainBody("other"), more)
+		writeFramed(buf, id, body, more)
+		writeFramed(buf, "other", PlainBody("other"), more)
 	case StrayFirst:
-		framed(buf, "other", PlainBody("other"), more)
-		framed(buf, id, body, more)
+		writeFramed(buf, "other", PlainBody("other"), more)
+		writeFramed(buf, id, body, more)
 	default:
 		fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Signature: signed-%s\r\n%s\r\n%s", id, id, more, body)
 	}
@@ -43,13 +43,13 @@
 	}
 }
 
-func framed(buf *bufio.ReadWriter, id, body, more string) {
+func writeFramed(buf *bufio.ReadWriter, id, body, more string) {
 	fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Signature: signed-%s\r\nContent-Length: %d\r\n%s\r\n%s", id, id, len(body), more, body)
 }
 
 // early answers before it has read the body, reads the rest later, and goes on
 // with what follows on the connection.
-func (eng *Engine) early(wri http.ResponseWriter, req *http.Request) {
+func (eng *Engine) answerEarly(wri http.ResponseWriter, req *http.Request) {
 	id := req.Header.Get("Request-Id")
 	con, buf, err := http.NewResponseController(wri).Hijack()
 	if err != nil {
@@ -71,9 +71,9 @@
 		if err != nil {
 			return
 		}
-		eng.run(next, string(body))
+		eng.recordRun(next, string(body))
 		name := next.Header.Get("Request-Id")
-		framed(buf, name, PlainBody(name), eng.rawHeader())
+		writeFramed(buf, name, PlainBody(name), eng.signalHeader())
 		if buf.Flush() != nil {
 			return
 		}
--- a/upstreamtest/switch.go
+++ b/upstreamtest/switch.go
@@ -38,8 +38,8 @@
 	Rate *float64
 }
 
-// serveSwitch serves the stand-in's own paths; it returns false for all others.
-func (eng *Engine) serveSwitch(wri http.ResponseWriter, req *http.Request) bool {
+// serveControl serves the stand-in's own paths; it returns false for all others.
+func (eng *Engine) serveControl(wri http.ResponseWriter, req *http.Request) bool {
 	switch req.URL.Path {
 	case PathTrouble:
 		var swi Switch
--- a/upstreamtest/word.go
+++ b/upstreamtest/word.go
@@ -8,7 +8,7 @@
 
 // The headers in which an engine speaks of itself.
 const (
-	headerLeaves = "Server-Leaving"
+	headerDraining = "Server-Leaving"
 	headerRate   = "Server-Limit"
 )
 
@@ -32,7 +32,7 @@
 func (eng *Engine) Leave() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.leaves = true
+	eng.draining = true
 }
 
 // Pause has the engine turn all requests away and ask for so long a pause each time; 0 has
@@ -40,7 +40,7 @@
 func (eng *Engine) Pause(dur time.Duration) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.pause = dur
+	eng.backoff = dur
 }
 
 // Arrivals returns all requests that reached the engine, in order.
@@ -55,31 +55,31 @@
 func (eng *Engine) Limit(perSecond float64) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.rate = &perSecond
+	eng.rateLimit = &perSecond
 }
 
 // Unlimit has the answers name no rate any more.
 func (eng *Engine) Unlimit() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.rate = nil
+	eng.rateLimit = nil
 }
 
 // arrive notes a request, with what its answer says of the engine.
-func (eng *Engine) arrive(id string) Arrival {
+func (eng *Engine) recordArrival(id string) Arrival {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	arr := Arrival{ID: id, At: time.Now(), Leaves: eng.leaves, Pause: eng.pause, Rate: eng.rate}
+	arr := Arrival{ID: id, At: time.Now(), Leaves: eng.draining, Pause: eng.backoff, Rate: eng.rateLimit}
 	eng.arrivals = append(eng.arrivals, arr)
-	if !eng.bears(arr.At) {
+	if !eng.survives(arr.At) {
 		eng.arrivals[len(eng.arrivals)-1].Fell = true
 		panic(http.ErrAbortHandler)
 	}
 	return arr
 }
 
-// noteSilent notes that the newest request with an id gets no answer.
-func (eng *Engine) noteSilent(id string) {
+// recordSilent notes that the newest request with an id gets no answer.
+func (eng *Engine) recordSilent(id string) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	for num := len(eng.arrivals) - 1; num >= 0; num-- {
@@ -92,10 +92,10 @@
 
 // speak writes what the engine says of itself into an answer's head, and reports whether it
 // has turned the request away with it.
-func (eng *Engine) speak(wri http.ResponseWriter, req *http.Request) bool {
-	arr := eng.arrive(req.Header.Get("Request-Id"))
+func (eng *Engine) sendSignals(wri http.ResponseWriter, req *http.Request) bool {
+	arr := eng.recordArrival(req.Header.Get("Request-Id"))
 	if arr.Leaves {
-		wri.Header().Set(headerLeaves, "1")
+		wri.Header().Set(headerDraining, "1")
 	}
 	if arr.Rate != nil {
 		wri.Header().Set(headerRate, formatRate(*arr.Rate))
@@ -114,16 +114,16 @@
 	return strconv.FormatFloat(perSecond, 'f', -1, 64)
 }
 
-// rawHeader returns what the engine says of itself as lines of a head.
-func (eng *Engine) rawHeader() string {
+// signalHeader returns what the engine says of itself as lines of a head.
+func (eng *Engine) signalHeader() string {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	var lines string
-	if eng.leaves {
-		lines += headerLeaves + ": 1\r\n"
+	if eng.draining {
+		lines += headerDraining + ": 1\r\n"
 	}
-	if eng.rate != nil {
-		lines += headerRate + ": " + formatRate(*eng.rate) + "\r\n"
+	if eng.rateLimit != nil {
+		lines += headerRate + ": " + formatRate(*eng.rateLimit) + "\r\n"
 	}
 	return lines
 }
@@ -155,18 +155,18 @@
 func (eng *Engine) Fallen() bool {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	return eng.fallen
+	return eng.crashed
 }
 
 // bears reports whether the engine stands the newest arrival; the mutex is held.
-func (eng *Engine) bears(now time.Time) bool {
-	if eng.fallen || !now.Before(eng.coldUntil) {
-		return !eng.fallen
+func (eng *Engine) survives(now time.Time) bool {
+	if eng.crashed || !now.Before(eng.coldUntil) {
+		return !eng.crashed
 	}
 	count := 0
 	for num := len(eng.arrivals) - 1; num >= 0 && now.Sub(eng.arrivals[num].At) < coldWindow; num-- {
 		count++
 	}
-	eng.fallen = float64(count) > coldFactor*eng.coldRate+coldSlack
-	return !eng.fallen
+	eng.crashed = float64(count) > coldFactor*eng.coldRate+coldSlack
+	return !eng.crashed
 }
