--- a/backendtest/backendtest.go
+++ b/backendtest/backendtest.go
@@ -1,12 +1,12 @@
-// Package backendtest is a small stand-in of a plain service's backend server.
+// Package backendtest provides a fake backend server of a plain service.
 //
 // # Usage
 //
 //	srv := backendtest.New(backendtest.Config{Name: "kitchen-1"})
 //	http.Serve(lis, srv.Handler())
 //
-// It answers every call with a JSON description of what it got, and lists
-// every call it ever received under GET /standin/dispatches.
+// The server answers each call with an Echo of it as JSON, and lists all calls
+// received at GET /standin/dispatches.
 package backendtest
 
 import (
@@ -22,34 +22,34 @@
 	"lynxwell.dev/lynxwell/engine"
 )
 
-// The paths of the stand-in's own switches.
+// The control paths of the fake server.
 const (
 	// PathFaults takes Faults by POST.
 	PathFaults = "/standin/faults"
-	// PathLeaving takes a JSON boolean by POST.
+	// PathLeaving takes a JSON boolean by POST: whether the server is draining.
 	PathLeaving = "/standin/leaving"
-	// PathDispatches answers GET with every call ever received.
+	// PathDispatches answers GET with all calls received.
 	PathDispatches = "/standin/dispatches"
 )
 
-// Config holds what a Server is made from.
+// Config configures a Server.
 type Config struct {
 	Name string
-	// Work is how long a call takes.
+	// Work is the processing time of a call.
 	Work time.Duration
 }
 
-// Faults is what is wrong with the server for the time being.
+// Faults are the faults that the server currently has.
 type Faults struct {
-	// Delay is added to every call.
+	// Delay is added to the processing time of every call.
 	Delay time.Duration
-	// DropReplies has that many calls run without a reply.
+	// DropReplies is how many calls run but get their connection closed without a reply.
 	DropReplies int
-	// Dead ends every connection without a reply.
+	// Dead closes every connection without a reply and without running the call.
 	Dead bool
 }
 
-// Echo is the answer to a call.
+// Echo is the answer to a call: the call as the server received it.
 type Echo struct {
 	Server string
 	Method string
@@ -59,43 +59,43 @@
 	Header http.Header
 }
 
-// Server is the stand-in.
+// Server is a fake backend server.
 type Server struct {
-	cfg     Config
-	mutex   sync.Mutex
-	faults  Faults
+	cfg      Config
+	mutex    sync.Mutex
+	faults   Faults
 	draining bool
-	running int
-	records []engine.DispatchRecord
+	running  int
+	records  []engine.DispatchRecord
 }
 
-// New returns a server.
+// New returns a server without faults.
 func New(cfg Config) *Server {
 	return &Server{cfg: cfg}
 }
 
-// Dispatches returns every call ever received.
+// Dispatches returns all calls received, in order of arrival.
 func (srv *Server) Dispatches() []engine.DispatchRecord {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
 	return append([]engine.DispatchRecord(nil), srv.records...)
 }
 
-// SetFaults replaces what is wrong.
+// SetFaults replaces the server's faults.
 func (srv *Server) SetFaults(fau Faults) {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
 	srv.faults = fau
 }
 
-// SetLeaving has the server report that it leaves, or no longer leaves.
+// SetLeaving sets whether the server reports that it is draining.
 func (srv *Server) SetLeaving(leaving bool) {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
 	srv.draining = leaving
 }
 
-// Handler returns the HTTP handler.
+// Handler returns the HTTP handler of the service, its load report and the control paths.
 func (srv *Server) Handler() http.Handler {
 	rou := mux.NewRouter()
 	rou.HandleFunc(PathFaults, func(wri http.ResponseWriter, req *http.Request) {
@@ -182,6 +182,6 @@
 
 func reply(wri http.ResponseWriter, body any) {
 	wri.Header().Set("Content-Type", "application/json")
-	// A caller that has left can't be told anything more.
+	// An encoding error means that the client has disconnected.
 	_ = json.NewEncoder(wri).Encode(body)
 }
--- a/enginetest/contract_test.go
+++ b/enginetest/contract_test.go
@@ -16,7 +16,7 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// fixture is an engine's stand-in with a client of it.
+// fixture is a fake engine with a client.
 type fixture struct {
 	engine  *enginetest.Engine
 	client  *engine.Client
@@ -27,21 +27,21 @@
 	t.Helper()
 	eng := enginetest.New(cfg)
 	ctx, cancel := context.WithCancel(t.Context())
-	end := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		eng.Run(ctx)
-		close(end)
+		close(stopped)
 	}()
 	srv := httptest.NewServer(eng.Handler())
 	cli := engine.NewClient(engine.ClientConfig{SilenceTimeout: 300 * time.Millisecond})
 	t.Cleanup(func() {
 		cli.Close()
-		// A frozen engine holds its callers until it wakes.
+		// A frozen engine blocks its clients until the fault is cleared.
 		eng.SetFaults(enginetest.Faults{})
 		srv.CloseClientConnections()
 		srv.Close()
 		cancel()
-		<-end
+		<-stopped
 	})
 	return fixture{eng, cli, netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))}
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestDispatchStreamsTheWholeAnswer(t *testing.T) {
+func TestDispatchStreamsCompleteAnswer(t *testing.T) {
 	fix := newFixture(t, fast)
 	res, text := fix.dispatch(t, "one", 5)
 	assert.Assert(t, res.Whole && res.Dispatched && res.Answered, "%v", res.Err)
@@ -81,15 +81,15 @@
 	assert.Equal(t, len(fix.engine.Dispatches()), 1)
 }
 
-func TestResumeReadsFromAnOffsetAndRunsNothing(t *testing.T) {
+func TestResumeReadsFromOffsetWithoutNewRun(t *testing.T) {
 	fix := newFixture(t, fast)
 	fix.dispatch(t, "one", 5)
 	for _, offset := range []int{0, 2, 5} {
 		text := ""
 		res := fix.client.Resume(t.Context(), fix.address, requestID("one"), offset, collect(&text))
 		assert.Assert(t, res.Whole, "%v", res.Err)
-		whole := strings.SplitAfter(enginetest.Answer(messages, 5), " ")
-		assert.Equal(t, text, strings.Join(whole[offset:], ""))
+		tokens := strings.SplitAfter(enginetest.Answer(messages, 5), " ")
+		assert.Equal(t, text, strings.Join(tokens[offset:], ""))
 	}
 	res := fix.client.Resume(t.Context(), fix.address, requestID("other"), 0, func([]byte) {})
 	assert.Assert(t, res.NotKnown && !res.Whole)
@@ -120,8 +120,9 @@
 	}
 }
 
-// Only a connection that never came to stand says that nothing was sent.
-func TestUnreachableEngineGotNothing(t *testing.T) {
+// Guards against reporting a request as sent, which forbids its retry, when the connection
+// could not be established.
+func TestUnreachableEngineIsNotDispatched(t *testing.T) {
 	fix := newFixture(t, fast)
 	fix.address = netip.MustParseAddrPort("127.0.0.1:1")
 	res, _ := fix.dispatch(t, "one", 5)
@@ -139,7 +140,7 @@
 	assert.Equal(t, len(fix.engine.Dispatches()), 1)
 }
 
-func TestCancelledStreamIsNotWhole(t *testing.T) {
+func TestCancelledStreamIsIncomplete(t *testing.T) {
 	slow := fast
 	slow.DecodeTokensPerSecond = 50
 	fix := newFixture(t, slow)
@@ -156,7 +157,7 @@
 	assert.Assert(t, !fix.engine.Dispatches()[0].Finished)
 }
 
-func TestSecondPromptWithThePrefixIsCached(t *testing.T) {
+func TestSecondPromptWithSamePrefixIsCached(t *testing.T) {
 	fix := newFixture(t, fast)
 	first, _ := fix.dispatch(t, "one", 2)
 	second, _ := fix.dispatch(t, "two", 2)
@@ -173,7 +174,7 @@
 	assert.Assert(t, !page.Events[0].Evicted)
 }
 
-func TestLeavingIsReported(t *testing.T) {
+func TestDrainingIsReported(t *testing.T) {
 	fix := newFixture(t, fast)
 	fix.engine.SetLeaving(true)
 	for {
--- a/enginetest/engine.go
+++ b/enginetest/engine.go
@@ -1,6 +1,6 @@
-// Package enginetest is a small stand-in of a language-model engine: it batches
-// continuously, caches prompt prefixes in limited memory, honours priorities,
-// resumes and cancels streams, and reports load and cache events late.
+// Package enginetest provides a fake language-model engine. It uses continuous
+// batching, caches prompt prefixes in limited memory, schedules by priority,
+// resumes and cancels streams, and reports load and cache events with a delay.
 //
 // # Usage
 //
@@ -8,9 +8,9 @@
 //	go eng.Run(ctx)
 //	http.Serve(lis, eng.Handler())
 //
-// Its answers are made from the prompt, so a caller can tell its own from
-// anybody else's: see Answer. GET /standin/dispatches lists every dispatch it
-// ever received; it never tells two of the same id apart, so that doubles show.
+// Answers are derived from the prompt, so that a client can check that an answer
+// is its own: see Answer. GET /standin/dispatches lists every dispatch received,
+// including repeated ones with the same id.
 package enginetest
 
 import (
@@ -24,51 +24,53 @@
 	"lynxwell.dev/lynxwell/engine"
 )
 
-// Config holds what an Engine is made from. Zero stands for the defaults.
+// Config configures an Engine. Zero values mean the defaults.
 type Config struct {
 	Name string
-	// Slots is how many requests run at once, default 4.
+	// Slots is the maximum number of concurrent requests, default 4.
 	Slots int
-	// PrefillTokensPerSecond is the speed of prompt work, default 8000.
+	// PrefillTokensPerSecond is the prefill speed, default 8000.
 	PrefillTokensPerSecond float64
-	// DecodeTokensPerSecond is the speed of one stream alone, default 80.
+	// DecodeTokensPerSecond is the decode speed of a single stream, default 80.
 	DecodeTokensPerSecond float64
-	// BatchSlowdown is the part by which each further stream slows a step, default 0.05.
+	// BatchSlowdown is the fraction by which each additional stream lengthens a decode step,
+	// default 0.05.
 	BatchSlowdown float64
-	// PrefixMemoryTokens bounds the cached prefixes, default 65536.
+	// PrefixMemoryTokens bounds the total length of the cached prefixes, default 65536.
 	PrefixMemoryTokens int
-	// LoadLag is how old load reports are, default 200 ms.
+	// LoadLag is the delay of load reports, default 200 ms.
 	LoadLag time.Duration
-	// EventLag is how old cache events are, default 500 ms.
+	// EventLag is the delay of cache events, default 500 ms.
 	EventLag time.Duration
-	// EventGap drops every so manieth cache event; 0 drops none.
+	// EventGap drops every n-th cache event for n = EventGap; 0 drops none.
 	EventGap int
-	// Retention is how long a finished stream can be resumed, default 2 m.
+	// Retention is how long a finished stream can be resumed, default 2 min.
 	Retention time.Duration
-	// Unattended is how long a stream runs on without a reader, default 30 s.
+	// Unattended is how long a stream continues without a reader, default 30 s.
 	Unattended time.Duration
 }
 
-// Faults is what is wrong with the engine for the time being.
+// Faults are the faults that the engine currently has.
 type Faults struct {
-	// Slow divides the speed; 0 stands for 1.
+	// Slow is the factor by which each step takes longer; 0 stands for 1, as do all values
+	// under 1.
 	Slow float64
-	// Frozen stops all work and all answers.
+	// Frozen suspends all work and all answers.
 	Frozen bool
-	// DropReplies has that many dispatches run while their connection ends
+	// DropReplies is how many dispatches run but get their connection closed
 	// without a reply.
 	DropReplies int
-	// Dead ends every connection without a reply and drops all work.
+	// Dead closes every connection without a reply and cancels all requests.
 	Dead bool
 }
 
-// Engine is the stand-in.
+// Engine is a fake language-model engine.
 type Engine struct {
 	cfg        Config
 	mutex      sync.Mutex
 	wake       chan struct{}
 	faults     Faults
-	draining    bool
+	draining   bool
 	waiting    []*job
 	running    []*job
 	streams    map[string]*job
@@ -78,32 +80,34 @@
 }
 
 type timedLoad struct {
-	at   time.Time
+	time time.Time
 	load engine.Load
 }
 
-// job is one request in the engine.
+// job is a request in the engine.
 type job struct {
-	record   *engine.DispatchRecord
-	priority int
-	model    string
-	mark     string
-	prompt   engine.Prompt
-	answerTokens   int
-	// prefill is the prompt work still to do, in tokens.
+	record       *engine.DispatchRecord
+	priority     int
+	model        string
+	mark         string
+	prompt       engine.Prompt
+	answerTokens int
+	// prefill is the pending prefill, in tokens.
 	prefill int
 	cached  int
-	// tokens counts the answer's tokens so far.
+	// tokens counts the generated tokens of the answer.
 	tokens    int
 	done      bool
 	cancelled bool
-	endTime     time.Time
+	endTime   time.Time
 	readers   int
-	readersChanged      time.Time
-	changed   chan struct{}
+	// readersChanged is when a reader last came or left.
+	readersChanged time.Time
+	// changed is closed and replaced at each change of the job.
+	changed chan struct{}
 }
 
-// New returns an engine; Run has it work.
+// New returns an engine. It processes requests only while Run is running.
 func New(cfg Config) *Engine {
 	cfg = withDefaults(cfg)
 	return &Engine{
@@ -145,7 +149,7 @@
 	}
 }
 
-// SetFaults replaces what is wrong.
+// SetFaults replaces the engine's faults.
 func (eng *Engine) SetFaults(fau Faults) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -168,14 +172,14 @@
 	eng.prefixes.clear()
 }
 
-// SetLeaving has the engine report that it leaves, or no longer leaves.
+// SetLeaving sets whether the engine reports that it is draining.
 func (eng *Engine) SetLeaving(leaving bool) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.draining = leaving
 }
 
-// Dispatches returns every dispatch ever received.
+// Dispatches returns all dispatches received, in order of arrival.
 func (eng *Engine) Dispatches() []engine.DispatchRecord {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -186,7 +190,7 @@
 	return records
 }
 
-// Mark returns the sign that every token of the answer to the prompt carries.
+// Mark returns the text that starts every token of the answer to the prompt.
 func Mark(messages []engine.Message) string {
 	if len(messages) == 0 {
 		return "none"
@@ -195,7 +199,7 @@
 	return hex.EncodeToString(sum[:6])
 }
 
-// Answer returns the whole answer of the given length to the prompt.
+// Answer returns the complete answer to the prompt, with the given number of tokens.
 func Answer(messages []engine.Message, tokens int) string {
 	mark := Mark(messages)
 	text := ""
@@ -216,14 +220,14 @@
 	}
 }
 
-// Run works until the context ends.
+// Run processes requests until the context is done.
 func (eng *Engine) Run(ctx context.Context) {
 	for {
-		pause, busy := eng.step(time.Now())
+		wait, busy := eng.step(time.Now())
 		if !busy {
-			pause = idleInterval
+			wait = idleInterval
 		}
-		timer := time.NewTimer(pause)
+		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
 		case <-eng.idleWakeups(busy):
@@ -235,10 +239,11 @@
 	}
 }
 
-// idleInterval is how often an idle engine looks after its streams.
+// idleInterval is the interval at which an idle engine expires streams and records its load.
 const idleInterval = 100 * time.Millisecond
 
-// idleWakeups returns the channel of new work, which must not cut a step short.
+// idleWakeups returns the channel that signals new work, or nil if the engine is busy, since
+// new work must not shorten a step.
 func (eng *Engine) idleWakeups(busy bool) <-chan struct{} {
 	if busy {
 		return nil
@@ -246,7 +251,8 @@
 	return eng.wake
 }
 
-// step ends the former step and starts the next one; it returns how long that takes.
+// step performs the next step of the batch. It returns the step's duration and whether there
+// was any work.
 func (eng *Engine) step(now time.Time) (time.Duration, bool) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -262,11 +268,11 @@
 	return eng.runBatch(now), true
 }
 
-// prefillChunk is how much prompt work a step does at most, in tokens.
+// prefillChunk bounds the prefill of one step, in tokens.
 const prefillChunk = 2048
 
-// work does one step of the batch: some prompt work, and a token for each
-// stream whose prompt is done.
+// runBatch performs one step of the batch, prefill up to prefillChunk and one token for
+// each request whose prefill is complete, and returns its duration.
 func (eng *Engine) runBatch(now time.Time) time.Duration {
 	budget := prefillChunk
 	decoding := 0
@@ -293,7 +299,7 @@
 	return time.Duration(seconds * slow * float64(time.Second))
 }
 
-// retire takes finished and cancelled requests out of the batch.
+// removeFinished removes finished and cancelled requests from the batch.
 func (eng *Engine) removeFinished(now time.Time) {
 	kept := eng.running[:0]
 	for _, jb := range eng.running {
@@ -309,7 +315,7 @@
 	eng.running = kept
 }
 
-// admit fills the batch from those that wait, by priority and arrival.
+// admit fills the batch from the queue, by priority and then by arrival.
 func (eng *Engine) admit() {
 	for len(eng.running) < eng.cfg.Slots && len(eng.waiting) > 0 {
 		best := 0
@@ -328,7 +334,8 @@
 	}
 }
 
-// clean cancels streams without a reader and forgets old ones.
+// expireStreams cancels streams that have had no reader for too long and deletes finished
+// ones after the retention period.
 func (eng *Engine) expireStreams(now time.Time) {
 	for id, jb := range eng.streams {
 		switch {
@@ -347,21 +354,21 @@
 	eng.running = remove(eng.running, jb)
 }
 
-func remove(jobs []*job, gone *job) []*job {
+func remove(jobs []*job, removed *job) []*job {
 	kept := make([]*job, 0, len(jobs))
 	for _, jb := range jobs {
-		if jb != gone {
+		if jb != removed {
 			kept = append(kept, jb)
 		}
 	}
 	return kept
 }
 
-// note remembers the load for the reports, which lag.
+// recordLoad records the load for the delayed load reports.
 func (eng *Engine) recordLoad(now time.Time) {
 	loa := engine.Load{Running: len(eng.running), Waiting: len(eng.waiting), Slots: eng.cfg.Slots, Leaving: eng.draining}
-	eng.reports = append(eng.reports, timedLoad{at: now, load: loa})
-	for len(eng.reports) > 1 && now.Sub(eng.reports[1].at) >= eng.cfg.LoadLag {
+	eng.reports = append(eng.reports, timedLoad{time: now, load: loa})
+	for len(eng.reports) > 1 && now.Sub(eng.reports[1].time) >= eng.cfg.LoadLag {
 		eng.reports = eng.reports[1:]
 	}
 }
@@ -375,7 +382,7 @@
 	jb.notify()
 }
 
-// notify wakes the readers of the stream.
+// notify signals a change to the readers of the stream.
 func (jb *job) notify() {
 	close(jb.changed)
 	jb.changed = make(chan struct{})
--- a/enginetest/handler.go
+++ b/enginetest/handler.go
@@ -11,23 +11,23 @@
 	"lynxwell.dev/lynxwell/engine"
 )
 
-// The paths of the stand-in's own switches.
+// The control paths of the fake engine.
 const (
 	// PathFaults takes Faults by POST.
 	PathFaults = "/standin/faults"
-	// PathLeaving takes a JSON boolean by POST.
+	// PathLeaving takes a JSON boolean by POST: whether the engine is draining.
 	PathLeaving = "/standin/leaving"
-	// PathDispatches answers GET with every dispatch ever received.
+	// PathDispatches answers GET with all dispatches received.
 	PathDispatches = "/standin/dispatches"
 )
 
-// maxBodyBytes bounds a request.
+// maxBodyBytes bounds the body of a request.
 const maxBodyBytes = 16 << 20
 
-// defaultAnswerTokens is the length of an answer where the request names none, in tokens.
+// defaultAnswerTokens is the length of an answer if the request doesn't set max_tokens.
 const defaultAnswerTokens = 16
 
-// Handler returns the HTTP handler.
+// Handler returns the HTTP handler of the engine protocol and the control paths.
 func (eng *Engine) Handler() http.Handler {
 	rou := mux.NewRouter()
 	rou.HandleFunc(PathFaults, eng.serveFaults).Methods(http.MethodPost)
@@ -43,7 +43,7 @@
 	return rou
 }
 
-// failing applies the faults that precede any work.
+// applyFaults applies the faults Dead and Frozen before a request is handled.
 func (eng *Engine) applyFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		for {
@@ -64,7 +64,7 @@
 	})
 }
 
-// pause waits; it returns false when the reader has left.
+// sleep waits for the duration; it returns false if the client disconnects first.
 func sleep(req *http.Request, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -93,7 +93,7 @@
 	eng.sendComplete(wri, req, jb)
 }
 
-// take receives a dispatch; drop says that its reply is to be lost.
+// accept records and queues a dispatch; drop reports whether its reply must be dropped.
 func (eng *Engine) accept(req *http.Request, chat engine.ChatRequest) (jb *job, drop bool) {
 	priority, _ := strconv.Atoi(req.Header.Get(engine.HeaderPriority))
 	id := req.Header.Get(engine.HeaderRequestID)
@@ -132,7 +132,7 @@
 	}
 	offset, err := strconv.Atoi(req.URL.Query().Get("offset"))
 	if err != nil || offset < 0 {
-		http.Error(wri, "offset: want a number of 0 or more", http.StatusBadRequest)
+		http.Error(wri, "offset: want an integer of 0 or more", http.StatusBadRequest)
 		return
 	}
 	eng.send(wri, req, jb, offset)
@@ -150,12 +150,12 @@
 	wri.WriteHeader(http.StatusNoContent)
 }
 
-// progress is what a reader of a stream sees at one time.
+// progress is a snapshot of a job for a reader of its stream.
 type progress struct {
 	tokens    int
 	done      bool
 	cancelled bool
-	frozen   bool
+	frozen    bool
 	changed   <-chan struct{}
 }
 
@@ -175,8 +175,8 @@
 	jb.readersChanged = time.Now()
 }
 
-// send streams the answer from the event with the offset on. The last event
-// but the end mark carries the count of tokens.
+// send streams the answer, starting at the event with the offset. The event before the
+// end mark carries the token count.
 func (eng *Engine) send(wri http.ResponseWriter, req *http.Request, jb *job, offset int) {
 	eng.addReaders(jb, 1)
 	defer eng.addReaders(jb, -1)
@@ -296,7 +296,7 @@
 func (eng *Engine) serveEvents(wri http.ResponseWriter, req *http.Request) {
 	after, err := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		http.Error(wri, "after: want a number of 0 or more", http.StatusBadRequest)
+		http.Error(wri, "after: want an integer of 0 or more", http.StatusBadRequest)
 		return
 	}
 	eng.mutex.Lock()
@@ -331,6 +331,6 @@
 
 func replyJSON(wri http.ResponseWriter, body any) {
 	wri.Header().Set("Content-Type", "application/json")
-	// A reader that has left can't be told anything more.
+	// An encoding error means that the client has disconnected.
 	_ = json.NewEncoder(wri).Encode(body)
 }
--- a/enginetest/prefix.go
+++ b/enginetest/prefix.go
@@ -7,16 +7,19 @@
 	"lynxwell.dev/lynxwell/engine"
 )
 
-// maxEvents bounds the cache events that can still be read.
+// maxEvents bounds the number of cache events kept for readers.
 const maxEvents = 4096
 
-// prefixCache keeps prompt prefixes in limited memory, the last used longest.
+// prefixCache caches prompt prefixes in limited memory and evicts the least recently used.
 type prefixCache struct {
+	// capacity and used are in tokens.
 	capacity int
 	used     int
-	gap      int
+	// gap is Config.EventGap.
+	gap int
+	// order holds the prefixes from the least to the most recently used.
 	order    *list.List
-	elements   map[uint64]*list.Element
+	elements map[uint64]*list.Element
 	sequence uint64
 	events   []timedEvent
 }
@@ -27,7 +30,7 @@
 }
 
 type timedEvent struct {
-	at    time.Time
+	time  time.Time
 	event engine.CacheEvent
 }
 
@@ -41,7 +44,7 @@
 	pre.used = 0
 }
 
-// use reports whether the prefix is in memory, and puts it there.
+// touch reports whether the prefix is cached, and adds it if it is not.
 func (pre *prefixCache) touch(hash uint64, tokens int, now time.Time) bool {
 	if hash == 0 {
 		return false
@@ -66,25 +69,26 @@
 	pre.addEvent(oldest.hash, true, now)
 }
 
+// addEvent records an event unless it falls into the gap.
 func (pre *prefixCache) addEvent(hash uint64, evicted bool, now time.Time) {
 	pre.sequence++
 	if pre.gap > 0 && pre.sequence%uint64(pre.gap) == 0 {
 		return
 	}
 	evt := engine.CacheEvent{Sequence: pre.sequence, Prefix: hash, Evicted: evicted}
-	pre.events = append(pre.events, timedEvent{at: now, event: evt})
+	pre.events = append(pre.events, timedEvent{time: now, event: evt})
 	if over := len(pre.events) - maxEvents; over > 0 {
 		pre.events = pre.events[over:]
 	}
 }
 
-// after returns the events beyond the sequence number that are old enough to show.
+// after returns the events after the sequence number that happened at until or before.
 func (pre *prefixCache) after(sequence uint64, until time.Time) engine.CacheEvents {
 	page := engine.CacheEvents{Events: []engine.CacheEvent{}, Next: sequence}
-	for _, dat := range pre.events {
-		if dat.event.Sequence > sequence && !dat.at.After(until) {
-			page.Events = append(page.Events, dat.event)
-			page.Next = dat.event.Sequence
+	for _, tev := range pre.events {
+		if tev.event.Sequence > sequence && !tev.time.After(until) {
+			page.Events = append(page.Events, tev.event)
+			page.Next = tev.event.Sequence
 		}
 	}
 	return page
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -360,9 +360,9 @@
 // connection is closed, on which most engines stop working on the request.
 func (ans *Answer) Close() {
 	exc := ans.exchange
-	aborted := !exc.stopAbort()
+	detached := exc.stopAbort()
 	exc.client.setBusy(exc.connection, false)
-	if aborted || !ans.complete || ans.afterStray || ans.response.Close || !ans.framed() || !exc.sent() {
+	if !detached || !ans.complete || ans.afterStray || ans.response.Close || !ans.framed() || !exc.sent() {
 		closeQuietly(exc.connection)
 		return
 	}
--- a/upstreamtest/engine.go
+++ b/upstreamtest/engine.go
@@ -1,14 +1,15 @@
-// Package upstreamtest is a stand-in of the engines and backend servers of the
-// users' platform, with the troubles that they may have.
+// Package upstreamtest provides a fake of the platform's engines and backend servers
+// that can be made to fail in the ways that real ones do.
 //
 // # Usage
 //
 //	eng := upstreamtest.NewEngine(upstreamtest.Config{ID: "e1", Service: "menus", Slots: 4, Events: 3})
 //	http.Serve(lis, eng.Handler())
-//	eng.Trouble(upstreamtest.CutInEvent, 1) // the next request has it
-//	runs := eng.Runs()                      // what it ran
+//	eng.Trouble(upstreamtest.CutInEvent, 1) // affects the next request
+//	runs := eng.Runs()                      // the requests that it ran
 //
-// It names the wire's headers by itself, so that a mistake of the adapter's shows.
+// The package spells out the protocol's headers itself rather than using the client's
+// constants, so that tests detect wrong ones.
 package upstreamtest
 
 import (
@@ -21,73 +22,76 @@
 	"time"
 )
 
-// Trouble is something wrong with an answer.
+// Trouble is a fault of an answer.
 type Trouble uint8
 
-// The troubles.
+// The faults of an answer.
 const (
-	// None is a sound answer.
+	// None is a valid answer.
 	None Trouble = iota
-	// Error runs the request and answers with a signed 500.
+	// Error runs the request and answers with status 500 and a valid signature.
 	Error
-	// TurnAway doesn't run the request and says so.
+	// TurnAway rejects the request with status 503 and Not-Executed, without running it.
 	TurnAway
-	// Hang runs the request and stays silent until its connection ends.
+	// Hang runs the request and sends nothing until the client closes the connection.
 	Hang
-	// Lose runs the request and ends the connection without an answer.
+	// Lose runs the request and closes the connection without an answer.
 	Lose
-	// Cut breaks a whole answer off, or a stream between two events.
+	// Cut truncates a plain answer, or a stream between two events.
 	Cut
-	// CutInEvent breaks a stream off inside an event.
+	// CutInEvent truncates a stream within an event.
 	CutInEvent
-	// Extra sends a second answer behind the first.
+	// Extra sends an unsolicited second answer after the first.
 	Extra
-	// StrayFirst sends an answer of another request first.
+	// StrayFirst sends an answer to another request first.
 	StrayFirst
-	// Unframed sends an answer whose end is its connection's.
+	// Unframed sends an answer without a length, which ends when the connection is closed.
 	Unframed
-	// UnframedReset sends such an answer and resets the connection instead.
+	// UnframedReset sends such an answer and resets the connection instead of closing it.
 	UnframedReset
-	// Unsigned answers with a success that no work stands behind.
+	// Unsigned answers with a success without a signature.
 	Unsigned
-	// Slow takes a long time for the answer.
+	// Slow delays the answer by slowAnswerDelay.
 	Slow
-	// Early answers before the body has been read, and reads on later.
+	// Early answers before the request's body has been read, and reads it afterwards.
 	Early
 )
 
-// Config holds what an Engine is made from.
+// Config configures an Engine.
 type Config struct {
-	// ID is the run of the engine; others in Expect-Instance are turned away.
+	// ID is the run of the engine; a request with another one in Expect-Instance is rejected
+	// with status 421.
 	ID      string
 	Service string
-	// Slots is how many requests run at a time; as many again wait. 0 is no bound.
+	// Slots is the number of concurrent requests; as many again are queued, and further ones
+	// are rejected. 0 means no limit.
 	Slots int
-	// Events is the length of a stream; 0 has every answer be a plain one.
+	// Events is the number of events of a stream; 0 makes all answers plain ones.
 	Events int
-	// Reading is the time to read a prompt's token, Step that between two events.
+	// Reading is the prefill time per prompt token, Step the time between two events.
 	Reading time.Duration
 	Step    time.Duration
-	// Version is that of its software; empty stands for "v1".
+	// Version is the version of the engine's software; empty means "v1".
 	Version string
-	// Domain is its failure domain; empty stands for "d0".
+	// Domain is the engine's failure domain; empty means "d0".
 	Domain string
-	// FailEvery has each so many-th answer be a failure, and SlowEvery take a long time; 0
-	// for none.
+	// FailEvery makes every n-th answer an error and SlowEvery every n-th answer slow; 0 means
+	// none.
 	FailEvery int
 	SlowEvery int
-	// Sound is how many answers are sound before.
+	// Sound is the number of valid answers before FailEvery and SlowEvery apply.
 	Sound int
-	// CrashBody ends the engine when it runs a request whose body holds it; empty for none.
-	// Crash is called then, and ends it.
+	// CrashBody is a text in a request's body that makes the engine crash when it runs the
+	// request; empty means none.
 	CrashBody string
-	Crash     func()
+	// Crash is called for such a request and must end the engine.
+	Crash func()
 }
 
 // Run is a request that the engine ran.
 type Run struct {
 	ID string
-	// At is when it began.
+	// At is the start time.
 	At        time.Time
 	Account   string
 	Deadline  string
@@ -97,36 +101,37 @@
 	Body      string
 }
 
-// Engine is the stand-in.
+// Engine is a fake engine or backend server.
 type Engine struct {
-	cfg      Config
-	mutex    sync.Mutex
+	cfg    Config
+	mutex  sync.Mutex
 	faults []Trouble
-	runs     []Run
-	active    int
-	// left counts the requests whose connection ended before their answer did.
+	runs   []Run
+	active int
+	// abandoned counts the requests whose client disconnected before the end of the answer.
 	abandoned int
 	// onNextRequest is called once, at the next request.
 	onNextRequest func()
-	// leaves has every answer say that the engine leaves; over 0, pause has it turn all
-	// requests away and ask for so long a pause.
+	// draining makes all answers carry Server-Leaving.
 	draining bool
-	backoff  time.Duration
-	// rate is what all answers name as the most requests a second; nil for nothing.
-	rateLimit     *float64
-	arrivals []Arrival
-	// coldRate is what the engine bears until coldUntil; fallen says that it got more.
+	// backoff, if over 0, makes the engine reject all requests with it as Retry-After.
+	backoff time.Duration
+	// rateLimit is sent with all answers, in requests per second; nil means none.
+	rateLimit *float64
+	arrivals  []Arrival
+	// coldRate is the request rate per second that the engine survives until coldUntil;
+	// crashed is set once it has received more.
 	coldRate  float64
 	coldUntil time.Time
-	crashed    bool
+	crashed   bool
 }
 
-// NewEngine returns a sound engine.
+// NewEngine returns an engine without faults other than those of the configuration.
 func NewEngine(cfg Config) *Engine {
 	return &Engine{cfg: cfg}
 }
 
-// ID returns the engine's run.
+// ID returns the id of the engine's run.
 func (eng *Engine) ID() string { return eng.cfg.ID }
 
 // Service returns the service that the engine belongs to.
@@ -148,47 +153,48 @@
 	return eng.cfg.Domain
 }
 
-// Slots returns how many requests run at a time.
+// Slots returns the number of concurrent requests; at least 1.
 func (eng *Engine) Slots() int { return max(1, eng.cfg.Slots) }
 
-// Trouble has the next requests meet a trouble.
-func (eng *Engine) Trouble(trb Trouble, times int) {
+// Trouble queues a fault for each of the next requests, as many as times.
+func (eng *Engine) Trouble(flt Trouble, times int) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	for range times {
-		eng.faults = append(eng.faults, trb)
+		eng.faults = append(eng.faults, flt)
 	}
 }
 
-// Clear takes back all troubles to come.
+// Clear removes all queued faults.
 func (eng *Engine) Clear() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.faults = nil
 }
 
-// OnTaken has a function called once, when the next request has its trouble.
-func (eng *Engine) OnTaken(call func()) {
+// OnTaken sets a function that is called once, when the next request has been assigned its
+// fault.
+func (eng *Engine) OnTaken(callback func()) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.onNextRequest = call
+	eng.onNextRequest = callback
 }
 
-// Runs returns what the engine ran, in order.
+// Runs returns the requests that the engine ran, in order of their start.
 func (eng *Engine) Runs() []Run {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	return append([]Run(nil), eng.runs...)
 }
 
-// Left returns how many requests were given up before their answer's end.
+// Left returns the number of requests whose client disconnected before the end of the answer.
 func (eng *Engine) Left() int {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	return eng.abandoned
 }
 
-// Handler returns the HTTP handler.
+// Handler returns the HTTP handler of the protocol and the control paths.
 func (eng *Engine) Handler() http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		if eng.serveControl(wri, req) {
@@ -202,18 +208,18 @@
 		if eng.sendSignals(wri, req) {
 			return
 		}
-		trb, room, taken := eng.acquire()
-		if taken != nil {
-			taken()
+		flt, admitted, callback := eng.acquire()
+		if callback != nil {
+			callback()
 		}
 		defer eng.release()
 		wri.Header().Set("Request-Id", req.Header.Get("Request-Id"))
-		if trb == TurnAway || !room {
+		if flt == TurnAway || !admitted {
 			wri.Header().Set("Not-Executed", "1")
 			wri.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if trb == Early {
+		if flt == Early {
 			eng.recordRun(req, "")
 			eng.answerEarly(wri, req)
 			return
@@ -227,28 +233,30 @@
 			eng.cfg.Crash()
 			panic(http.ErrAbortHandler)
 		}
-		eng.answer(wri, req, trb)
+		eng.answer(wri, req, flt)
 	})
 }
 
-// enter takes the next trouble and a place.
+// acquire takes a slot or a place in the queue. It returns the request's fault, whether the
+// request is admitted, and the function set by OnTaken, if any.
 func (eng *Engine) acquire() (Trouble, bool, func()) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.active++
-	trb := None
+	flt := None
 	if len(eng.faults) > 0 {
-		trb, eng.faults = eng.faults[0], eng.faults[1:]
+		flt, eng.faults = eng.faults[0], eng.faults[1:]
 	}
-	if trb == None {
-		trb = eng.cfg.plannedFault(len(eng.runs))
+	if flt == None {
+		flt = eng.cfg.plannedFault(len(eng.runs))
 	}
-	taken := eng.onNextRequest
+	callback := eng.onNextRequest
 	eng.onNextRequest = nil
-	return trb, eng.cfg.Slots == 0 || eng.active <= 2*eng.cfg.Slots, taken
+	return flt, eng.cfg.Slots == 0 || eng.active <= 2*eng.cfg.Slots, callback
 }
 
-// plannedFault returns what is wrong with the next answer of a version that is bad.
+// plannedFault returns the configured fault of the next answer, which simulates a faulty
+// version.
 func (cfg Config) plannedFault(answers int) Trouble {
 	answers -= cfg.Sound
 	switch {
@@ -278,7 +286,7 @@
 	})
 }
 
-// slowAnswerDelay is what an answer takes longer that is slow.
+// slowAnswerDelay is the additional duration of a slow answer.
 const slowAnswerDelay = 400 * time.Millisecond
 
 // PlainBody is the body of a plain answer to a request.
@@ -291,7 +299,7 @@
 	return fmt.Sprintf("id: %d\ndata: %s/%d\n\n", number, id, number)
 }
 
-// StreamBody is the body of a whole stream.
+// StreamBody is the body of a complete stream.
 func StreamBody(id string, events int) string {
 	var text strings.Builder
 	for num := 1; num <= events; num++ {
@@ -300,17 +308,17 @@
 	return text.String()
 }
 
-func (eng *Engine) answer(wri http.ResponseWriter, req *http.Request, trb Trouble) {
+func (eng *Engine) answer(wri http.ResponseWriter, req *http.Request, flt Trouble) {
 	id := req.Header.Get("Request-Id")
-	if trb != Unsigned {
+	if flt != Unsigned {
 		wri.Header().Set("Response-Signature", "signed-"+id)
 	}
-	if trb == Slow && !wait(req, slowAnswerDelay) {
+	if flt == Slow && !wait(req, slowAnswerDelay) {
 		eng.recordSilent(id)
 		eng.recordAbandoned()
 		return
 	}
-	switch trb {
+	switch flt {
 	case Error:
 		wri.WriteHeader(http.StatusInternalServerError)
 	case Hang:
@@ -321,21 +329,21 @@
 		eng.recordSilent(id)
 		panic(http.ErrAbortHandler)
 	case Extra, StrayFirst, Unframed, UnframedReset:
-		eng.writeRaw(wri, id, trb)
+		eng.writeRaw(wri, id, flt)
 	default:
 		if eng.cfg.Events > 0 {
-			eng.stream(wri, req, trb)
+			eng.stream(wri, req, flt)
 			return
 		}
-		eng.plain(wri, id, trb)
+		eng.plain(wri, id, flt)
 	}
 }
 
-func (eng *Engine) plain(wri http.ResponseWriter, id string, trb Trouble) {
+func (eng *Engine) plain(wri http.ResponseWriter, id string, flt Trouble) {
 	body := PlainBody(id)
 	wri.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if trb == Cut {
-		// The rest never comes.
+	if flt == Cut {
+		// Only the first half of the body is sent.
 		_, _ = io.WriteString(wri, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
 	}
@@ -348,7 +356,7 @@
 	eng.abandoned++
 }
 
-// wait lets time pass, unless the request is given up.
+// wait waits for the duration; it returns false if the client disconnects first.
 func wait(req *http.Request, dur time.Duration) bool {
 	if dur <= 0 {
 		return req.Context().Err() == nil
@@ -363,7 +371,7 @@
 	}
 }
 
-func (eng *Engine) stream(wri http.ResponseWriter, req *http.Request, trb Trouble) {
+func (eng *Engine) stream(wri http.ResponseWriter, req *http.Request, flt Trouble) {
 	id := req.Header.Get("Request-Id")
 	prompt, _, _ := strings.Cut(req.Header.Get("Token-Counts"), ",")
 	tokens, _ := strconv.Atoi(prompt)
@@ -377,10 +385,10 @@
 	for num := first + 1; num <= eng.cfg.Events; num++ {
 		event := EventText(id, num)
 		middle := num == first+1+(eng.cfg.Events-first)/2
-		if middle && trb == Cut {
+		if middle && flt == Cut {
 			panic(http.ErrAbortHandler)
 		}
-		if middle && trb == CutInEvent {
+		if middle && flt == CutInEvent {
 			_, _ = io.WriteString(wri, event[:len(event)/2])
 			_ = http.NewResponseController(wri).Flush()
 			panic(http.ErrAbortHandler)
--- a/upstreamtest/raw.go
+++ b/upstreamtest/raw.go
@@ -8,8 +8,8 @@
 	"net/http"
 )
 
-// raw writes answers byte by byte, beside the library's framing.
-func (eng *Engine) writeRaw(wri http.ResponseWriter, id string, trb Trouble) {
+// writeRaw writes an answer directly to the connection, bypassing net/http's framing.
+func (eng *Engine) writeRaw(wri http.ResponseWriter, id string, flt Trouble) {
 	con, buf, err := http.NewResponseController(wri).Hijack()
 	if err != nil {
 		return
@@ -19,36 +19,37 @@
 	if eng.cfg.Events > 0 {
 		body = StreamBody(id, eng.cfg.Events)
 	}
-	more := eng.signalHeader()
-	switch trb {
+	signals := eng.signalHeader()
+	switch flt {
 	case Extra:
-		writeFramed(buf, id, body, more)
-		writeFramed(buf, "other", PlainBody("other"), more)
+		writeFramed(buf, id, body, signals)
+		writeFramed(buf, "other", PlainBody("other"), signals)
 	case StrayFirst:
-		writeFramed(buf, "other", PlainBody("other"), more)
-		writeFramed(buf, id, body, more)
+		writeFramed(buf, "other", PlainBody("other"), signals)
+		writeFramed(buf, id, body, signals)
 	default:
-		fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Signature: signed-%s\r\n%s\r\n%s", id, id, more, body)
+		fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Signature: signed-%s\r\n%s\r\n%s", id, id, signals, body)
 	}
-	// Whoever reads may be gone.
+	// Flush fails only if the client has disconnected.
 	_ = buf.Flush()
 	tcp, isTCP := con.(*net.TCPConn)
-	if trb == UnframedReset && isTCP {
+	if flt == UnframedReset && isTCP {
 		_ = tcp.SetLinger(0)
 		return
 	}
-	if trb == Extra || trb == StrayFirst {
-		// The connection stays open, as a kept one does, until the other end closes it.
+	if flt == Extra || flt == StrayFirst {
+		// The connection stays open, like a keep-alive connection, until the client closes it.
 		_, _ = io.Copy(io.Discard, con)
 	}
 }
 
-func writeFramed(buf *bufio.ReadWriter, id, body, more string) {
-	fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Signature: signed-%s\r\nContent-Length: %d\r\n%s\r\n%s", id, id, len(body), more, body)
+// writeFramed writes an answer with Content-Length; header holds further header lines.
+func writeFramed(buf *bufio.ReadWriter, id, body, header string) {
+	fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Signature: signed-%s\r\nContent-Length: %d\r\n%s\r\n%s", id, id, len(body), header, body)
 }
 
-// early answers before it has read the body, reads the rest later, and goes on
-// with what follows on the connection.
+// answerEarly answers before it has read the request's body, then reads the body and
+// serves further requests on the connection.
 func (eng *Engine) answerEarly(wri http.ResponseWriter, req *http.Request) {
 	id := req.Header.Get("Request-Id")
 	con, buf, err := http.NewResponseController(wri).Hijack()
@@ -57,7 +58,7 @@
 	}
 	defer con.Close()
 	fmt.Fprintf(buf, "HTTP/1.1 413 Request Entity Too Large\r\nRequest-Id: %s\r\nResponse-Signature: signed-%s\r\nContent-Length: 0\r\n\r\n", id, id)
-	// Whoever reads may be gone.
+	// Flush fails only if the client has disconnected.
 	_ = buf.Flush()
 	if _, err := io.CopyN(io.Discard, buf, req.ContentLength); err != nil {
 		return
@@ -72,8 +73,8 @@
 			return
 		}
 		eng.recordRun(next, string(body))
-		name := next.Header.Get("Request-Id")
-		writeFramed(buf, name, PlainBody(name), eng.signalHeader())
+		nextID := next.Header.Get("Request-Id")
+		writeFramed(buf, nextID, PlainBody(nextID), eng.signalHeader())
 		if buf.Flush() != nil {
 			return
 		}
--- a/upstreamtest/switch.go
+++ b/upstreamtest/switch.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// The paths of the stand-in's own switches.
+// The control paths of the fake engine.
 const (
 	// PathTrouble takes a Switch by POST.
 	PathTrouble = "/standin/trouble"
-	// PathRuns answers GET with all runs.
+	// PathRuns answers GET with all values of Engine.Runs.
 	PathRuns = "/standin/runs"
-	// PathArrivals answers GET with all arrivals.
+	// PathArrivals answers GET with all values of Engine.Arrivals.
 	PathArrivals = "/standin/arrivals"
 	// PathWord takes a Word by POST.
 	PathWord = "/standin/word"
@@ -22,23 +22,25 @@
 
 // Switch is the body of PathTrouble.
 type Switch struct {
-	Trouble Trouble
-	// Times is how many requests have it. Clear takes back those that haven't come yet before.
+	Trouble Trouble `json:"Trouble"`
+	// Times is the number of requests that get the fault.
 	Times int
+	// Clear removes all queued faults first.
 	Clear bool
 }
 
-// Word is what the engine says of itself from now on: the body of PathWord.
+// Word is the set of signals that the engine sends from now on: the body of PathWord.
 type Word struct {
-	// Leaves has it say that it leaves, to its end; Pause turns requests away and asks for
-	// so long a pause, 0 ends that.
-	Leaves bool
-	Pause  time.Duration
-	// Rate is the most requests a second that all answers name; nil for none.
+	// Leaves makes all answers report that the engine is draining; it can't be reset.
+	Leaves bool `json:"Leaves"`
+	// Pause makes the engine reject all requests with a backoff request of this duration; 0
+	// makes it serve again.
+	Pause time.Duration `json:"Pause"`
+	// Rate is the rate limit sent with all answers, in requests per second; nil means none.
 	Rate *float64
 }
 
-// serveControl serves the stand-in's own paths; it returns false for all others.
+// serveControl serves the control paths; it returns false for all other paths.
 func (eng *Engine) serveControl(wri http.ResponseWriter, req *http.Request) bool {
 	switch req.URL.Path {
 	case PathTrouble:
@@ -59,27 +61,27 @@
 		}
 		eng.Chill(col)
 	case PathWord:
-		var word Word
-		if err := json.NewDecoder(req.Body).Decode(&word); err != nil {
+		var sig Word
+		if err := json.NewDecoder(req.Body).Decode(&sig); err != nil {
 			http.Error(wri, err.Error(), http.StatusBadRequest)
 			return true
 		}
-		if word.Leaves {
+		if sig.Leaves {
 			eng.Leave()
 		}
-		eng.Pause(word.Pause)
-		if word.Rate != nil {
-			eng.Limit(*word.Rate)
+		eng.Pause(sig.Pause)
+		if sig.Rate != nil {
+			eng.Limit(*sig.Rate)
 		} else {
 			eng.Unlimit()
 		}
 	case PathArrivals:
 		wri.Header().Set("Content-Type", "application/json")
-		// A reader that has left can't be told anything more.
+		// An encoding error means that the client has disconnected.
 		_ = json.NewEncoder(wri).Encode(eng.Arrivals())
 	case PathRuns:
 		wri.Header().Set("Content-Type", "application/json")
-		// A reader that has left can't be told anything more.
+		// An encoding error means that the client has disconnected.
 		_ = json.NewEncoder(wri).Encode(eng.Runs())
 	default:
 		return false
--- a/upstreamtest/word.go
+++ b/upstreamtest/word.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// The headers in which an engine speaks of itself.
+// The headers of the engine signals.
 const (
 	headerDraining = "Server-Leaving"
-	headerRate   = "Server-Limit"
+	headerRate     = "Server-Limit"
 )
 
 // Arrival is a request that reached the engine, whether it ran or not.
 type Arrival struct {
 	ID string
 	At time.Time
-	// Leaves says that the answer told of the engine's leave, Pause for how long a pause it
-	// asked in place of an answer; 0 for none.
-	Leaves bool
-	Pause  time.Duration
-	// Rate is the rate that the answer named; nil for none.
+	// Leaves is set if the answer reported that the engine is draining.
+	Leaves bool `json:"Leaves"`
+	// Pause is the requested backoff if the engine rejected the request with one; 0 otherwise.
+	Pause time.Duration `json:"Pause"`
+	// Rate is the rate limit sent with the answer; nil means none.
 	Rate *float64
-	// Silent says that no head of an answer left the engine, so that it told nothing.
+	// Silent is set if no head of an answer was sent, so that no signal was sent either.
 	Silent bool
-	// Fell says that the engine fell over under it, or had before.
-	Fell bool
+	// Fell is set if the engine crashed on receiving the request or had crashed before.
+	Fell bool `json:"Fell"`
 }
 
-// Leave has the engine say in all its answers that it leaves; it serves on.
+// Leave makes all answers report that the engine is draining. It continues to serve
+// requests.
 func (eng *Engine) Leave() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.draining = true
 }
 
-// Pause has the engine turn all requests away and ask for so long a pause each time; 0 has
+// Pause makes the engine reject all requests with a backoff request of the duration; 0 makes
 // it serve again.
 func (eng *Engine) Pause(dur time.Duration) {
 	eng.mutex.Lock()
@@ -43,29 +44,30 @@
 	eng.backoff = dur
 }
 
-// Arrivals returns all requests that reached the engine, in order.
+// Arrivals returns all requests that reached the engine, in order of arrival.
 func (eng *Engine) Arrivals() []Arrival {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	return append([]Arrival(nil), eng.arrivals...)
 }
 
-// Limit has all answers name the most requests a second that the engine takes from all
-// hosts together; it serves what it gets all the same. Unlimit ends that.
+// Limit makes all answers send a rate limit in requests per second, for all hosts together.
+// The engine doesn't enforce it. Unlimit removes the limit.
 func (eng *Engine) Limit(perSecond float64) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.rateLimit = &perSecond
 }
 
-// Unlimit has the answers name no rate any more.
+// Unlimit makes the answers send no rate limit any more.
 func (eng *Engine) Unlimit() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.rateLimit = nil
 }
 
-// arrive notes a request, with what its answer says of the engine.
+// recordArrival records a request with the signals that its answer sends. It aborts the
+// connection if the engine has crashed.
 func (eng *Engine) recordArrival(id string) Arrival {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -78,7 +80,7 @@
 	return arr
 }
 
-// recordSilent notes that the newest request with an id gets no answer.
+// recordSilent records that the newest request with the id gets no answer.
 func (eng *Engine) recordSilent(id string) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -90,8 +92,8 @@
 	}
 }
 
-// speak writes what the engine says of itself into an answer's head, and reports whether it
-// has turned the request away with it.
+// sendSignals writes the engine's signals to the head of an answer. It reports whether it
+// rejected the request with a backoff request.
 func (eng *Engine) sendSignals(wri http.ResponseWriter, req *http.Request) bool {
 	arr := eng.recordArrival(req.Header.Get("Request-Id"))
 	if arr.Leaves {
@@ -114,7 +116,7 @@
 	return strconv.FormatFloat(perSecond, 'f', -1, 64)
 }
 
-// signalHeader returns what the engine says of itself as lines of a head.
+// signalHeader returns the engine's signals as header lines.
 func (eng *Engine) signalHeader() string {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -128,37 +130,37 @@
 	return lines
 }
 
-// The bound under which a cold engine stands: so many times the rate that it bears, and so many
-// requests more, in one second.
+// A cold engine crashes when it receives more than coldFactor times its rate plus coldSlack
+// requests within coldWindow.
 const (
 	coldWindow = time.Second
 	coldFactor = 1.5
 	coldSlack  = 5
 )
 
-// Cold is how an engine is cold: the body of PathCold.
+// Cold describes the load that a cold engine survives: the body of PathCold.
 type Cold struct {
-	// PerSecond is how many requests a second it bears, For for how long it is cold.
+	// PerSecond is the request rate that the engine survives, For is how long it stays cold.
 	PerSecond float64
 	For       time.Duration
 }
 
-// Chill has the engine be cold: it falls over, and serves nothing any more, once more requests
-// reach it within a second than it bears.
+// Chill makes the engine cold: it crashes for good when it receives more requests within one
+// second than it survives.
 func (eng *Engine) Chill(col Cold) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.coldRate, eng.coldUntil = col.PerSecond, time.Now().Add(col.For)
 }
 
-// Fallen reports whether the engine fell over while it was cold.
+// Fallen reports whether the engine crashed while it was cold.
 func (eng *Engine) Fallen() bool {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	return eng.crashed
 }
 
-// bears reports whether the engine stands the newest arrival; the mutex is held.
+// survives reports whether the engine survives the newest arrival. The caller holds mutex.
 func (eng *Engine) survives(now time.Time) bool {
 	if eng.crashed || !now.Before(eng.coldUntil) {
 		return !eng.crashed
