--- a/enginetest/engine.go
+++ b/enginetest/engine.go
@@ -42,7 +42,7 @@
 	LoadLag time.Duration
 	// EventLag is the delay of cache events, default 500 ms.
 	EventLag time.Duration
-	// EventGap drops every n-th cache event for n = EventGap; 0 drops none.
+	// EventGap is n to drop every n-th cache event; 0 drops none.
 	EventGap int
 	// Retention is how long a finished stream can be resumed, default 2 min.
 	Retention time.Duration
@@ -60,7 +60,7 @@
 	// DropReplies is how many dispatches run but get their connection closed
 	// without a reply.
 	DropReplies int
-	// Dead closes every connection without a reply and cancels all requests.
+	// Dead closes every connection without a reply, cancels all requests and clears the cache.
 	Dead bool
 }
 
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -357,7 +357,7 @@
 }
 
 // Close releases the answer's connection. If the answer wasn't read to its end, the
-// connection is closed, on which most engines stop working on the request.
+// connection is closed, which makes most engines stop working on the request.
 func (ans *Answer) Close() {
 	exc := ans.exchange
 	detached := exc.stopAbort()
--- a/upstream/connection_test.go
+++ b/upstream/connection_test.go
@@ -55,7 +55,7 @@
 	return upstream.Call{Endpoint: end, ID: "mine", Method: http.MethodGet, Target: "/", Host: "a", Header: http.Header{}}
 }
 
-// Guards against waiting for a call to an engine run that has result. A call whose connection
+// Guards against waiting for a call to an engine run that has ended. A call whose connection
 // received data after the later run started may belong to that run and must continue.
 func TestCallToEarlierRunIsAbortedWhenLaterRunIsKnown(t *testing.T) {
 	earlier := fleet.NewEngineID("e", time.Now().Add(-time.Hour))
@@ -86,7 +86,7 @@
 }
 
 // Guards against dropping bytes of an answer that arrived before its run was known to have
-// result.
+// ended.
 func TestArrivedBytesAreReadAfterRunEnded(t *testing.T) {
 	const body = "whole answer"
 	for _, tst := range []struct {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -29,7 +29,7 @@
 	DialTimeout time.Duration
 	// Decode decodes an answer's head.
 	Decode func(status int, header http.Header) call.AnswerHead
-	// Now is the clock for idle connections and for HeadReceived.Sent; nil means time.Now.
+	// Now is the clock for idle connections and for Heard.Sent; nil means time.Now.
 	Now func() time.Time
 	// Dialed, if not nil, is called for each new connection.
 	Dialed func()
--- a/upstreamtest/engine.go
+++ b/upstreamtest/engine.go
@@ -49,7 +49,8 @@
 	Unframed
 	// UnframedReset sends such an answer and resets the connection instead of closing it.
 	UnframedReset
-	// Unsigned answers with a success without a signature.
+	// Unsigned answers with a success without a signature, which is no proof that the request
+	// was run.
 	Unsigned
 	// Slow delays the answer by slowAnswerDelay.
 	Slow
