--- a/enginetest/handler.go
+++ b/enginetest/handler.go
@@ -11,30 +11,30 @@
 	"lynxwell.dev/lynxwell/engine"
 )
 
-// The paths of the stand-in's own switches.
+// The control paths of the fake engine.
 const (
 	// PathFaults takes Faults by POST.
 	PathFaults = "/standin/faults"
-	// PathLeaving takes a JSON boolean by POST.
+	// PathLeaving takes a JSON boolean by POST: whether the engine is draining.
 	PathLeaving = "/standin/leaving"
-	// PathDispatches answers GET with every dispatch ever received.
+	// PathDispatches answers GET with all dispatches received.
 	PathDispatches = "/standin/dispatches"
 )
 
-// maxBodyBytes bounds a request.
+// maxBodyBytes bounds the body of a request.
 const maxBodyBytes = 16 << 20
 
-// defaultAnswer is the length of an answer where the request names none, in tokens.
-const defaultAnswer = 16
+// defaultAnswerTokens is the length of an answer if the request doesn't set max_tokens.
+const defaultAnswerTokens = 16
 
-// Handler returns the HTTP handler.
+// Handler returns the HTTP handler of the engine protocol and the control paths.
 func (eng *Engine) Handler() http.Handler {
 	rou := mux.NewRouter()
 	rou.HandleFunc(PathFaults, eng.serveFaults).Methods(http.MethodPost)
 	rou.HandleFunc(PathLeaving, eng.serveLeaving).Methods(http.MethodPost)
 	rou.HandleFunc(PathDispatches, eng.serveDispatches).Methods(http.MethodGet)
 	sub := rou.NewRoute().Subrouter()
-	sub.Use(eng.failing)
+	sub.Use(eng.applyFaults)
 	sub.HandleFunc(engine.PathChat, eng.serveChat).Methods(http.MethodPost)
 	sub.HandleFunc(engine.PathStreams+"{id}", eng.serveResume).Methods(http.MethodGet)
 	sub.HandleFunc(engine.PathStreams+"{id}", eng.serveCancel).Methods(http.MethodDelete)
@@ -43,8 +43,8 @@
 	return rou
 }
 
-// failing applies the faults that precede any work.
-func (eng *Engine) failing(next http.Handler) http.Handler {
+// applyFaults applies the faults Dead and Frozen before a request is handled.
+func (eng *Engine) applyFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		for {
 			eng.mutex.Lock()
@@ -56,7 +56,7 @@
 			if !fau.Frozen {
 				break
 			}
-			if !pause(req, idleStep) {
+			if !sleep(req, idleInterval) {
 				return
 			}
 		}
@@ -64,8 +64,8 @@
 	})
 }
 
-// pause waits; it returns false when the reader has left.
-func pause(req *http.Request, wait time.Duration) bool {
+// sleep waits for the duration; it returns false if the client disconnects first.
+func sleep(req *http.Request, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -82,7 +82,7 @@
 		http.Error(wri, err.Error(), http.StatusBadRequest)
 		return
 	}
-	jb, drop := eng.take(req, chat)
+	jb, drop := eng.accept(req, chat)
 	if drop {
 		panic(http.ErrAbortHandler)
 	}
@@ -90,27 +90,27 @@
 		eng.send(wri, req, jb, 0)
 		return
 	}
-	eng.sendWhole(wri, req, jb)
+	eng.sendComplete(wri, req, jb)
 }
 
-// take receives a dispatch; drop says that its reply is to be lost.
-func (eng *Engine) take(req *http.Request, chat engine.ChatRequest) (jb *job, drop bool) {
+// accept records and queues a dispatch; drop reports whether its reply must be dropped.
+func (eng *Engine) accept(req *http.Request, chat engine.ChatRequest) (jb *job, drop bool) {
 	priority, _ := strconv.Atoi(req.Header.Get(engine.HeaderPriority))
 	id := req.Header.Get(engine.HeaderRequestID)
 	prompt := engine.Weigh(chat.Messages)
 	wanted := chat.MaxTokens
-	orInt(&wanted, defaultAnswer)
+	orInt(&wanted, defaultAnswerTokens)
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	rec := &engine.DispatchRecord{ID: id, Call: req.Method + " " + req.URL.Path, Priority: priority, PromptTokens: prompt.Tokens}
 	eng.dispatches = append(eng.dispatches, rec)
 	jb = &job{
 		record: rec, priority: priority, model: chat.Model, mark: Mark(chat.Messages),
-		prompt: prompt, wanted: wanted, changed: make(chan struct{}), left: time.Now(),
+		prompt: prompt, answerTokens: wanted, changed: make(chan struct{}), readersChanged: time.Now(),
 	}
 	eng.streams[id] = jb
 	eng.waiting = append(eng.waiting, jb)
-	eng.nudge()
+	eng.signalWork()
 	if eng.faults.DropReplies > 0 {
 		eng.faults.DropReplies--
 		return jb, true
@@ -132,7 +132,7 @@
 	}
 	offset, err := strconv.Atoi(req.URL.Query().Get("offset"))
 	if err != nil || offset < 0 {
-		http.Error(wri, "offset: want a number of 0 or more", http.StatusBadRequest)
+		http.Error(wri, "offset: want an integer of 0 or more", http.StatusBadRequest)
 		return
 	}
 	eng.send(wri, req, jb, offset)
@@ -150,12 +150,12 @@
 	wri.WriteHeader(http.StatusNoContent)
 }
 
-// progress is what a reader of a stream sees at one time.
+// progress is a snapshot of a job for a reader of its stream.
 type progress struct {
 	tokens    int
 	done      bool
 	cancelled bool
-	stopped   bool
+	frozen    bool
 	changed   <-chan struct{}
 }
 
@@ -164,22 +164,22 @@
 	defer eng.mutex.Unlock()
 	return progress{
 		tokens: jb.tokens, done: jb.done, cancelled: jb.cancelled,
-		stopped: eng.faults.Frozen, changed: jb.changed,
+		frozen: eng.faults.Frozen, changed: jb.changed,
 	}
 }
 
-func (eng *Engine) attend(jb *job, change int) {
+func (eng *Engine) addReaders(jb *job, change int) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	jb.readers += change
-	jb.left = time.Now()
+	jb.readersChanged = time.Now()
 }
 
-// send streams the answer from the event with the offset on. The last event
-// but the end mark carries the count of tokens.
+// send streams the answer, starting at the event with the offset. The event before the
+// end mark carries the token count.
 func (eng *Engine) send(wri http.ResponseWriter, req *http.Request, jb *job, offset int) {
-	eng.attend(jb, 1)
-	defer eng.attend(jb, -1)
+	eng.addReaders(jb, 1)
+	defer eng.addReaders(jb, -1)
 	wri.Header().Set("Content-Type", "text/event-stream")
 	wri.Header().Set(engine.HeaderOffset, strconv.Itoa(offset))
 	for {
@@ -187,7 +187,7 @@
 		if pro.cancelled {
 			panic(http.ErrAbortHandler)
 		}
-		if !pro.stopped {
+		if !pro.frozen {
 			offset = eng.sendTokens(wri, jb, offset, pro.tokens)
 			if pro.done {
 				eng.sendEnd(wri, jb, offset)
@@ -214,7 +214,7 @@
 }
 
 func (eng *Engine) sendEnd(wri http.ResponseWriter, jb *job, offset int) {
-	if offset <= jb.wanted {
+	if offset <= jb.answerTokens {
 		chu := chunkOf(jb, nil)
 		chu.Usage = usageOf(jb)
 		writeEvent(wri, chu)
@@ -223,15 +223,15 @@
 	flush(wri)
 }
 
-func (eng *Engine) sendWhole(wri http.ResponseWriter, req *http.Request, jb *job) {
-	eng.attend(jb, 1)
-	defer eng.attend(jb, -1)
+func (eng *Engine) sendComplete(wri http.ResponseWriter, req *http.Request, jb *job) {
+	eng.addReaders(jb, 1)
+	defer eng.addReaders(jb, -1)
 	for {
 		pro := eng.progressOf(jb)
 		if pro.cancelled {
 			panic(http.ErrAbortHandler)
 		}
-		if pro.done && !pro.stopped {
+		if pro.done && !pro.frozen {
 			break
 		}
 		select {
@@ -241,7 +241,7 @@
 		}
 	}
 	text := ""
-	for idx := range jb.wanted {
+	for idx := range jb.answerTokens {
 		text += token(jb.mark, idx)
 	}
 	chu := chunkOf(jb, nil)
@@ -266,7 +266,7 @@
 
 func usageOf(jb *job) *engine.Usage {
 	return &engine.Usage{
-		PromptTokens: jb.prompt.Tokens, CompletionTokens: jb.wanted, TotalTokens: jb.prompt.Tokens + jb.wanted,
+		PromptTokens: jb.prompt.Tokens, CompletionTokens: jb.answerTokens, TotalTokens: jb.prompt.Tokens + jb.answerTokens,
 		Details: &engine.UsageDetails{CachedTokens: jb.cached},
 	}
 }
@@ -296,7 +296,7 @@
 func (eng *Engine) serveEvents(wri http.ResponseWriter, req *http.Request) {
 	after, err := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		http.Error(wri, "after: want a number of 0 or more", http.StatusBadRequest)
+		http.Error(wri, "after: want an integer of 0 or more", http.StatusBadRequest)
 		return
 	}
 	eng.mutex.Lock()
@@ -331,6 +331,6 @@
 
 func replyJSON(wri http.ResponseWriter, body any) {
 	wri.Header().Set("Content-Type", "application/json")
-	// A reader that has left can't be told anything more.
+	// An encoding error means that the client has disconnected.
 	_ = json.NewEncoder(wri).Encode(body)
 }
--- a/enginetest/prefix.go
+++ b/enginetest/prefix.go
@@ -7,18 +7,21 @@
 	"lynxwell.dev/lynxwell/engine"
 )
 
-// eventsKept bounds the cache events that can still be read.
-const eventsKept = 4096
+// maxEvents bounds the number of cache events kept for readers.
+const maxEvents = 4096
 
-// prefixCache keeps prompt prefixes in limited memory, the last used longest.
+// prefixCache caches prompt prefixes in limited memory and evicts the least recently used.
 type prefixCache struct {
+	// capacity and used are in tokens.
 	capacity int
 	used     int
-	gap      int
+	// gap is Config.EventGap.
+	gap int
+	// order holds the prefixes from the least to the most recently used.
 	order    *list.List
-	places   map[uint64]*list.Element
+	elements map[uint64]*list.Element
 	sequence uint64
-	events   []datedEvent
+	events   []timedEvent
 }
 
 type cachedPrefix struct {
@@ -26,33 +29,33 @@
 	tokens int
 }
 
-type datedEvent struct {
-	at    time.Time
+type timedEvent struct {
+	time  time.Time
 	event engine.CacheEvent
 }
 
 func newPrefixCache(capacity, gap int) *prefixCache {
-	return &prefixCache{capacity: capacity, gap: gap, order: list.New(), places: make(map[uint64]*list.Element)}
+	return &prefixCache{capacity: capacity, gap: gap, order: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
 func (pre *prefixCache) clear() {
 	pre.order.Init()
-	clear(pre.places)
+	clear(pre.elements)
 	pre.used = 0
 }
 
-// use reports whether the prefix is in memory, and puts it there.
-func (pre *prefixCache) use(hash uint64, tokens int, now time.Time) bool {
+// touch reports whether the prefix is cached, and adds it if it is not.
+func (pre *prefixCache) touch(hash uint64, tokens int, now time.Time) bool {
 	if hash == 0 {
 		return false
 	}
-	if ele := pre.places[hash]; ele != nil {
+	if ele := pre.elements[hash]; ele != nil {
 		pre.order.MoveToBack(ele)
 		return true
 	}
-	pre.places[hash] = pre.order.PushBack(cachedPrefix{hash: hash, tokens: tokens})
+	pre.elements[hash] = pre.order.PushBack(cachedPrefix{hash: hash, tokens: tokens})
 	pre.used += tokens
-	pre.tell(hash, false, now)
+	pre.addEvent(hash, false, now)
 	for pre.used > pre.capacity && pre.order.Len() > 1 {
 		pre.evict(now)
 	}
@@ -61,30 +64,31 @@
 
 func (pre *prefixCache) evict(now time.Time) {
 	oldest, _ := pre.order.Remove(pre.order.Front()).(cachedPrefix)
-	delete(pre.places, oldest.hash)
+	delete(pre.elements, oldest.hash)
 	pre.used -= oldest.tokens
-	pre.tell(oldest.hash, true, now)
+	pre.addEvent(oldest.hash, true, now)
 }
 
-func (pre *prefixCache) tell(hash uint64, evicted bool, now time.Time) {
+// addEvent records an event unless it falls into the gap.
+func (pre *prefixCache) addEvent(hash uint64, evicted bool, now time.Time) {
 	pre.sequence++
 	if pre.gap > 0 && pre.sequence%uint64(pre.gap) == 0 {
 		return
 	}
 	evt := engine.CacheEvent{Sequence: pre.sequence, Prefix: hash, Evicted: evicted}
-	pre.events = append(pre.events, datedEvent{at: now, event: evt})
-	if over := len(pre.events) - eventsKept; over > 0 {
+	pre.events = append(pre.events, timedEvent{time: now, event: evt})
+	if over := len(pre.events) - maxEvents; over > 0 {
 		pre.events = pre.events[over:]
 	}
 }
 
-// after returns the events beyond the sequence number that are old enough to show.
+// after returns the events after the sequence number that happened at until or before.
 func (pre *prefixCache) after(sequence uint64, until time.Time) engine.CacheEvents {
 	page := engine.CacheEvents{Events: []engine.CacheEvent{}, Next: sequence}
-	for _, dat := range pre.events {
-		if dat.event.Sequence > sequence && !dat.at.After(until) {
-			page.Events = append(page.Events, dat.event)
-			page.Next = dat.event.Sequence
+	for _, tev := range pre.events {
+		if tev.event.Sequence > sequence && !tev.time.After(until) {
+			page.Events = append(page.Events, tev.event)
+			page.Next = tev.event.Sequence
 		}
 	}
 	return page
