--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -349,7 +349,7 @@
 	sys.Store.SetFaults(platformtest.Faults{})
 	sys.WaitForReady()
 	assert.Equal(t, sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r2", Path: "/safe/"}).Status, http.StatusOK)
-	assert.Assert(t, strings.Contains(sys.Log(), "store lost") && strings.Contains(sys.Log(), "store regained"))
+	assert.Assert(t, strings.Contains(sys.Log(), "store unreachable") && strings.Contains(sys.Log(), "store reachable again"))
 }
 
 func TestHostWithoutStoreKeepsServingWhenRevocationIsNotStrict(t *testing.T) {
@@ -359,7 +359,7 @@
 	sys.Configure(entrytest.Configuration{Version: 1})
 	sys.WaitForReady()
 	sys.Store.SetFaults(platformtest.Faults{Down: true})
-	sys.WaitUntil("store lost", func() bool { return strings.Contains(sys.Log(), "store lost") })
+	sys.WaitUntil("store unreachable", func() bool { return strings.Contains(sys.Log(), "store unreachable") })
 	boundPassed := time.Now().Add(2 * time.Second)
 	sys.WaitUntil("the outage outlasts the bound", func() bool { return time.Now().After(boundPassed) })
 	assert.Equal(t, sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/safe/"}).Status, http.StatusOK)
@@ -406,7 +406,7 @@
 	sys := entrytest.Start(t, entrytest.Config{Hosts: 1, Engines: twoOfEach(), MetricsTaken: true})
 	sys.Configure(entrytest.Configuration{Version: 1})
 	sys.WaitForReady()
-	assert.Assert(t, strings.Contains(sys.Log(), "no figures are told"))
+	assert.Assert(t, strings.Contains(sys.Log(), "metrics address can't be used, serving no metrics"))
 }
 
 // Requests that reach a starting host are served once it knows the configuration. A host that
@@ -438,7 +438,7 @@
 	for idx := range 20 {
 		sys.Send(t.Context(), sys.Hosts[idx%2], entrytest.Request{ID: fmt.Sprint("r", idx), Path: "/stream/", Header: map[string]string{"Token-Counts": "500,20"}})
 	}
-	sys.WaitUntil("survey recorded", func() bool { return strings.Contains(sys.Log(), "survey recorded") })
+	sys.WaitUntil("measurements written", func() bool { return strings.Contains(sys.Log(), "measurements written") })
 	for _, hos := range sys.Hosts {
 		hos.Stop()
 	}
@@ -501,8 +501,8 @@
 func TestHostCutOffFromStoreDropsDeregisteredEngines(t *testing.T) {
 	sys := start(t, 3, twoOfEach())
 	sys.Hosts[0].SetStoreCut(true)
-	sys.WaitUntil("the store is lost", func() bool { return strings.Contains(sys.Log(), "store lost") })
+	sys.WaitUntil("the store is unreachable", func() bool { return strings.Contains(sys.Log(), "store unreachable") })
 	sys.RemoveEngine("p1")
 	sys.WaitForEngines(3)
-	assert.Assert(t, !strings.Contains(sys.Log(), "store regained"))
+	assert.Assert(t, !strings.Contains(sys.Log(), "store reachable again"))
 }
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -136,7 +136,7 @@
 // applyEvacuation applies an operator's order to evacuate a failure domain.
 func (wat *storeWatcher) applyEvacuation(val store.Value) {
 	ord, err := platform.DecodeEvacuation(val)
-	wat.invalidValues.checkValue(val, err, "evacuation with a value that can't be read")
+	wat.invalidValues.checkValue(val, err, "evacuation order invalid")
 	if ord.Domain == "" {
 		return
 	}
--- a/entry/mirror_test.go
+++ b/entry/mirror_test.go
@@ -137,7 +137,7 @@
 func TestHostCutOffFromStoreFollowsPeers(t *testing.T) {
 	sys := start(t, 2, twoOfEach())
 	sys.Hosts[0].SetStoreCut(true)
-	sys.WaitUntil("the store is lost", func() bool { return strings.Contains(sys.Log(), "store lost") })
+	sys.WaitUntil("the store is unreachable", func() bool { return strings.Contains(sys.Log(), "store unreachable") })
 	sys.Configure(entrytest.Configuration{Version: 2, Keys: []string{"new"}})
 	sys.WaitForVersion(2)
 	lost := time.Now()
@@ -149,7 +149,7 @@
 }
 
 // Repeated calls of a whole fleet would keep a store down, and each call has a cost. While
-// the store is lost, one host of a failure domain calls it often, the others rarely.
+// the store is unreachable, one host of a failure domain calls it often, the others rarely.
 func TestFleetRarelyCallsLostStore(t *testing.T) {
 	const hosts, callsPerSecond = 8, 25
 	sys := entrytest.Start(t, entrytest.Config{Hosts: hosts, Engines: twoOfEach(), OneDomain: true})
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -149,7 +149,7 @@
 	if limited {
 		evt = evt.Float64("FormerPerSecond", prev.PerSecond).Dur("FormerAge", now.Sub(prev.At))
 	}
-	evt.Msg("engine says of itself")
+	evt.Msg("engine signal")
 }
 
 // recordInvalid logs and counts an invalid signal. An invalid backoff has no effect, so the engine
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -221,7 +221,7 @@
 	})
 	send("after")
 	assert.Equal(t, len(engines[0].Arrivals()), arrived)
-	assert.Assert(t, !strings.Contains(sys.Log(), "grant sent back"), "no grant had to be returned")
+	assert.Assert(t, !strings.Contains(sys.Log(), "grant returned"), "no grant had to be returned")
 }
 
 // A backoff is timed by the clock that counts suspensions: a host that resumes after its end
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -154,7 +154,7 @@
 	if wat.unreachableSince.IsZero() {
 		wat.unreachableSince = now
 		wat.backoff = minStoreRetry
-		wat.host.log.Warn().Err(err).Uint64("Revision", uint64(wat.revision)).Msg("store lost")
+		wat.host.log.Warn().Err(err).Uint64("Revision", uint64(wat.revision)).Msg("store unreachable")
 	}
 	wat.lastError = err
 	wat.host.metrics.storeFailures.Inc(1)
@@ -191,7 +191,7 @@
 		return
 	}
 	now := wat.host.clock.Now()
-	wat.host.log.Info().Dur("After", now.Sub(wat.unreachableSince)).Uint64("Revision", uint64(wat.revision)).Msg("store regained")
+	wat.host.log.Info().Dur("After", now.Sub(wat.unreachableSince)).Uint64("Revision", uint64(wat.revision)).Msg("store reachable again")
 	wat.unreachableSince = time.Time{}
 	wat.nextProbe = time.Time{}
 	// A fleet that reaches the store again all at once soon returns to reading through other hosts.
--- a/entry/refused_test.go
+++ b/entry/refused_test.go
@@ -69,14 +69,14 @@
 		wat.apply(changeUpdate(rev, "servers/e1", []byte("\x00{")))
 	}
 	assert.Equal(t, engineNames(wat), "e2")
-	assert.Equal(t, strings.Count(log.String(), "engine entry names no engine to use"), 1)
+	assert.Equal(t, strings.Count(log.String(), "engine entry invalid, engine not used"), 1)
 	assert.Assert(t, strings.Contains(log.String(), `"Key":"servers/e1"`))
 	assert.Equal(t, wat.host.metrics.invalidValues.Count(), int64(5))
 	wat.apply(changeUpdate(rev+1, "servers/e1", validEngineEntry(1)))
 	assert.Equal(t, engineNames(wat), "e1 e2")
 	wat.apply(changeUpdate(rev+2, "servers/e1", []byte(`{}`)))
 	assert.Equal(t, engineNames(wat), "e2")
-	assert.Equal(t, strings.Count(log.String(), "engine entry names no engine to use"), 2)
+	assert.Equal(t, strings.Count(log.String(), "engine entry invalid, engine not used"), 2)
 	wat.apply(update{complete: true, changes: store.Changes{Revision: rev + 3}, values: []store.Value{
 		{Key: "servers/e1", Data: validEngineEntry(1)}, {Key: "servers/e2", Data: []byte(`{"service":"s"}`)},
 	}})
@@ -99,7 +99,7 @@
 	for idx := range 2 * maxInvalidKeys {
 		wat.apply(changeUpdate(store.Revision(11+idx), fmt.Sprintf("servers/bad-%d", idx), bytes.Repeat([]byte("x"), 100_000)))
 	}
-	assert.Equal(t, strings.Count(log.String(), "names no engine to use"), maxInvalidKeys)
+	assert.Equal(t, strings.Count(log.String(), "engine entry invalid, engine not used"), maxInvalidKeys)
 	assert.Assert(t, log.Len() < maxInvalidKeys*2000, "%d bytes", log.Len())
 	assert.Equal(t, wat.host.metrics.invalidValues.Count(), int64(2*maxInvalidKeys))
 	assert.Equal(t, engineNames(wat), "e1 e2")
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -28,7 +28,7 @@
 			evt = evt.Dur("For", bac.Left)
 		}
 	}
-	evt.Msg("grant sent back")
+	evt.Msg("grant returned")
 }
 
 // reserve obtains an engine for the next attempt, or returns the final answer. A granted engine
@@ -47,13 +47,13 @@
 			unavailable++
 			exc.lastGrantUnused = true
 			exc.host.log.Info().Str("Request", exc.request.ID).Str("Engine", exc.engine).Str("DecidedBy", exc.decidedBy).
-				Msg("granted engine is deregistered; reserving again")
+				Msg("granted engine can't be used; reserving again")
 			exc.exclude = append(exc.exclude, exc.engine)
 		default:
 			return eng, pro
 		}
 	}
-	return fleet.Engine{}, exc.notRunProblem(causeNoEngine, "the engines granted can't be used")
+	return fleet.Engine{}, exc.notRunProblem(causeNoEngine, "the granted engines can't be used")
 }
 
 // notRunProblem returns the final answer for a request that this attempt did not run.
@@ -153,15 +153,15 @@
 	eng, known := snp.engine(run)
 	switch {
 	case !exc.route.Public && !hos.isFresh(hos.clock.Now()):
-		pro = exc.notRunProblem(causeNotReady, "configuration became too old")
+		pro = exc.notRunProblem(causeNotReady, "the configuration became too old")
 	case !known || eng.Draining:
 		// The coordinator may have lost its connection to the store and not know of this yet.
-		pro = exc.notRunProblem(causeEngineUnavailable, "engine is gone or leaves")
+		pro = exc.notRunProblem(causeEngineUnavailable, "the engine is deregistered or draining")
 	case !exc.regionAllowed(eng):
-		pro = exc.notRunProblem(causeEngineUnavailable, "engine is in a region where the request may not be served")
+		pro = exc.notRunProblem(causeEngineUnavailable, "the engine is in a region where the request may not be served")
 	case exc.account.Name != "":
 		if _, valid := snp.table.Account(exc.request.Key); !valid {
-			pro = &problem{status: http.StatusUnauthorized, cause: causeUnknownKey, detail: "the key was taken away"}
+			pro = &problem{status: http.StatusUnauthorized, cause: causeUnknownKey, detail: "the key was revoked"}
 		}
 	}
 	if pro == nil {
@@ -184,18 +184,18 @@
 
 // refusalProblem returns the final answer for a coordinator's refusal.
 func (exc *exchange) refusalProblem(ref reservation.Refuse) *problem {
-	pro := &problem{status: http.StatusServiceUnavailable, cause: causeOverload, retryAfter: ref.RetryAfter, detail: "no engine has room in time"}
+	pro := &problem{status: http.StatusServiceUnavailable, cause: causeOverload, retryAfter: ref.RetryAfter, detail: "no engine has capacity in time"}
 	switch ref.Reason {
 	case reservation.ReasonLimit:
 		pro.status, pro.cause, pro.detail = http.StatusTooManyRequests, causeLimit, "the client account's limit is used up"
 	case reservation.ReasonBudget:
-		pro.cause, pro.detail = causeBudget, "the service's budget of repeats is used up"
+		pro.cause, pro.detail = causeBudget, "the service's retry budget is used up"
 	case reservation.ReasonNoEngine:
-		pro.cause, pro.detail = causeNoEngine, "no engine is left to try"
+		pro.cause, pro.detail = causeNoEngine, "no further engine to try"
 	case reservation.ReasonBackoff:
-		pro.cause, pro.detail = causeBlocked, "all engines that are left have asked for a pause, or leave"
+		pro.cause, pro.detail = causeBlocked, "all remaining engines are in backoff or draining"
 	case reservation.ReasonRate:
-		pro.cause, pro.detail = causeRateLimit, "all engines that are left have named the rate that they take, and others were before"
+		pro.cause, pro.detail = causeRateLimit, "the rate limits of all remaining engines are used up by earlier requests"
 	case reservation.ReasonRegion:
 		pro.cause, pro.detail = causeNoRegion, "no engine is in the regions that the route and the client account allow"
 	case reservation.ReasonHeld:
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -53,7 +53,7 @@
 		lis, err := liveness.Listen(ctx, lsr.address)
 		if err != nil && lsr.name == metricsListener {
 			// Clients need no metrics: a host without them is better than none.
-			hos.log.Warn().Err(err).Msg("no figures are told, their address can't be used")
+			hos.log.Warn().Err(err).Msg("metrics address can't be used, serving no metrics")
 			continue
 		}
 		if err != nil {
--- a/entry/survey.go
+++ b/entry/survey.go
@@ -75,5 +75,5 @@
 		hos.log.Warn().Err(err).Int("Bytes", len(data)).Msg("writing the measurements failed")
 		return
 	}
-	hos.log.Info().Int("Bytes", len(data)).Msg("survey recorded")
+	hos.log.Info().Int("Bytes", len(data)).Msg("measurements written")
 }
--- a/entry/take.go
+++ b/entry/take.go
@@ -64,7 +64,7 @@
 // dropped.
 func (wat *storeWatcher) decodeEngine(val store.Value) (fleet.Engine, bool) {
 	eng, err := platform.DecodeEngine(val)
-	return eng, wat.invalidValues.checkValue(val, err, "engine entry names no engine to use")
+	return eng, wat.invalidValues.checkValue(val, err, "engine entry invalid, engine not used")
 }
 
 // decodeMember decodes a host's entry. If this host's own entry is invalid, it is written again.
--- a/entry/unread_test.go
+++ b/entry/unread_test.go
@@ -19,8 +19,8 @@
 		wat.apply(changeUpdate(store.Revision(20+2*rev), "op/resize/s1", []byte("{}")))
 		wat.apply(changeUpdate(store.Revision(21+2*rev), "op/config", fmt.Appendf(nil, config, rev+1)))
 	}
-	assert.Equal(t, strings.Count(log.String(), "a key of the store is read by nobody"), 1)
-	assert.Equal(t, strings.Count(log.String(), "a field of the configuration is read by nobody"), 1)
+	assert.Equal(t, strings.Count(log.String(), "unrecognized key in the store"), 1)
+	assert.Equal(t, strings.Count(log.String(), "unrecognized field in the configuration"), 1)
 	for num := range 1000 {
 		wat.apply(changeUpdate(store.Revision(100+num), fmt.Sprint("made-up-", num), nil))
 	}
@@ -28,5 +28,5 @@
 	for _, want := range []string{"StoreKeysUnread.op/resize/ 3\n", "ConfigurationFieldsUnread.colour 3\n", "StoreKeysUnread.Others "} {
 		assert.Assert(t, strings.Contains(text, want), text)
 	}
-	assert.Assert(t, strings.Count(log.String(), "read by nobody") <= maxUnrecognizedLines+1)
+	assert.Assert(t, strings.Count(log.String(), "unrecognized key in the store")+strings.Count(log.String(), "unrecognized field in the configuration") <= maxUnrecognizedLines+1)
 }
