--- a/entry/observe.go
+++ b/entry/observe.go
@@ -57,7 +57,7 @@
 	rollouts rollouts
 	// evacuations is the stored state of evacuations by failure domain. evacuationsChanged is set
 	// until it is published. withdrawnDomains are the domains whose order was withdrawn since, and
-	// loggedOrders are the domains whose order was logged because their domain is unknown.
+	// loggedOrders are the orders that were logged because their domain is unknown.
 	evacuations        map[string]evacuation.Standing
 	evacuationsChanged bool
 	withdrawnDomains   []string
--- a/scheduler/notice.go
+++ b/scheduler/notice.go
@@ -23,10 +23,10 @@
 // Which scope serves clients best depends on the share of requests that the engine rejects,
 // which it doesn't report; docs/design/engines-own-word.md compares them.
 const (
-	// BackoffAllProbing lets one request at a time of the other gateways probe whether the engine
+	// BackoffOthersProbe lets one request at a time of the other gateways probe whether the engine
 	// serves them: at once after the first backoff request, and after a growing delay when it is
 	// repeated.
-	BackoffAllProbing BackoffScope = iota
+	BackoffOthersProbe BackoffScope = iota
 	// BackoffAll applies the backoff to all gateways for a bounded time. An engine that rejects
 	// only a part of its requests is then out of use most of the time.
 	BackoffAll
@@ -58,7 +58,7 @@
 	// draining is set if the engine is draining or another one has replaced it at its address.
 	draining bool
 	// backoffUntil is the end of the backoff of each gateway that received a request for it,
-	// sharedBackoffUntil the end of the backoff of the others.
+	// sharedBackoffUntil is the end of the backoff of the others.
 	backoffUntil       map[request.Epoch]time.Time
 	sharedBackoffUntil time.Time
 	// requestedAt is the time of the last backoff request. The engine is recovering until a run
@@ -127,7 +127,7 @@
 		return
 	}
 	shared := min(left, maxSharedBackoff)
-	if scope == BackoffAllProbing {
+	if scope == BackoffOthersProbe {
 		shared = min(left, sig.nextSharedBackoff(from))
 	}
 	if until := now.Add(shared); until.After(sig.sharedBackoffUntil) {
