--- a/scheduler/notice.go
+++ b/scheduler/notice.go
@@ -57,7 +57,7 @@
 type signalState struct {
 	// draining is set if the engine is draining or another one has replaced it at its address.
 	draining bool
-	// backoffUntil is the end of the backoff of each gateway that received a request for it,
+	// backoffUntil is the end of the backoff of each gateway that received a request for it, and
 	// sharedBackoffUntil is the end of the backoff of the others.
 	backoffUntil       map[request.Epoch]time.Time
 	sharedBackoffUntil time.Time
