--- a/soak/crash.go
+++ b/soak/crash.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// maxEnded is how many engines one caller's request may end in a play: three until it
-	// is known, and as many again where hosts are killed, frozen and cut off before what
-	// one of them knows has come to another or to the store.
-	maxEnded = 6
-	// culpritPause is the time between two tries of that caller.
-	culpritPause = 200 * time.Millisecond
+	// maxCrashes bounds the engines that the poison request may crash in a run: three until it
+	// is identified, and three more where hosts are killed, frozen or partitioned before one of
+	// them has reported its findings to another host or to the store.
+	maxCrashes = 6
+	// poisonInterval is the time between two attempts with the poison request.
+	poisonInterval = 200 * time.Millisecond
 )
 
-// endEngines has a caller send a request that ends engines, again and again, until the
-// context ends.
-func (sys *system) endEngines(ctx context.Context, seed uint64) <-chan struct{} {
+// sendPoison starts a visitor that repeats a poison request, which crashes engines, until the
+// context is done. The returned channel is closed when the visitor has stopped.
+func (sys *system) sendPoison(ctx context.Context, seed uint64) <-chan struct{} {
 	var directories []netip.AddrPort
 	for _, hos := range sys.hosts {
 		directories = append(directories, hos.set.DirectoryAddress)
@@ -37,7 +37,7 @@
 	go func() {
 		defer close(end)
 		defer vis.Close()
-		tick := time.NewTicker(culpritPause)
+		tick := time.NewTicker(poisonInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -51,15 +51,15 @@
 	return end
 }
 
-// replaceEnded has another engine come for each that has ended; the entries of those that
-// ended lapse.
-func (sys *system) replaceEnded() {
+// replaceCrashed deletes the store entry of each crashed engine and starts another engine in
+// its place.
+func (sys *system) replaceCrashed() {
 	for _, eng := range sys.engines {
-		if !eng.hasEnded() || eng.replaced {
+		if !eng.hasCrashed() || eng.replaced {
 			continue
 		}
 		eng.replaced = true
-		if eng.leftAt.IsZero() {
+		if eng.retiredAt.IsZero() {
 			sys.put(store.Write{Key: entrytest.EngineKey(eng.id), Delete: true, Blind: true})
 		}
 		sys.addEngine(fmt.Sprintf("%s-%d", eng.id, len(sys.engines)), eng.service)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -10,35 +10,35 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// spareKey is a key that some configurations hold beside the usual one.
+// spareKey is a client key that some configurations accept in addition to entrytest.Key.
 const spareKey = "key-of-nurses"
 
-// fault brings one fault upon the system; those before may still be at work.
-func (sys *system) fault() {
-	kinds := []struct {
-		name string
-		work func()
+// injectFault injects one random fault. Earlier faults may still be in effect.
+func (sys *system) injectFault() {
+	faults := []struct {
+		name   string
+		inject func()
 	}{
 		{"kill a host", sys.killHost},
 		{"stop a host", sys.stopHost},
 		{"freeze a host", sys.freezeHost},
-		{"hang up a host", func() { sys.anyHost().Hangup() }},
+		{"send SIGHUP to a host", func() { sys.anyHost().Hangup() }},
 		{"cut a host from the store", func() { sys.anyHost().store.Cut() }},
-		{"silence a host's way to the store", func() { sys.anyHost().store.Silence(sys.random.IntN(2) == 0, true) }},
-		{"delay a host's way to the store", func() { sys.anyHost().store.Delay(200 * time.Millisecond) }},
-		{"reset a host's way to the store", func() { sys.anyHost().store.Reset() }},
-		{"heal the ways to the store", sys.healLinks},
-		{"fault of the store", sys.storeFault},
-		{"the store forgets", func() { sys.post(sys.store, platformtest.PathCompact, struct{}{}) }},
-		{"trouble of an engine", sys.engineTrouble},
-		{"trouble of an engine", sys.engineTrouble},
-		{"an engine leaves", sys.engineLeaves},
-		{"a configuration", sys.configure},
-		{"a key comes or goes", sys.changeKeys},
+		{"silence a host's link to the store", func() { sys.anyHost().store.Silence(sys.random.IntN(2) == 0, true) }},
+		{"delay a host's link to the store", func() { sys.anyHost().store.Delay(200 * time.Millisecond) }},
+		{"reset a host's link to the store", func() { sys.anyHost().store.Reset() }},
+		{"restore the links to the store", sys.restoreLinks},
+		{"change the store's faults", sys.storeFault},
+		{"compact the store", func() { sys.post(sys.store, platformtest.PathCompact, struct{}{}) }},
+		{"fault of an engine", sys.injectEngineFault},
+		{"fault of an engine", sys.injectEngineFault},
+		{"retire an engine", sys.retireEngine},
+		{"put a new configuration", sys.configure},
+		{"add or revoke the spare key", sys.toggleSpareKey},
 	}
-	one := kinds[sys.random.IntN(len(kinds))]
-	sys.t.Log(time.Now().Format("05.000"), one.name)
-	one.work()
+	flt := faults[sys.random.IntN(len(faults))]
+	sys.t.Log(time.Now().Format("05.000"), flt.name)
+	flt.inject()
 }
 
 func (sys *system) anyHost() *host {
@@ -47,10 +47,10 @@
 
 func (sys *system) killHost() {
 	hos := sys.anyHost()
-	hos.disturb()
+	hos.recordDisturbance()
 	hos.Kill()
 	hos.Wait()
-	sys.run(hos)
+	sys.startHost(hos)
 }
 
 func (sys *system) stopHost() {
@@ -59,25 +59,25 @@
 		return
 	}
 	hos.down = true
-	hos.disturb()
+	hos.recordDisturbance()
 	hos.Terminate()
 }
 
 func (sys *system) freezeHost() {
 	hos := sys.anyHost()
-	hos.disturb()
+	hos.recordDisturbance()
 	hos.Freeze()
 	sys.wait(time.Duration(sys.random.IntN(1500)) * time.Millisecond)
 	hos.Wake()
-	hos.disturb()
+	hos.recordDisturbance()
 }
 
-// disturb notes that the host doesn't run on as it did.
-func (hos *host) disturb() {
-	hos.disturbed = append(hos.disturbed, time.Now())
+// recordDisturbance records that the host is killed, stopped, started, frozen or resumed now.
+func (hos *host) recordDisturbance() {
+	hos.disturbances = append(hos.disturbances, time.Now())
 }
 
-func (sys *system) healLinks() {
+func (sys *system) restoreLinks() {
 	for _, hos := range sys.hosts {
 		hos.store.Restore()
 	}
@@ -95,34 +95,34 @@
 	sys.post(sys.store, platformtest.PathFaults, faults[sys.random.IntN(len(faults))])
 }
 
-func (sys *system) engineTrouble() {
+func (sys *system) injectEngineFault() {
 	eng := sys.engines[sys.random.IntN(len(sys.engines))]
-	if eng.hasEnded() {
+	if eng.hasCrashed() {
 		return
 	}
-	trb := upstreamtest.Trouble(1 + sys.random.IntN(int(upstreamtest.Early)-1))
-	swi := upstreamtest.Switch{Trouble: trb, Times: 1 + sys.random.IntN(4)}
-	sys.t.Log(eng.id, "has trouble", swi)
-	sys.tell(eng, upstreamtest.PathTrouble, swi)
+	flt := upstreamtest.Trouble(1 + sys.random.IntN(int(upstreamtest.Early)-1))
+	req := upstreamtest.Switch{Trouble: flt, Times: 1 + sys.random.IntN(4)}
+	sys.t.Log(eng.id, "gets a fault", req)
+	sys.control(eng, upstreamtest.PathTrouble, req)
 }
 
-// engineLeaves has an engine drain, or go without a word, and another one come.
-func (sys *system) engineLeaves() {
+// retireEngine drains an engine, or deregisters it without draining, and starts a replacement.
+func (sys *system) retireEngine() {
 	eng := sys.engines[sys.random.IntN(len(sys.engines))]
-	if !eng.leftAt.IsZero() || eng.hasEnded() {
+	if !eng.retiredAt.IsZero() || eng.hasCrashed() {
 		return
 	}
 	if sys.random.IntN(2) == 0 {
-		sys.enter(eng, true)
+		sys.register(eng, true)
 	} else {
 		sys.put(store.Write{Key: entrytest.EngineKey(eng.id), Delete: true, Blind: true})
 	}
-	eng.leftAt = time.Now()
+	eng.retiredAt = time.Now()
 	sys.addEngine(fmt.Sprintf("%s-%d", eng.id, len(sys.engines)), eng.service)
 }
 
-// changeKeys gives the spare key, or takes it away.
-func (sys *system) changeKeys() {
+// toggleSpareKey adds the spare key to the configuration, or revokes it.
+func (sys *system) toggleSpareKey() {
 	sys.mutex.Lock()
 	defer sys.mutex.Unlock()
 	if len(sys.keys) == 1 {
@@ -136,24 +136,24 @@
 	sys.revoked[spareKey] = time.Now()
 }
 
-// heal ends all faults; hosts that were stopped start anew.
-func (sys *system) heal() {
-	sys.healLinks()
+// clearFaults clears all faults and restarts the hosts that were stopped.
+func (sys *system) clearFaults() {
+	sys.restoreLinks()
 	sys.post(sys.store, platformtest.PathFaults, platformtest.Faults{})
 	for _, eng := range sys.engines {
-		// An engine that got few requests has troubles left.
-		if !eng.hasEnded() {
-			sys.tell(eng, upstreamtest.PathTrouble, upstreamtest.Switch{Clear: true})
+		// An engine that received few requests has faults left to apply.
+		if !eng.hasCrashed() {
+			sys.control(eng, upstreamtest.PathTrouble, upstreamtest.Switch{Clear: true})
 		}
 	}
 	for _, hos := range sys.hosts {
 		hos.Wake()
 		if hos.down {
 			hos.Wait()
-			sys.run(hos)
+			sys.startHost(hos)
 		}
 	}
 	for _, hos := range sys.hosts {
-		sys.until(hos.set.Name+" ready", func() bool { return sys.ready(hos) })
+		sys.waitUntil(hos.set.Name+" ready", func() bool { return sys.ready(hos) })
 	}
 }
--- a/soak/places.go
+++ b/soak/places.go
@@ -14,76 +14,79 @@
 )
 
 const (
-	// emptiedDomain is the failure domain that operators have emptied, usedDomain the other one.
-	emptiedDomain = "d1"
-	usedDomain    = "d0"
-	// toldInterval is how often what operators read is looked at.
-	toldInterval = 50 * time.Millisecond
-	// coldFor is for how long engines are cold, coldRate what they bear, in requests a second.
+	// evacuatedDomain is the failure domain that operators evacuate; openDomain is the other one.
+	evacuatedDomain = "d1"
+	openDomain      = "d0"
+	// statePollInterval is the interval at which the published evacuation state is read.
+	statePollInterval = 50 * time.Millisecond
+	// coldFor is the warm-up time of an engine; coldRate is the rate, in requests per second,
+	// that a cold engine withstands.
 	coldFor  = 2 * time.Second
 	coldRate = 6
 )
 
-// emptying is a time in which operators had read that a failure domain is closed.
-type emptying struct {
-	told, end time.Time
+// closedPeriod is a period in which the failure domain was published to operators as closed. A
+// zero end means that it still is.
+type closedPeriod struct {
+	start, end time.Time
 }
 
-// placesChange orders a failure domain to be emptied, or takes that back: its engines come back cold.
-func (sys *system) placesChange() {
+// changeEvacuation orders the evacuation of a failure domain or, with a probability of one in
+// three, withdraws an order that is in force. The engines of a reopened domain start cold.
+func (sys *system) changeEvacuation() {
 	switch {
-	case sys.ordered.IsZero():
-		sys.t.Log(time.Now().Format("05.000"), "a failure domain is emptied")
-		sys.ordered = time.Now()
-		sys.put(store.Write{Key: entrytest.EvacuationKey(emptiedDomain), Data: []byte("{}"), Blind: true})
-	case sys.places.IntN(3) == 0:
-		sys.takeBack()
+	case sys.orderedAt.IsZero():
+		sys.t.Log(time.Now().Format("05.000"), "evacuate a failure domain")
+		sys.orderedAt = time.Now()
+		sys.put(store.Write{Key: entrytest.EvacuationKey(evacuatedDomain), Data: []byte("{}"), Blind: true})
+	case sys.evacuationRandom.IntN(3) == 0:
+		sys.withdrawEvacuation()
 	}
 }
 
-// noteTold notes when operators read first that the domain is closed, by the order that is given.
-func (sys *system) noteTold() {
-	if sys.ordered.IsZero() || sys.toldOpen {
+// recordClosed starts a closed period when the published state first answers the current order.
+func (sys *system) recordClosed() {
+	if sys.orderedAt.IsZero() || sys.inClosedPeriod {
 		return
 	}
 	var sta entrytest.EvacuationState
-	if data := sys.peek(entrytest.EvacuationStateKey(emptiedDomain)).Data; len(data) > 0 {
+	if data := sys.readStore(entrytest.EvacuationStateKey(evacuatedDomain)).Data; len(data) > 0 {
 		assert.NilError(sys.t, json.Unmarshal(data, &sta))
 	}
-	order := sys.peek(entrytest.EvacuationKey(emptiedDomain))
+	order := sys.readStore(entrytest.EvacuationKey(evacuatedDomain))
 	if sta.State == "" || sta.Revision != uint64(order.Revision) {
 		return
 	}
-	sys.toldOpen = true
-	sys.emptied = append(sys.emptied, emptying{told: time.Now()})
+	sys.inClosedPeriod = true
+	sys.closedPeriods = append(sys.closedPeriods, closedPeriod{start: time.Now()})
 }
 
-// takeBack has the domain used again.
-func (sys *system) takeBack() {
-	if sys.ordered.IsZero() {
+// withdrawEvacuation withdraws the order, if there is one, and marks the domain's engines cold.
+func (sys *system) withdrawEvacuation() {
+	if sys.orderedAt.IsZero() {
 		return
 	}
-	sys.t.Log(time.Now().Format("05.000"), "it comes back cold")
-	if sys.toldOpen {
-		sys.emptied[len(sys.emptied)-1].end = time.Now()
+	sys.t.Log(time.Now().Format("05.000"), "reopen the failure domain with cold engines")
+	if sys.inClosedPeriod {
+		sys.closedPeriods[len(sys.closedPeriods)-1].end = time.Now()
 	}
-	sys.ordered, sys.toldOpen = time.Time{}, false
+	sys.orderedAt, sys.inClosedPeriod = time.Time{}, false
 	for _, eng := range sys.engines {
-		if eng.domain == emptiedDomain && eng.leftAt.IsZero() && !eng.hasEnded() {
-			sys.chill(eng)
+		if eng.domain == evacuatedDomain && eng.retiredAt.IsZero() && !eng.hasCrashed() {
+			sys.markCold(eng)
 		}
 	}
-	sys.put(store.Write{Key: entrytest.EvacuationKey(emptiedDomain), Delete: true, Blind: true})
+	sys.put(store.Write{Key: entrytest.EvacuationKey(evacuatedDomain), Delete: true, Blind: true})
 }
 
-// chill has an engine be cold, and say so in its entry.
-func (sys *system) chill(eng *engine) {
-	sys.tell(eng, upstreamtest.PathCold, upstreamtest.Cold{PerSecond: coldRate, For: coldFor})
-	sys.enterCold(eng, false, coldFor)
+// markCold makes an engine cold and registers it as cold.
+func (sys *system) markCold(eng *engine) {
+	sys.control(eng, upstreamtest.PathCold, upstreamtest.Cold{PerSecond: coldRate, For: coldFor})
+	sys.registerCold(eng, false, coldFor)
 }
 
-// peek returns what the store holds, as operators read it.
-func (sys *system) peek(key string) store.Value {
+// readStore returns the value under the key in the store, as operators read it.
+func (sys *system) readStore(key string) store.Value {
 	sys.t.Helper()
 	req, err := http.NewRequestWithContext(sys.t.Context(), http.MethodGet, "http://"+sys.store.String()+platformtest.PathValue+"?key="+key, http.NoBody)
 	assert.NilError(sys.t, err)
@@ -95,26 +98,26 @@
 	return val
 }
 
-// checkPlaces holds what reached engines against what operators had read, and against what cold
-// engines bear.
-func (sys *system) checkPlaces() {
+// checkEvacuations checks that no request reached an engine of a failure domain while it was
+// published as closed, and that no cold engine was overloaded.
+func (sys *system) checkEvacuations() {
 	sys.t.Helper()
-	sys.t.Logf("operators read %d times that the domain is closed", len(sys.emptied))
+	sys.t.Logf("the domain was published as closed %d times", len(sys.closedPeriods))
 	for _, eng := range sys.engines {
-		if eng.hasEnded() {
+		if eng.hasCrashed() {
 			continue
 		}
-		arrivals := read[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals)
+		arrivals := readList[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals)
 		for _, arr := range arrivals {
 			if arr.Fell {
-				sys.t.Errorf("%s fell over: cold, it got more than it bears", eng.id)
+				sys.t.Errorf("cold engine %s crashed: it received more requests than it withstands", eng.id)
 			}
-			if eng.domain != emptiedDomain {
+			if eng.domain != evacuatedDomain {
 				continue
 			}
-			for _, emp := range sys.emptied {
-				if arr.At.After(emp.told) && (emp.end.IsZero() || arr.At.Before(emp.end)) {
-					sys.t.Errorf("%s of %s got %s %s after operators had read that it is closed", eng.id, eng.domain, arr.ID, arr.At.Sub(emp.told))
+			for _, per := range sys.closedPeriods {
+				if arr.At.After(per.start) && (per.end.IsZero() || arr.At.Before(per.end)) {
+					sys.t.Errorf("engine %s of domain %s received %s %s after the domain was published as closed", eng.id, eng.domain, arr.ID, arr.At.Sub(per.start))
 				}
 			}
 		}
--- a/soak/rates.go
+++ b/soak/rates.go
@@ -8,105 +8,107 @@
 	"lynxwell.dev/lynxwell/visitor"
 )
 
-// The users' bounds: from rateGrace after an engine first named a rate it gets in each window
-// no more than rateFactor times what that allows, and rateSlack more, of all hosts together
-// that had passed on such an answer rateTold before.
+// The users' bounds on rate limits: from rateGrace after an engine first sent a rate limit, it
+// receives in each rateWindow at most rateFactor times the limit plus rateSlack requests. Only
+// requests count that a host sent at least rateReportDelay after it had passed on an answer with
+// a rate limit; the counts of all such hosts are added up.
 const (
-	rateGrace  = 3 * time.Second
-	rateTold   = 500 * time.Millisecond
-	rateWindow = 4 * time.Second
-	rateFactor = 1.5
-	rateSlack  = 5
+	rateGrace       = 3 * time.Second
+	rateReportDelay = 500 * time.Millisecond
+	rateWindow      = 4 * time.Second
+	rateFactor      = 1.5
+	rateSlack       = 5
 )
 
-// namedRates are what engines name, in requests a second; callers ask for more.
-var namedRates = []float64{0, 0.5, 1.5, 3}
+// rateLimits are the limits that engines send, in requests per second. Visitors send more.
+var rateLimits = []float64{0, 0.5, 1.5, 3}
 
-// engineNamesRate has an engine name a rate, or end it: it serves all that it gets either way.
-func (sys *system) engineNamesRate() {
-	eng := sys.engines[sys.rates.IntN(len(sys.engines))]
-	if eng.pauses {
-		// A word here would end its pause.
+// changeRateLimit makes an engine send a rate limit in its answers, or end it. The engine serves
+// all requests in either case.
+func (sys *system) changeRateLimit() {
+	eng := sys.engines[sys.rateRandom.IntN(len(sys.engines))]
+	if eng.signalsBackoff {
+		// A change of its signals would clear its backoff.
 		return
 	}
-	if eng.rate != nil && sys.rates.IntN(2) == 0 {
+	if eng.rate != nil && sys.rateRandom.IntN(2) == 0 {
 		return
 	}
 	if eng.rate != nil {
 		eng.rate = nil
 	} else {
-		eng.rate = &namedRates[sys.rates.IntN(len(namedRates))]
+		eng.rate = &rateLimits[sys.rateRandom.IntN(len(rateLimits))]
 	}
-	sys.word(eng, upstreamtest.Word{Rate: eng.rate, Leaves: eng.saysLeaves})
+	sys.setSignals(eng, upstreamtest.Word{Rate: eng.rate, Leaves: eng.signalsDraining})
 }
 
-// checkRates holds what reached engines against the rates that they had named.
+// checkRates checks the requests that an engine received against the rate limits it had sent.
 func (sys *system) checkRates(eng *engine, by map[netip.AddrPort][]upstreamtest.Arrival, attempts map[string]visitor.Attempt) {
 	sys.t.Helper()
 	var counted []upstreamtest.Arrival
 	for _, hos := range sys.hosts {
-		counted = append(counted, hos.afterTold(by[hos.set.CallerAddress], attempts)...)
+		counted = append(counted, hos.sentAfterRateLimit(by[hos.set.CallerAddress], attempts)...)
 	}
-	for _, spa := range spansOfRates(read[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals)) {
+	for _, spa := range rateSpans(readList[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals)) {
 		allowed := int(rateFactor*spa.rate*rateWindow.Seconds() + rateSlack)
 		for _, first := range counted {
 			count := 0
 			for _, arr := range counted {
-				if since := arr.At.Sub(first.At); since >= 0 && since < rateWindow && spa.holds(first.At) && spa.holds(arr.At) {
+				if since := arr.At.Sub(first.At); since >= 0 && since < rateWindow && spa.covers(first.At) && spa.covers(arr.At) {
 					count++
 				}
 			}
 			if count > allowed {
-				sys.t.Errorf("%s, which named %g requests a second, got %d in %s of hosts that it had told, from %s on; allowed %d", eng.id, spa.rate, count, rateWindow, first.At.Format("05.000"), allowed)
+				sys.t.Errorf("engine %s with a limit of %g requests per second received %d in %s from hosts that knew the limit, from %s on; allowed %d", eng.id, spa.rate, count, rateWindow, first.At.Format("05.000"), allowed)
 				break
 			}
 		}
 	}
 }
 
-// afterTold returns the requests that a host sent to an engine after it had passed on an
-// answer with a rate, up to its next disturbance each time.
-func (hos *host) afterTold(arrivals []upstreamtest.Arrival, attempts map[string]visitor.Attempt) []upstreamtest.Arrival {
-	var told time.Time
+// sentAfterRateLimit returns the requests that a host sent to an engine at least rateReportDelay
+// after it had passed on an answer with a rate limit. A disturbance of the host starts over.
+func (hos *host) sentAfterRateLimit(arrivals []upstreamtest.Arrival, attempts map[string]visitor.Attempt) []upstreamtest.Arrival {
+	var reportedAt time.Time
 	var after []upstreamtest.Arrival
 	for _, arr := range arrivals {
-		if hos.disturbedIn(told, arr.At) {
-			told = time.Time{}
+		if hos.disturbedDuring(reportedAt, arr.At) {
+			reportedAt = time.Time{}
 		}
-		if !told.IsZero() && arr.At.Sub(told) >= rateTold {
+		if !reportedAt.IsZero() && arr.At.Sub(reportedAt) >= rateReportDelay {
 			after = append(after, arr)
 		}
 		att := attempts[arr.ID]
-		if told.IsZero() && arr.Rate != nil && !arr.Silent && att.Status != 0 && att.Err == nil {
-			told = att.Sent.Add(att.Took)
+		if reportedAt.IsZero() && arr.Rate != nil && !arr.Silent && att.Status != 0 && att.Err == nil {
+			reportedAt = att.Sent.Add(att.Took)
 		}
 	}
 	return after
 }
 
-// rateSpan is a time in which an engine named one rate in all its answers.
+// rateSpan is a period in which all answers of an engine carried the same rate limit.
 type rateSpan struct {
 	rate        float64
 	from, until time.Time
 }
 
-// holds reports whether requests at a time are held against the rate.
-func (spa rateSpan) holds(at time.Time) bool {
+// covers reports whether requests at the time are checked against the rate.
+func (spa rateSpan) covers(at time.Time) bool {
 	return !at.Before(spa.from.Add(rateGrace)) && !at.After(spa.until)
 }
 
-// spansOfRates returns the spans in which arrivals were answered with the same rate.
-func spansOfRates(arrivals []upstreamtest.Arrival) []rateSpan {
+// rateSpans returns the periods in which arrivals were answered with the same rate limit.
+func rateSpans(arrivals []upstreamtest.Arrival) []rateSpan {
 	var spans []rateSpan
-	named := false
+	limited := false
 	for _, arr := range arrivals {
 		switch {
 		case arr.Rate == nil:
-			named = false
-		case named && spans[len(spans)-1].rate == *arr.Rate:
+			limited = false
+		case limited && spans[len(spans)-1].rate == *arr.Rate:
 			spans[len(spans)-1].until = arr.At
 		default:
-			named = true
+			limited = true
 			spans = append(spans, rateSpan{rate: *arr.Rate, from: arr.At, until: arr.At})
 		}
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,15 +1,15 @@
-// Package soak runs the real programs as separate processes, brings faults upon
-// them from outside, in series and overlapping, and checks what callers and
+// Package soak runs the real programs as separate processes, injects faults from
+// outside, in series and overlapping, and checks the results that clients and
 // engines see.
 //
 // # Usage
 //
 //	func TestMain(m *testing.M) { processtest.Main(m) }
-//	soak.Play(t, soak.Config{Seed: 17})
+//	soak.Run(t, soak.Config{Seed: 17})
 //
-// A seed decides the faults, their order and the requests; how the processes
-// interleave is up to the machine. Only processes that a play started are ended,
-// by their ids.
+// A seed determines the faults, their order and the requests; the interleaving of
+// the processes varies from run to run. A run signals only processes that it
+// started, by their process ids.
 package soak
 
 import (
@@ -40,49 +40,50 @@
 
 const (
 	defaultHosts = 3
-	// perService is how many engines each of the two services has.
+	// perService is the number of engines of each of the two services.
 	perService = 3
-	// steps is how many faults a play has, stepMean how far apart they are.
-	steps    = 8
-	stepMean = 500 * time.Millisecond
-	// visitors is how many callers there are.
-	visitors = 6
-	// settleTime lets everything recover before the last requests.
+	// faultCount is the number of faults in a run; meanFaultInterval is the mean time between
+	// two of them.
+	faultCount        = 8
+	meanFaultInterval = 500 * time.Millisecond
+	// visitorCount is the number of visitors, each a client of its own.
+	visitorCount = 6
+	// settleTime is the time for recovery before the last requests.
 	settleTime = 3 * time.Second
-	// startLimit bounds the start, and any condition waited for.
+	// startLimit bounds the start and every wait for a condition.
 	startLimit = 20 * time.Second
-	// slots is how many requests an engine says that it works on at a time.
+	// slots is the number of concurrent requests that an engine registers with.
 	slots = 4
-	// events is the length of a stream.
+	// events is the number of events in a stream.
 	events = 5
 )
 
-// Config holds what a play is made from.
+// Config holds the parameters of a run. Hosts is the number of hosts; 0 stands for 3.
 type Config struct {
 	Seed  uint64
 	Hosts int
 }
 
-// system is the processes of a play.
+// system holds the processes of a run.
 type system struct {
 	t      *testing.T
 	dir    string
 	random *rand.Rand
-	// words decides what engines say of themselves, by itself: the faults of a seed stay.
-	words *rand.Rand
-	// rates decides which rates they name, by itself too, places when a failure domain is
-	// emptied and used again.
-	rates  *rand.Rand
-	places *rand.Rand
-	// ordered is when the order was given that holds, zero for none; toldOpen says that
-	// operators have read since that the domain is closed, emptied are the times for which
-	// they had.
-	ordered  time.Time
-	toldOpen bool
-	emptied  []emptying
-	store    netip.AddrPort
-	hosts    []*host
-	// engines are all that ever ran; entered are those with an entry.
+	// signalRandom selects the signals of engines, rateRandom their rate limits, and
+	// evacuationRandom the evacuations of a failure domain. They are sources of their own, so
+	// that the faults of a seed do not depend on them.
+	signalRandom     *rand.Rand
+	rateRandom       *rand.Rand
+	evacuationRandom *rand.Rand
+	// orderedAt is the time of the evacuation order in force, zero for none. inClosedPeriod is
+	// set once the domain was published as closed under this order. closedPeriods lists the
+	// periods in which the domain was published as closed.
+	orderedAt      time.Time
+	inClosedPeriod bool
+	closedPeriods  []closedPeriod
+	store          netip.AddrPort
+	hosts          []*host
+	// engines holds every engine that was started, including crashed and retired ones.
 	engines []*engine
 	version uint64
 	keys    []string
@@ -96,8 +97,8 @@
 	store *processtest.Link
 	file  string
 	down  bool
-	// disturbed is when the host was killed, stopped, started, frozen or woken.
-	disturbed []time.Time
+	// disturbances holds the times at which the host was killed, stopped, started, frozen or resumed.
+	disturbances []time.Time
 }
 
 type engine struct {
@@ -105,75 +106,79 @@
 	service string
 	domain  string
 	address netip.AddrPort
-	// sequence counts what it has told in its entry.
+	// sequence counts the versions of its store entry.
 	sequence uint64
-	// leftAt is when its entry was taken away or began to drain; zero before.
-	leftAt time.Time
-	// ended is closed when its process has ended, replaced says that another is in its place.
-	ended    chan struct{}
+	// retiredAt is the time at which its entry was deleted or began to drain; zero before.
+	retiredAt time.Time
+	// crashed is closed when its process has exited; replaced is set once another engine was
+	// started in its place.
+	crashed  chan struct{}
 	replaced bool
-	// saysLeaves says that its answers tell of its leave, pauses that it turns requests away.
-	saysLeaves bool
-	pauses     bool
-	// rate is what its answers name; nil for none.
+	// signalsDraining is set while its answers carry the draining signal, signalsBackoff while
+	// it rejects requests with a backoff request.
+	signalsDraining bool
+	signalsBackoff  bool
+	// rate is the rate limit that its answers carry, in requests per second; nil for none.
 	rate *float64
 }
 
-// hasEnded reports whether the engine's process has ended.
-func (eng *engine) hasEnded() bool {
+// hasCrashed reports whether the engine's process has exited.
+func (eng *engine) hasCrashed() bool {
 	select {
-	case <-eng.ended:
+	case <-eng.crashed:
 		return true
 	default:
 		return false
 	}
 }
 
-// Play plays a seed and checks the promises.
-func Play(t *testing.T, cfg Config) {
+// Run starts a system, injects the faults of a seed and checks the guarantees to clients,
+// operators and engines.
+func Run(t *testing.T, cfg Config) {
 	t.Helper()
 	if cfg.Hosts == 0 {
 		cfg.Hosts = defaultHosts
 	}
 	sys := start(t, cfg)
 	ctx, cancel := context.WithCancel(t.Context())
-	sent := sys.visit(ctx, cfg.Seed)
-	culprit := sys.endEngines(ctx, cfg.Seed)
+	sent := sys.startVisitors(ctx, cfg.Seed)
+	poison := sys.sendPoison(ctx, cfg.Seed)
 	for range perService {
-		sys.engineNamesRate()
+		sys.changeRateLimit()
 	}
-	for range steps {
-		sys.fault()
-		sys.engineSays()
-		if sys.rates.IntN(3) == 0 {
-			sys.engineNamesRate()
+	for range faultCount {
+		sys.injectFault()
+		sys.changeSignals()
+		if sys.rateRandom.IntN(3) == 0 {
+			sys.changeRateLimit()
 		}
-		sys.placesChange()
-		sys.replaceEnded()
-		sys.wait(time.Duration(float64(stepMean) * sys.random.ExpFloat64()))
+		sys.changeEvacuation()
+		sys.replaceCrashed()
+		sys.wait(time.Duration(float64(meanFaultInterval) * sys.random.ExpFloat64()))
 	}
-	sys.heal()
-	sys.endPauses()
+	sys.clearFaults()
+	sys.clearBackoffs()
 	sys.wait(settleTime)
-	sys.takeBack()
+	sys.withdrawEvacuation()
 	sys.wait(settleTime)
 	cancel()
-	<-culprit
-	sys.replaceEnded()
+	<-poison
+	sys.replaceCrashed()
 	results := <-sent
-	sys.check(results)
-	sys.serves(cfg.Seed)
+	sys.checkResults(results)
+	sys.checkServing(cfg.Seed)
 }
 
-// wait lets time pass: faults need their time to work.
+// wait waits for the duration, so that faults take effect, and polls the evacuation state
+// meanwhile. It bounds the duration.
 func (sys *system) wait(dur time.Duration) {
-	end := time.After(min(dur, 4*stepMean+settleTime))
-	tick := time.NewTicker(toldInterval)
+	end := time.After(min(dur, 4*meanFaultInterval+settleTime))
+	tick := time.NewTicker(statePollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			sys.noteTold()
+			sys.recordClosed()
 		case <-end:
 			return
 		}
@@ -182,7 +187,7 @@
 
 func start(t *testing.T, cfg Config) *system {
 	t.Helper()
-	sys := &system{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(cfg.Seed, 1)), words: rand.New(rand.NewPCG(cfg.Seed, 55)), rates: rand.New(rand.NewPCG(cfg.Seed, 89)), places: rand.New(rand.NewPCG(cfg.Seed, 144)), revoked: make(map[string]time.Time)}
+	sys := &system{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(cfg.Seed, 1)), signalRandom: rand.New(rand.NewPCG(cfg.Seed, 55)), rateRandom: rand.New(rand.NewPCG(cfg.Seed, 89)), evacuationRandom: rand.New(rand.NewPCG(cfg.Seed, 144)), revoked: make(map[string]time.Time)}
 	_, sys.store = processtest.Standin(t, sys.dir, "store", "platform")
 	for idx := range perService {
 		sys.addEngine(fmt.Sprintf("m%d", idx), entrytest.Model)
@@ -193,22 +198,22 @@
 	for idx := range cfg.Hosts {
 		sys.addHost(idx)
 	}
-	t.Cleanup(sys.keepLogs)
+	t.Cleanup(sys.saveLogs)
 	for _, hos := range sys.hosts {
-		sys.until("host ready", func() bool { return sys.ready(hos) })
+		sys.waitUntil("host ready", func() bool { return sys.ready(hos) })
 	}
 	return sys
 }
 
-// keepLogs copies the logs of a failed play to where they stay.
-func (sys *system) keepLogs() {
-	keep := os.Getenv("LYNXWELL_SOAK_LOGS")
-	if !sys.t.Failed() || keep == "" {
+// saveLogs copies the logs of a failed run to the directory in LYNXWELL_SOAK_LOGS.
+func (sys *system) saveLogs() {
+	root := os.Getenv("LYNXWELL_SOAK_LOGS")
+	if !sys.t.Failed() || root == "" {
 		return
 	}
-	target := filepath.Join(keep, filepath.Base(sys.t.Name()))
+	target := filepath.Join(root, filepath.Base(sys.t.Name()))
 	if err := os.CopyFS(target, os.DirFS(sys.dir)); err != nil {
-		sys.t.Log("logs not kept:", err)
+		sys.t.Log("cannot copy the logs of the run:", err)
 	}
 }
 
@@ -219,28 +224,28 @@
 		args = append(args, "--events", fmt.Sprint(events), "--step", "20ms", "--crash-body", entrytest.PoisonBody)
 	}
 	pro, adr := processtest.Standin(sys.t, sys.dir, "engine-"+id, args...)
-	eng := &engine{id: id, service: service, domain: usedDomain, address: adr, ended: make(chan struct{})}
+	eng := &engine{id: id, service: service, domain: openDomain, address: adr, crashed: make(chan struct{})}
 	if len(sys.engines)%3 == 0 {
-		eng.domain = emptiedDomain
+		eng.domain = evacuatedDomain
 	}
 	go func() {
 		pro.Wait()
-		close(eng.ended)
+		close(eng.crashed)
 	}()
 	sys.engines = append(sys.engines, eng)
 	if sys.version > 0 {
-		// It starts while traffic flows.
-		sys.chill(eng)
+		// An engine that starts under traffic is cold.
+		sys.markCold(eng)
 		return
 	}
-	sys.enter(eng, false)
+	sys.register(eng, false)
 }
 
-func (sys *system) enter(eng *engine, draining bool) {
-	sys.enterCold(eng, draining, 0)
+func (sys *system) register(eng *engine, draining bool) {
+	sys.registerCold(eng, draining, 0)
 }
 
-func (sys *system) enterCold(eng *engine, draining bool, cold time.Duration) {
+func (sys *system) registerCold(eng *engine, draining bool, cold time.Duration) {
 	eng.sequence++
 	entry := entrytest.EngineEntry(entrytest.EngineState{
 		Service: eng.service, Address: eng.address.String(), Slots: slots, Draining: draining, Domain: eng.domain, Cold: cold, Sequence: eng.sequence,
@@ -253,7 +258,7 @@
 	sys.post(sys.store, platformtest.PathPut, wri)
 }
 
-// configure puts the next version in force.
+// configure writes the next version of the configuration to the store.
 func (sys *system) configure() {
 	sys.t.Helper()
 	sys.version += 1 + sys.random.Uint64N(3)
@@ -266,8 +271,7 @@
 	assert.NilError(sys.t, sys.tryPost(adr, path, body))
 }
 
-// tryPost returns an error where no answer came; any other answer than a good one fails the
-// play.
+// tryPost returns an error if there was no answer; any answer but status 200 fails the test.
 func (sys *system) tryPost(adr netip.AddrPort, path string, body any) error {
 	sys.t.Helper()
 	data, err := json.Marshal(body)
@@ -283,12 +287,12 @@
 	return nil
 }
 
-// tell has an engine's own switch take a body. The engine may end at that very moment, since
-// a caller's request does it: then there is nothing to tell any more.
-func (sys *system) tell(eng *engine, path string, body any) {
+// control posts a body to a control path of an engine. The poison request may crash the engine
+// at the same moment; a failed call is accepted if the engine has crashed.
+func (sys *system) control(eng *engine, path string, body any) {
 	sys.t.Helper()
 	if err := sys.tryPost(eng.address, path, body); err != nil {
-		sys.until(eng.id+" has ended, since it can't be told", eng.hasEnded)
+		sys.waitUntil(eng.id+" has crashed, since its control path does not answer", eng.hasCrashed)
 	}
 }
 
@@ -302,15 +306,15 @@
 	}
 	hos.file = filepath.Join(sys.dir, hos.set.Name+".json")
 	sys.hosts = append(sys.hosts, hos)
-	sys.run(hos)
+	sys.startHost(hos)
 }
 
-func (sys *system) run(hos *host) {
+func (sys *system) startHost(hos *host) {
 	sys.t.Helper()
 	data, err := json.Marshal(hos.set)
 	assert.NilError(sys.t, err)
 	assert.NilError(sys.t, os.WriteFile(hos.file, data, 0o600))
-	hos.disturb()
+	hos.recordDisturbance()
 	hos.Process = processtest.Run(sys.t, sys.dir, hos.set.Name, "entry", "--settings", hos.file)
 	hos.down = false
 }
@@ -326,7 +330,7 @@
 	return rep.StatusCode == http.StatusOK
 }
 
-func (sys *system) until(what string, holds func() bool) {
+func (sys *system) waitUntil(condition string, holds func() bool) {
 	sys.t.Helper()
 	limit := time.After(startLimit)
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -335,18 +339,18 @@
 		select {
 		case <-tick.C:
 		case <-limit:
-			sys.t.Fatalf("not within %s: %s", startLimit, what)
+			sys.t.Fatalf("condition not met within %s: %s", startLimit, condition)
 		}
 	}
 }
 
-// runs returns what an engine ran.
+// runs returns the requests that an engine ran.
 func (sys *system) runs(eng *engine) []upstreamtest.Run {
-	return read[upstreamtest.Run](sys, eng, upstreamtest.PathRuns)
+	return readList[upstreamtest.Run](sys, eng, upstreamtest.PathRuns)
 }
 
-// read reads a list from an engine's own switches.
-func read[T any](sys *system, eng *engine, path string) []T {
+// readList reads a list from a control path of an engine.
+func readList[T any](sys *system, eng *engine, path string) []T {
 	sys.t.Helper()
 	req, err := http.NewRequestWithContext(sys.t.Context(), http.MethodGet, "http://"+eng.address.String()+path, http.NoBody)
 	assert.NilError(sys.t, err)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -12,25 +12,25 @@
 func TestMain(m *testing.M) { processtest.Main(m) }
 
 var (
-	seeds = flag.Int("soak.seeds", 0, "play so many fresh seeds from soak.first on")
+	seeds = flag.Int("soak.seeds", 0, "number of fresh seeds to run, starting at soak.first")
 	first = flag.Uint64("soak.first", 1, "the first of the fresh seeds")
-	hosts = flag.Int("soak.hosts", 0, "hosts of the fresh seeds; 0 is the usual size")
+	hosts = flag.Int("soak.hosts", 0, "number of hosts for the fresh seeds; 0 stands for 3")
 )
 
-// regressions are seeds that failed once, with the cause.
+// regressions maps seeds that failed once to the cause of the failure.
 var regressions = map[uint64]string{
-	97004: "at three times the machine's processors of other work no host heard of the store for four seconds, in eight plays of fifty; passes alone, since no promise is about that",
-	97016: "the same: two plays at once stood still for three seconds, in the middle of a stream",
-	98015: "one caller's request ended eight engines: the host that decided had lost the store and saw no entry go, and the others didn't tell it what they had concluded",
-	96013: "the soak's own: it told an engine of its trouble in the moment in which a caller's request ended that engine",
-	96042: "the same, of a word",
-	91033: "an engine that had left got requests for 8.8 s by the one host whose way to the store was silent: it kept what others told it was gone",
-	71015: "the soak's own: an engine that hung had told nothing, and the host's 504 was taken for its answer that it leaves",
+	97004: "under other work of three times the machine's processors no host got an update from the store for four seconds, in 8 runs of 50; passes alone, since no guarantee covers that load",
+	97016: "overload as with 97004: two concurrent runs stalled for three seconds in the middle of a stream",
+	98015: "the poison request crashed eight engines: the coordinator had lost the store and saw no entry deleted, and the other hosts did not report their findings to it",
+	96013: "fault of the soak test: it posted a fault to an engine at the moment at which the poison request crashed that engine",
+	96042: "fault of the soak test as with 96013, on posting a signal",
+	91033: "a retired engine got requests for 8.8 s from the one host whose link to the store was silent: the host kept the engine although its peers had reported it deregistered",
+	71015: "fault of the soak test: an engine that hung had sent no answer, and the host's 504 was taken for the engine's draining signal",
 }
 
-// openSeeds are seeds that failed once for what isn't mended, with what was seen.
+// openSeeds maps seeds that failed once, for a cause that is not fixed yet, to the failure.
 var openSeeds = map[uint64]string{
-	94006: "a stream that others send too was held as one that ends engines: it had run on two engines with the request that ended them, and most likely alone on a third that broke its answer off and was ended by that request within ten seconds",
+	94006: "a stream that other visitors send too was held as a poison request: it had run on two engines together with the poison request that crashed them, and most likely alone on a third engine that aborted its answer and was crashed by the poison request within ten seconds",
 }
 
 func TestOpenSeeds(t *testing.T) {
@@ -38,7 +38,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			t.Log(why)
-			soak.Play(t, soak.Config{Seed: seed})
+			soak.Run(t, soak.Config{Seed: seed})
 		})
 	}
 }
@@ -47,7 +47,7 @@
 	for _, seed := range []uint64{101, 102} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			soak.Play(t, soak.Config{Seed: seed})
+			soak.Run(t, soak.Config{Seed: seed})
 		})
 	}
 }
@@ -57,7 +57,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			t.Log(why)
-			soak.Play(t, soak.Config{Seed: seed})
+			soak.Run(t, soak.Config{Seed: seed})
 		})
 	}
 }
@@ -67,7 +67,7 @@
 		seed := *first + uint64(idx)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			soak.Play(t, soak.Config{Seed: seed, Hosts: *hosts})
+			soak.Run(t, soak.Config{Seed: seed, Hosts: *hosts})
 		})
 	}
 }
--- a/soak/words.go
+++ b/soak/words.go
@@ -10,64 +10,66 @@
 )
 
 const (
-	// leaveWordBound is after what time a host that has passed on an engine's word that it
-	// leaves sends it nothing more: the users' bound.
-	leaveWordBound = 2 * time.Second
-	// pauseBound is from when on an engine that asked a host for a pause gets no more than
-	// maxInPause requests from it until the pause's end: the users' bounds.
-	pauseBound = 500 * time.Millisecond
-	maxInPause = 2
-	// maxPause is the longest pause that an engine asks for.
-	maxPause = 3 * time.Second
+	// drainSignalBound is the users' bound on the time after which a host that has passed on an
+	// engine's draining signal sends no more requests to the engine.
+	drainSignalBound = 2 * time.Second
+	// backoffBound and maxInBackoff are the users' bounds on backoff requests: from backoffBound
+	// after an engine asked a host to back off until the end of the backoff, the host sends it at
+	// most maxInBackoff requests.
+	backoffBound = 500 * time.Millisecond
+	maxInBackoff = 2
+	// maxBackoff is the longest backoff that an engine requests.
+	maxBackoff = 3 * time.Second
 )
 
-// engineSays has an engine say something of itself in its answers: that it leaves, which
-// its entry doesn't tell, or that it wants a pause. Engines that turned all away before serve
-// again, some of them.
-func (sys *system) engineSays() {
+// changeSignals makes an engine send a draining signal, which its store entry does not show, or
+// a backoff request in its answers. Before that, each engine that asks for backoff serves again
+// with a probability of one half.
+func (sys *system) changeSignals() {
 	for _, eng := range sys.engines {
-		if eng.pauses && sys.words.IntN(2) == 0 {
-			sys.endPause(eng)
+		if eng.signalsBackoff && sys.signalRandom.IntN(2) == 0 {
+			sys.clearBackoff(eng)
 		}
 	}
-	eng := sys.engines[sys.words.IntN(len(sys.engines))]
-	if eng.hasEnded() || eng.saysLeaves {
+	eng := sys.engines[sys.signalRandom.IntN(len(sys.engines))]
+	if eng.hasCrashed() || eng.signalsDraining {
 		return
 	}
-	if sys.words.IntN(4) == 0 {
-		eng.saysLeaves = true
-		sys.word(eng, upstreamtest.Word{Leaves: true, Rate: eng.rate})
+	if sys.signalRandom.IntN(4) == 0 {
+		eng.signalsDraining = true
+		sys.setSignals(eng, upstreamtest.Word{Leaves: true, Rate: eng.rate})
 		sys.addEngine(fmt.Sprintf("%s-%d", eng.id, len(sys.engines)), eng.service)
 		return
 	}
-	eng.pauses = true
-	sys.word(eng, upstreamtest.Word{Rate: eng.rate, Pause: time.Second + time.Duration(sys.words.Int64N(int64(maxPause-time.Second)))})
+	eng.signalsBackoff = true
+	sys.setSignals(eng, upstreamtest.Word{Rate: eng.rate, Pause: time.Second + time.Duration(sys.signalRandom.Int64N(int64(maxBackoff-time.Second)))})
 }
 
-// endPauses has all engines serve again.
-func (sys *system) endPauses() {
+// clearBackoffs makes all engines serve again.
+func (sys *system) clearBackoffs() {
 	for _, eng := range sys.engines {
-		if eng.pauses {
-			sys.endPause(eng)
+		if eng.signalsBackoff {
+			sys.clearBackoff(eng)
 		}
 	}
 }
 
-func (sys *system) endPause(eng *engine) {
-	eng.pauses = false
-	sys.word(eng, upstreamtest.Word{Rate: eng.rate})
+func (sys *system) clearBackoff(eng *engine) {
+	eng.signalsBackoff = false
+	sys.setSignals(eng, upstreamtest.Word{Rate: eng.rate})
 }
 
-func (sys *system) word(eng *engine, word upstreamtest.Word) {
-	if eng.hasEnded() {
+func (sys *system) setSignals(eng *engine, sig upstreamtest.Word) {
+	if eng.hasCrashed() {
 		return
 	}
-	sys.t.Log(time.Now().Format("05.000"), eng.id, "says", word)
-	sys.tell(eng, upstreamtest.PathWord, word)
+	sys.t.Log(time.Now().Format("05.000"), eng.id, "signals", sig)
+	sys.control(eng, upstreamtest.PathWord, sig)
 }
 
-// checkWords holds what reached engines against what they had said to the host before.
-func (sys *system) checkWords(sent []sending) {
+// checkSignals checks the requests that each engine received from each host against the signals
+// that it had sent to that host before.
+func (sys *system) checkSignals(sent []sentRequest) {
 	sys.t.Helper()
 	attempts := make(map[string]visitor.Attempt)
 	for _, snd := range sent {
@@ -75,16 +77,16 @@
 			attempts[att.ID] = att
 		}
 	}
-	words := 0
+	signaled := 0
 	for _, eng := range sys.engines {
-		if eng.hasEnded() {
-			// What it knew is lost with it.
+		if eng.hasCrashed() {
+			// Its records of arrivals are lost with the process.
 			continue
 		}
 		by := make(map[netip.AddrPort][]upstreamtest.Arrival)
-		for _, arr := range read[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals) {
+		for _, arr := range readList[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals) {
 			if arr.Leaves || arr.Pause > 0 || arr.Rate != nil {
-				words++
+				signaled++
 			}
 			if att, known := attempts[arr.ID]; known {
 				by[att.Address] = append(by[att.Address], arr)
@@ -92,51 +94,52 @@
 		}
 		for _, hos := range sys.hosts {
 			arrivals := by[hos.set.CallerAddress]
-			sys.checkLeave(eng, hos, arrivals, attempts)
-			sys.checkPauses(eng, hos, arrivals)
+			sys.checkDraining(eng, hos, arrivals, attempts)
+			sys.checkBackoffs(eng, hos, arrivals)
 		}
 		sys.checkRates(eng, by, attempts)
 	}
-	sys.t.Logf("%d answers in which engines spoke of themselves", words)
+	sys.t.Logf("%d answers carried engine signals", signaled)
 }
 
-func (sys *system) checkLeave(eng *engine, hos *host, arrivals []upstreamtest.Arrival, attempts map[string]visitor.Attempt) {
+func (sys *system) checkDraining(eng *engine, hos *host, arrivals []upstreamtest.Arrival, attempts map[string]visitor.Attempt) {
 	for _, first := range arrivals {
 		att := attempts[first.ID]
 		if !first.Leaves || first.Silent || att.Status == 0 || att.Err != nil {
 			continue
 		}
-		passedOn := att.Sent.Add(att.Took)
+		passedOnAt := att.Sent.Add(att.Took)
 		for _, arr := range arrivals {
-			late := attempts[arr.ID].Sent.Sub(passedOn)
-			if late > leaveWordBound && !hos.disturbedIn(first.At, arr.At) {
-				sys.t.Errorf("%s sent %s to %s, which had told it %s before that it leaves", hos.set.Name, arr.ID, eng.id, late)
+			late := attempts[arr.ID].Sent.Sub(passedOnAt)
+			if late > drainSignalBound && !hos.disturbedDuring(first.At, arr.At) {
+				sys.t.Errorf("host %s sent %s to engine %s, %s after it had passed on the engine's draining signal", hos.set.Name, arr.ID, eng.id, late)
 			}
 		}
 		return
 	}
 }
 
-func (sys *system) checkPauses(eng *engine, hos *host, arrivals []upstreamtest.Arrival) {
+func (sys *system) checkBackoffs(eng *engine, hos *host, arrivals []upstreamtest.Arrival) {
 	for _, asked := range arrivals {
-		if asked.Pause == 0 || hos.disturbedIn(asked.At.Add(-time.Second), asked.At.Add(asked.Pause)) {
+		if asked.Pause == 0 || hos.disturbedDuring(asked.At.Add(-time.Second), asked.At.Add(asked.Pause)) {
 			continue
 		}
 		count := 0
 		for _, arr := range arrivals {
-			if since := arr.At.Sub(asked.At); since > pauseBound && since < asked.Pause {
+			if since := arr.At.Sub(asked.At); since > backoffBound && since < asked.Pause {
 				count++
 			}
 		}
-		if count > maxInPause {
-			sys.t.Errorf("%s sent %d requests to %s in a pause of %s that it had asked for", hos.set.Name, count, eng.id, asked.Pause)
+		if count > maxInBackoff {
+			sys.t.Errorf("host %s sent %d requests to engine %s during a requested backoff of %s", hos.set.Name, count, eng.id, asked.Pause)
 		}
 	}
 }
 
-// disturbedIn reports whether the host was killed, stopped, started or frozen in between.
-func (hos *host) disturbedIn(from, until time.Time) bool {
-	for _, at := range hos.disturbed {
+// disturbedDuring reports whether the host was killed, stopped, started, frozen or resumed in the
+// period.
+func (hos *host) disturbedDuring(from, until time.Time) bool {
+	for _, at := range hos.disturbances {
 		if !at.Before(from) && !at.After(until) {
 			return true
 		}
