--- a/modeltest/choice.go
+++ b/modeltest/choice.go
@@ -11,16 +11,16 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// Choice is one thing that can happen next.
+// Choice is one possible next step of a World.
 type Choice struct {
-	// Name says what happens, for reading a failure.
+	// Name describes the step in the trace of a failure.
 	Name string
-	// Fault is set when it is a fault.
+	// Fault is set if the step is a fault.
 	Fault bool
 	take  func()
 }
 
-// Take has the choice happen.
+// Take takes the step of the choice.
 func (wor *World) Take(cho Choice) {
 	wor.steps++
 	if cho.Fault {
@@ -29,7 +29,7 @@
 	cho.take()
 }
 
-// Choices returns everything that can happen next, in a fixed order.
+// Choices returns all possible next steps, in a fixed order.
 func (wor *World) Choices() []Choice {
 	var all []Choice
 	all = append(all, wor.arrivals()...)
@@ -57,14 +57,15 @@
 			all = append(all, Choice{Name: fmt.Sprintf("arrive %s at host-%d", id.Unique, hst.number), take: func() {
 				wor.repeats[id]++
 				wor.callers++
-				wor.manage(hst, wor.arrivalOf(id))
+				wor.handleAtGateway(hst, wor.arrivalOf(id))
 			}})
 		}
 	}
 	return all
 }
 
-// deliveries are the next message of each session, and the news that one is lost.
+// deliveries returns the delivery of the next message of each session, in each direction, and the
+// detection of broken sessions.
 func (wor *World) deliveries() []Choice {
 	var all []Choice
 	for _, ses := range wor.sessions {
@@ -85,7 +86,7 @@
 		all = append(all, Choice{Name: fmt.Sprintf("%T from %d to gateway %d", ses.toGat[0], ses.cor, ses.gat), take: func() {
 			msg := ses.toGat[0]
 			ses.toGat = ses.toGat[1:]
-			wor.manage(gat, gateway.Received{From: ses.cor, Message: msg})
+			wor.handleAtGateway(gat, gateway.Received{From: ses.cor, Message: msg})
 		}})
 	}
 	if ses.broken {
@@ -100,7 +101,7 @@
 		all = append(all, Choice{Name: fmt.Sprintf("%T from %d to coordinator %d", ses.toCor[0], ses.gat, ses.cor), take: func() {
 			msg := ses.toCor[0]
 			ses.toCor = ses.toCor[1:]
-			wor.coordinate(cor, coordinator.Received{From: ses.gat, Message: msg})
+			wor.handleAtCoordinator(cor, coordinator.Received{From: ses.gat, Message: msg})
 		}})
 	}
 	if ses.broken {
@@ -109,63 +110,63 @@
 	return all
 }
 
-// answers are the questions that arrive, are answered, or get lost.
+// answers returns the queries that arrive, are answered, or fail because their target is down.
 func (wor *World) answers() []Choice {
 	var all []Choice
-	for _, que := range wor.questions {
-		asker := wor.running(que.from)
-		answered := que.answer != nil || que.release != nil
+	for _, que := range wor.queries {
+		sender := wor.running(que.from)
+		answered := que.answer != nil || que.revocationAnswer != nil
 		switch {
-		case asker == nil:
+		case sender == nil:
 		case answered:
-			all = append(all, Choice{Name: fmt.Sprintf("answer of %d reaches %d", que.to, que.from), take: func() { wor.answer(que, asker) }})
+			all = append(all, Choice{Name: fmt.Sprintf("answer from %d reaches %d", que.to, que.from), take: func() { wor.answer(que, sender) }})
 		case wor.running(que.to) != nil:
-			all = append(all, Choice{Name: fmt.Sprintf("question of %d reaches %d", que.from, que.to), take: func() { wor.ask(que) }})
+			all = append(all, Choice{Name: fmt.Sprintf("query from %d reaches %d", que.from, que.to), take: func() { wor.ask(que) }})
 		default:
-			all = append(all, Choice{Name: fmt.Sprintf("question of %d can't reach %d", que.from, que.to), take: func() { wor.fail(que, asker) }})
+			all = append(all, Choice{Name: fmt.Sprintf("query from %d can't reach %d", que.from, que.to), take: func() { wor.fail(que, sender) }})
 		}
 	}
 	return all
 }
 
-func (wor *World) drop(que *question) {
-	wor.questions = slices.DeleteFunc(wor.questions, func(other *question) bool { return other == que })
+func (wor *World) drop(que *query) {
+	wor.queries = slices.DeleteFunc(wor.queries, func(other *query) bool { return other == que })
 }
 
-func (wor *World) ask(que *question) {
+func (wor *World) ask(que *query) {
 	hst := wor.host(que.to)
 	switch {
 	case que.fence != nil:
 		ans, actions := hst.cor.Fence(wor.now, *que.fence)
 		que.answer = &ans
 		wor.coordinatorActions(hst, actions)
-	case que.vouch != nil:
-		hst.cor.Vouch(wor.now, *que.vouch)
+	case que.attestation != nil:
+		hst.cor.Vouch(wor.now, *que.attestation)
 		wor.drop(que)
-	case que.unvouch != nil:
-		ans := hst.cor.Unvouch(*que.unvouch)
-		que.release = &ans
+	case que.revocation != nil:
+		ans := hst.cor.Unvouch(*que.revocation)
+		que.revocationAnswer = &ans
 	}
 }
 
-func (wor *World) answer(que *question, asker *simHost) {
+func (wor *World) answer(que *query, sender *simHost) {
 	wor.drop(que)
 	if que.answer != nil {
-		wor.manage(asker, gateway.FenceAnswered{Ballot: que.fence.Ballot, Answer: *que.answer})
+		wor.handleAtGateway(sender, gateway.FenceAnswered{Ballot: que.fence.Ballot, Answer: *que.answer})
 		return
 	}
-	wor.manage(asker, gateway.Unvouched{Voucher: que.to, Answer: *que.release})
+	wor.handleAtGateway(sender, gateway.Unvouched{Voucher: que.to, Answer: *que.revocationAnswer})
 }
 
-// fail ends a question without an answer, whether or not it arrived.
-func (wor *World) fail(que *question, asker *simHost) {
+// fail ends a query without an answer, whether or not it arrived.
+func (wor *World) fail(que *query, sender *simHost) {
 	wor.drop(que)
 	switch {
 	case que.fence != nil:
-		wor.manage(asker, gateway.FenceFailed{ID: que.fence.ID, Ballot: que.fence.Ballot, Peer: que.to})
-	case que.unvouch != nil:
-		ans := reservation.UnvouchAnswer{VouchKey: que.unvouch.VouchKey}
-		wor.manage(asker, gateway.Unvouched{Voucher: que.to, Answer: ans, Failed: true})
+		wor.handleAtGateway(sender, gateway.FenceFailed{ID: que.fence.ID, Ballot: que.fence.Ballot, Peer: que.to})
+	case que.revocation != nil:
+		ans := reservation.UnvouchAnswer{VouchKey: que.revocation.VouchKey}
+		wor.handleAtGateway(sender, gateway.Unvouched{Voucher: que.to, Answer: ans, Failed: true})
 	}
 }
 
@@ -180,12 +181,12 @@
 				wor.dropRelay(rel)
 				arr := rel.arrived
 				arr.Relayed = true
-				wor.manage(target, arr)
+				wor.handleAtGateway(target, arr)
 			}})
 		case source != nil && !rel.moved:
 			all = append(all, Choice{Name: fmt.Sprintf("relay can't reach %d", rel.to), take: func() {
 				wor.dropRelay(rel)
-				wor.manage(source, gateway.RelayFailed{Arrived: rel.arrived, To: rel.to})
+				wor.handleAtGateway(source, gateway.RelayFailed{Arrived: rel.arrived, To: rel.to})
 			}})
 		}
 	}
@@ -207,8 +208,8 @@
 		case rnn.resume:
 			all = append(all, Choice{Name: "resume " + rnn.id.Unique, take: func() { wor.resume(hst, rnn) }})
 		case rnn.sent:
-			all = append(all, Choice{Name: "engine ends " + rnn.id.Unique, take: func() {
-				wor.endRun(hst, rnn, gateway.Result{Dispatched: true, Answered: true, Whole: true})
+			all = append(all, Choice{Name: "engine completes " + rnn.id.Unique, take: func() {
+				wor.completeRun(hst, rnn, gateway.Result{Dispatched: true, Answered: true, Whole: true})
 			}})
 		default:
 			all = append(all, Choice{Name: fmt.Sprintf("host-%d dispatches %s", hst.number, rnn.id.Unique), take: func() {
@@ -216,7 +217,7 @@
 				wor.dispatched[rnn.id]++
 			}})
 			if wor.cfg.DialErrors {
-				all = append(all, Choice{Name: "engine can't be reached for " + rnn.id.Unique, take: func() { wor.endRun(hst, rnn, gateway.Result{}) }})
+				all = append(all, Choice{Name: "engine can't be reached for " + rnn.id.Unique, take: func() { wor.completeRun(hst, rnn, gateway.Result{}) }})
 			}
 		}
 	}
@@ -228,34 +229,34 @@
 	if wor.dispatched[rnn.id] > 0 {
 		res = gateway.Result{Dispatched: true, Answered: true, Whole: true}
 	}
-	wor.endRun(hst, rnn, res)
+	wor.completeRun(hst, rnn, res)
 }
 
-func (wor *World) endRun(hst *simHost, rnn *run, res gateway.Result) {
+func (wor *World) completeRun(hst *simHost, rnn *run, res gateway.Result) {
 	wor.runs = slices.DeleteFunc(wor.runs, func(other *run) bool { return other == rnn })
-	wor.manage(hst, gateway.EngineDone{ID: rnn.id, Result: res})
+	wor.handleAtGateway(hst, gateway.EngineDone{ID: rnn.id, Result: res})
 }
 
-// hostChoices are what hosts do by themselves, and recoveries from faults.
+// hostChoices returns the steps that hosts take on their own, and the recoveries from faults.
 func (wor *World) hostChoices() []Choice {
 	var all []Choice
 	for _, hst := range wor.hosts {
 		if hst.alive && hst.frozen {
-			all = append(all, Choice{Name: fmt.Sprintf("host-%d wakes", hst.number), take: func() { hst.frozen = false }})
+			all = append(all, Choice{Name: fmt.Sprintf("host-%d resumes", hst.number), take: func() { hst.frozen = false }})
 		}
 		if !hst.alive && wor.cfg.Restarts {
-			all = append(all, Choice{Name: fmt.Sprintf("host-%d starts anew", hst.number), take: func() { wor.begin(hst) }})
+			all = append(all, Choice{Name: fmt.Sprintf("host-%d restarts", hst.number), take: func() { wor.start(hst) }})
 		}
 		if wor.running(hst.epoch) == nil {
 			continue
 		}
 		all = append(all, wor.runningChoices(hst)...)
 	}
-	if wor.viewIsOld() {
-		all = append(all, Choice{Name: "a view is published", take: wor.publish})
+	if wor.viewIsOutdated() {
+		all = append(all, Choice{Name: "the next view is published", take: wor.publish})
 	}
 	if wor.cfg.Timeouts {
-		all = append(all, Choice{Name: "time passes", take: wor.passTime})
+		all = append(all, Choice{Name: "time passes", take: wor.advanceTime})
 	}
 	return all
 }
@@ -263,7 +264,7 @@
 func (wor *World) runningChoices(hst *simHost) []Choice {
 	var all []Choice
 	if hst.known < len(wor.views) {
-		all = append(all, Choice{Name: fmt.Sprintf("host-%d learns view %d", hst.number, hst.known+1), take: func() { wor.learn(hst) }})
+		all = append(all, Choice{Name: fmt.Sprintf("host-%d receives view %d", hst.number, hst.known+1), take: func() { wor.deliverView(hst) }})
 	}
 	for _, other := range wor.hosts {
 		if other == hst || wor.running(other.epoch) == nil || wor.session(hst.epoch, other.epoch) != nil || !wor.knows(hst, other) {
@@ -271,13 +272,13 @@
 		}
 		all = append(all, Choice{Name: fmt.Sprintf("host-%d connects to host-%d", hst.number, other.number), take: func() { wor.open(hst, other) }})
 	}
-	if hst.leaving && hst.gat.InFlight() == 0 && !wor.hasRun(hst) {
-		all = append(all, Choice{Name: fmt.Sprintf("host-%d ends its planned stop", hst.number), take: func() { wor.endStop(hst) }})
+	if hst.draining && hst.gat.InFlight() == 0 && !wor.hasRun(hst) {
+		all = append(all, Choice{Name: fmt.Sprintf("host-%d completes its planned stop", hst.number), take: func() { wor.completeStop(hst) }})
 	}
 	return all
 }
 
-// knows reports whether the host's latest view has the other one's process.
+// knows reports whether the host's latest view contains the other host's current epoch.
 func (wor *World) knows(hst, other *simHost) bool {
 	if hst.known == 0 {
 		return false
@@ -290,37 +291,37 @@
 	return slices.ContainsFunc(wor.runs, func(rnn *run) bool { return rnn.host == hst.epoch })
 }
 
-// viewIsOld reports whether the newest view differs from the hosts that run.
-func (wor *World) viewIsOld() bool {
-	last := wor.views[len(wor.views)-1]
+// viewIsOutdated reports whether the latest published view differs from the running hosts.
+func (wor *World) viewIsOutdated() bool {
+	latest := wor.views[len(wor.views)-1]
 	count := 0
 	for _, hst := range wor.hosts {
 		if !hst.alive {
 			continue
 		}
 		count++
-		mem, member := last.Member(hst.epoch)
-		if !member || mem.Leaving != hst.leaving {
+		mem, member := latest.Member(hst.epoch)
+		if !member || mem.Leaving != hst.draining {
 			return true
 		}
 	}
-	return count != len(last.Members)
+	return count != len(latest.Members)
 }
 
-// timeStep is how far time goes at once.
+// timeStep is the time that one step of the clock advances.
 const timeStep = 4 * time.Second
 
-func (wor *World) passTime() {
+func (wor *World) advanceTime() {
 	wor.now = wor.now.Add(timeStep)
 	for _, hst := range wor.hosts {
 		if wor.running(hst.epoch) != nil {
-			wor.manage(hst, gateway.Tick{})
-			wor.coordinate(hst, coordinator.Tick{})
+			wor.handleAtGateway(hst, gateway.Tick{})
+			wor.handleAtCoordinator(hst, coordinator.Tick{})
 		}
 	}
 }
 
-// faultChoices are the faults: kills, freezes, cuts, lost answers and planned stops.
+// faultChoices returns the faults: kills, freezes, broken sessions, lost answers and planned stops.
 func (wor *World) faultChoices() []Choice {
 	var all []Choice
 	for _, hst := range wor.hosts {
@@ -332,8 +333,8 @@
 			continue
 		}
 		all = append(all, Choice{Name: fmt.Sprintf("host-%d freezes", hst.number), Fault: true, take: func() { wor.freeze(hst) }})
-		if wor.cfg.Stops && !hst.leaving {
-			all = append(all, Choice{Name: fmt.Sprintf("host-%d leaves", hst.number), Fault: true, take: func() { wor.leave(hst) }})
+		if wor.cfg.Stops && !hst.draining {
+			all = append(all, Choice{Name: fmt.Sprintf("host-%d begins a planned stop", hst.number), Fault: true, take: func() { wor.drain(hst) }})
 		}
 	}
 	for _, ses := range wor.sessions {
@@ -341,15 +342,15 @@
 			all = append(all, Choice{Name: fmt.Sprintf("session %d-%d breaks", ses.gat, ses.cor), Fault: true, take: func() { wor.breakSession(ses, true) }})
 		}
 	}
-	for _, que := range wor.questions {
-		if asker := wor.running(que.from); asker != nil {
-			all = append(all, Choice{Name: fmt.Sprintf("question %d-%d gets lost", que.from, que.to), Fault: true, take: func() { wor.fail(que, asker) }})
+	for _, que := range wor.queries {
+		if sender := wor.running(que.from); sender != nil {
+			all = append(all, Choice{Name: fmt.Sprintf("query %d-%d gets lost", que.from, que.to), Fault: true, take: func() { wor.fail(que, sender) }})
 		}
 	}
 	return all
 }
 
-// breakSession ends a session; with lose, what is on its way in it is lost.
+// breakSession breaks a session. With lose, its messages in transit are lost.
 func (wor *World) breakSession(ses *session, lose bool) {
 	ses.broken = true
 	if lose {
@@ -357,8 +358,7 @@
 	}
 }
 
-// breakAll ends the host's sessions. What has arrived at the other ends may
-// still be read there.
+// breakAll breaks all sessions of the host. Messages in transit can still be delivered.
 func (wor *World) breakAll(epo request.Epoch) {
 	for _, ses := range wor.sessions {
 		if ses.gat == epo || ses.cor == epo {
@@ -380,30 +380,30 @@
 	}
 	wor.sweep()
 	wor.runs = slices.DeleteFunc(wor.runs, func(rnn *run) bool { return rnn.host == hst.epoch })
-	wor.questions = slices.DeleteFunc(wor.questions, func(que *question) bool { return que.from == hst.epoch })
+	wor.queries = slices.DeleteFunc(wor.queries, func(que *query) bool { return que.from == hst.epoch })
 	wor.relays = slices.DeleteFunc(wor.relays, func(rel *relay) bool { return rel.from == hst.epoch })
 }
 
-// freeze stops a host that still believes that it runs; the others see silence.
+// freeze suspends a host without its knowledge: it keeps its state, and its sessions break.
 func (wor *World) freeze(hst *simHost) {
 	hst.frozen = true
 	wor.breakAll(hst.epoch)
 }
 
-func (wor *World) leave(hst *simHost) {
-	hst.leaving = true
-	wor.manage(hst, gateway.Drain{})
-	wor.coordinate(hst, coordinator.Drain{})
+func (wor *World) drain(hst *simHost) {
+	hst.draining = true
+	wor.handleAtGateway(hst, gateway.Drain{})
+	wor.handleAtCoordinator(hst, coordinator.Drain{})
 }
 
-// endStop hands the ledger over to two hosts that run, and ends the process.
-func (wor *World) endStop(hst *simHost) {
+// completeStop hands the host's ledger over to up to two running hosts and ends the process.
+func (wor *World) completeStop(hst *simHost) {
 	han := hst.cor.Handover()
-	given := 0
+	recipients := 0
 	for _, other := range wor.hosts {
-		if other != hst && given < 2 && wor.running(other.epoch) != nil && !other.leaving {
+		if other != hst && recipients < 2 && wor.running(other.epoch) != nil && !other.draining {
 			other.cor.TakeOver(wor.now, han)
-			given++
+			recipients++
 		}
 	}
 	wor.kill(hst)
--- a/modeltest/explore.go
+++ b/modeltest/explore.go
@@ -4,29 +4,29 @@
 
 // Exploration is the result of Explore.
 type Exploration struct {
-	// States counts the different states met, Steps the choices taken.
+	// States is the number of distinct states visited, Steps the number of choices taken.
 	States int
 	Steps  int
-	// Ends counts the states in which nothing more can happen.
-	Ends int
-	// Complete is set when every state within the bounds was met.
+	// TerminalStates is the number of states without a next step.
+	TerminalStates int
+	// Complete is set if every state within the bounds was visited.
 	Complete bool
-	// Deepest is the longest way, in choices.
-	Deepest int
+	// MaxDepth is the length of the longest path, in choices.
+	MaxDepth int
 }
 
-// Explore tries every choice in every state that can be reached, up to the
-// number of states. It returns the way to a violation with the error.
+// Explore takes every choice in every reachable state, up to maxStates states. An
+// error for a violation contains the path that led to it.
 func Explore(cfg Config, maxStates int) (Exploration, error) {
 	exp := &explorer{cfg: cfg, max: maxStates, seen: make(map[uint64]bool)}
-	err := exp.from(NewWorld(cfg), nil)
+	err := exp.visit(NewWorld(cfg), nil)
 	exp.result.States = len(exp.seen)
 	exp.result.Complete = err == nil && !exp.full
 	return exp.result, err
 }
 
-// explorer goes through the states depth first. A world can't be copied, so a
-// branch is met again by taking its way once more from the start.
+// explorer visits the states depth first. A World can't be copied, so the explorer
+// returns to a branch by replaying its path from the initial state.
 type explorer struct {
 	cfg    Config
 	max    int
@@ -35,20 +35,20 @@
 	result Exploration
 }
 
-func (exp *explorer) from(wor *World, way []int) error {
-	mark := wor.Fingerprint()
-	if exp.seen[mark] {
+func (exp *explorer) visit(wor *World, path []int) error {
+	fingerprint := wor.Fingerprint()
+	if exp.seen[fingerprint] {
 		return nil
 	}
 	if len(exp.seen) >= exp.max {
 		exp.full = true
 		return nil
 	}
-	exp.seen[mark] = true
-	exp.result.Deepest = max(exp.result.Deepest, len(way))
+	exp.seen[fingerprint] = true
+	exp.result.MaxDepth = max(exp.result.MaxDepth, len(path))
 	count := len(wor.Choices())
 	if count == 0 {
-		exp.result.Ends++
+		exp.result.TerminalStates++
 	}
 	for idx := range count {
 		if exp.full {
@@ -56,32 +56,32 @@
 		}
 		next := wor
 		if idx > 0 {
-			next = exp.replay(way)
+			next = exp.replay(path)
 		}
 		next.Take(next.Choices()[idx])
 		exp.result.Steps++
 		if err := next.Check(); err != nil {
-			return fmt.Errorf("%w after:\n%s", err, exp.describe(append(way, idx)))
+			return fmt.Errorf("%w after the steps:\n%s", err, exp.describe(append(path, idx)))
 		}
-		if err := exp.from(next, append(way[:len(way):len(way)], idx)); err != nil {
+		if err := exp.visit(next, append(path[:len(path):len(path)], idx)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (exp *explorer) replay(way []int) *World {
+func (exp *explorer) replay(path []int) *World {
 	wor := NewWorld(exp.cfg)
-	for _, idx := range way {
+	for _, idx := range path {
 		wor.Take(wor.Choices()[idx])
 	}
 	return wor
 }
 
-func (exp *explorer) describe(way []int) string {
+func (exp *explorer) describe(path []int) string {
 	wor := NewWorld(exp.cfg)
 	text := ""
-	for _, idx := range way {
+	for _, idx := range path {
 		cho := wor.Choices()[idx]
 		text += "  " + cho.Name + "\n"
 		wor.Take(cho)
--- a/modeltest/explore_test.go
+++ b/modeltest/explore_test.go
@@ -9,11 +9,11 @@
 	"lynxwell.dev/lynxwell/modeltest"
 )
 
-var exploreStates = flag.Int("explore.states", 1500, "bound on the states of the exhaustive exploration")
+var exploreStates = flag.Int("explore.states", 1500, "maximum number of states that the exhaustive exploration visits")
 
-// One request, three hosts that are gateway and coordinator each, two callers'
-// attempts and up to two faults.
-func TestExploreOneRequest(t *testing.T) {
+// Explores one request with three hosts, each gateway and coordinator, two
+// attempts of the client and up to two faults.
+func TestExploreOneRequestKeepsInvariants(t *testing.T) {
 	cases := map[string]modeltest.Config{
 		"NoFault":   {Domains: []string{"a", "b", "c"}, Engines: 2, MaxRepeats: 1},
 		"OneFault":  {Domains: []string{"a", "b", "c"}, Engines: 2, MaxFaults: 1, MaxRepeats: 1},
@@ -23,15 +23,15 @@
 		t.Run(name, func(t *testing.T) {
 			exp, err := modeltest.Explore(cfg, *exploreStates)
 			assert.NilError(t, err)
-			t.Logf("%d states, %d steps, %d ends, deepest %d, complete %t", exp.States, exp.Steps, exp.Ends, exp.Deepest, exp.Complete)
+			t.Logf("%d states, %d steps, %d terminal states, maximum depth %d, complete %t", exp.States, exp.Steps, exp.TerminalStates, exp.MaxDepth, exp.Complete)
 		})
 	}
 }
 
-// The domain rule: when a whole failure domain is lost, the gateway of a
-// request and all that may have granted it are never lost together, so the
-// answer to whether it ran is certain.
-func TestLossOfADomainLeavesNoDoubt(t *testing.T) {
+// Grants come only from outside the gateway's failure domain. The loss of a whole
+// domain therefore never takes a request's gateway together with all hosts that may
+// have granted it, and a repeat must not get the outcome Unknown.
+func TestLossOfDomainLeavesOutcomeCertain(t *testing.T) {
 	wor := modeltest.NewWorld(modeltest.Config{Domains: []string{"a", "a", "b", "c"}, MaxFaults: 2, MaxRepeats: 1, Timeouts: true})
 	take(t, wor, "arrive x at host-1")
 	take(t, wor, "host-1 is killed")
@@ -40,14 +40,14 @@
 	take(t, wor, "coordinator 4001 loses 1001")
 	for wor.Summary().Dispatched == 0 && wor.Summary().Unknown == 0 {
 		if !takeFirst(wor, "arrive x at host-1", "arrive x at host-2") {
-			t.Fatal("nothing more can happen, and the request wasn't decided")
+			t.Fatal("no step is left, and the request has neither run nor got an outcome")
 		}
 		assert.NilError(t, wor.Check())
 	}
 	assert.Equal(t, wor.Summary(), modeltest.Summary{Dispatched: 1})
 }
 
-// take takes the choice with the name.
+// take takes the choice with the name and fails the test if there is none.
 func take(t *testing.T, wor *modeltest.World, name string) {
 	t.Helper()
 	for _, cho := range wor.Choices() {
@@ -56,14 +56,15 @@
 			return
 		}
 	}
-	t.Fatalf("there is no choice %q", name)
+	t.Fatalf("no choice is named %q", name)
 }
 
-// takeFirst takes the first choice that is no fault and isn't among those left out.
-func takeFirst(wor *modeltest.World, leftOut ...string) bool {
+// takeFirst takes the first choice that is neither a fault nor excluded by name. It reports
+// whether there was one.
+func takeFirst(wor *modeltest.World, excluded ...string) bool {
 	for _, cho := range wor.Choices() {
 		skip := cho.Fault
-		for _, name := range leftOut {
+		for _, name := range excluded {
 			skip = skip || cho.Name == name
 		}
 		if !skip {
--- a/modeltest/fingerprint.go
+++ b/modeltest/fingerprint.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// unseenFields don't matter for what can happen next.
-var unseenFields = map[string]bool{"steps": true, "shed": true, "callers": true, "actions": true, "cfg": true, "conf": true, "shares": true}
+// ignoredFields holds the names of the fields that do not influence later steps.
+var ignoredFields = map[string]bool{"steps": true, "shed": true, "callers": true, "actions": true, "cfg": true, "conf": true, "shares": true}
 
-// Fingerprint is the same for two worlds in the same state.
+// Fingerprint returns a hash that is the same for two worlds in the same state.
 func (wor *World) Fingerprint() uint64 {
 	fin := &fingerprinter{visited: make(map[uintptr]uint64)}
 	return fin.value(reflect.ValueOf(wor))
 }
 
-// fingerprinter hashes values by their content.
+// fingerprinter hashes values by content. Its field visited maps each pointer that was followed to
+// its position in the order of visits.
 type fingerprinter struct {
 	visited map[uintptr]uint64
 }
@@ -76,7 +77,8 @@
 	return sum(sumText(val.Elem().Type().String()), fin.value(val.Elem()))
 }
 
-// pointer hashes what a pointer leads to, once; a cycle ends at its number.
+// pointer hashes the target of a pointer on the first visit, and its order of visit after that, so
+// that a cycle ends.
 func (fin *fingerprinter) pointer(val reflect.Value) uint64 {
 	if val.IsNil() {
 		return 0
@@ -91,12 +93,12 @@
 func (fin *fingerprinter) structValue(val reflect.Value) uint64 {
 	typ := val.Type()
 	if typ == timeType {
-		// The wall clock's seconds; the times here are whole ones.
+		// Hashes the wall-clock fields of time.Time; the times here are whole seconds.
 		return sum(val.Field(0).Uint(), uint64(val.Field(1).Int()))
 	}
 	parts := make([]uint64, 0, val.NumField())
 	for idx := range val.NumField() {
-		if !unseenFields[typ.Field(idx).Name] {
+		if !ignoredFields[typ.Field(idx).Name] {
 			parts = append(parts, fin.value(val.Field(idx)))
 		}
 	}
@@ -112,13 +114,13 @@
 	return sum(parts...)
 }
 
-// mapValue hashes a map whatever its order. Each value is hashed on its own, so
-// that the order can't show in the numbers of cycles.
+// mapValue hashes a map independently of its iteration order. Each entry gets its own
+// fingerprinter, so that the order does not change the numbers of visited pointers.
 func (fin *fingerprinter) mapValue(val reflect.Value) uint64 {
 	total := uint64(val.Len())
 	for iter := val.MapRange(); iter.Next(); {
-		own := &fingerprinter{visited: make(map[uintptr]uint64)}
-		total += sum(own.value(iter.Key()), own.value(iter.Value()))
+		entry := &fingerprinter{visited: make(map[uintptr]uint64)}
+		total += sum(entry.value(iter.Key()), entry.value(iter.Value()))
 	}
 	return total
 }
--- a/modeltest/main_test.go
+++ b/modeltest/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// defaults make a plain run the same every time; a long run sets its own.
+// defaults holds the values of flags that were not given. They make a plain run reproducible.
 var defaults = map[string]string{"rapid.seed": "20261202", "rapid.checks": "300", "rapid.nofailfile": "true"}
 
 func TestMain(m *testing.M) {
--- a/modeltest/shed.go
+++ b/modeltest/shed.go
@@ -7,8 +7,8 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// noteSheds looks for requests that the host has just decided to shed.
-func (wor *World) noteSheds(hst *simHost) {
+// recordSheds records and checks the requests that the host's gateway has just shed.
+func (wor *World) recordSheds(hst *simHost) {
 	for _, req := range hst.gat.Dump(wor.now).InFlight {
 		if req.Cause == gateway.CauseShed && !wor.shed[req.ID] {
 			wor.shed[req.ID] = true
@@ -24,8 +24,8 @@
 	return 10
 }
 
-// checkShed notes a violation where a request is shed while one of a lower rank
-// is kept by a coordinator that its gateway reaches.
+// checkShed records a violation if a request is shed while a coordinator that its gateway
+// reaches keeps a request of a lower rank in its queue.
 func (wor *World) checkShed(hst *simHost, id request.ID) {
 	for _, other := range wor.hosts {
 		if wor.running(other.epoch) == nil || !wor.reaches(hst, other) {
@@ -33,8 +33,8 @@
 		}
 		for _, svc := range other.cor.Dump(wor.now).Services {
 			for _, wai := range svc.Waiting {
-				if wor.rankOf(wai.ID) < wor.rankOf(id) && !wor.isLeftBehind(wai.ID, wai.Gateway) {
-					wor.violation = &ViolationError{ID: id, Reason: fmt.Sprintf("shed while %s of a lower rank waits at host-%d", wai.ID.Unique, other.number)}
+				if wor.rankOf(wai.ID) < wor.rankOf(id) && !wor.isOrphaned(wai.ID, wai.Gateway) {
+					wor.violation = &ViolationError{ID: id, Reason: fmt.Sprintf("shed while request %s of a lower rank waits at host-%d", wai.ID.Unique, other.number)}
 				}
 			}
 		}
@@ -49,9 +49,9 @@
 	return ses != nil && !ses.broken
 }
 
-// isLeftBehind reports whether a waiting reservation's gateway is gone, so that
-// it is only waiting to be cleared away.
-func (wor *World) isLeftBehind(id request.ID, gat request.Epoch) bool {
-	_, told := wor.told[id]
-	return told || wor.running(gat) == nil
+// isOrphaned reports whether a waiting reservation only waits for its removal: its request
+// has an outcome already, or its gateway is down or frozen.
+func (wor *World) isOrphaned(id request.ID, gat request.Epoch) bool {
+	_, hasOutcome := wor.reported[id]
+	return hasOutcome || wor.running(gat) == nil
 }
--- a/modeltest/world.go
+++ b/modeltest/world.go
@@ -1,16 +1,16 @@
-// Package modeltest drives the pure cores of a few hosts together, without
-// network or clock: one small list of messages, and faults at any moment. It is
-// for the model checks only.
+// Package modeltest simulates the gateway and coordinator cores of a few hosts,
+// without network or clock: messages are queued in memory, and a fault can occur
+// at any step. It is for model checks only.
 //
 // # Usage
 //
 //	wor := modeltest.NewWorld(modeltest.Config{Domains: []string{"a", "b", "c"}})
 //	for _, cho := range wor.Choices() { ... }
 //	wor.Take(cho)
-//	err := wor.Check() // what must hold after every step
+//	err := wor.Check() // the invariants, after every step
 //
-// Everything that can happen next is a Choice; a test draws one at random or
-// tries them all. The same choices always lead to the same world.
+// Every possible next step is a Choice; a test draws one at random or tries them
+// all. The same choices always lead to the same state.
 package modeltest
 
 import (
@@ -27,71 +27,71 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// Config holds what a World is made from.
+// Config holds the parameters of a World.
 type Config struct {
-	// Domains are the failure domains of the hosts, one a host.
+	// Domains holds the failure domain of each host.
 	Domains []string
-	// Engines is the number of engines, each with one slot; 0 stands for 3.
+	// Engines is the number of engines; 0 stands for 3.
 	Engines int
-	// Uniques are the requests' own parts of their ids; nil stands for one request.
+	// Uniques holds the unique part of each request's id; nil stands for one request.
 	Uniques []string
-	// Ranks are the requests' ranks, by their own part; 0 stands for 10.
+	// Ranks maps the unique part of a request's id to its rank; 0 stands for 10.
 	Ranks map[string]int
-	// Slots is each engine's slots, default 2; MaxWaiting each line's bound.
+	// Slots is the number of slots of each engine, 0 stands for 2. MaxWaiting bounds each queue.
 	Slots      int
 	MaxWaiting int
-	// MaxFaults bounds the faults; MaxRepeats the arrivals of each request.
+	// MaxFaults bounds the number of faults, MaxRepeats the number of repeats of each request.
 	MaxFaults  int
 	MaxRepeats int
-	// Restarts lets killed and stopped hosts start anew.
+	// Restarts allows killed and stopped hosts to restart.
 	Restarts bool
-	// Stops lets hosts make planned stops.
+	// Stops allows planned stops of hosts.
 	Stops bool
-	// DialErrors lets engines be unreachable, so that nothing is dispatched.
+	// DialErrors allows dispatches to fail because the engine can't be reached.
 	DialErrors bool
-	// Timeouts lets time pass until deadlines.
+	// Timeouts allows the clock to advance, so that deadlines expire.
 	Timeouts bool
 }
 
-// World is the state of all hosts and of what is on its way between them.
+// World is the state of all hosts and of the messages in transit between them.
 type World struct {
-	cfg       Config
-	now       time.Time
-	conf      resource.Configuration
-	hosts     []*simHost
-	views     []view.View
-	sessions  []*session
-	questions []*question
-	relays    []*relay
-	runs      []*run
-	faults    int
-	repeats   map[request.ID]int
-	ids       []request.ID
-	// dispatched counts, by id, what reached an engine; told holds the final
-	// outcomes that callers were told.
+	cfg      Config
+	now      time.Time
+	conf     resource.Configuration
+	hosts    []*simHost
+	views    []view.View
+	sessions []*session
+	queries  []*query
+	relays   []*relay
+	runs     []*run
+	faults   int
+	repeats  map[request.ID]int
+	ids      []request.ID
+	// dispatched counts the dispatches that reached an engine, by request id; reported
+	// holds the final outcomes that clients received.
 	dispatched map[request.ID]int
-	told       map[request.ID]request.Outcome
+	reported   map[request.ID]request.Outcome
 	callers    gateway.CallerID
 	steps      int
 	shed       map[request.ID]bool
 	violation  error
 }
 
-// simHost is one host's two cores.
+// simHost is a host with its gateway and coordinator cores.
 type simHost struct {
-	number  int
-	domain  string
-	starts  int
-	epoch   request.Epoch
-	gat     *gateway.Core
-	cor     *coordinator.Core
-	alive   bool
-	frozen  bool
-	leaving bool
-	known   int
-}
-
-// session is one gateway's session with one coordinator: a queue each way.
+	number   int
+	domain   string
+	starts   int
+	epoch    request.Epoch
+	gat      *gateway.Core
+	cor      *coordinator.Core
+	alive    bool
+	frozen   bool
+	draining bool
+	known    int
+}
+
+// session is a session of a gateway with a coordinator. It queues messages in each direction.
 type session struct {
 	gat, cor request.Epoch
 	broken   bool
@@ -101,41 +101,41 @@
 	toGat    []reservation.Message
 }
 
-// question is a fence, vouch or unvouch on its way, or its answer.
-type question struct {
-	from, to request.Epoch
-	fence    *reservation.Fence
-	answer   *reservation.FenceAnswer
-	vouch    *reservation.Vouch
-	unvouch  *reservation.Unvouch
-	release  *reservation.UnvouchAnswer
+// query is a fence, an attestation or the revocation of one in transit, or its answer.
+type query struct {
+	from, to         request.Epoch
+	fence            *reservation.Fence
+	answer           *reservation.FenceAnswer
+	attestation      *reservation.Vouch
+	revocation       *reservation.Unvouch
+	revocationAnswer *reservation.UnvouchAnswer
 }
 
-// relay is a caller's request on its way from one host to another.
+// relay is a client's request in transit from one host to another.
 type relay struct {
 	arrived gateway.Arrived
 	from    request.Epoch
 	to      request.Epoch
-	// moved is set when the request was fenced away: a failure is told as Unknown.
+	// moved is set if another host fenced the request; a failed relay then has the outcome Unknown.
 	moved bool
 }
 
-// run is a dispatch or a resumption at a host.
+// run is a dispatch, or the resumption of one, at a host.
 type run struct {
 	host   request.Epoch
 	id     request.ID
 	resume bool
-	// sent is set once the engine has the request.
+	// sent is set once the request has reached the engine.
 	sent bool
 }
 
-// hostEpochs is the distance between two hosts' epochs.
+// hostEpochs is the distance between the epochs of two hosts.
 const hostEpochs = 1000
 
-// deadline is the time that each request has.
+// deadline is the remaining time of each request on arrival.
 const deadline = 10 * time.Second
 
-// NewWorld returns a world in which all hosts run, know the first view and are
+// NewWorld returns a World in which all hosts run, have the first view and are
 // connected.
 func NewWorld(cfg Config) *World {
 	if cfg.Engines == 0 {
@@ -149,15 +149,15 @@
 	}
 	wor := &World{
 		cfg: cfg, now: time.Unix(1000, 0), conf: configuration(cfg),
-		repeats: make(map[request.ID]int), dispatched: make(map[request.ID]int), told: make(map[request.ID]request.Outcome), shed: make(map[request.ID]bool),
+		repeats: make(map[request.ID]int), dispatched: make(map[request.ID]int), reported: make(map[request.ID]request.Outcome), shed: make(map[request.ID]bool),
 	}
 	for num, domain := range cfg.Domains {
 		wor.hosts = append(wor.hosts, &simHost{number: num + 1, domain: domain})
-		wor.begin(wor.hosts[num])
+		wor.start(wor.hosts[num])
 	}
 	wor.publish()
 	for _, hst := range wor.hosts {
-		wor.learn(hst)
+		wor.deliverView(hst)
 	}
 	for _, hst := range wor.hosts {
 		for _, other := range wor.hosts {
@@ -167,7 +167,7 @@
 	wor.settle()
 	wor.now = wor.now.Add(time.Second)
 	for _, hst := range wor.hosts {
-		wor.coordinate(hst, coordinator.Tick{})
+		wor.handleAtCoordinator(hst, coordinator.Tick{})
 	}
 	for num, unique := range cfg.Uniques {
 		owner := wor.hosts[num%len(wor.hosts)]
@@ -176,11 +176,11 @@
 	return wor
 }
 
-// settle delivers what the opening of the sessions has sent.
+// settle delivers the messages that were sent to coordinators on opening the sessions.
 func (wor *World) settle() {
 	for _, ses := range wor.sessions {
 		for _, msg := range ses.toCor {
-			wor.coordinate(wor.host(ses.cor), coordinator.Received{From: ses.gat, Message: msg})
+			wor.handleAtCoordinator(wor.host(ses.cor), coordinator.Received{From: ses.gat, Message: msg})
 		}
 		ses.toCor = nil
 	}
@@ -200,19 +200,19 @@
 	return resource.NewConfiguration(1, entries)
 }
 
-// begin starts a host's process, with a new epoch.
-func (wor *World) begin(hst *simHost) {
+// start starts a host's process with a new epoch.
+func (wor *World) start(hst *simHost) {
 	hst.starts++
 	hst.epoch = request.Epoch(hst.number*hostEpochs + hst.starts)
 	hst.gat = gateway.New(gateway.Config{Self: hst.epoch, Started: wor.now, Window: time.Hour})
 	hst.cor = coordinator.New(coordinator.Config{Self: hst.epoch, Retention: 4 * time.Hour})
-	hst.alive, hst.frozen, hst.leaving, hst.known = true, false, false, 0
-	wor.manage(hst, gateway.ConfigurationChanged{Configuration: wor.conf})
-	wor.coordinate(hst, coordinator.ConfigurationChanged{Configuration: wor.conf})
-	wor.manage(hst, gateway.PeerUp{Peer: hst.epoch})
+	hst.alive, hst.frozen, hst.draining, hst.known = true, false, false, 0
+	wor.handleAtGateway(hst, gateway.ConfigurationChanged{Configuration: wor.conf})
+	wor.handleAtCoordinator(hst, coordinator.ConfigurationChanged{Configuration: wor.conf})
+	wor.handleAtGateway(hst, gateway.PeerUp{Peer: hst.epoch})
 }
 
-// publish makes a view of the hosts that run.
+// publish adds a view of the running hosts.
 func (wor *World) publish() {
 	vie := view.View{Number: uint64(len(wor.views) + 1)}
 	for _, hst := range wor.hosts {
@@ -224,15 +224,15 @@
 }
 
 func (wor *World) member(hst *simHost) view.Member {
-	return view.Member{Name: fmt.Sprintf("host-%d", hst.number), Epoch: hst.epoch, Domain: hst.domain, Leaving: hst.leaving}
+	return view.Member{Name: fmt.Sprintf("host-%d", hst.number), Epoch: hst.epoch, Domain: hst.domain, Leaving: hst.draining}
 }
 
-// learn brings the next view that a host doesn't know yet.
-func (wor *World) learn(hst *simHost) {
+// deliverView delivers the next published view to a host.
+func (wor *World) deliverView(hst *simHost) {
 	vie := wor.views[hst.known]
 	hst.known++
-	wor.coordinate(hst, coordinator.ViewChanged{View: vie})
-	wor.manage(hst, gateway.ViewChanged{View: vie})
+	wor.handleAtCoordinator(hst, coordinator.ViewChanged{View: vie})
+	wor.handleAtGateway(hst, gateway.ViewChanged{View: vie})
 }
 
 func (wor *World) host(epo request.Epoch) *simHost {
@@ -244,7 +244,7 @@
 	return nil
 }
 
-// running returns the host with the epoch if it can do anything now.
+// running returns the host with the epoch, or nil if the host is down or frozen.
 func (wor *World) running(epo request.Epoch) *simHost {
 	hst := wor.host(epo)
 	if hst == nil || !hst.alive || hst.frozen {
@@ -262,7 +262,7 @@
 	return nil
 }
 
-// open opens a session from one host's gateway to another's coordinator.
+// open opens a session from a host's gateway to another host's coordinator.
 func (wor *World) open(from, to *simHost) {
 	if from == to || wor.session(from.epoch, to.epoch) != nil {
 		return
@@ -273,16 +273,16 @@
 		}
 	}
 	wor.sessions = append(wor.sessions, &session{gat: from.epoch, cor: to.epoch})
-	wor.coordinate(from, coordinator.HostUp{Host: to.epoch})
-	wor.manage(from, gateway.PeerUp{Peer: to.epoch})
+	wor.handleAtCoordinator(from, coordinator.HostUp{Host: to.epoch})
+	wor.handleAtGateway(from, gateway.PeerUp{Peer: to.epoch})
 }
 
 func (wor *World) loseAtGateway(ses *session) {
 	ses.gatLost = true
 	ses.toGat = nil
 	if hst := wor.host(ses.gat); hst != nil && hst.alive {
-		wor.coordinate(hst, coordinator.HostLost{Host: ses.cor})
-		wor.manage(hst, gateway.PeerLost{Peer: ses.cor})
+		wor.handleAtCoordinator(hst, coordinator.HostLost{Host: ses.cor})
+		wor.handleAtGateway(hst, gateway.PeerLost{Peer: ses.cor})
 	}
 	wor.sweep()
 }
@@ -291,21 +291,21 @@
 	ses.corLost = true
 	ses.toCor = nil
 	if hst := wor.host(ses.cor); hst != nil && hst.alive {
-		wor.coordinate(hst, coordinator.GatewayLost{Gateway: ses.gat})
+		wor.handleAtCoordinator(hst, coordinator.GatewayLost{Gateway: ses.gat})
 	}
 	wor.sweep()
 }
 
-// sweep drops sessions that both ends have lost.
+// sweep removes the sessions whose loss both ends have detected.
 func (wor *World) sweep() {
 	wor.sessions = slices.DeleteFunc(wor.sessions, func(ses *session) bool { return ses.gatLost && ses.corLost })
 }
 
-// manage brings an event to a host's gateway and takes its actions.
-func (wor *World) manage(hst *simHost, evt gateway.Event) {
+// handleAtGateway passes an event to a host's gateway and executes the resulting actions.
+func (wor *World) handleAtGateway(hst *simHost, evt gateway.Event) {
 	actions := hst.gat.Handle(wor.now, evt)
 	if wor.cfg.MaxWaiting > 0 {
-		wor.noteSheds(hst)
+		wor.recordSheds(hst)
 	}
 	for _, act := range actions {
 		wor.gatewayAction(hst, evt, act)
@@ -316,7 +316,7 @@
 	switch act := act.(type) {
 	case gateway.Attach, gateway.Cancel, gateway.Forget:
 	case gateway.Answer:
-		wor.tell(idOf(evt), act.Final)
+		wor.recordOutcome(idOf(evt), act.Final)
 	case gateway.Finish:
 		wor.finish(hst, act)
 	case gateway.Relay:
@@ -329,13 +329,13 @@
 		wor.toCoordinator(hst, act)
 	case gateway.AskFence:
 		fen := act.Fence
-		wor.questions = append(wor.questions, &question{from: hst.epoch, to: act.To.Epoch, fence: &fen})
+		wor.queries = append(wor.queries, &query{from: hst.epoch, to: act.To.Epoch, fence: &fen})
 	case gateway.SendVouch:
-		vou := act.Vouch
-		wor.questions = append(wor.questions, &question{from: hst.epoch, to: act.To.Epoch, vouch: &vou})
+		att := act.Vouch
+		wor.queries = append(wor.queries, &query{from: hst.epoch, to: act.To.Epoch, attestation: &att})
 	case gateway.SendUnvouch:
-		unv := act.Unvouch
-		wor.questions = append(wor.questions, &question{from: hst.epoch, to: act.To.Epoch, unvouch: &unv})
+		rev := act.Unvouch
+		wor.queries = append(wor.queries, &query{from: hst.epoch, to: act.To.Epoch, revocation: &rev})
 	}
 }
 
@@ -352,7 +352,7 @@
 
 func (wor *World) finish(hst *simHost, fin gateway.Finish) {
 	if fin.Final.Cause != gateway.CauseMoved {
-		wor.tell(fin.ID, fin.Final)
+		wor.recordOutcome(fin.ID, fin.Final)
 		return
 	}
 	wor.callers++
@@ -361,15 +361,15 @@
 	wor.relays = append(wor.relays, &relay{arrived: arr, from: hst.epoch, to: fin.Final.Holder.Epoch, moved: true})
 }
 
-func (wor *World) tell(id request.ID, fin gateway.Final) {
-	if wor.told[id] != request.NotRun {
-		wor.told[id] = fin.Outcome
+func (wor *World) recordOutcome(id request.ID, fin gateway.Final) {
+	if wor.reported[id] != request.NotRun {
+		wor.reported[id] = fin.Outcome
 	}
 }
 
 func (wor *World) toCoordinator(hst *simHost, snd gateway.Send) {
 	if snd.To == hst.epoch {
-		wor.coordinate(hst, coordinator.Received{From: hst.epoch, Message: snd.Message})
+		wor.handleAtCoordinator(hst, coordinator.Received{From: hst.epoch, Message: snd.Message})
 		return
 	}
 	if ses := wor.session(hst.epoch, snd.To); ses != nil && !ses.broken {
@@ -377,8 +377,8 @@
 	}
 }
 
-// coordinate brings an event to a host's coordinator and takes its actions.
-func (wor *World) coordinate(hst *simHost, evt coordinator.Event) {
+// handleAtCoordinator passes an event to a host's coordinator and executes the resulting actions.
+func (wor *World) handleAtCoordinator(hst *simHost, evt coordinator.Event) {
 	wor.coordinatorActions(hst, hst.cor.Handle(wor.now, evt))
 }
 
@@ -389,7 +389,7 @@
 			continue
 		}
 		if snd.To == hst.epoch {
-			wor.manage(hst, gateway.Received{From: hst.epoch, Message: snd.Message, Load: snd.Load})
+			wor.handleAtGateway(hst, gateway.Received{From: hst.epoch, Message: snd.Message, Load: snd.Load})
 			continue
 		}
 		for _, ses := range wor.sessions {
@@ -407,12 +407,12 @@
 	}}
 }
 
-// Steps returns how many choices were taken.
+// Steps returns the number of choices taken.
 func (wor *World) Steps() int {
 	return wor.steps
 }
 
-// Summary counts what came of the requests.
+// Summary counts the requests by result.
 type Summary struct {
 	Dispatched int
 	NotRun     int
@@ -420,10 +420,10 @@
 	Shed       int
 }
 
-// Summary returns what came of the requests so far.
+// Summary returns the results of the requests so far.
 func (wor *World) Summary() Summary {
 	sum := Summary{Dispatched: len(wor.dispatched), Shed: len(wor.shed)}
-	for _, outcome := range wor.told {
+	for _, outcome := range wor.reported {
 		switch outcome {
 		case request.NotRun:
 			sum.NotRun++
@@ -435,19 +435,20 @@
 	return sum
 }
 
-// ViolationError reports that something that must always hold doesn't.
+// ViolationError reports the violation of an invariant by a request.
 type ViolationError struct {
 	ID     request.ID
 	Reason string
 }
 
-// Error names the request and the reason.
+// Error returns the request's id and the reason.
 func (ver *ViolationError) Error() string {
 	return fmt.Sprintf("request %s: %s", ver.ID, ver.Reason)
 }
 
-// Check returns a *ViolationError unless every request was dispatched at most
-// once, and none of which a caller was told NotRun was dispatched.
+// Check returns a *ViolationError if a request was dispatched more than once, was
+// dispatched although a client received the outcome NotRun, or was shed before a
+// request of a lower rank.
 func (wor *World) Check() error {
 	if wor.violation != nil {
 		return wor.violation
@@ -456,8 +457,8 @@
 		if count > 1 {
 			return &ViolationError{ID: id, Reason: fmt.Sprintf("dispatched %d times", count)}
 		}
-		if wor.told[id] == request.NotRun {
-			return &ViolationError{ID: id, Reason: "a caller was told NotRun, but it was dispatched"}
+		if wor.reported[id] == request.NotRun {
+			return &ViolationError{ID: id, Reason: "a client received NotRun, but the request was dispatched"}
 		}
 	}
 	return nil
--- a/modeltest/world_test.go
+++ b/modeltest/world_test.go
@@ -9,8 +9,9 @@
 	"lynxwell.dev/lynxwell/modeltest"
 )
 
-// walk takes random choices, as many as rapid likes.
-func walk(t *rapid.T, cfg modeltest.Config, steps int) *modeltest.World {
+// randomWalk takes up to the number of steps, each drawn by rapid from the choices, and checks the
+// invariants after each.
+func randomWalk(t *rapid.T, cfg modeltest.Config, steps int) *modeltest.World {
 	wor := modeltest.NewWorld(cfg)
 	for range steps {
 		choices := wor.Choices()
@@ -49,7 +50,7 @@
 	}
 	for name, cfg := range cases {
 		t.Run(name, func(t *testing.T) {
-			rapid.Check(t, func(t *rapid.T) { walk(t, cfg, 120) })
+			rapid.Check(t, func(t *rapid.T) { randomWalk(t, cfg, 120) })
 		})
 	}
 }
