--- a/processtest/faults_test.go
+++ b/processtest/faults_test.go
@@ -18,21 +18,21 @@
 
 func TestMain(m *testing.M) { processtest.Main(m) }
 
-var long = flag.Bool("long", false, "run every pair of faults, not only the short set")
+var long = flag.Bool("long", false, "run every pair of faults instead of the short set")
 
-// fault is something that goes wrong, and how it ends.
+// fault is a fault of the system: begin injects it, end clears it.
 type fault struct {
 	name  string
 	begin func(sys *processtest.System)
 	end   func(sys *processtest.System)
 }
 
-func nothing(*processtest.System) {}
+func noAction(*processtest.System) {}
 
 var faults = []fault{
 	{"HostKilled", func(sys *processtest.System) { sys.Hosts[0].Kill() }, func(sys *processtest.System) { sys.StartHost(sys.Hosts[0]) }},
-	{"HostFrozen", func(sys *processtest.System) { sys.Hosts[1].Freeze() }, func(sys *processtest.System) { sys.Hosts[1].Wake() }},
-	{"HostStopped", func(sys *processtest.System) { sys.Hosts[2].Terminate() }, nothing},
+	{"HostFrozen", func(sys *processtest.System) { sys.Hosts[1].Freeze() }, func(sys *processtest.System) { sys.Hosts[1].Resume() }},
+	{"HostStopped", func(sys *processtest.System) { sys.Hosts[2].Terminate() }, noAction},
 	{
 		"PlatformDown",
 		func(sys *processtest.System) { sys.PlatformFaults(platformtest.Faults{Down: true}) },
@@ -58,20 +58,20 @@
 	{
 		"RepliesDropped",
 		func(sys *processtest.System) { sys.EngineFaults(sys.Engines[2], enginetest.Faults{DropReplies: 5}) },
-		nothing,
+		noAction,
 	},
 }
 
-// shortPairs are the pairs of faults in the short set, by index.
+// shortPairs holds the pairs of faults in the short set, as indexes into faults.
 var shortPairs = [][2]int{{0, 3}, {0, 1}, {2, 4}}
 
-// quickTiming has faults noticed fast enough for a short test.
+// quickTiming holds timeouts that detect faults fast enough for a short test.
 var quickTiming = settings.Timing{
 	Lease: format.Duration(2 * time.Second), Heartbeat: format.Duration(100 * time.Millisecond),
 	PeerTimeout: format.Duration(500 * time.Millisecond),
 }
 
-// kinds is a small mixed load.
+// kinds returns a small mixed load.
 func kinds() []load.Kind {
 	seconds := format.Duration(time.Second)
 	return []load.Kind{
@@ -97,26 +97,26 @@
 	})
 }
 
-// underFaults sends the load while the faults begin and end, and returns what
-// became of it.
-func underFaults(t *testing.T, sys *processtest.System, some ...fault) load.Report {
+// runUnderFaults runs the load, injects the faults after a quarter of the requests and
+// clears them after two thirds. It returns the report of the load.
+func runUnderFaults(t *testing.T, sys *processtest.System, injected ...fault) load.Report {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	clients := map[string]*load.Client{processtest.AccountName: sys.Caller(load.ClientConfig{Seed: 1})}
-	begun, ended := false, false
+	began, cleared := false, false
 	ends, err := load.Run(ctx, load.Config{
 		Clients: clients, Kinds: kinds(), For: 4 * time.Second, Seed: 1,
 		Progress: func(cou load.Counts) {
-			if !begun && cou.Ended > cou.Sent/4 {
-				begun = true
-				for _, fau := range some {
+			if !began && cou.Ended > cou.Sent/4 {
+				began = true
+				for _, fau := range injected {
 					fau.begin(sys)
 				}
 			}
-			if !ended && cou.Ended > cou.Sent*2/3 {
-				ended = true
-				for _, fau := range some {
+			if !cleared && cou.Ended > cou.Sent*2/3 {
+				cleared = true
+				for _, fau := range injected {
 					fau.end(sys)
 				}
 			}
@@ -131,37 +131,37 @@
 	return load.Summarize(ends, load.AuditRun(ends, sys.Dispatches()))
 }
 
-// mustHold checks what holds under any fault.
-func mustHold(t *testing.T, rep load.Report) {
+// checkInvariants checks the guarantees that hold under every fault.
+func checkInvariants(t *testing.T, rep load.Report) {
 	t.Helper()
-	assert.Equal(t, len(rep.Audit.Doubled), 0, "doubled: %v", rep.Audit.Doubled)
+	assert.Equal(t, len(rep.Audit.Doubled), 0, "requests that ran twice: %v", rep.Audit.Doubled)
 	assert.Equal(t, rep.Audit.Mixed, 0)
-	assert.Equal(t, len(rep.Audit.FalselyNotRun), 0, "falsely told: %v", rep.Audit.FalselyNotRun)
+	assert.Equal(t, len(rep.Audit.FalselyNotRun), 0, "requests reported as not run that ran: %v", rep.Audit.FalselyNotRun)
 	for _, tir := range rep.Tiers {
-		t.Logf("%s: sent %d, whole %d, given up %d, lost %d, repeats %d", tir.Tier, tir.Sent, tir.Whole, tir.GivenUp, tir.Lost, tir.Repeats)
+		t.Logf("%s: sent %d, complete %d, given up %d, lost %d, repeats %d", tir.Tier, tir.Sent, tir.Whole, tir.GivenUp, tir.Lost, tir.Repeats)
 	}
 	t.Logf("codes %v, dispatches %d for %d requests", rep.Codes, rep.Audit.Dispatches, rep.Audit.Requests)
 }
 
-func TestNoFault(t *testing.T) {
+func TestNoFaultCompletesAllRequests(t *testing.T) {
 	t.Parallel()
-	rep := underFaults(t, faultSystem(t))
-	mustHold(t, rep)
+	rep := runUnderFaults(t, faultSystem(t))
+	checkInvariants(t, rep)
 	for _, tir := range rep.Tiers {
 		assert.Equal(t, tir.Whole, tir.Sent)
 	}
 }
 
-func TestSingleFaults(t *testing.T) {
+func TestSingleFaultsKeepInvariants(t *testing.T) {
 	for _, fau := range faults {
 		t.Run(fau.name, func(t *testing.T) {
 			t.Parallel()
-			mustHold(t, underFaults(t, faultSystem(t), fau))
+			checkInvariants(t, runUnderFaults(t, faultSystem(t), fau))
 		})
 	}
 }
 
-func TestPairsOfFaults(t *testing.T) {
+func TestPairsOfFaultsKeepInvariants(t *testing.T) {
 	pairs := shortPairs
 	if *long {
 		pairs = nil
@@ -175,7 +175,7 @@
 		one, two := faults[pair[0]], faults[pair[1]]
 		t.Run(one.name+"And"+two.name, func(t *testing.T) {
 			t.Parallel()
-			mustHold(t, underFaults(t, faultSystem(t), one, two))
+			checkInvariants(t, runUnderFaults(t, faultSystem(t), one, two))
 		})
 	}
 }
--- a/processtest/hold_test.go
+++ b/processtest/hold_test.go
@@ -19,9 +19,9 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// Every host is restarted in order, under load from callers that never ask for
-// the addresses again of themselves.
-func TestRollingRestartCutsNothing(t *testing.T) {
+// Guards against requests lost in a rolling restart: every host is restarted in turn,
+// under load from clients that never refresh the addresses on their own.
+func TestRollingRestartLosesNoRequest(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -42,15 +42,16 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, <-restarted, []int{0, 0, 0, 0})
 	rep := load.Summarize(ends, load.AuditRun(ends, sys.Dispatches()))
-	mustHold(t, rep)
+	checkInvariants(t, rep)
 	for _, tir := range rep.Tiers {
 		assert.Equal(t, tir.Whole, tir.Sent, "tier %s, codes %v", tir.Tier, rep.Codes)
 	}
 }
 
-// An outage of the platform stops neither requests nor repeats after a kill,
-// and a host that starts in it learns what it needs from its peers.
-func TestPlatformOutage(t *testing.T) {
+// Guards against a dependency on the platform: during its outage, a host that starts
+// gets the configuration from its peers, and the load succeeds under the kill of a host,
+// but for at most two requests per tier.
+func TestPlatformOutageKeepsServing(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
 	sys.PlatformFaults(platformtest.Faults{Down: true})
@@ -61,19 +62,19 @@
 		list, err := sys.Operator(sys.Hosts[3]).Resources(ctx)
 		return err == nil && len(list.Entries) > 0
 	})
-	rep := underFaults(t, sys, faults[0])
-	mustHold(t, rep)
+	rep := runUnderFaults(t, sys, faults[0])
+	checkInvariants(t, rep)
 	for _, tir := range rep.Tiers {
 		assert.Assert(t, tir.Whole >= tir.Sent-2, "tier %s: %d of %d, codes %v", tir.Tier, tir.Whole, tir.Sent, rep.Codes)
 	}
 }
 
-// configurationLimit is how long a configuration may take to be in force everywhere.
+// configurationLimit bounds the time until a configuration is in force on all hosts.
 const configurationLimit = 4 * time.Second
 
-// A configuration is in force everywhere in time, also on a host that is cut
-// off from the platform, and never goes back.
-func TestConfigurationReachesHostsWithoutPlatform(t *testing.T) {
+// Guards against a stale configuration on a host that is partitioned from the
+// platform: each revision must be in force there within the limit, too.
+func TestConfigurationReachesPartitionedHost(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
 	sys.Hosts[1].Platform.Cut()
@@ -84,7 +85,7 @@
 		assert.NilError(t, err)
 		sys.Until("revision in force", func(ctx context.Context) bool {
 			sta, err := cli.Status(ctx)
-			return err == nil && inForceOn(sta, res.Revision) == len(sys.Hosts)
+			return err == nil && hostsWithRevision(sta, res.Revision) == len(sys.Hosts)
 		})
 		took := time.Since(start)
 		t.Logf("revision %d in force on all hosts after %s", res.Revision, took)
@@ -92,7 +93,7 @@
 	}
 }
 
-func inForceOn(sta operator.Status, revision uint64) int {
+func hostsWithRevision(sta operator.Status, revision uint64) int {
 	count := 0
 	for _, hst := range sta.Hosts {
 		if hst.Reached && hst.Revision >= revision {
@@ -102,9 +103,10 @@
 	return count
 }
 
-// Operators race at different hosts while the platform loses replies: each
-// change that was accepted is there, each conflict is named, none is lost.
-func TestRacingOperatorsLoseNothing(t *testing.T) {
+// Guards against lost updates: operators change resources at different hosts at the
+// same time while the platform loses replies. Every accepted change must be in force,
+// each with a revision of its own.
+func TestConcurrentOperatorsLoseNoChange(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
 	const writers, rounds = 4, 5
@@ -147,9 +149,9 @@
 	assert.Equal(t, len(distinct), len(accepted), "two changes share a revision")
 }
 
-// Two operators change the same resource as they both saw it: one of them gets
-// a conflict that names the field and the newer revision.
-func TestConflictNamesTheField(t *testing.T) {
+// Two operators change the same revision of a resource: the second must get a conflict
+// that names the field and the newer revision.
+func TestConflictNamesField(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
 	list, err := sys.Operator(sys.Hosts[0]).Resources(t.Context())
@@ -170,17 +172,19 @@
 	})
 }
 
-// leavingLimit is how long after the news an engine may still get new work.
-const leavingLimit = 2 * time.Second
+// drainingLimit is the time for which an engine may still receive requests after it
+// has started to drain.
+const drainingLimit = 2 * time.Second
 
-// An engine that says that it leaves gets nothing new soon after.
-func TestLeavingEngineGetsNothingNew(t *testing.T) {
+// Guards against dispatches to a draining engine: it must receive no request later
+// than drainingLimit after it has started to drain.
+func TestDrainingEngineReceivesNoRequest(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
 	clients := map[string]*load.Client{processtest.AccountName: sys.Caller(load.ClientConfig{Seed: 1})}
-	leaver := sys.Engines[0]
+	draining := sys.Engines[0]
 	var mutex sync.Mutex
-	var left time.Time
+	var drainedAt time.Time
 	before, after := 0, 0
 	ends, err := load.Run(t.Context(), load.Config{
 		Clients: clients, Kinds: kinds(), For: 6 * time.Second, Seed: 2,
@@ -188,34 +192,34 @@
 			mutex.Lock()
 			defer mutex.Unlock()
 			switch {
-			case left.IsZero() && cou.Ended > cou.Sent/4:
-				left = time.Now()
-				sys.Post(leaver.Address, enginetest.PathLeaving, true)
-			case !left.IsZero() && before == 0 && time.Since(left) > leavingLimit:
-				before = len(sys.DispatchesOf(leaver))
+			case drainedAt.IsZero() && cou.Ended > cou.Sent/4:
+				drainedAt = time.Now()
+				sys.Post(draining.Address, enginetest.PathLeaving, true)
+			case !drainedAt.IsZero() && before == 0 && time.Since(drainedAt) > drainingLimit:
+				before = len(sys.DispatchesOf(draining))
 			}
 		},
 	})
 	assert.NilError(t, err)
-	after = len(sys.DispatchesOf(leaver))
-	t.Logf("%d dispatches until %s after the news, %d at the end", before, leavingLimit, after)
+	after = len(sys.DispatchesOf(draining))
+	t.Logf("%d dispatches until %s after the engine started to drain, %d at the end", before, drainingLimit, after)
 	assert.Assert(t, before > 0)
 	assert.Equal(t, after, before)
-	mustHold(t, load.Summarize(ends, load.AuditRun(ends, sys.Dispatches())))
+	checkInvariants(t, load.Summarize(ends, load.AuditRun(ends, sys.Dispatches())))
 }
 
-// The same request arrives at every host at once, again and again: each caller
-// gets the whole answer, and the engines get it once.
-func TestRepeatsAtOnceAtEveryHost(t *testing.T) {
+// Guards against double runs of a request that arrives at every host at the same
+// time: each client must get the complete answer, and the engines must run it once.
+func TestConcurrentRepeatsRunOnce(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
 	const requests = 10
 	var group sync.WaitGroup
 	for num := range requests {
-		asked, err := sys.Caller(load.ClientConfig{Seed: uint64(num)}).Addresses(t.Context())
+		ans, err := sys.Caller(load.ClientConfig{Seed: uint64(num)}).Addresses(t.Context())
 		assert.NilError(t, err)
-		id := asked.Addresses[num%len(asked.Addresses)].Prefix + fmt.Sprintf("-same.%d", num)
-		for _, adr := range asked.Addresses {
+		id := ans.Addresses[num%len(ans.Addresses)].Prefix + fmt.Sprintf("-same.%d", num)
+		for _, adr := range ans.Addresses {
 			group.Go(func() {
 				status, body := sys.PostChat(t.Context(), adr.Address, id, fmt.Sprintf("check %d", num))
 				assert.Check(t, status == http.StatusOK, "status %d: %s", status, body)
--- a/processtest/link.go
+++ b/processtest/link.go
@@ -10,23 +10,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// Link is a connection's way that a test can cut.
+// Link is a TCP proxy to a target. A test can cut, silence or delay it.
 type Link struct {
 	Address netip.AddrPort
 	target  netip.AddrPort
 	lis     net.Listener
 	mutex   sync.Mutex
 	cut     bool
-	// silent swallows bytes: those sent out, those that come back, or both.
+	// silentOut drops the bytes sent to the target, silentBack those sent back.
 	silentOut  bool
 	silentBack bool
 	delay      time.Duration
 	open       map[net.Conn]bool
-	// mute are connections that swallow everything from now on.
+	// mute holds the connections on which all bytes are dropped for good.
 	mute map[net.Conn]bool
 }
 
-// NewLink returns a link to the target; it ends with the test.
+// NewLink starts a link to the target. It is closed at the end of the test.
 func NewLink(t *testing.T, target netip.AddrPort) *Link {
 	t.Helper()
 	var cfg net.ListenConfig
@@ -48,7 +48,7 @@
 	return lnk
 }
 
-// Cut ends every connection and refuses new ones.
+// Cut closes all connections and closes new ones at once.
 func (lnk *Link) Cut() {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
@@ -59,8 +59,8 @@
 	clear(lnk.open)
 }
 
-// Restore lets connections through again. Those on which bytes were swallowed
-// are ended, since they are no use any more.
+// Restore ends a cut, silence or delay. It closes the open connections of a silenced
+// link, since bytes are missing in their streams.
 func (lnk *Link) Restore() {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
@@ -73,15 +73,16 @@
 	lnk.cut, lnk.silentOut, lnk.silentBack, lnk.delay = false, false, false, 0
 }
 
-// Silence swallows what is sent out, what comes back, or both.
+// Silence drops the bytes sent to the target, those sent back, or both. Connections
+// stay open.
 func (lnk *Link) Silence(out, back bool) {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
 	lnk.silentOut, lnk.silentBack = out, back
 }
 
-// SilenceOpen has the connections that are open now swallow everything for good;
-// new ones work.
+// SilenceOpen drops all bytes on the connections that are open now, for good. New
+// connections work.
 func (lnk *Link) SilenceOpen() {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
@@ -90,14 +91,14 @@
 	}
 }
 
-// Delay holds what passes up.
+// Delay delays each chunk of bytes by the duration.
 func (lnk *Link) Delay(wait time.Duration) {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
 	lnk.delay = wait
 }
 
-// Reset ends every connection; new ones are let through.
+// Reset closes all connections; new ones work.
 func (lnk *Link) Reset() {
 	lnk.Cut()
 	lnk.Restore()
@@ -119,7 +120,7 @@
 	}
 }
 
-// add takes note of a connection; it returns false while the link is cut.
+// add registers both sides of a connection. It returns false while the link is cut.
 func (lnk *Link) add(con, out net.Conn) bool {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
@@ -131,10 +132,10 @@
 	return true
 }
 
-// pipeBytes is how much passes at a time.
+// pipeBytes is the size of the buffer of a pipe.
 const pipeBytes = 16 << 10
 
-// pipe passes bytes on until either end is closed.
+// pipe forwards bytes until either side is closed.
 func (lnk *Link) pipe(to, from net.Conn, outward bool) {
 	defer to.Close()
 	defer from.Close()
@@ -147,7 +148,8 @@
 	}
 }
 
-// pass passes some bytes on as the link is just now.
+// pass forwards, delays or drops bytes according to the link's current state. It returns
+// false if the other side is closed.
 func (lnk *Link) pass(to net.Conn, data []byte, outward bool) bool {
 	lnk.mutex.Lock()
 	silent, wait := lnk.silentBack, lnk.delay
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -68,7 +68,7 @@
 	hos.recordDisturbance()
 	hos.Freeze()
 	sys.wait(time.Duration(sys.random.IntN(1500)) * time.Millisecond)
-	hos.Wake()
+	hos.Resume()
 	hos.recordDisturbance()
 }
 
@@ -147,7 +147,7 @@
 		}
 	}
 	for _, hos := range sys.hosts {
-		hos.Wake()
+		hos.Resume()
 		if hos.down {
 			hos.Wait()
 			sys.startHost(hos)
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -188,7 +188,7 @@
 func start(t *testing.T, cfg Config) *system {
 	t.Helper()
 	sys := &system{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(cfg.Seed, 1)), signalRandom: rand.New(rand.NewPCG(cfg.Seed, 55)), rateRandom: rand.New(rand.NewPCG(cfg.Seed, 89)), evacuationRandom: rand.New(rand.NewPCG(cfg.Seed, 144)), revoked: make(map[string]time.Time)}
-	_, sys.store = processtest.Standin(t, sys.dir, "store", "platform")
+	_, sys.store = processtest.StartFake(t, sys.dir, "store", "platform")
 	for idx := range perService {
 		sys.addEngine(fmt.Sprintf("m%d", idx), entrytest.Model)
 		sys.addEngine(fmt.Sprintf("p%d", idx), entrytest.Plain)
@@ -223,7 +223,7 @@
 	if service == entrytest.Model {
 		args = append(args, "--events", fmt.Sprint(events), "--step", "20ms", "--crash-body", entrytest.PoisonBody)
 	}
-	pro, adr := processtest.Standin(sys.t, sys.dir, "engine-"+id, args...)
+	pro, adr := processtest.StartFake(sys.t, sys.dir, "engine-"+id, args...)
 	eng := &engine{id: id, service: service, domain: openDomain, address: adr, crashed: make(chan struct{})}
 	if len(sys.engines)%3 == 0 {
 		eng.domain = evacuatedDomain
