--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -1,13 +1,13 @@
-// Command mutate shows that the tests see when a guard is gone: it removes one
-// guard after another from a copy of the sources and runs the tests that must
-// fail then.
+// Command mutate checks that the tests detect the removal of guards: it removes
+// each guard from a copy of the sources in turn and runs the tests that must
+// fail without it.
 //
 // # Usage
 //
 //	go run ./tools/mutate            # every guard
 //	go run ./tools/mutate -only Fence
 //
-// It prints a table, and exits with 1 if any removal goes unseen.
+// It prints a table, and exits with 1 if a removal isn't detected.
 package main
 
 import (
@@ -21,13 +21,13 @@
 	"time"
 )
 
-// mutation is one guard and how it is removed.
+// mutation removes one guard.
 type mutation struct {
-	// name names the guard.
+	// name describes the guard.
 	name string
-	// file, old and new say what is replaced; old stands there once.
+	// old is replaced by new in the file. It must occur in it exactly once.
 	file, old, new string
-	// test are the arguments of go test.
+	// test holds the arguments of go test.
 	test []string
 }
 
@@ -35,7 +35,7 @@
 const testLimit = 5 * time.Minute
 
 func main() {
-	only := flag.String("only", "", "run only the guards whose name has this in it")
+	only := flag.String("only", "", "run only the mutations whose name contains this text")
 	flag.Parse()
 	if err := run(context.Background(), *only); err != nil {
 		fmt.Fprintln(os.Stderr, "mutate:", err)
@@ -52,29 +52,29 @@
 	if err := copyTree(ctx, dir); err != nil {
 		return err
 	}
-	unseen := 0
-	fmt.Println("| guard removed | seen by | what it says |\n|---|---|---|")
+	undetected := 0
+	fmt.Println("| guard removed | detected by | test output |\n|---|---|---|")
 	for _, mut := range mutations {
 		if !strings.Contains(mut.name, only) {
 			continue
 		}
-		seen, line, err := try(ctx, dir, mut)
+		detected, line, err := try(ctx, dir, mut)
 		if err != nil {
 			return err
 		}
-		if !seen {
-			unseen++
-			line = "NOT SEEN"
+		if !detected {
+			undetected++
+			line = "NOT DETECTED"
 		}
 		fmt.Printf("| %s | `go test %s` | %s |\n", mut.name, strings.Join(mut.test, " "), line)
 	}
-	if unseen > 0 {
-		return fmt.Errorf("%d removals went unseen", unseen)
+	if undetected > 0 {
+		return fmt.Errorf("%d removals weren't detected", undetected)
 	}
 	return nil
 }
 
-// copyTree copies every file that the version control knows.
+// copyTree copies all files of the repository, except those that git ignores.
 func copyTree(ctx context.Context, dir string) error {
 	out, err := exec.CommandContext(ctx, "git", "ls-files", "-z", "--cached", "--others", "--exclude-standard").Output()
 	if err != nil {
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// try applies the mutation, runs its test and takes the mutation back. It
-// returns whether the test failed, and the line that says why.
+// try applies the mutation, runs its tests and reverts the mutation. It returns
+// whether the tests failed, and the line of their output with the reason.
 func try(ctx context.Context, dir string, mut mutation) (bool, string, error) {
 	path := filepath.Join(dir, mut.file)
 	data, err := os.ReadFile(path)
@@ -105,7 +105,7 @@
 		return false, "", err
 	}
 	if strings.Count(string(data), mut.old) != 1 {
-		return false, "", fmt.Errorf("%s: the guard doesn't stand once in %s", mut.name, mut.file)
+		return false, "", fmt.Errorf("%s: the code of the guard doesn't occur exactly once in %s", mut.name, mut.file)
 	}
 	changed := strings.Replace(string(data), mut.old, mut.new, 1)
 	if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
@@ -122,7 +122,7 @@
 	return testErr != nil, reason(string(out)), os.WriteFile(path, data, 0o600)
 }
 
-// reason returns the line of a test's output that says what failed.
+// reason returns the line of a test's output that describes the failure.
 func reason(out string) string {
 	last := ""
 	for line := range strings.Lines(out) {
