--- a/soak/faults.go
+++ b/soak/faults.go
@@ -28,7 +28,7 @@
 		{"delay a host's link to the store", func() { sys.anyHost().store.Delay(200 * time.Millisecond) }},
 		{"reset a host's link to the store", func() { sys.anyHost().store.Reset() }},
 		{"restore the links to the store", sys.restoreLinks},
-		{"change the store's faults", sys.storeFault},
+		{"change the store's faults", sys.injectStoreFault},
 		{"compact the store", func() { sys.post(sys.store, platformtest.PathCompact, struct{}{}) }},
 		{"fault of an engine", sys.injectEngineFault},
 		{"fault of an engine", sys.injectEngineFault},
@@ -83,7 +83,7 @@
 	}
 }
 
-func (sys *system) storeFault() {
+func (sys *system) injectStoreFault() {
 	faults := []platformtest.Faults{
 		{},
 		{Down: true},
--- a/soak/words.go
+++ b/soak/words.go
@@ -120,18 +120,18 @@
 }
 
 func (sys *system) checkBackoffs(eng *engine, hos *host, arrivals []upstreamtest.Arrival) {
-	for _, asked := range arrivals {
-		if asked.Pause == 0 || hos.disturbedDuring(asked.At.Add(-time.Second), asked.At.Add(asked.Pause)) {
+	for _, backoff := range arrivals {
+		if backoff.Pause == 0 || hos.disturbedDuring(backoff.At.Add(-time.Second), backoff.At.Add(backoff.Pause)) {
 			continue
 		}
 		count := 0
 		for _, arr := range arrivals {
-			if since := arr.At.Sub(asked.At); since > backoffBound && since < asked.Pause {
+			if since := arr.At.Sub(backoff.At); since > backoffBound && since < backoff.Pause {
 				count++
 			}
 		}
 		if count > maxInBackoff {
-			sys.t.Errorf("host %s sent %d requests to engine %s during a requested backoff of %s", hos.set.Name, count, eng.id, asked.Pause)
+			sys.t.Errorf("host %s sent %d requests to engine %s during a requested backoff of %s", hos.set.Name, count, eng.id, backoff.Pause)
 		}
 	}
 }
