--- a/coordinator/dump.go
+++ b/coordinator/dump.go
@@ -13,7 +13,7 @@
 	LedgerRecords int
 	// Vouches is the number of attestations held for gateways; Successions are the
 	// stopped epochs whose ledgers were taken over.
-	Vouches     int `json:"Vouches"`
+	Vouches     int
 	Successions []request.Epoch
 	Draining    bool
 }
--- a/evacuation/board.go
+++ b/evacuation/board.go
@@ -136,7 +136,7 @@
 	Order uint64
 	// State is the progress as this host sees it; Published is the state in the store.
 	State string
-	Told  string `json:"Told,omitempty"`
+	Told  string `json:",omitempty"`
 	// Running is the number of requests that run in the domain. Missing names the hosts that
 	// haven't reported to enforce the order.
 	Running int
--- a/gateway/dump.go
+++ b/gateway/dump.go
@@ -39,9 +39,9 @@
 type LostDump struct {
 	Epoch request.Epoch
 	// Vouchers are the coordinators that hold an attestation about the epoch.
-	Vouchers []request.Epoch `json:"Vouchers"`
+	Vouchers []request.Epoch
 	// Gone is set if the grants are rejected for good.
-	Gone bool `json:"Gone"`
+	Gone bool
 }
 
 // Dump returns a snapshot of the gateway's state.
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -143,8 +143,8 @@
 	// crash once more before the store reports the new run. Again numbers the crashes of the
 	// same run, from 0.
 	Engine string
-	Again  int  `json:"Again"`
-	Alone  bool `json:"Alone"`
+	Again  int
+	Alone  bool
 	// seenAt is when this host learned of the crash.
 	seenAt time.Time
 }
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -11,7 +11,7 @@
 type Hold struct {
 	Subject
 	// Ends are the crashes of the engines that ran the request.
-	Ends []End `json:"Ends"`
+	Ends []End
 	// Until is the wall-clock time at which the hold expires; zero means until an operator
 	// frees it.
 	Until  time.Time
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -10,8 +10,8 @@
 // Counts are the good and bad answers of both versions on one route. An answer is bad if it
 // failed or took several times as long as usual.
 type Counts struct {
-	FormerGood int `json:"FormerGood"`
-	FormerBad  int `json:"FormerBad"`
+	FormerGood int
+	FormerBad  int
 	NewGood    int
 	NewBad     int
 	// Loaded is the number of the new version's answers that were given under the load that it
