--- a/backend/backend.go
+++ b/backend/backend.go
@@ -93,8 +93,8 @@
 	Dispatched bool
 	// Answered is set once the head of an answer has arrived.
 	Answered bool
-	// Whole is set if the answer was received to its end.
-	Whole bool
+	// Complete is set if the answer was received to its end.
+	Complete bool
 	// FirstByte and Total are the times from the call to the answer's head and to its end.
 	FirstByte time.Duration
 	Total     time.Duration
@@ -118,8 +118,8 @@
 	defer rep.Body.Close()
 	res := Result{Dispatched: true, Answered: true, FirstByte: time.Since(start)}
 	sink.Head(rep.StatusCode, EndToEnd(rep.Header))
-	res.Err = copyBody(rep.Body, sink, wat.Heard)
-	res.Whole = res.Err == nil
+	res.Err = copyBody(rep.Body, sink, wat.Reset)
+	res.Complete = res.Err == nil
 	res.Total = time.Since(start)
 	return res
 }
--- a/backendtest/backendtest.go
+++ b/backendtest/backendtest.go
@@ -26,8 +26,8 @@
 const (
 	// PathFaults takes Faults by POST.
 	PathFaults = "/standin/faults"
-	// PathLeaving takes a JSON boolean by POST: whether the server is draining.
-	PathLeaving = "/standin/leaving"
+	// PathDraining takes a JSON boolean by POST: whether the server is draining.
+	PathDraining = "/standin/leaving"
 	// PathDispatches answers GET with all calls received.
 	PathDispatches = "/standin/dispatches"
 )
@@ -88,8 +88,8 @@
 	srv.faults = fau
 }
 
-// SetLeaving sets whether the server reports that it is draining.
-func (srv *Server) SetLeaving(leaving bool) {
+// SetDraining sets whether the server reports that it is draining.
+func (srv *Server) SetDraining(leaving bool) {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
 	srv.draining = leaving
@@ -104,10 +104,10 @@
 			srv.SetFaults(fau)
 		}
 	}).Methods(http.MethodPost)
-	rou.HandleFunc(PathLeaving, func(wri http.ResponseWriter, req *http.Request) {
+	rou.HandleFunc(PathDraining, func(wri http.ResponseWriter, req *http.Request) {
 		var leaving bool
 		if decode(wri, req, &leaving) {
-			srv.SetLeaving(leaving)
+			srv.SetDraining(leaving)
 		}
 	}).Methods(http.MethodPost)
 	rou.HandleFunc(PathDispatches, func(wri http.ResponseWriter, _ *http.Request) {
@@ -120,7 +120,7 @@
 
 func (srv *Server) serveLoad(wri http.ResponseWriter, _ *http.Request) {
 	srv.mutex.Lock()
-	loa := engine.Load{Running: srv.running, Leaving: srv.draining}
+	loa := engine.Load{Running: srv.running, Draining: srv.draining}
 	srv.mutex.Unlock()
 	reply(wri, loa)
 }
--- a/call/call.go
+++ b/call/call.go
@@ -79,18 +79,18 @@
 	// Draining is set if the engine is draining.
 	Draining bool
 	// Backoff is how long this host should send the engine no requests; 0 for no backoff.
-	// UnreadBackoff is the beginning of a header value that isn't a valid backoff.
-	Backoff       time.Duration
-	UnreadBackoff string
+	// InvalidBackoff is the beginning of a header value that isn't a valid backoff.
+	Backoff        time.Duration
+	InvalidBackoff string
 	// HasRate is set if the answer carries a rate limit. Rate is the limit in requests per
-	// second, from all hosts together. UnreadRate is the beginning of an invalid value.
-	HasRate    bool
-	Rate       float64
-	UnreadRate string
-	// Cold is how much longer the engine is cold; 0 if it doesn't report to be. UnreadCold is
+	// second, from all hosts together. InvalidRate is the beginning of an invalid value.
+	HasRate     bool
+	Rate        float64
+	InvalidRate string
+	// Cold is how much longer the engine is cold; 0 if it doesn't report to be. InvalidCold is
 	// the beginning of an invalid value.
-	Cold       time.Duration
-	UnreadCold string
-	// Unknown are the names of unrecognized headers, in no particular order.
-	Unknown []string
+	Cold        time.Duration
+	InvalidCold string
+	// UnrecognizedHeaders are the names of unrecognized headers, in no particular order.
+	UnrecognizedHeaders []string
 }
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -91,7 +91,7 @@
 	isDecision()
 }
 
-// Attached gives the client the request's exchange. Backend.Left must be called once.
+// Attached gives the client the request's exchange. Backend.Detach must be called once.
 type Attached struct{ Exchange *Exchange }
 
 // Answered gives the client a final answer.
@@ -119,10 +119,10 @@
 	// RelayFailed reports that the gateway to which a request was relayed returned no
 	// answer, and returns the next decision.
 	RelayFailed(ctx context.Context, arr gateway.Arrived, to view.Member, work Work) (Decision, error)
-	// Left reports that an attached client has disconnected or has its answer.
-	Left(id request.ID)
-	// Alive blocks until the member stops responding or the context ends.
-	Alive(ctx context.Context, mem view.Member) error
+	// Detach reports that an attached client has disconnected or has its answer.
+	Detach(id request.ID)
+	// WaitUnreachable blocks until the member stops responding or the context ends.
+	WaitUnreachable(ctx context.Context, mem view.Member) error
 	// Ready reports whether the host accepts requests, and the reason if it doesn't.
 	Ready() (bool, string)
 }
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -8,9 +8,9 @@
 	"lynxwell.dev/lynxwell/gateway"
 )
 
-// MaxKeptBytes is the maximum size of a stored answer. A longer answer is streamed at
+// MaxStoredBytes is the maximum size of a stored answer. A longer answer is streamed at
 // the pace of its slowest client, and can't be sent again to a retry.
-const MaxKeptBytes = 4 << 20
+const MaxStoredBytes = 4 << 20
 
 // Exchange buffers the answer to one request, while it arrives and afterwards, for
 // any number of clients that each read it from its start. It is safe for concurrent
@@ -68,14 +68,14 @@
 	exc.notifyReaders()
 }
 
-// Data implements backend.Sink: it appends to the answer. Beyond MaxKeptBytes it blocks
+// Data implements backend.Sink: it appends to the answer. Beyond MaxStoredBytes it blocks
 // until the slowest reader has read some of the stored data.
 func (exc *Exchange) Data(data []byte) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
 	exc.stored = append(exc.stored, data...)
 	exc.notifyReaders()
-	for len(exc.stored) > MaxKeptBytes && !exc.trim() {
+	for len(exc.stored) > MaxStoredBytes && !exc.trim() {
 		changed := exc.changed
 		exc.mutex.Unlock()
 		<-changed
@@ -190,7 +190,7 @@
 		pro.Data = append([]byte(nil), fresh...)
 		rea.offset += len(fresh)
 		exc.readers[rea] = rea.offset
-		if len(exc.stored) > MaxKeptBytes {
+		if len(exc.stored) > MaxStoredBytes {
 			exc.notifyReaders()
 		}
 	}
--- a/caller/parse_test.go
+++ b/caller/parse_test.go
@@ -39,7 +39,7 @@
 			assert.Assert(t, pro.field != "" && pro.message != "")
 			return
 		}
-		prompt := engine.Weigh(chat.Messages)
+		prompt := engine.EstimatePrompt(chat.Messages)
 		assert.Assert(t, prompt.PrefixTokens <= prompt.Tokens)
 		_, err := engine.StreamBody(body)
 		assert.NilError(t, err)
--- a/caller/read.go
+++ b/caller/read.go
@@ -56,7 +56,7 @@
 	if pro != nil {
 		return nil, pro
 	}
-	prompt := engine.Weigh(chat.Messages)
+	prompt := engine.EstimatePrompt(chat.Messages)
 	spec := &sub.arrived.Spec
 	spec.PromptTokens, spec.PrefixHash, spec.PrefixTokens = prompt.Tokens, prompt.PrefixHash, prompt.PrefixTokens
 	spec.MaxTokens = chat.MaxTokens
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -49,7 +49,7 @@
 func (srv *Server) watchPeer(ctx context.Context, cancel context.CancelFunc, to view.Member) <-chan error {
 	done := make(chan error, 1)
 	go func() {
-		err := srv.cfg.Backend.Alive(ctx, to)
+		err := srv.cfg.Backend.WaitUnreachable(ctx, to)
 		cancel()
 		done <- err
 	}()
--- a/caller/server.go
+++ b/caller/server.go
@@ -178,7 +178,7 @@
 // sendExchange sends the exchange's answer to the client, as a stream or as one body.
 func (srv *Server) sendExchange(wri http.ResponseWriter, req *http.Request, sub *submission, exc *Exchange) {
 	rea := exc.Open()
-	defer srv.cfg.Backend.Left(sub.arrived.ID)
+	defer srv.cfg.Backend.Detach(sub.arrived.ID)
 	defer rea.Close()
 	out := &output{writer: wri, controller: http.NewResponseController(wri), sub: sub}
 	for {
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -30,9 +30,9 @@
 				src.Suspend(dur)
 				passed += dur
 			case 2:
-				src.Set(dur)
+				src.ShiftWallClock(dur)
 			case 3:
-				src.Set(-dur)
+				src.ShiftWallClock(-dur)
 			}
 			assert.Equal(t, clk.Since(start), passed)
 		}
@@ -43,7 +43,7 @@
 	src := clocktest.NewStopped()
 	var reported []time.Duration
 	clk := clock.New(clock.Config{Source: src, Suspended: func(dur time.Duration) { reported = append(reported, dur) }})
-	src.Set(time.Hour)
+	src.ShiftWallClock(time.Hour)
 	clk.Now()
 	src.Suspend(3 * time.Second)
 	clk.Now()
@@ -56,13 +56,13 @@
 func TestBootTimeClockIsRarelyRead(t *testing.T) {
 	src := clocktest.NewStopped()
 	clk := clock.New(clock.Config{Source: src})
-	before := src.Boots()
+	before := src.BootReads()
 	for range 1000 {
 		src.Advance(time.Second)
-		src.Set(100 * time.Microsecond)
+		src.ShiftWallClock(100 * time.Microsecond)
 		clk.Now()
 	}
-	assert.Assert(t, src.Boots()-before <= 20, src.Boots())
+	assert.Assert(t, src.BootReads()-before <= 20, src.BootReads())
 }
 
 func TestClockAdvancesWithoutTheBootTimeClock(t *testing.T) {
--- a/clocktest/source.go
+++ b/clocktest/source.go
@@ -32,7 +32,7 @@
 	return &Source{start: time.Now()}
 }
 
-// NewStopped returns clocks that only move through Advance, Suspend and Set.
+// NewStopped returns clocks that only move through Advance, Suspend and ShiftWallClock.
 func NewStopped() *Source {
 	return &Source{start: time.Unix(1_000_000, 0), stopped: true}
 }
@@ -44,8 +44,8 @@
 	src.suspended += dur
 }
 
-// Set moves the wall clock forward, or back by a negative duration.
-func (src *Source) Set(by time.Duration) {
+// ShiftWallClock moves the wall clock forward, or back by a negative duration.
+func (src *Source) ShiftWallClock(by time.Duration) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
 	src.shift += by
@@ -65,8 +65,8 @@
 	src.err = err
 }
 
-// Boots returns the number of reads of the boot-time clock.
-func (src *Source) Boots() int {
+// BootReads returns the number of reads of the boot-time clock.
+func (src *Source) BootReads() int {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
 	return src.bootReads
--- a/cmd/checkcmd.go
+++ b/cmd/checkcmd.go
@@ -65,7 +65,7 @@
 	if _, err := route.NewTable(con); err != nil {
 		return errors.Wrap(err, name)
 	}
-	unrecognized := platform.UnreadFields(data)
+	unrecognized := platform.UnrecognizedFields(data)
 	for _, field := range slices.Sorted(maps.Keys(unrecognized)) {
 		if unrecognized[field] {
 			fmt.Fprintf(str.out, "%s: ignored: unknown field %q\n", name, field)
--- a/cmd/loadcmd.go
+++ b/cmd/loadcmd.go
@@ -121,7 +121,7 @@
 	for num := range opt.visitors {
 		random := rand.New(rand.NewPCG(opt.seed, uint64(num)))
 		vis := visitor.New(visitor.Config{
-			Directories: directories, HostName: opt.hostName, Domain: opt.domain, Random: random, KeepsConnections: num%2 == 0,
+			Directories: directories, HostName: opt.hostName, Domain: opt.domain, Random: random, KeepAlive: num%2 == 0,
 			Prefix: fmt.Sprintf("load-%d-%d-%d", time.Now().UnixNano(), opt.seed, num),
 		})
 		go func() {
@@ -138,7 +138,7 @@
 	return results
 }
 
-func sendUntil(ctx context.Context, vis *visitor.Visitor, req visitor.Request, stop time.Time, gap func() time.Duration) []visitor.Result {
+func sendUntil(ctx context.Context, vis *visitor.Client, req visitor.Request, stop time.Time, gap func() time.Duration) []visitor.Result {
 	var results []visitor.Result
 	next := time.Now().Add(gap())
 	for ctx.Err() == nil && next.Before(stop) {
@@ -196,7 +196,7 @@
 	switch {
 	case att.Unsent:
 		return "NotReached"
-	case att.Promised():
+	case att.GuaranteesNotRun():
 		return "Refused"
 	case att.Err != nil:
 		return "BrokenOff"
--- a/cmd/storycmd.go
+++ b/cmd/storycmd.go
@@ -34,7 +34,7 @@
 func (com *storyCmd) subcommand() *flaggy.Subcommand { return com.sub }
 
 func (com *storyCmd) run(_ context.Context, str streams) error {
-	tli := story.NewTeller(com.opts.id)
+	tli := story.NewTimeline(com.opts.id)
 	if err := readLogs(tli, com.opts.logs, str.in); err != nil {
 		return err
 	}
--- a/coordinator/benchcore_test.go
+++ b/coordinator/benchcore_test.go
@@ -34,7 +34,7 @@
 	}
 	cor.Handle(now, ConfigurationChanged{Configuration: resource.NewConfiguration(1, entries)})
 	cor.Handle(now, ViewChanged{View: view.View{Number: 1, Members: []view.Member{
-		{Name: "host-1", Epoch: benchGateway, Domain: "a", Leaving: true}, {Name: "host-2", Epoch: benchSelf, Domain: "b"},
+		{Name: "host-1", Epoch: benchGateway, Domain: "a", Draining: true}, {Name: "host-2", Epoch: benchSelf, Domain: "b"},
 	}}})
 	now = now.Add(time.Second)
 	for num := range engines + waitingCount {
--- a/coordinator/compare.go
+++ b/coordinator/compare.go
@@ -16,6 +16,6 @@
 	)
 }
 
-func compareAttestationKeys(one, two reservation.VouchKey) int {
+func compareAttestationKeys(one, two reservation.AttestationKey) int {
 	return cmp.Or(cmp.Compare(one.Lost, two.Lost), cmp.Compare(one.Holder, two.Holder))
 }
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -29,9 +29,9 @@
 type Config struct {
 	// Self is the epoch of this process.
 	Self request.Epoch
-	// Settle is how long a new coordinator of an engine waits for the gateways to
+	// SettleTime is how long a new coordinator of an engine waits for the gateways to
 	// report the slots that they hold.
-	Settle time.Duration
+	SettleTime time.Duration
 	// FloorTime is how long a queue that refused a reservation accepts no
 	// reservation of a lower rank.
 	FloorTime time.Duration
@@ -45,7 +45,7 @@
 
 // The defaults of Config.
 const (
-	DefaultSettle     = 300 * time.Millisecond
+	DefaultSettleTime = 300 * time.Millisecond
 	DefaultFloorTime  = time.Second
 	DefaultOrphanTime = 30 * time.Second
 	DefaultRetention  = 20 * time.Minute
@@ -72,7 +72,7 @@
 
 // New returns a Core for a process that has just started.
 func New(cfg Config) *Core {
-	setDefault(&cfg.Settle, DefaultSettle)
+	setDefault(&cfg.SettleTime, DefaultSettleTime)
 	setDefault(&cfg.FloorTime, DefaultFloorTime)
 	setDefault(&cfg.OrphanTime, DefaultOrphanTime)
 	setDefault(&cfg.Retention, DefaultRetention)
@@ -109,7 +109,7 @@
 		cor.hostUp(now, evt.Host)
 	case Received:
 		cor.received(now, evt.From, evt.Message)
-	case Reported:
+	case EngineReported:
 		cor.engineReported(now, evt)
 	case CacheChanged:
 		cor.cacheChanged(evt)
@@ -126,15 +126,15 @@
 func (cor *Core) Fence(now time.Time, fen reservation.Fence) (reservation.FenceAnswer, []Action) {
 	cor.actions = nil
 	if cor.stopped {
-		return reservation.FenceAnswer{ID: fen.ID, From: cor.cfg.Self, Standing: reservation.StandingForgotten}, nil
+		return reservation.FenceAnswer{ID: fen.ID, From: cor.cfg.Self, State: reservation.FenceStateForgotten}, nil
 	}
 	vie, known := cor.views.Get(fen.ID.View)
 	granter := known && vie.MayGrant(cor.cfg.Self, fen.ID.Epoch)
 	ans := cor.ledger.Fence(now, fen, granter)
-	if !known && ans.Standing == reservation.StandingBystander {
-		ans.Standing = reservation.StandingForgotten
+	if !known && ans.State == reservation.FenceStateBystander {
+		ans.State = reservation.FenceStateForgotten
 	}
-	if ans.Standing == reservation.StandingPromised {
+	if ans.State == reservation.FenceStatePromised {
 		cor.dropFenced(fen.ID)
 	}
 	return ans, cor.actions
@@ -155,15 +155,15 @@
 	}
 }
 
-// Vouch stores an attestation: the records of what a lost coordinator epoch granted
+// Attest stores an attestation: the records of what a lost coordinator epoch granted
 // to a gateway and closed for it.
-func (cor *Core) Vouch(now time.Time, att reservation.Vouch) {
-	cor.ledger.Vouch(now, att)
+func (cor *Core) Attest(now time.Time, att reservation.Attestation) {
+	cor.ledger.Attest(now, att)
 }
 
-// Unvouch revokes an attestation unless a fence has relied on it.
-func (cor *Core) Unvouch(rev reservation.Unvouch) reservation.UnvouchAnswer {
-	return cor.ledger.Unvouch(rev)
+// RevokeAttestation revokes an attestation unless a fence has relied on it.
+func (cor *Core) RevokeAttestation(rev reservation.Revocation) reservation.RevocationAnswer {
+	return cor.ledger.RevokeAttestation(rev)
 }
 
 // Handover returns the complete ledger and stops the coordinator: from then on it
@@ -180,7 +180,7 @@
 
 func (cor *Core) viewChanged(now time.Time, vie view.View) {
 	cor.views.Add(vie)
-	cor.ledger.ForgetHosts(cor.views.Knows)
+	cor.ledger.ForgetHosts(cor.views.ContainsEpoch)
 	if vie.Number <= cor.view.Number {
 		// A past view only determines the granters of its ids.
 		return
@@ -237,7 +237,7 @@
 	eng, _ := cor.conf.Engine(name)
 	ens := cor.engines[name]
 	if ens == nil {
-		ens = newEngineState(eng, now.Add(cor.cfg.Settle))
+		ens = newEngineState(eng, now.Add(cor.cfg.SettleTime))
 		cor.engines[name] = ens
 	}
 	ens.engine = eng
@@ -347,12 +347,12 @@
 	}
 }
 
-func (cor *Core) engineReported(now time.Time, evt Reported) {
+func (cor *Core) engineReported(now time.Time, evt EngineReported) {
 	ens := cor.engines[evt.Engine]
 	if ens == nil {
 		return
 	}
-	ens.draining = evt.Leaving
+	ens.draining = evt.Draining
 	if svc := cor.services[ens.engine.Service]; svc != nil {
 		cor.schedule(now, svc)
 	}
--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -40,9 +40,9 @@
 func newHarness(cfg harnessConfig) *harness {
 	har := &harness{core: coordinator.New(coordinator.Config{Self: selfEpoch}), now: time.Unix(1000, 0)}
 	members := []view.Member{
-		{Name: "host-1", Epoch: gatewayEpoch, Domain: "a", Leaving: true},
+		{Name: "host-1", Epoch: gatewayEpoch, Domain: "a", Draining: true},
 		{Name: "host-2", Epoch: selfEpoch, Domain: "b"},
-		{Name: "host-3", Epoch: otherEpoch, Domain: "c", Leaving: true},
+		{Name: "host-3", Epoch: otherEpoch, Domain: "c", Draining: true},
 	}
 	entries := []resource.Entry{
 		{Revision: 1, Resource: resource.Service{Name: "menus", Protocol: resource.ProtocolModel, MaxWaiting: cfg.maxWaiting}},
@@ -155,9 +155,9 @@
 
 func TestDrainingEngineIsGrantedNothing(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 2})
-	har.handle(coordinator.Reported{Engine: "engine-1", Leaving: true})
+	har.handle(coordinator.EngineReported{Engine: "engine-1", Draining: true})
 	assert.Equal(t, len(messages(har.receive(reserveOf("one", 10)))), 0)
-	assert.DeepEqual(t, messages(har.handle(coordinator.Reported{Engine: "engine-1"})), []string{"Grant one"})
+	assert.DeepEqual(t, messages(har.handle(coordinator.EngineReported{Engine: "engine-1"})), []string{"Grant one"})
 }
 
 func TestFencedRequestIsNeverGrantedUnderALowerBallot(t *testing.T) {
@@ -166,7 +166,7 @@
 	har.receive(reserveOf("one", 10))
 	fen := reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}}
 	ans, actions := har.core.Fence(har.now, fen)
-	assert.Equal(t, ans.Standing, reservation.StandingPromised)
+	assert.Equal(t, ans.State, reservation.FenceStatePromised)
 	assert.DeepEqual(t, messages(actions), []string{"Refuse one Fenced"})
 	assert.DeepEqual(t, messages(har.receive(reserveOf("one", 10))), []string{"Refuse one Fenced"})
 }
@@ -185,7 +185,7 @@
 	har.core.Handover()
 	fen := reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}}
 	ans, _ := har.core.Fence(har.now, fen)
-	assert.Equal(t, ans.Standing, reservation.StandingForgotten)
+	assert.Equal(t, ans.State, reservation.FenceStateForgotten)
 	assert.DeepEqual(t, messages(har.receive(reserveOf("two", 10))), []string{"Refuse two NotGranter"})
 }
 
@@ -214,8 +214,8 @@
 // Once a fence has relied on an attestation, the grants of the lost epoch must stay
 // rejected: a new grant could dispatch a request again that the fence allowed to run.
 func TestAttestationUsedByAFenceIsNotRevoked(t *testing.T) {
-	key := reservation.VouchKey{Lost: otherEpoch, Holder: gatewayEpoch}
-	att := reservation.Vouch{VouchKey: key, Sequence: 1}
+	key := reservation.AttestationKey{Lost: otherEpoch, Holder: gatewayEpoch}
+	att := reservation.Attestation{AttestationKey: key, Sequence: 1}
 	fen := reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}}
 	cases := map[string]struct {
 		fenced   bool
@@ -227,15 +227,15 @@
 	for name, cas := range cases {
 		t.Run(name, func(t *testing.T) {
 			har := newHarness(harnessConfig{slots: 1})
-			har.core.Vouch(har.now, att)
+			har.core.Attest(har.now, att)
 			if cas.fenced {
 				ans, _ := har.core.Fence(har.now, fen)
-				assert.DeepEqual(t, ans.Vouches, []reservation.VouchKey{key})
+				assert.DeepEqual(t, ans.Attestations, []reservation.AttestationKey{key})
 			}
-			ans := har.core.Unvouch(reservation.Unvouch{VouchKey: key, Sequence: 2})
-			assert.Equal(t, ans.Released, cas.released)
+			ans := har.core.RevokeAttestation(reservation.Revocation{AttestationKey: key, Sequence: 2})
+			assert.Equal(t, ans.Revoked, cas.released)
 			after, _ := har.core.Fence(har.now, fen)
-			assert.Equal(t, len(after.Vouches) == 0, cas.released)
+			assert.Equal(t, len(after.Attestations) == 0, cas.released)
 		})
 	}
 }
@@ -243,12 +243,12 @@
 // Messages may arrive out of order: an attestation that arrives after its revocation
 // must be ignored.
 func TestAttestationArrivingAfterRevocationIsIgnored(t *testing.T) {
-	key := reservation.VouchKey{Lost: otherEpoch, Holder: gatewayEpoch}
+	key := reservation.AttestationKey{Lost: otherEpoch, Holder: gatewayEpoch}
 	har := newHarness(harnessConfig{slots: 1})
-	assert.Assert(t, har.core.Unvouch(reservation.Unvouch{VouchKey: key, Sequence: 2}).Released)
-	har.core.Vouch(har.now, reservation.Vouch{VouchKey: key, Sequence: 1})
+	assert.Assert(t, har.core.RevokeAttestation(reservation.Revocation{AttestationKey: key, Sequence: 2}).Revoked)
+	har.core.Attest(har.now, reservation.Attestation{AttestationKey: key, Sequence: 1})
 	ans, _ := har.core.Fence(har.now, reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}})
-	assert.Equal(t, len(ans.Vouches), 0)
+	assert.Equal(t, len(ans.Attestations), 0)
 }
 
 func TestLowestOfSeveralLowerTiersIsDropped(t *testing.T) {
@@ -263,7 +263,7 @@
 // as long as the process runs.
 func TestAttestationsOfUnknownHostsAreDropped(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 1})
-	har.core.Vouch(har.now, reservation.Vouch{VouchKey: reservation.VouchKey{Lost: otherEpoch, Holder: gatewayEpoch}, Sequence: 1})
+	har.core.Attest(har.now, reservation.Attestation{AttestationKey: reservation.AttestationKey{Lost: otherEpoch, Holder: gatewayEpoch}, Sequence: 1})
 	assert.Equal(t, har.core.Dump(har.now).Vouches, 1)
 	members := []view.Member{{Name: "host-1", Epoch: gatewayEpoch, Domain: "a"}, {Name: "host-2", Epoch: selfEpoch, Domain: "b"}}
 	for number := uint64(2); har.core.Dump(har.now).Vouches > 0; number++ {
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -34,11 +34,11 @@
 	Message reservation.Message
 }
 
-// Reported delivers an engine's own load report or its state in the host list.
-type Reported struct {
-	Engine  string
-	Running int
-	Leaving bool
+// EngineReported delivers an engine's own load report or its state in the host list.
+type EngineReported struct {
+	Engine   string
+	Running  int
+	Draining bool
 }
 
 // CacheChanged delivers an engine's cache events, which may be late or incomplete.
@@ -60,7 +60,7 @@
 func (HostLost) isEvent()             {}
 func (HostUp) isEvent()               {}
 func (Received) isEvent()             {}
-func (Reported) isEvent()             {}
+func (EngineReported) isEvent()       {}
 func (CacheChanged) isEvent()         {}
 func (Drain) isEvent()                {}
 func (Tick) isEvent()                 {}
--- a/coordinator/ledger.go
+++ b/coordinator/ledger.go
@@ -17,13 +17,13 @@
 	records map[request.ID]*record
 	// floors maps a gateway epoch to the highest window of a dropped record.
 	floors       map[request.Epoch]uint64
-	attestations map[reservation.VouchKey]*attestation
+	attestations map[reservation.AttestationKey]*attestation
 	successions  map[request.Epoch]bool
 }
 
 type record struct {
 	ballot request.Ballot
-	state  reservation.Standing
+	state  reservation.FenceState
 	engine string
 	// holders are the gateways that claimed the request by a fence.
 	holders []request.Epoch
@@ -43,7 +43,7 @@
 		self:         self,
 		records:      make(map[request.ID]*record),
 		floors:       make(map[request.Epoch]uint64),
-		attestations: make(map[reservation.VouchKey]*attestation),
+		attestations: make(map[reservation.AttestationKey]*attestation),
 		successions:  make(map[request.Epoch]bool),
 	}
 }
@@ -63,13 +63,13 @@
 	switch {
 	case rec == nil:
 		return 0, 0
-	case rec.state == reservation.StandingForgotten:
+	case rec.state == reservation.FenceStateForgotten:
 		return reservation.ReasonForgotten, 0
-	case rec.state == reservation.StandingClosed:
+	case rec.state == reservation.FenceStateClosed:
 		return reservation.ReasonClosed, 0
 	case bal.Less(rec.ballot):
 		return reservation.ReasonFenced, rec.ballot.Holder
-	case rec.state == reservation.StandingGranted && !rec.ballot.Same(bal):
+	case rec.state == reservation.FenceStateGranted && !rec.ballot.Same(bal):
 		return reservation.ReasonFenced, rec.ballot.Holder
 	default:
 		return 0, 0
@@ -79,7 +79,7 @@
 // Granted returns the engine that was granted to the request, and false if none was.
 func (led *Ledger) Granted(id request.ID) (string, bool) {
 	rec := led.records[id]
-	if rec == nil || rec.state != reservation.StandingGranted {
+	if rec == nil || rec.state != reservation.FenceStateGranted {
 		return "", false
 	}
 	return rec.engine, true
@@ -88,17 +88,17 @@
 // Grant records a grant; Check must have returned 0.
 func (led *Ledger) Grant(now time.Time, id request.ID, bal request.Ballot, engine string) {
 	rec := led.touch(now, id, bal)
-	rec.state = reservation.StandingGranted
+	rec.state = reservation.FenceStateGranted
 	rec.engine = engine
 }
 
-// Ungrant revokes a grant that was certainly not dispatched.
-func (led *Ledger) Ungrant(id request.ID, bal request.Ballot) {
+// RevokeGrant revokes a grant that was certainly not dispatched.
+func (led *Ledger) RevokeGrant(id request.ID, bal request.Ballot) {
 	rec := led.records[id]
-	if rec == nil || rec.state != reservation.StandingGranted || !rec.ballot.Same(bal) {
+	if rec == nil || rec.state != reservation.FenceStateGranted || !rec.ballot.Same(bal) {
 		return
 	}
-	rec.state = reservation.StandingPromised
+	rec.state = reservation.FenceStatePromised
 	rec.engine = ""
 }
 
@@ -112,7 +112,7 @@
 	// A grant under the same ballot was lost in transit: its holder asks to close the
 	// request, so it hasn't dispatched the request and won't.
 	rec := led.touch(now, id, bal)
-	rec.state = reservation.StandingClosed
+	rec.state = reservation.FenceStateClosed
 	rec.engine = ""
 	return 0, 0
 }
@@ -126,38 +126,38 @@
 		ans.Holders = slices.Clone(rec.holders)
 	}
 	switch {
-	case rec != nil && rec.state == reservation.StandingGranted:
-		ans.Standing, ans.Ballot, ans.Engine = rec.state, rec.ballot, rec.engine
-	case rec != nil && rec.state == reservation.StandingClosed:
-		ans.Standing, ans.Ballot = rec.state, rec.ballot
-	case led.isForgotten(fen.ID) || (rec != nil && rec.state == reservation.StandingForgotten):
-		ans.Standing = reservation.StandingForgotten
+	case rec != nil && rec.state == reservation.FenceStateGranted:
+		ans.State, ans.Ballot, ans.Engine = rec.state, rec.ballot, rec.engine
+	case rec != nil && rec.state == reservation.FenceStateClosed:
+		ans.State, ans.Ballot = rec.state, rec.ballot
+	case led.isForgotten(fen.ID) || (rec != nil && rec.state == reservation.FenceStateForgotten):
+		ans.State = reservation.FenceStateForgotten
 	case rec != nil && fen.Ballot.Less(rec.ballot):
-		ans.Standing, ans.Ballot = reservation.StandingOutbid, rec.ballot
+		ans.State, ans.Ballot = reservation.FenceStateSuperseded, rec.ballot
 	default:
 		led.touch(now, fen.ID, fen.Ballot)
-		ans.Standing = reservation.StandingPromised
+		ans.State = reservation.FenceStatePromised
 	}
 	if !granter {
 		return nonGranterAnswer(ans)
 	}
-	ans.Vouches = led.useAttestations(append(slices.Clone(ans.Holders), fen.ID.Epoch))
+	ans.Attestations = led.useAttestations(append(slices.Clone(ans.Holders), fen.ID.Epoch))
 	return ans
 }
 
 // nonGranterAnswer returns the answer of a host that may not grant the request. Such a
 // host reports grants and closes that it knows of, but its promise has no effect.
 func nonGranterAnswer(ans reservation.FenceAnswer) reservation.FenceAnswer {
-	if ans.Standing == reservation.StandingPromised || ans.Standing == reservation.StandingForgotten {
-		ans.Standing = reservation.StandingBystander
+	if ans.State == reservation.FenceStatePromised || ans.State == reservation.FenceStateForgotten {
+		ans.State = reservation.FenceStateBystander
 	}
 	return ans
 }
 
 // useAttestations returns the sorted keys of the active attestations about the
 // holders and marks them as relied upon.
-func (led *Ledger) useAttestations(holders []request.Epoch) []reservation.VouchKey {
-	var keys []reservation.VouchKey
+func (led *Ledger) useAttestations(holders []request.Epoch) []reservation.AttestationKey {
+	var keys []reservation.AttestationKey
 	for key, att := range led.attestations {
 		if att.active && slices.Contains(holders, key.Holder) {
 			att.fenced = true
@@ -168,28 +168,28 @@
 	return keys
 }
 
-// Vouch stores an attestation: it merges the records of what a lost coordinator epoch
+// Attest stores an attestation: it merges the records of what a lost coordinator epoch
 // granted to one gateway. An attestation that isn't newer than the known one is ignored.
-func (led *Ledger) Vouch(now time.Time, att reservation.Vouch) {
-	known := led.attestations[att.VouchKey]
+func (led *Ledger) Attest(now time.Time, att reservation.Attestation) {
+	known := led.attestations[att.AttestationKey]
 	if known != nil && known.sequence >= att.Sequence {
 		return
 	}
 	led.merge(now, att.Records)
 	fenced := known != nil && known.fenced
-	led.attestations[att.VouchKey] = &attestation{sequence: att.Sequence, active: true, fenced: fenced}
+	led.attestations[att.AttestationKey] = &attestation{sequence: att.Sequence, active: true, fenced: fenced}
 }
 
-// Unvouch revokes an attestation unless a fence has relied on it.
-func (led *Ledger) Unvouch(rev reservation.Unvouch) reservation.UnvouchAnswer {
-	ans := reservation.UnvouchAnswer{VouchKey: rev.VouchKey, Released: true}
-	known := led.attestations[rev.VouchKey]
+// RevokeAttestation revokes an attestation unless a fence has relied on it.
+func (led *Ledger) RevokeAttestation(rev reservation.Revocation) reservation.RevocationAnswer {
+	ans := reservation.RevocationAnswer{AttestationKey: rev.AttestationKey, Revoked: true}
+	known := led.attestations[rev.AttestationKey]
 	switch {
 	case known == nil:
 		// An attestation that is still in transit must not count when it arrives.
-		led.attestations[rev.VouchKey] = &attestation{sequence: rev.Sequence}
+		led.attestations[rev.AttestationKey] = &attestation{sequence: rev.Sequence}
 	case known.fenced:
-		ans.Released = false
+		ans.Revoked = false
 	case known.sequence < rev.Sequence:
 		known.sequence = rev.Sequence
 		known.active = false
@@ -204,9 +204,9 @@
 		for _, holder := range earlierHolders(rec, id) {
 			// Later fences must also know the gateways that claimed the request before.
 			bal := request.Ballot{Round: 1, Holder: holder}
-			han.Records = append(han.Records, reservation.Record{ID: id, Ballot: bal, Standing: reservation.StandingPromised})
+			han.Records = append(han.Records, reservation.Record{ID: id, Ballot: bal, State: reservation.FenceStatePromised})
 		}
-		han.Records = append(han.Records, reservation.Record{ID: id, Ballot: rec.ballot, Standing: rec.state, Engine: rec.engine})
+		han.Records = append(han.Records, reservation.Record{ID: id, Ballot: rec.ballot, State: rec.state, Engine: rec.engine})
 	}
 	slices.SortStableFunc(han.Records, func(one, two reservation.Record) int {
 		return compareIDs(one.ID, two.ID)
@@ -234,8 +234,8 @@
 func (led *Ledger) merge(now time.Time, records []reservation.Record) {
 	for _, rep := range records {
 		rec := led.touch(now, rep.ID, rep.Ballot)
-		if rep.Standing == reservation.StandingGranted || rec.state == reservation.StandingPromised {
-			rec.state = rep.Standing
+		if rep.State == reservation.FenceStateGranted || rec.state == reservation.FenceStatePromised {
+			rec.state = rep.State
 			rec.engine = rep.Engine
 			rec.ballot = rep.Ballot
 		}
@@ -278,7 +278,7 @@
 func (led *Ledger) touch(now time.Time, id request.ID, bal request.Ballot) *record {
 	rec := led.records[id]
 	if rec == nil {
-		rec = &record{state: reservation.StandingPromised, ballot: bal}
+		rec = &record{state: reservation.FenceStatePromised, ballot: bal}
 		led.records[id] = rec
 	}
 	if rec.ballot.Less(bal) {
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -403,7 +403,7 @@
 
 func (cor *Core) release(now time.Time, rel reservation.Release) {
 	if !rel.Dispatched {
-		cor.ledger.Ungrant(rel.ID, rel.Ballot)
+		cor.ledger.RevokeGrant(rel.ID, rel.Ballot)
 	}
 	ens := cor.engines[rel.Engine]
 	if ens == nil {
--- a/credential/credential.go
+++ b/credential/credential.go
@@ -3,9 +3,9 @@
 //
 // # Usage
 //
-//	rin, err := credential.NewRing(now) // once, by the first host; stored where all hosts read it
-//	aut := credential.NewKeeper(credential.Config{Refused: func(err error) { ... }})
-//	err = aut.Take(rin)
+//	rin, err := credential.NewKeyRing(now) // once, by the first host; stored where all hosts read it
+//	aut := credential.NewAuthenticator(credential.Config{Refused: func(err error) { ... }})
+//	err = aut.SetKeyRing(rin)
 //	cfg := aut.TLS() // for clients and servers
 //	next, due, err := rin.Renewal(now, every)
 //
@@ -44,8 +44,8 @@
 	return sec, errors.Wrap(err, "generate secret")
 }
 
-// Ring holds the secrets of a deployment in their stored form.
-type Ring struct {
+// KeyRing holds the secrets of a deployment in their stored form.
+type KeyRing struct {
 	// Current is the secret by which hosts authenticate themselves.
 	Current Secret
 	// Next and Former are the secrets after and before Current. Both are accepted from
@@ -56,10 +56,10 @@
 	Changed time.Time
 }
 
-// NewRing returns a key ring with one new secret.
-func NewRing(now time.Time) (Ring, error) {
+// NewKeyRing returns a key ring with one new secret.
+func NewKeyRing(now time.Time) (KeyRing, error) {
 	sec, err := NewSecret()
-	return Ring{Current: sec, Changed: now}, err
+	return KeyRing{Current: sec, Changed: now}, err
 }
 
 // FieldError reports an invalid field of a key ring.
@@ -74,7 +74,7 @@
 }
 
 // Check returns a *FieldError for an invalid field, or nil.
-func (rin Ring) Check() error {
+func (rin KeyRing) Check() error {
 	if len(rin.Current) != secretBytes {
 		return &FieldError{Field: "Current", Reason: "want 32 bytes"}
 	}
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (rin Ring) equal(other Ring) bool {
+func (rin KeyRing) equal(other KeyRing) bool {
 	return bytes.Equal(rin.Current, other.Current) && bytes.Equal(rin.Next, other.Next) && bytes.Equal(rin.Former, other.Former) &&
 		rin.Changed.Equal(other.Changed)
 }
@@ -100,16 +100,16 @@
 // Renewal returns the key ring after the next step of its rotation, and whether that step
 // is due. A next secret is added when the duration every has passed since the last change,
 // and becomes the current one 5 minutes later, or after that duration if it is shorter.
-func (rin Ring) Renewal(now time.Time, every time.Duration) (Ring, bool, error) {
+func (rin KeyRing) Renewal(now time.Time, every time.Duration) (KeyRing, bool, error) {
 	age := now.Sub(rin.Changed)
 	switch {
 	case len(rin.Next) > 0 && age >= min(activationDelay, every):
-		return Ring{Current: rin.Next, Former: rin.Current, Changed: now}, true, nil
+		return KeyRing{Current: rin.Next, Former: rin.Current, Changed: now}, true, nil
 	case len(rin.Next) == 0 && age >= every:
 		next, err := NewSecret()
-		return Ring{Current: rin.Current, Next: next, Former: rin.Former, Changed: now}, err == nil, err
+		return KeyRing{Current: rin.Current, Next: next, Former: rin.Former, Changed: now}, err == nil, err
 	default:
-		return Ring{}, false, nil
+		return KeyRing{}, false, nil
 	}
 }
 
@@ -141,37 +141,37 @@
 
 // keySet is a key ring with the keys that are derived from its secrets.
 type keySet struct {
-	ring     Ring
+	ring     KeyRing
 	own      identity
 	accepted []ed25519.PublicKey
 }
 
-// Config is the configuration for NewKeeper.
+// Config is the configuration for NewAuthenticator.
 type Config struct {
 	// Refused is called with the error of each handshake in which the peer did not
 	// authenticate itself. It may be nil.
 	Refused func(err error)
 }
 
-// Keeper checks peers against the secrets of a key ring. It is safe for concurrent use.
-type Keeper struct {
+// Authenticator checks peers against the secrets of a key ring. It is safe for concurrent use.
+type Authenticator struct {
 	cfg  Config
 	keys atomic.Pointer[keySet]
 }
 
-// NewKeeper returns an instance without a key ring, which rejects every peer until Take
+// NewAuthenticator returns an instance without a key ring, which rejects every peer until SetKeyRing
 // sets one.
-func NewKeeper(cfg Config) *Keeper {
-	return &Keeper{cfg: cfg}
+func NewAuthenticator(cfg Config) *Authenticator {
+	return &Authenticator{cfg: cfg}
 }
 
-// Take replaces the key ring. The new one applies to connections that are opened
+// SetKeyRing replaces the key ring. The new one applies to connections that are opened
 // afterwards; open connections stay. It returns a *FieldError for an invalid key ring.
-func (aut *Keeper) Take(rin Ring) error {
+func (aut *Authenticator) SetKeyRing(rin KeyRing) error {
 	if err := rin.Check(); err != nil {
 		return err
 	}
-	if old, found := aut.Ring(); found && old.equal(rin) {
+	if old, found := aut.KeyRing(); found && old.equal(rin) {
 		// Each full snapshot of the store contains the same key ring again, and deriving a
 		// key takes 0.1 ms.
 		return nil
@@ -194,35 +194,35 @@
 	return nil
 }
 
-// Ring returns the key ring in use; false if there is none yet.
-func (aut *Keeper) Ring() (Ring, bool) {
+// KeyRing returns the key ring in use; false if there is none yet.
+func (aut *Authenticator) KeyRing() (KeyRing, bool) {
 	kst := aut.keys.Load()
 	if kst == nil {
-		return Ring{}, false
+		return KeyRing{}, false
 	}
 	return kst.ring, true
 }
 
-// UnknownError reports that this host has no key ring yet.
-type UnknownError struct{}
+// NoKeyRingError reports that this host has no key ring yet.
+type NoKeyRingError struct{}
 
 // Error implements error.
-func (*UnknownError) Error() string { return "no key ring has been loaded yet" }
+func (*NoKeyRingError) Error() string { return "no key ring has been loaded yet" }
 
-// StrangerError reports a peer that did not authenticate itself with a secret of the key
+// UnauthenticatedError reports a peer that did not authenticate itself with a secret of the key
 // ring.
-type StrangerError struct {
+type UnauthenticatedError struct {
 	// Reason is why the peer's certificate was rejected.
 	Reason string
 }
 
 // Error implements error.
-func (uer *StrangerError) Error() string { return "unauthenticated peer: " + uer.Reason }
+func (uer *UnauthenticatedError) Error() string { return "unauthenticated peer: " + uer.Reason }
 
 // TLS returns the TLS configuration for clients and servers. By BenchmarkHandshake, a
 // handshake takes 0.4 ms of processor time on each side. A host opens a few connections a
 // minute, and the leader of 300 hosts accepts 300 when all of them start.
-func (aut *Keeper) TLS() *tls.Config {
+func (aut *Authenticator) TLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		// X25519 alone: the hybrid post-quantum key exchange doubles the handshake time.
@@ -239,17 +239,17 @@
 	}
 }
 
-func (aut *Keeper) certificate() (*tls.Certificate, error) {
+func (aut *Authenticator) certificate() (*tls.Certificate, error) {
 	kst := aut.keys.Load()
 	if kst == nil {
-		return nil, &UnknownError{}
+		return nil, &NoKeyRingError{}
 	}
 	return &kst.own.certificate, nil
 }
 
 // verify accepts a peer whose public key is derived from one of the key ring's secrets. The
 // handshake itself proves that the peer has the private key.
-func (aut *Keeper) verify(sta tls.ConnectionState) error {
+func (aut *Authenticator) verify(sta tls.ConnectionState) error {
 	err := aut.checkPeer(sta)
 	if err != nil && aut.cfg.Refused != nil {
 		aut.cfg.Refused(err)
@@ -257,22 +257,22 @@
 	return err
 }
 
-func (aut *Keeper) checkPeer(sta tls.ConnectionState) error {
+func (aut *Authenticator) checkPeer(sta tls.ConnectionState) error {
 	kst := aut.keys.Load()
 	if kst == nil {
-		return &UnknownError{}
+		return &NoKeyRingError{}
 	}
 	if len(sta.PeerCertificates) == 0 {
-		return &StrangerError{Reason: "no certificate"}
+		return &UnauthenticatedError{Reason: "no certificate"}
 	}
 	public, isKey := sta.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
 	if !isKey {
-		return &StrangerError{Reason: "certificate without an Ed25519 key"}
+		return &UnauthenticatedError{Reason: "certificate without an Ed25519 key"}
 	}
 	for _, accepted := range kst.accepted {
 		if accepted.Equal(public) {
 			return nil
 		}
 	}
-	return &StrangerError{Reason: "key of an unknown secret"}
+	return &UnauthenticatedError{Reason: "key of an unknown secret"}
 }
--- a/credential/credential_test.go
+++ b/credential/credential_test.go
@@ -16,17 +16,17 @@
 
 var start = time.Unix(5000, 0)
 
-func newRing(t testing.TB) credential.Ring {
+func newRing(t testing.TB) credential.KeyRing {
 	t.Helper()
-	rin, err := credential.NewRing(start)
+	rin, err := credential.NewKeyRing(start)
 	assert.NilError(t, err)
 	return rin
 }
 
-func newAuthenticator(t testing.TB, rin credential.Ring) *credential.Keeper {
+func newAuthenticator(t testing.TB, rin credential.KeyRing) *credential.Authenticator {
 	t.Helper()
-	aut := credential.NewKeeper(credential.Config{})
-	assert.NilError(t, aut.Take(rin))
+	aut := credential.NewAuthenticator(credential.Config{})
+	assert.NilError(t, aut.SetKeyRing(rin))
 	return aut
 }
 
@@ -76,7 +76,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, due)
 	assert.DeepEqual(t, third.Current, second.Next)
-	rings := map[string]credential.Ring{"first": first, "second": second, "third": third}
+	rings := map[string]credential.KeyRing{"first": first, "second": second, "third": third}
 	for _, tst := range []struct {
 		one, two string
 		accepted bool
@@ -99,8 +99,8 @@
 func TestUnauthenticatedPeersAreRejected(t *testing.T) {
 	ring := newRing(t)
 	var rejected []error
-	aut := credential.NewKeeper(credential.Config{Refused: func(err error) { rejected = append(rejected, err) }})
-	assert.NilError(t, aut.Take(ring))
+	aut := credential.NewAuthenticator(credential.Config{Refused: func(err error) { rejected = append(rejected, err) }})
+	assert.NilError(t, aut.SetKeyRing(ring))
 	other := newAuthenticator(t, newRing(t)).TLS()
 	_, err := handshake(t, other, aut.TLS())
 	assert.Assert(t, err != nil)
@@ -115,7 +115,7 @@
 	assert.Assert(t, err != nil, "a client that accepts every server was accepted itself")
 	err, _ = handshake(t, aut.TLS(), trusting)
 	assert.Assert(t, err != nil, "a server with another secret was accepted")
-	var rejection *credential.StrangerError
+	var rejection *credential.UnauthenticatedError
 	assert.Assert(t, len(rejected) >= 3)
 	for _, err := range rejected {
 		assert.Assert(t, errors.As(err, &rejection), "%v", err)
@@ -124,10 +124,10 @@
 
 // Before a key ring is loaded, every peer must be rejected.
 func TestHostWithoutSecretRejectsAllPeers(t *testing.T) {
-	empty := credential.NewKeeper(credential.Config{})
+	empty := credential.NewAuthenticator(credential.Config{})
 	client, server := handshake(t, newAuthenticator(t, newRing(t)).TLS(), empty.TLS())
 	assert.Assert(t, client != nil && server != nil)
-	_, found := empty.Ring()
+	_, found := empty.KeyRing()
 	assert.Assert(t, !found)
 }
 
@@ -135,14 +135,14 @@
 	valid := newRing(t)
 	data, err := json.Marshal(valid)
 	assert.NilError(t, err)
-	var read credential.Ring
+	var read credential.KeyRing
 	assert.NilError(t, json.Unmarshal(data, &read))
 	assert.DeepEqual(t, read.Current, valid.Current)
-	for field, rin := range map[string]credential.Ring{
+	for field, rin := range map[string]credential.KeyRing{
 		"Current": {}, "Next": {Current: valid.Current, Next: []byte("short")}, "Former": {Current: valid.Current, Former: make([]byte, 33)},
 	} {
 		var fer *credential.FieldError
-		assert.Assert(t, errors.As(credential.NewKeeper(credential.Config{}).Take(rin), &fer))
+		assert.Assert(t, errors.As(credential.NewAuthenticator(credential.Config{}).SetKeyRing(rin), &fer))
 		assert.Equal(t, fer.Field, field)
 	}
 }
@@ -150,11 +150,11 @@
 func FuzzRing(f *testing.F) {
 	f.Add([]byte(`{"Current":"AAAA"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var rin credential.Ring
+		var rin credential.KeyRing
 		if json.Unmarshal(data, &rin) != nil {
 			return
 		}
-		if (credential.NewKeeper(credential.Config{}).Take(rin) == nil) != (rin.Check() == nil) {
+		if (credential.NewAuthenticator(credential.Config{}).SetKeyRing(rin) == nil) != (rin.Check() == nil) {
 			t.Fatalf("%+v", rin)
 		}
 	})
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Set returns the resources that an operator writes to configure the running system.
-func Set(sys *embedded.System) resource.Set {
+// Resources returns the resources that an operator writes to configure the running system.
+func Resources(sys *embedded.System) resource.Set {
 	set := resource.Set{
 		Tiers: []resource.Tier{{Name: tierUrgent, Rank: 30}, {Name: tierNormal, Rank: 20}, {Name: tierRoutine, Rank: 10}},
 		Services: []resource.Service{
@@ -176,7 +176,7 @@
 		return load.Report{}, err
 	}
 	defer sys.Stop()
-	if err := sys.Apply(starting, Set(sys)); err != nil {
+	if err := sys.Apply(starting, Resources(sys)); err != nil {
 		return load.Report{}, err
 	}
 	fmt.Fprintf(cfg.Progress, "configuration in force on all hosts; sending requests for %s\n", cfg.For)
--- a/engine/client.go
+++ b/engine/client.go
@@ -81,15 +81,15 @@
 // Sink receives the events of a stream as they arrive; data is the event's payload.
 type Sink func(data []byte)
 
-// RefusalError reports a response of the engine with a status other than 200.
-type RefusalError struct {
+// StatusError reports a response of the engine with a status other than 200.
+type StatusError struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
 // Error returns the status.
-func (rer *RefusalError) Error() string {
+func (rer *StatusError) Error() string {
 	return fmt.Sprintf("engine responded with status %d, want 200", rer.Status)
 }
 
@@ -110,7 +110,7 @@
 	// FirstToken and Total are the times from the call to the first event and to the end.
 	FirstToken time.Duration
 	Total      time.Duration
-	// Err is why the answer is incomplete; a *RefusalError if the engine sent an error status.
+	// Err is why the answer is incomplete; a *StatusError if the engine sent an error status.
 	Err error
 }
 
@@ -159,7 +159,7 @@
 	}
 	rea := &eventReader{
 		lines: bufio.NewReaderSize(rep.Body, 4096), start: start,
-		onEvent: wat.Heard,
+		onEvent: wat.Reset,
 	}
 	rea.run(&res, sink)
 	res.Total = time.Since(start)
@@ -184,7 +184,7 @@
 func withStatusError(res Result, rep *http.Response) Result {
 	body, _ := io.ReadAll(io.LimitReader(rep.Body, maxErrorBytes))
 	res.NotKnown = rep.StatusCode == http.StatusNotFound
-	res.Err = &RefusalError{Status: rep.StatusCode, Header: rep.Header, Body: body}
+	res.Err = &StatusError{Status: rep.StatusCode, Header: rep.Header, Body: body}
 	return res
 }
 
@@ -298,7 +298,7 @@
 	}
 	defer rep.Body.Close()
 	if rep.StatusCode != http.StatusOK {
-		return &RefusalError{Status: rep.StatusCode}
+		return &StatusError{Status: rep.StatusCode}
 	}
 	return errors.Wrap(json.NewDecoder(io.LimitReader(rep.Body, maxEventBytes)).Decode(target), "decode engine response")
 }
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -72,10 +72,10 @@
 
 // Load is an engine's report of its load; it may be out of date.
 type Load struct {
-	Running int  `json:"running"`
-	Waiting int  `json:"waiting"`
-	Slots   int  `json:"slots"`
-	Leaving bool `json:"leaving"`
+	Running  int  `json:"running"`
+	Waiting  int  `json:"waiting"`
+	Slots    int  `json:"slots"`
+	Draining bool `json:"leaving"`
 }
 
 // CacheEvent reports that a prompt prefix was added to the engine's cache or evicted from it.
@@ -118,9 +118,9 @@
 // minPrefixTokens is the shortest prefix that is cached.
 const minPrefixTokens = 16
 
-// Weigh estimates a prompt's length. The shared prefix is every message but the last,
+// EstimatePrompt estimates a prompt's length. The shared prefix is every message but the last,
 // since the part that differs between requests comes last.
-func Weigh(messages []Message) Prompt {
+func EstimatePrompt(messages []Message) Prompt {
 	var pro Prompt
 	hsh := fnv.New64a()
 	for idx, msg := range messages {
--- a/enginetest/contract_test.go
+++ b/enginetest/contract_test.go
@@ -162,7 +162,7 @@
 	first, _ := fix.dispatch(t, "one", 2)
 	second, _ := fix.dispatch(t, "two", 2)
 	assert.Equal(t, first.Usage.Details.CachedTokens, 0)
-	prompt := engine.Weigh(messages)
+	prompt := engine.EstimatePrompt(messages)
 	assert.Equal(t, second.Usage.Details.CachedTokens, prompt.PrefixTokens)
 	var page engine.CacheEvents
 	for len(page.Events) == 0 {
@@ -176,11 +176,11 @@
 
 func TestDrainingIsReported(t *testing.T) {
 	fix := newFixture(t, fast)
-	fix.engine.SetLeaving(true)
+	fix.engine.SetDraining(true)
 	for {
 		loa, err := fix.client.Load(t.Context(), fix.address)
 		assert.NilError(t, err)
-		if loa.Leaving {
+		if loa.Draining {
 			return
 		}
 	}
--- a/enginetest/engine.go
+++ b/enginetest/engine.go
@@ -172,8 +172,8 @@
 	eng.prefixes.clear()
 }
 
-// SetLeaving sets whether the engine reports that it is draining.
-func (eng *Engine) SetLeaving(leaving bool) {
+// SetDraining sets whether the engine reports that it is draining.
+func (eng *Engine) SetDraining(leaving bool) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.draining = leaving
@@ -366,7 +366,7 @@
 
 // recordLoad records the load for the delayed load reports.
 func (eng *Engine) recordLoad(now time.Time) {
-	loa := engine.Load{Running: len(eng.running), Waiting: len(eng.waiting), Slots: eng.cfg.Slots, Leaving: eng.draining}
+	loa := engine.Load{Running: len(eng.running), Waiting: len(eng.waiting), Slots: eng.cfg.Slots, Draining: eng.draining}
 	eng.reports = append(eng.reports, timedLoad{time: now, load: loa})
 	for len(eng.reports) > 1 && now.Sub(eng.reports[1].time) >= eng.cfg.LoadLag {
 		eng.reports = eng.reports[1:]
--- a/enginetest/handler.go
+++ b/enginetest/handler.go
@@ -15,8 +15,8 @@
 const (
 	// PathFaults takes Faults by POST.
 	PathFaults = "/standin/faults"
-	// PathLeaving takes a JSON boolean by POST: whether the engine is draining.
-	PathLeaving = "/standin/leaving"
+	// PathDraining takes a JSON boolean by POST: whether the engine is draining.
+	PathDraining = "/standin/leaving"
 	// PathDispatches answers GET with all dispatches received.
 	PathDispatches = "/standin/dispatches"
 )
@@ -31,7 +31,7 @@
 func (eng *Engine) Handler() http.Handler {
 	rou := mux.NewRouter()
 	rou.HandleFunc(PathFaults, eng.serveFaults).Methods(http.MethodPost)
-	rou.HandleFunc(PathLeaving, eng.serveLeaving).Methods(http.MethodPost)
+	rou.HandleFunc(PathDraining, eng.serveLeaving).Methods(http.MethodPost)
 	rou.HandleFunc(PathDispatches, eng.serveDispatches).Methods(http.MethodGet)
 	sub := rou.NewRoute().Subrouter()
 	sub.Use(eng.applyFaults)
@@ -97,7 +97,7 @@
 func (eng *Engine) accept(req *http.Request, chat engine.ChatRequest) (jb *job, drop bool) {
 	priority, _ := strconv.Atoi(req.Header.Get(engine.HeaderPriority))
 	id := req.Header.Get(engine.HeaderRequestID)
-	prompt := engine.Weigh(chat.Messages)
+	prompt := engine.EstimatePrompt(chat.Messages)
 	wanted := chat.MaxTokens
 	orInt(&wanted, defaultAnswerTokens)
 	eng.mutex.Lock()
@@ -321,7 +321,7 @@
 		http.Error(wri, err.Error(), http.StatusBadRequest)
 		return
 	}
-	eng.SetLeaving(leaving)
+	eng.SetDraining(leaving)
 	wri.WriteHeader(http.StatusNoContent)
 }
 
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -37,7 +37,7 @@
 			now := time.Now()
 			exc := &exchange{
 				host: hos, started: now, deadline: now.Add(time.Second), service: "plain",
-				route: route.Route{Kind: route.KindSafe, Aim: time.Second, Public: true},
+				route: route.Route{Kind: route.KindSafe, LatencyTarget: time.Second, Public: true},
 			}
 			eng, pro := exc.reserve(t.Context())
 			assert.Equal(t, eng.ID.Name, tst.engine)
@@ -61,7 +61,7 @@
 		now := time.Now()
 		exc := &exchange{
 			host: hos, started: now, deadline: now.Add(time.Second), service: "model", lastEventID: last,
-			route: route.Route{Kind: route.KindStreaming, Aim: 200 * time.Millisecond, Public: true},
+			route: route.Route{Kind: route.KindStreaming, LatencyTarget: 200 * time.Millisecond, Public: true},
 		}
 		exc.request.ID, exc.request.PromptTokens, exc.request.HintTokens = id, 10, hint
 		_, pro := exc.reserve(t.Context())
--- a/entry/barred.go
+++ b/entry/barred.go
@@ -35,7 +35,7 @@
 
 // Error names the engine and the signal.
 func (ber *BlockedError) Error() string {
-	return "engine " + ber.Notice.Run.String() + " is blocked for this host by its signal " + ber.Notice.Word.String()
+	return "engine " + ber.Notice.Run.String() + " is blocked for this host by its signal " + ber.Notice.Signal.String()
 }
 
 // checkBlocked returns a *BlockedError for an engine that is blocked for this host. It reports
@@ -45,7 +45,7 @@
 	if sgn == nil {
 		return nil
 	}
-	not := fleet.Notice{Run: run, Word: sgn}
+	not := fleet.Notice{Run: run, Signal: sgn}
 	hos.broker.reportNotice(not)
 	return &BlockedError{Notice: not}
 }
@@ -81,9 +81,9 @@
 func (ree *RateExceededError) Error() string {
 	why := "the scheduler did not know of the limit"
 	switch ree.Rate {
-	case reservation.GrantRatePaced:
+	case reservation.GrantRateLimited:
 		why = "granted " + ree.Age.String() + " ago"
-	case reservation.GrantRateEnded:
+	case reservation.GrantRateUnlimited:
 		why = "the engine repeated the limit after the reservation was sent"
 	case reservation.GrantRateUnknown:
 	}
@@ -100,13 +100,13 @@
 	}
 	age := hos.clock.Since(grt.grantedAt)
 	switch {
-	case grt.rate == reservation.GrantRatePaced && age < maxRateGrantAge:
+	case grt.rate == reservation.GrantRateLimited && age < maxRateGrantAge:
 		return nil
-	case grt.rate == reservation.GrantRateEnded && grt.requestedAt.After(lim.At):
+	case grt.rate == reservation.GrantRateUnlimited && grt.requestedAt.After(lim.ReceivedAt):
 		hos.notices.endLimit(run, grt.requestedAt)
 		return nil
 	}
-	hos.broker.reportNotice(fleet.Notice{Run: run, Word: lim.RateLimit})
+	hos.broker.reportNotice(fleet.Notice{Run: run, Signal: lim.RateLimit})
 	return &RateExceededError{Run: run, PerSecond: lim.PerSecond, Rate: grt.rate, Age: age}
 }
 
--- a/entry/barred_test.go
+++ b/entry/barred_test.go
@@ -29,8 +29,8 @@
 func TestSignalsBelongToAnsweringEngine(t *testing.T) {
 	const backoff = 3 * time.Second
 	end := upstream.Endpoint{Engine: fleet.EngineID{Name: "e1"}}
-	draining := fleet.Notice{Run: end.Engine, Word: fleet.Leaving{}}
-	backoffNotice := fleet.Notice{Run: end.Engine, Word: fleet.Pause{Left: backoff}}
+	draining := fleet.Notice{Run: end.Engine, Signal: fleet.Draining{}}
+	backoffNotice := fleet.Notice{Run: end.Engine, Signal: fleet.Backoff{Remaining: backoff}}
 	for _, tst := range []struct {
 		name string
 		head call.AnswerHead
@@ -40,16 +40,16 @@
 		{"two signals", call.AnswerHead{Draining: true, Backoff: backoff}, []fleet.Notice{draining, backoffNotice}},
 		{"names itself", call.AnswerHead{Instance: "e1", Draining: true}, []fleet.Notice{draining}},
 		{"rejects under its own name", call.AnswerHead{Misdirected: true, Instance: "e1", Draining: true}, []fleet.Notice{draining}},
-		{"address reused by another engine", call.AnswerHead{Misdirected: true, Instance: "e2", Draining: true, Backoff: backoff}, []fleet.Notice{{Run: end.Engine, Word: fleet.Replaced{}}}},
+		{"address reused by another engine", call.AnswerHead{Misdirected: true, Instance: "e2", Draining: true, Backoff: backoff}, []fleet.Notice{{Run: end.Engine, Signal: fleet.Replaced{}}}},
 		{"rejects without a name", call.AnswerHead{Misdirected: true, Draining: true}, nil},
-		{"rate limit", call.AnswerHead{HasRate: true, Rate: 1.5}, []fleet.Notice{{Run: end.Engine, Word: fleet.RateLimit{PerSecond: 1.5}}}},
-		{"invalid rate limit", call.AnswerHead{UnreadRate: "few"}, nil},
-		{"draining with a rate limit", call.AnswerHead{Draining: true, HasRate: true}, []fleet.Notice{draining, {Run: end.Engine, Word: fleet.RateLimit{}}}},
+		{"rate limit", call.AnswerHead{HasRate: true, Rate: 1.5}, []fleet.Notice{{Run: end.Engine, Signal: fleet.RateLimit{PerSecond: 1.5}}}},
+		{"invalid rate limit", call.AnswerHead{InvalidRate: "few"}, nil},
+		{"draining with a rate limit", call.AnswerHead{Draining: true, HasRate: true}, []fleet.Notice{draining, {Run: end.Engine, Signal: fleet.RateLimit{}}}},
 		{"rate limit of another engine", call.AnswerHead{Instance: "e2", HasRate: true}, nil},
 		{"answer of another engine", call.AnswerHead{Instance: "e2", Draining: true}, nil},
 	} {
 		t.Run(tst.name, func(t *testing.T) {
-			assert.DeepEqual(t, newNotices(nil).signals(upstream.Heard{Endpoint: end, Head: tst.head}), tst.want)
+			assert.DeepEqual(t, newNotices(nil).signals(upstream.HeadReceived{Endpoint: end, Head: tst.head}), tst.want)
 		})
 	}
 }
@@ -68,11 +68,11 @@
 	run := fleet.EngineID{Name: "e1"}
 	exc := &exchange{host: hos, route: route.Route{Public: true}, deadline: hos.clock.Now().Add(time.Minute)}
 	assert.NilError(t, exc.checkBeforeSend(fleet.Engine{ID: run}))
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: run}, Head: call.AnswerHead{Backoff: time.Hour}})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: run}, Head: call.AnswerHead{Backoff: time.Hour}})
 	err := exc.checkBeforeSend(fleet.Engine{ID: run})
 	var blocked *BlockedError
 	assert.Assert(t, errors.As(err, &blocked), "%v", err)
-	_, isBackoff := blocked.Notice.Word.(fleet.Pause)
+	_, isBackoff := blocked.Notice.Signal.(fleet.Backoff)
 	assert.Assert(t, isBackoff, "%v", blocked)
 	assert.NilError(t, exc.checkBeforeSend(fleet.Engine{ID: fleet.EngineID{Name: "e2"}}))
 }
@@ -92,7 +92,7 @@
 	hos := newTestHost(t, &log)
 	before := log.lines
 	for range 1000 {
-		hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: fleet.EngineID{Name: "e1"}}, Head: call.AnswerHead{Backoff: time.Millisecond, UnreadBackoff: "soon"}})
+		hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: fleet.EngineID{Name: "e1"}}, Head: call.AnswerHead{Backoff: time.Millisecond, InvalidBackoff: "soon"}})
 	}
 	assert.Assert(t, log.lines-before <= 4, log.lines-before)
 }
@@ -105,11 +105,11 @@
 	before := log.lines
 	end := upstream.Endpoint{Engine: fleet.EngineID{Name: "e1"}}
 	for range 1000 {
-		hos.notices.apply(upstream.Heard{Endpoint: end, Head: call.AnswerHead{Unknown: []string{"Server-Mood"}}})
+		hos.notices.apply(upstream.HeadReceived{Endpoint: end, Head: call.AnswerHead{UnrecognizedHeaders: []string{"Server-Mood"}}})
 	}
 	assert.Equal(t, log.lines-before, 1)
 	for num := range 1000 {
-		hos.notices.apply(upstream.Heard{Endpoint: end, Head: call.AnswerHead{Unknown: []string{fmt.Sprint("X-", num)}}})
+		hos.notices.apply(upstream.HeadReceived{Endpoint: end, Head: call.AnswerHead{UnrecognizedHeaders: []string{fmt.Sprint("X-", num)}}})
 	}
 	assert.Assert(t, log.lines-before <= maxUnrecognizedLines)
 	text := string(hos.metrics.text(nil))
@@ -126,10 +126,10 @@
 	hos.snapshot.Store(&snapshot{engines: map[string]fleet.Engine{"e1": {ID: run}}})
 	now := hos.clock.Now()
 	assert.NilError(t, hos.checkEngine(fleet.Engine{ID: run}, grant{grantedAt: now}))
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: run}, Head: call.AnswerHead{HasRate: true, Rate: 2}})
-	assert.NilError(t, hos.checkEngine(fleet.Engine{ID: run}, grant{rate: reservation.GrantRatePaced, grantedAt: now}))
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: run}, Head: call.AnswerHead{HasRate: true, Rate: 2}})
+	assert.NilError(t, hos.checkEngine(fleet.Engine{ID: run}, grant{rate: reservation.GrantRateLimited, grantedAt: now}))
 	for _, grt := range []grant{
-		{grantedAt: now}, {rate: reservation.GrantRatePaced, grantedAt: now.Add(-time.Second)}, {rate: reservation.GrantRateEnded, requestedAt: now.Add(-time.Second), grantedAt: now},
+		{grantedAt: now}, {rate: reservation.GrantRateLimited, grantedAt: now.Add(-time.Second)}, {rate: reservation.GrantRateUnlimited, requestedAt: now.Add(-time.Second), grantedAt: now},
 	} {
 		var exceeded *RateExceededError
 		assert.Assert(t, errors.As(hos.checkEngine(fleet.Engine{ID: run}, grt), &exceeded))
@@ -138,13 +138,13 @@
 		_, pro := exc.checkGrant("e1", request.ID{Unique: "r1"})
 		assert.Assert(t, pro != nil && pro.grantReturned && exc.lastGrantUnused && exc.attempts == 0)
 	}
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: run}, Sent: now.Add(time.Hour), Stray: true})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: run}, Sent: now.Add(time.Hour), Stray: true})
 	assert.Assert(t, hos.checkEngine(fleet.Engine{ID: run}, grant{grantedAt: now}) != nil, "a stray answer may be older than the rate limit")
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: run}, Sent: now.Add(-time.Second)})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: run}, Sent: now.Add(-time.Second)})
 	assert.Assert(t, hos.checkEngine(fleet.Engine{ID: run}, grant{grantedAt: now}) != nil, "sent before the rate limit was reported")
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: run}, Sent: now.Add(time.Second), Head: call.AnswerHead{UnreadRate: "few"}})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: run}, Sent: now.Add(time.Second), Head: call.AnswerHead{InvalidRate: "few"}})
 	assert.Assert(t, hos.checkEngine(fleet.Engine{ID: run}, grant{grantedAt: now}) != nil, "an invalid rate doesn't end the rate limit")
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: run}, Sent: now.Add(time.Hour)})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: run}, Sent: now.Add(time.Hour)})
 	assert.NilError(t, hos.checkEngine(fleet.Engine{ID: run}, grant{grantedAt: now}))
 }
 
@@ -153,10 +153,10 @@
 func TestRateLimitEndsWithGrantOfInformedScheduler(t *testing.T) {
 	hos := newTestHost(t, io.Discard)
 	run := fleet.EngineID{Name: "e1"}
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: run}, Head: call.AnswerHead{HasRate: true, Rate: 2}})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: run}, Head: call.AnswerHead{HasRate: true, Rate: 2}})
 	now := hos.clock.Now()
 	assert.Assert(t, hos.checkEngine(fleet.Engine{ID: run}, grant{grantedAt: now}) != nil)
-	assert.NilError(t, hos.checkEngine(fleet.Engine{ID: run}, grant{rate: reservation.GrantRateEnded, requestedAt: now.Add(time.Millisecond), grantedAt: now}))
+	assert.NilError(t, hos.checkEngine(fleet.Engine{ID: run}, grant{rate: reservation.GrantRateUnlimited, requestedAt: now.Add(time.Millisecond), grantedAt: now}))
 	assert.NilError(t, hos.checkEngine(fleet.Engine{ID: run}, grant{grantedAt: now}), "the rate limit has ended for this host")
 }
 
@@ -171,7 +171,7 @@
 		rid := request.ID{Unique: "r1"}
 		_, pro := exc.checkGrant("e1", rid)
 		assert.Assert(t, pro == nil)
-		hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: run}, Head: head})
+		hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: run}, Head: head})
 		hos.broker.activeGrants[rid] = &reservation.Adopt{ID: rid, Engine: "e1"}
 		_, pro = exc.checkGrant("e1", rid)
 		assert.Assert(t, pro != nil && pro.grantReturned, "%+v", head)
@@ -183,16 +183,16 @@
 // A host that may become the coordinator gets all current engine signals when its session opens.
 func TestNewSessionReceivesEngineSignals(t *testing.T) {
 	hos := newTestHost(t, io.Discard)
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: fleet.EngineID{Name: "e1"}}, Head: call.AnswerHead{Draining: true}})
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: fleet.EngineID{Name: "e2"}}, Head: call.AnswerHead{Backoff: time.Hour}})
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: fleet.EngineID{Name: "e3"}}, Head: call.AnswerHead{Backoff: time.Nanosecond}})
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: fleet.EngineID{Name: "e4"}}, Head: call.AnswerHead{HasRate: true, Rate: 2}})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: fleet.EngineID{Name: "e1"}}, Head: call.AnswerHead{Draining: true}})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: fleet.EngineID{Name: "e2"}}, Head: call.AnswerHead{Backoff: time.Hour}})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: fleet.EngineID{Name: "e3"}}, Head: call.AnswerHead{Backoff: time.Nanosecond}})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: fleet.EngineID{Name: "e4"}}, Head: call.AnswerHead{HasRate: true, Rate: 2}})
 	que := peer.NewQueue()
 	hos.broker.linkUp(&link{member: fleet.Member{Name: "h2", Epoch: 7}, queue: que, cancel: func() {}})
 	var sent []string
 	for out, more := que.Take(); more; out, more = que.Take() {
 		if not, isNotice := out.Message.(reservation.EngineNotice); isNotice {
-			sent = append(sent, not.Run.Name+" "+not.Word.String())
+			sent = append(sent, not.Run.Name+" "+not.Signal.String())
 		}
 	}
 	slices.Sort(sent)
@@ -218,8 +218,8 @@
 	hos.broker.handle(scheduler.EnginesChanged{Engines: engines})
 	sub := quarantine.Subject{Digest: call.Digest{7}, Service: "s", Account: "kitchen", Route: "r"}
 	for _, name := range []string{"e1", "e2"} {
-		hos.broker.reportEngineCrash(reservation.EngineEnded{
-			ID: request.ID{Unique: "at-" + name}, Uncertain: true, Observation: quarantine.Observation{Subject: sub, Engine: name},
+		hos.broker.reportEngineCrash(reservation.EngineCrashed{
+			ID: request.ID{Unique: "at-" + name}, Unconfirmed: true, Observation: quarantine.Observation{Subject: sub, Engine: name},
 		})
 	}
 	for range que.Len() {
@@ -230,7 +230,7 @@
 	for range que.Len() {
 		out, _ := que.Take()
 		if rep, isReport := out.Message.(reservation.CaseReport); isReport && rep.Digest == sub.Digest {
-			ends = max(ends, len(rep.Ends))
+			ends = max(ends, len(rep.Crashes))
 		}
 	}
 	assert.Equal(t, ends, 2)
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -339,11 +339,11 @@
 
 func (exc *exchange) timeliness() timeliness {
 	switch {
-	case exc.route.Aim <= 0:
+	case exc.route.LatencyTarget <= 0:
 		return timelyNoTarget
-	case exc.clientWait+exc.timeToFirst > exc.route.Aim:
+	case exc.clientWait+exc.timeToFirst > exc.route.LatencyTarget:
 		return timelyLateFirst
-	case exc.route.PauseAim > 0 && exc.longestPause > exc.route.PauseAim:
+	case exc.route.EventGapTarget > 0 && exc.longestPause > exc.route.EventGapTarget:
 		return timelyLatePause
 	default:
 		return timelyInTime
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -44,10 +44,10 @@
 	if grt.cold && age < maxColdGrantAge {
 		return nil
 	}
-	hos.broker.reportNotice(fleet.Notice{Run: eng.ID, Word: fleet.Cold{Left: left}})
+	hos.broker.reportNotice(fleet.Notice{Run: eng.ID, Signal: fleet.Cold{Remaining: left}})
 	rate := reservation.GrantRateUnknown
 	if grt.cold {
-		rate = reservation.GrantRatePaced
+		rate = reservation.GrantRateLimited
 	}
 	return &RateExceededError{Run: eng.ID, PerSecond: perSecond, Rate: rate, Age: age}
 }
--- a/entry/cold_test.go
+++ b/entry/cold_test.go
@@ -42,7 +42,7 @@
 	assert.NilError(t, hos.checkEngine(eng, grant{cold: true, grantedAt: now}))
 	hos.snapshot.Store(&snapshot{table: hos.snapshot.Load().table, engines: map[string]fleet.Engine{"e1": eng}})
 	assert.NilError(t, hos.checkEngine(eng, grant{grantedAt: now}))
-	hos.notices.apply(upstream.Heard{Endpoint: upstream.Endpoint{Engine: eng.ID}, Head: call.AnswerHead{Cold: time.Minute}})
+	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: eng.ID}, Head: call.AnswerHead{Cold: time.Minute}})
 	assert.Assert(t, errors.As(hos.checkEngine(eng, grant{grantedAt: now}), &exceeded), "by its own signal")
 }
 
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -47,7 +47,7 @@
 		return crashNone
 	}
 	known, found := exc.host.snapshot.Load().engine(eng.ID)
-	_, draining := exc.host.notices.blockingSignal(eng.ID).(fleet.Leaving)
+	_, draining := exc.host.notices.blockingSignal(eng.ID).(fleet.Draining)
 	if !found || known.Closed() || draining {
 		return crashNone
 	}
@@ -67,11 +67,11 @@
 		return
 	}
 	exc.host.metrics.count("EngineEnds." + att.crash.String())
-	exc.host.broker.reportEngineCrash(reservation.EngineEnded{
-		ID: att.release.ID, Uncertain: att.crash == crashUnconfirmed,
+	exc.host.broker.reportEngineCrash(reservation.EngineCrashed{
+		ID: att.release.ID, Unconfirmed: att.crash == crashUnconfirmed,
 		Observation: quarantine.Observation{
 			Subject: quarantine.Subject{Digest: exc.digest, Service: exc.service, Account: exc.account.Name, Route: exc.route.Name},
-			Engine:  eng.ID.String(), Ran: time.Since(att.started),
+			Engine:  eng.ID.String(), RunTime: time.Since(att.started),
 		},
 	})
 }
@@ -88,7 +88,7 @@
 
 // reportEngineCrash reports a crash to the host's own scheduler, the coordinator and its next
 // candidates, so that the information survives the loss of any of them.
-func (bro *broker) reportEngineCrash(msg reservation.EngineEnded) {
+func (bro *broker) reportEngineCrash(msg reservation.EngineCrashed) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	bro.sendToSchedulers(msg)
@@ -136,14 +136,14 @@
 
 func (bro *broker) publishQuarantineChange(cha quarantine.Change) {
 	msg := reservation.CaseReport{Report: cha.Report}
-	if cha.Spreads() {
+	if cha.ConcernsGateways() {
 		for _, inb := range bro.inbound {
 			if inb.appointed {
 				inb.send(msg)
 			}
 		}
 	}
-	if cha.Heard || !cha.Report.Cleared && !cha.Spreads() {
+	if cha.FromPeer || !cha.Report.Cleared && !cha.ConcernsGateways() {
 		return
 	}
 	// Evidence against a request is sent too: a coordinator that has lost the store does not see
@@ -158,19 +158,19 @@
 // it. A single crash is logged with its attempt only.
 func (bro *broker) logQuarantineChange(cha quarantine.Change) {
 	bro.host.metrics.count("Quarantine." + cha.Kind.String())
-	if cha.Kind == quarantine.KindWatched || len(cha.Case.Ends) < 2 && !cha.Case.Held {
+	if cha.Kind == quarantine.KindWatched || len(cha.Case.Crashes) < 2 && !cha.Case.Held {
 		return
 	}
 	var engines []string
 	exclusive := false
-	for _, crs := range cha.Case.Ends {
+	for _, crs := range cha.Case.Crashes {
 		engines = append(engines, crs.Engine)
 		exclusive = crs.Alone
 	}
 	evt := bro.host.log.Warn().Stringer("Digest", cha.Case.Digest).Stringer("Now", cha.Kind).Str("Service", cha.Case.Service).
 		Str("Account", cha.Case.Account).Str("Route", cha.Case.Route).Strs("Engines", engines).Bool("Alone", exclusive).Int("Trials", cha.Case.Trials)
 	if cha.Case.Held {
-		evt = evt.Bool("ForGood", cha.Case.Until.IsZero()).Dur("Left", cha.Report.Left)
+		evt = evt.Bool("ForGood", cha.Case.Until.IsZero()).Dur("Left", cha.Report.Remaining)
 	}
 	evt.Msg("quarantine state of a poison request changed")
 }
--- a/entry/desk.go
+++ b/entry/desk.go
@@ -71,7 +71,7 @@
 	// unreachableHosts are the registered hosts that the active coordinator does not reach.
 	unreachableHosts atomic.Pointer[map[request.Epoch]bool]
 	// evacuations is the known state of failure domains that are being evacuated.
-	evacuations *evacuation.Board
+	evacuations *evacuation.Tracker
 	// measurements are the hosts' stored measurements of the engines' speed.
 	measurements pace.Measurements
 }
@@ -243,7 +243,7 @@
 func (bro *broker) recordGrant(pen *pendingReservation, gra reservation.Grant, by request.Epoch) {
 	ado := reservation.Adopt{
 		ID: gra.ID, Ballot: gra.Ballot, Engine: gra.Engine, Service: pen.reserve.Service,
-		Account: pen.reserve.Account, Cost: pen.reserve.Cost, Unread: true, PromptTokens: pen.reserve.PromptTokens,
+		Account: pen.reserve.Account, Cost: pen.reserve.Cost, PendingPrefill: true, PromptTokens: pen.reserve.PromptTokens,
 		Route: pen.reserve.Route, Digest: pen.reserve.Digest,
 	}
 	bro.activeGrants[gra.ID] = &ado
@@ -309,7 +309,7 @@
 const decisionSlack = 150 * time.Millisecond
 
 func decisionTimeout(res reservation.Reserve) time.Duration {
-	return res.Aim/4 + decisionSlack
+	return res.LatencyTarget/4 + decisionSlack
 }
 
 // reserveLocally uses the host's own scheduler after the coordinator has not answered in time.
@@ -369,7 +369,7 @@
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	if gra := bro.activeGrants[pro.ID]; gra != nil {
-		gra.Unread = false
+		gra.PendingPrefill = false
 	}
 	bro.sendToActiveAndOwn(pro)
 }
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -70,10 +70,10 @@
 		dum.Engines = append(dum.Engines, eng)
 	}
 	for _, not := range hos.notices.current() {
-		nod := NoticeDump{Engine: not.Run, Says: not.Word.String()}
-		switch sig := not.Word.(type) {
-		case fleet.Pause:
-			nod.Left = sig.Left.String()
+		nod := NoticeDump{Engine: not.Run, Says: not.Signal.String()}
+		switch sig := not.Signal.(type) {
+		case fleet.Backoff:
+			nod.Left = sig.Remaining.String()
 		case fleet.RateLimit:
 			nod.PerSecond = &sig.PerSecond
 		}
--- a/entry/elect.go
+++ b/entry/elect.go
@@ -85,7 +85,7 @@
 		bro.send(old, reservation.Appoint{})
 	}
 	if chosen != bro.host.epoch {
-		bro.send(chosen, reservation.Appoint{Decides: true})
+		bro.send(chosen, reservation.Appoint{Delegated: true})
 	}
 }
 
--- a/entry/elect_test.go
+++ b/entry/elect_test.go
@@ -48,7 +48,7 @@
 	hos, sessions := newHostInFleet(t, hosts)
 	reportedLeader := func() request.Epoch { return hos.broker.publishedLeader }
 	appoint := func(idx int, decides bool) {
-		hos.broker.SessionMessage(sessions[idx], peer.Received{Message: reservation.Appoint{Decides: decides}})
+		hos.broker.SessionMessage(sessions[idx], peer.Received{Message: reservation.Appoint{Delegated: decides}})
 	}
 	appoint(0, true)
 	assert.Equal(t, reportedLeader(), request.Epoch(0), "two of five hosts are no majority")
@@ -74,7 +74,7 @@
 func TestRestartedHostIsRecognizedByItsAnswer(t *testing.T) {
 	bro := newElectionBroker(t)
 	mem := bro.candidates()[0]
-	assert.Assert(t, !bro.recordRestart(mem, &peer.SilenceError{}), "a timeout shows no epoch")
+	assert.Assert(t, !bro.recordRestart(mem, &peer.HeartbeatTimeoutError{}), "a timeout shows no epoch")
 	assert.Assert(t, bro.recordRestart(mem, &peer.EpochError{Want: 1, Got: 7}))
 	assert.Equal(t, bro.candidates()[0].Epoch, request.Epoch(7))
 	assert.Assert(t, bro.recordRestart(bro.candidates()[0], &peer.EpochError{Want: 7, Got: 8}))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -154,7 +154,7 @@
 	hos.notices = newNotices(hos)
 	hos.evacuations = newEvacuations(hos)
 	hos.upstream = upstream.NewClient(upstream.ClientConfig{
-		Decode: platform.DecodeAnswer, Now: hos.clock.Now, Heard: hos.notices.apply,
+		Decode: platform.DecodeAnswer, Now: hos.clock.Now, HeadReceived: hos.notices.apply,
 		Dialed: func() { hos.metrics.dialed.Inc(1) },
 	})
 	hos.peers = peer.NewClient(peer.ClientConfig{Security: hos.security(), Timing: peerTiming, Self: hos.Header})
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -115,16 +115,16 @@
 	complete := http.StatusOK
 	const broken = 0
 	cases := []struct {
-		trouble upstreamtest.Trouble
+		trouble upstreamtest.Fault
 		name    string
 		// The status by the kind of request; 0 is a truncated answer.
 		stream, resume, safe, unsafe int
 	}{
 		{upstreamtest.Error, "Error", 500, complete, complete, 500},
-		{upstreamtest.TurnAway, "TurnAway", complete, complete, complete, complete},
-		{upstreamtest.Lose, "Lose", 502, complete, complete, 502},
-		{upstreamtest.Cut, "Cut", broken, complete, complete, 502},
-		{upstreamtest.CutInEvent, "CutInEvent", broken, complete, complete, complete},
+		{upstreamtest.Reject, "TurnAway", complete, complete, complete, complete},
+		{upstreamtest.DropAnswer, "Lose", 502, complete, complete, 502},
+		{upstreamtest.Truncate, "Cut", broken, complete, complete, 502},
+		{upstreamtest.TruncateInEvent, "CutInEvent", broken, complete, complete, complete},
 		{upstreamtest.Extra, "Extra", complete, complete, complete, complete},
 		{upstreamtest.StrayFirst, "StrayFirst", complete, complete, complete, complete},
 		{upstreamtest.Unframed, "Unframed", complete, complete, complete, complete},
@@ -139,7 +139,7 @@
 	}
 }
 
-func checkFault(t *testing.T, trb upstreamtest.Trouble, kind string, status int) {
+func checkFault(t *testing.T, trb upstreamtest.Fault, kind string, status int) {
 	t.Helper()
 	one, two := plainEngine("p1"), plainEngine("p2")
 	want := upstreamtest.PlainBody("r1")
@@ -148,8 +148,8 @@
 		want = upstreamtest.StreamBody("r1", streamEvents)
 	}
 	sys := start(t, 1, []*upstreamtest.Engine{one, two})
-	one.Trouble(trb, 1)
-	two.Trouble(trb, 1)
+	one.Fault(trb, 1)
+	two.Fault(trb, 1)
 	// Only the engine that takes the request first has the fault.
 	ans := sendWithOneFault(t, sys, kind, one, two)
 	if status == 0 {
@@ -190,7 +190,7 @@
 	}
 	sys.WaitUntil("all other streams run", func() bool { return len(engines[0].Runs())+len(engines[1].Runs()) == 4 })
 	for _, eng := range engines {
-		eng.Trouble(upstreamtest.Cut, 1)
+		eng.Fault(upstreamtest.Truncate, 1)
 	}
 	ans := sendWithOneFault(t, sys, "resume", engines[0], engines[1])
 	assert.NilError(t, ans.Err)
@@ -204,8 +204,8 @@
 // engine has taken the request.
 func sendWithOneFault(t *testing.T, sys *entrytest.System, kind string, one, two *upstreamtest.Engine) entrytest.Answer {
 	t.Helper()
-	one.OnTaken(func() { two.Clear() })
-	two.OnTaken(func() { one.Clear() })
+	one.OnNextRequest(func() { two.Clear() })
+	two.OnNextRequest(func() { one.Clear() })
 	return sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/" + kind + "/", Header: map[string]string{"Token-Counts": "10,20"}})
 }
 
@@ -224,7 +224,7 @@
 func TestUnframedAnswerThatIsResetIsIncomplete(t *testing.T) {
 	eng := plainEngine("p1")
 	sys := start(t, 1, []*upstreamtest.Engine{eng})
-	eng.Trouble(upstreamtest.UnframedReset, 1)
+	eng.Fault(upstreamtest.UnframedReset, 1)
 	ans := sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/unsafe/"})
 	assert.Equal(t, ans.Status, http.StatusBadGateway, ans.Body)
 }
@@ -234,7 +234,7 @@
 func TestConnectionIsNotReusedAfterEarlyAnswer(t *testing.T) {
 	eng := plainEngine("p1")
 	sys := start(t, 1, []*upstreamtest.Engine{eng})
-	eng.Trouble(upstreamtest.Early, 1)
+	eng.Fault(upstreamtest.Early, 1)
 	ans := sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/unsafe/", Body: strings.Repeat("x", 900<<10)})
 	assert.Equal(t, ans.Status, http.StatusRequestEntityTooLarge, ans.Body)
 	assert.Equal(t, ans.Header.Get("Response-Signature"), "signed-r1")
@@ -244,20 +244,20 @@
 func TestClientDisconnectCancelsEngineRequest(t *testing.T) {
 	eng := modelEngine("m1")
 	sys := start(t, 1, []*upstreamtest.Engine{eng})
-	eng.Trouble(upstreamtest.Hang, 1)
+	eng.Fault(upstreamtest.Hang, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	answers := make(chan entrytest.Answer, 1)
 	go func() { answers <- sys.Send(ctx, sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/stream/"}) }()
 	sys.WaitUntil("the engine runs it", func() bool { return len(eng.Runs()) == 1 })
 	cancel()
 	assert.Assert(t, (<-answers).Err != nil)
-	sys.WaitUntil("the engine's request is cancelled", func() bool { return eng.Left() == 1 })
+	sys.WaitUntil("the engine's request is cancelled", func() bool { return eng.AbandonedRequests() == 1 })
 }
 
 func TestDeadlineEndsRequest(t *testing.T) {
 	eng := plainEngine("p1")
 	sys := start(t, 1, []*upstreamtest.Engine{eng})
-	eng.Trouble(upstreamtest.Hang, 1)
+	eng.Fault(upstreamtest.Hang, 1)
 	started := time.Now()
 	ans := sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/unsafe/", Header: map[string]string{"Deadline-Ms": "200"}})
 	assert.Equal(t, ans.Status, http.StatusGatewayTimeout, ans.Body)
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -77,7 +77,7 @@
 // setOrders replaces the orders that are in force.
 func (eva *evacuations) setOrders(orders []evacuation.Order) {
 	eva.mutex.Lock()
-	changed := eva.gate.Set(orders)
+	changed := eva.gate.SetOrders(orders)
 	eva.mutex.Unlock()
 	if changed {
 		eva.host.broker.reportEnforcedOrders()
@@ -88,13 +88,13 @@
 func (eva *evacuations) enforced() []evacuation.Order {
 	eva.mutex.Lock()
 	defer eva.mutex.Unlock()
-	return eva.gate.Kept()
+	return eva.gate.Enforced()
 }
 
 // reportEnforcedOrders reports the orders that this host enforces to the schedulers that decide for
 // it, or would next.
 func (bro *broker) reportEnforcedOrders() {
-	msg := reservation.Emptying{Orders: bro.host.evacuations.enforced()}
+	msg := reservation.EnforcedOrders{Orders: bro.host.evacuations.enforced()}
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	for epo := range bro.links {
@@ -106,13 +106,13 @@
 // reportEnforcedOrdersTo reports the enforced orders to one host; the mutex must be held.
 func (bro *broker) reportEnforcedOrdersTo(epo request.Epoch) {
 	if enforced := bro.host.evacuations.enforced(); len(enforced) > 0 {
-		bro.send(epo, reservation.Emptying{Orders: enforced})
+		bro.send(epo, reservation.EnforcedOrders{Orders: enforced})
 	}
 }
 
 // applyEnforcedOrders applies the orders that a host reported to enforce; the mutex must be held.
-func (bro *broker) applyEnforcedOrders(from request.Epoch, msg reservation.Emptying) {
-	bro.evacuations.Take(from, msg.Orders)
+func (bro *broker) applyEnforcedOrders(from request.Epoch, msg reservation.EnforcedOrders) {
+	bro.evacuations.SetEnforced(from, msg.Orders)
 	domains := make([]string, 0, len(msg.Orders))
 	for _, ord := range msg.Orders {
 		domains = append(domains, ord.Domain)
@@ -122,12 +122,12 @@
 
 // setEvacuation changes the stored state of a failure domain. A domain of which the store holds
 // nothing more is removed.
-func (wat *storeWatcher) setEvacuation(domain string, change func(*evacuation.Standing)) {
+func (wat *storeWatcher) setEvacuation(domain string, change func(*evacuation.StoredState)) {
 	sst := wat.evacuations[domain]
 	sst.Order.Domain = domain
 	change(&sst)
 	wat.evacuations[domain] = sst
-	if sst.Order.Revision == 0 && sst.Told.Revision == 0 {
+	if sst.Order.Revision == 0 && sst.Published.Revision == 0 {
 		delete(wat.evacuations, domain)
 	}
 	wat.evacuationsChanged = true
@@ -141,7 +141,7 @@
 		return
 	}
 	wat.host.log.Info().Str("Domain", ord.Domain).Uint64("Revision", ord.Revision).Dur("Age", wat.host.snapshotAge(wat.host.clock.Now())).Msg("evacuation ordered")
-	wat.setEvacuation(ord.Domain, func(sst *evacuation.Standing) { sst.Order = ord })
+	wat.setEvacuation(ord.Domain, func(sst *evacuation.StoredState) { sst.Order = ord })
 }
 
 // withdrawEvacuation records that an order was withdrawn.
@@ -150,7 +150,7 @@
 		return
 	}
 	wat.host.log.Info().Str("Domain", domain).Uint64("Revision", uint64(rev)).Dur("Age", wat.host.snapshotAge(wat.host.clock.Now())).Msg("evacuation order withdrawn")
-	wat.setEvacuation(domain, func(sst *evacuation.Standing) { sst.Order.Revision = 0 })
+	wat.setEvacuation(domain, func(sst *evacuation.StoredState) { sst.Order.Revision = 0 })
 	wat.withdrawnDomains = append(wat.withdrawnDomains, domain)
 }
 
@@ -160,7 +160,7 @@
 	// The revision of an invalid state is needed all the same: the next state is written in its
 	// place.
 	wat.invalidValues.checkValue(val, err, "stored evacuation state invalid, ignored")
-	wat.setEvacuation(domain, func(sst *evacuation.Standing) { sst.Told = published })
+	wat.setEvacuation(domain, func(sst *evacuation.StoredState) { sst.Published = published })
 }
 
 // resetEvacuations prepares a complete read: orders that it lacks are withdrawn.
@@ -175,7 +175,7 @@
 		if !given[domain] {
 			wat.withdrawEvacuation(domain, rev)
 		}
-		wat.setEvacuation(domain, func(sst *evacuation.Standing) { sst.Told = evacuation.Told{} })
+		wat.setEvacuation(domain, func(sst *evacuation.StoredState) { sst.Published = evacuation.PublishedState{} })
 	}
 }
 
@@ -189,7 +189,7 @@
 	for _, domain := range wat.withdrawnDomains {
 		// The domain's engines had no requests. They may be cold, and report that only after they
 		// are used.
-		wat.directory.Chill(now, domain, coldFor(tab))
+		wat.directory.MarkCold(now, domain, coldFor(tab))
 	}
 	wat.withdrawnDomains = nil
 	var orders []evacuation.Order
@@ -243,10 +243,10 @@
 }
 
 // setEvacuations replaces the stored state of all evacuations.
-func (bro *broker) setEvacuations(states []evacuation.Standing) {
+func (bro *broker) setEvacuations(states []evacuation.StoredState) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
-	bro.evacuations.SetStandings(states)
+	bro.evacuations.SetStates(states)
 }
 
 // evacuationWrites returns the states that this host is to publish if it is the coordinator, and
@@ -254,7 +254,7 @@
 func (bro *broker) evacuationWrites(now time.Time) ([]evacuation.Write, time.Duration) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
-	if !bro.evacuations.Open() {
+	if !bro.evacuations.Pending() {
 		return nil, 0
 	}
 	if !bro.coordinatesLocked() {
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -191,18 +191,18 @@
 	var cold []*upstreamtest.Engine
 	for num := range 3 {
 		eng := engineInDomain(evacuatedDomain, fmt.Sprint("cold-", num))
-		eng.Chill(upstreamtest.Cold{PerSecond: perSecond, For: coldFor})
+		eng.MarkCold(upstreamtest.Cold{PerSecond: perSecond, For: coldFor})
 		sys.PutEngineState(eng.ID(), entrytest.EngineState{Service: eng.Service(), Address: sys.StartEngine(eng), Slots: eng.Slots(), Domain: evacuatedDomain, Cold: coldFor})
 		cold = append(cold, eng)
 	}
 	sys.WaitUntil("the cold engines get requests", func() bool { return arrivalCount(cold) > 3*perSecond })
 	for _, eng := range cold {
-		assert.Assert(t, !eng.Fallen())
+		assert.Assert(t, !eng.Crashed())
 	}
 	sys.WaitUntil("the engines are in full use", func() bool { return arrivalCount(cold) > 300 })
 	tra.stop()
 	for _, eng := range cold {
-		assert.Assert(t, !eng.Fallen())
+		assert.Assert(t, !eng.Crashed())
 	}
 }
 
--- a/entry/mirror_test.go
+++ b/entry/mirror_test.go
@@ -47,10 +47,10 @@
 	waits chan time.Duration
 }
 
-func (sil *silentMirror) Follow(ctx context.Context, _ store.Revision, wait time.Duration) (peer.Following, error) {
+func (sil *silentMirror) Follow(ctx context.Context, _ store.Revision, wait time.Duration) (peer.MirrorUpdate, error) {
 	sil.waits <- wait
 	<-ctx.Done()
-	return peer.Following{}, ctx.Err()
+	return peer.MirrorUpdate{}, ctx.Err()
 }
 
 // Entries of lost hosts remain for some seconds. A starting host finds them first in its
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -35,9 +35,9 @@
 }
 
 // apply records the signals in the head of an answer and reports them to the schedulers.
-func (ntc *notices) apply(hrd upstream.Heard) {
+func (ntc *notices) apply(hrd upstream.HeadReceived) {
 	ntc.unrecognized.record(hrd)
-	if hrd.Head.UnreadBackoff != "" || hrd.Head.UnreadRate != "" || hrd.Head.UnreadCold != "" {
+	if hrd.Head.InvalidBackoff != "" || hrd.Head.InvalidRate != "" || hrd.Head.InvalidCold != "" {
 		ntc.recordInvalid(hrd)
 	}
 	now := ntc.host.clock.Now()
@@ -46,15 +46,15 @@
 	updated := make([]bool, len(signals))
 	for num, not := range signals {
 		prev, known := ntc.received.Limit(hrd.Engine)
-		updated[num] = ntc.received.Take(now, not)
+		updated[num] = ntc.received.Record(now, not)
 		if updated[num] && !ntc.logThrottled(now, not) {
-			ntc.log(now, hrd, not.Word, prev, known)
+			ntc.log(now, hrd, not.Signal, prev, known)
 		}
 	}
 	ntc.mutex.Unlock()
 	for num, not := range signals {
-		ntc.host.metrics.count("EngineNotices." + not.Word.String())
-		if updated[num] || isRepeated(not.Word) {
+		ntc.host.metrics.count("EngineNotices." + not.Signal.String())
+		if updated[num] || isRepeated(not.Signal) {
 			ntc.host.broker.reportNotice(not)
 		}
 	}
@@ -62,9 +62,9 @@
 
 // isRepeated reports whether a signal is reported to the schedulers each time it arrives: the time
 // of the latest backoff, rate or cold signal determines which answers came after it.
-func isRepeated(signal fleet.Word) bool {
+func isRepeated(signal fleet.Signal) bool {
 	switch signal.(type) {
-	case fleet.Pause, fleet.RateLimit, fleet.Cold:
+	case fleet.Backoff, fleet.RateLimit, fleet.Cold:
 		return true
 	default:
 		return false
@@ -75,26 +75,26 @@
 // must be held. If the answer names another engine, or rejects the request as misdirected without
 // naming an engine, its signals are that other engine's and are not used. An answer to another
 // request still came from this engine, but its time is unknown.
-func (ntc *notices) signals(hrd upstream.Heard) []fleet.Notice {
+func (ntc *notices) signals(hrd upstream.HeadReceived) []fleet.Notice {
 	head := hrd.Head
 	switch {
 	case head.Misdirected && head.Instance != "" && head.Instance != hrd.Engine.Name:
-		return []fleet.Notice{{Run: hrd.Engine, Word: fleet.Replaced{}}}
+		return []fleet.Notice{{Run: hrd.Engine, Signal: fleet.Replaced{}}}
 	case head.Instance != "" && head.Instance != hrd.Engine.Name, head.Misdirected && head.Instance == "":
 		return nil
 	}
 	var nots []fleet.Notice
 	if head.Draining {
-		nots = append(nots, fleet.Notice{Run: hrd.Engine, Word: fleet.Leaving{}})
+		nots = append(nots, fleet.Notice{Run: hrd.Engine, Signal: fleet.Draining{}})
 	}
 	if head.Backoff > 0 {
-		nots = append(nots, fleet.Notice{Run: hrd.Engine, Word: fleet.Pause{Left: head.Backoff}})
+		nots = append(nots, fleet.Notice{Run: hrd.Engine, Signal: fleet.Backoff{Remaining: head.Backoff}})
 	}
 	if head.Cold > 0 {
-		nots = append(nots, fleet.Notice{Run: hrd.Engine, Word: fleet.Cold{Left: head.Cold}})
+		nots = append(nots, fleet.Notice{Run: hrd.Engine, Signal: fleet.Cold{Remaining: head.Cold}})
 	}
 	if signal := ntc.rateSignal(hrd); signal != nil {
-		nots = append(nots, fleet.Notice{Run: hrd.Engine, Word: signal})
+		nots = append(nots, fleet.Notice{Run: hrd.Engine, Signal: signal})
 	}
 	return nots
 }
@@ -102,11 +102,11 @@
 // rateSignal returns the rate signal in an answer, or nil. An invalid rate leaves the previous rate
 // limit in force, and that one is returned again, so that the answer doesn't count as one without a
 // rate.
-func (ntc *notices) rateSignal(hrd upstream.Heard) fleet.Word {
+func (ntc *notices) rateSignal(hrd upstream.HeadReceived) fleet.Signal {
 	switch {
 	case hrd.Head.HasRate:
 		return fleet.RateLimit{PerSecond: hrd.Head.Rate}
-	case hrd.Head.UnreadRate != "":
+	case hrd.Head.InvalidRate != "":
 		if prev, holds := ntc.received.Limit(hrd.Engine); holds {
 			return prev.RateLimit
 		}
@@ -122,8 +122,8 @@
 // otherwise records that one is logged now; the mutex must be held. Draining and replacement are
 // always logged.
 func (ntc *notices) logThrottled(now time.Time, not fleet.Notice) bool {
-	switch not.Word.(type) {
-	case fleet.Leaving, fleet.Replaced:
+	switch not.Signal.(type) {
+	case fleet.Draining, fleet.Replaced:
 		return false
 	}
 	if now.Sub(ntc.loggedAt[not.Run]) < noticeLogInterval {
@@ -134,20 +134,20 @@
 }
 
 // log logs a new signal together with the engine's entry in the snapshot; the mutex must be held.
-func (ntc *notices) log(now time.Time, hrd upstream.Heard, signal fleet.Word, prev fleet.NamedLimit, limited bool) {
+func (ntc *notices) log(now time.Time, hrd upstream.HeadReceived, signal fleet.Signal, prev fleet.ReceivedLimit, limited bool) {
 	known, listed := ntc.host.snapshot.Load().engine(hrd.Engine)
 	evt := ntc.host.log.Info().Stringer("Engine", hrd.Engine).Stringer("Address", hrd.Address).Stringer("Says", signal).Str("AnswerTo", hrd.Head.ID).
 		Bool("Listed", listed).Bool("EntryDraining", known.Draining).Uint64("EntrySequence", known.Sequence).Dur("Age", ntc.host.snapshotAge(now))
 	switch sig := signal.(type) {
-	case fleet.Pause:
-		evt = evt.Dur("For", sig.Left)
+	case fleet.Backoff:
+		evt = evt.Dur("For", sig.Remaining)
 	case fleet.RateLimit:
 		evt = evt.Float64("PerSecond", sig.PerSecond)
 	case fleet.Cold:
-		evt = evt.Dur("For", sig.Left)
+		evt = evt.Dur("For", sig.Remaining)
 	}
 	if limited {
-		evt = evt.Float64("FormerPerSecond", prev.PerSecond).Dur("FormerAge", now.Sub(prev.At))
+		evt = evt.Float64("FormerPerSecond", prev.PerSecond).Dur("FormerAge", now.Sub(prev.ReceivedAt))
 	}
 	evt.Msg("engine signal")
 }
@@ -155,7 +155,7 @@
 // recordInvalid logs and counts an invalid signal. An invalid backoff has no effect, so the engine
 // is judged by its health alone; the rate limit that was named before an invalid rate stays in
 // force.
-func (ntc *notices) recordInvalid(hrd upstream.Heard) {
+func (ntc *notices) recordInvalid(hrd upstream.HeadReceived) {
 	ntc.host.metrics.count("EngineNotices.Unread")
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
@@ -165,24 +165,24 @@
 	}
 	ntc.invalidLoggedAt = now
 	evt := ntc.host.log.Warn().Stringer("Engine", hrd.Engine).Stringer("Address", hrd.Address).Str("AnswerTo", hrd.Head.ID)
-	if hrd.Head.UnreadBackoff != "" {
-		evt = evt.Str("RetryAfter", hrd.Head.UnreadBackoff).Dur("Taken", hrd.Head.Backoff)
+	if hrd.Head.InvalidBackoff != "" {
+		evt = evt.Str("RetryAfter", hrd.Head.InvalidBackoff).Dur("Taken", hrd.Head.Backoff)
 	}
-	if hrd.Head.UnreadRate != "" {
-		evt = evt.Str("Rate", hrd.Head.UnreadRate)
+	if hrd.Head.InvalidRate != "" {
+		evt = evt.Str("Rate", hrd.Head.InvalidRate)
 	}
-	if hrd.Head.UnreadCold != "" {
-		evt = evt.Str("Cold", hrd.Head.UnreadCold)
+	if hrd.Head.InvalidCold != "" {
+		evt = evt.Str("Cold", hrd.Head.InvalidCold)
 	}
 	evt.Msg("answer has an invalid engine signal, ignored or adjusted")
 }
 
 // blockingSignal returns the signal that forbids this host to send to an engine, or nil.
-func (ntc *notices) blockingSignal(run fleet.EngineID) fleet.Word {
+func (ntc *notices) blockingSignal(run fleet.EngineID) fleet.Signal {
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
 	defer ntc.mutex.Unlock()
-	return ntc.received.Bar(now, run)
+	return ntc.received.BlockingSignal(now, run)
 }
 
 // coldFor returns how much longer an engine is cold according to its own signals to this host.
@@ -194,7 +194,7 @@
 }
 
 // limit returns the rate limit that an engine has named to this host, and whether there is one.
-func (ntc *notices) limit(run fleet.EngineID) (fleet.NamedLimit, bool) {
+func (ntc *notices) limit(run fleet.EngineID) (fleet.ReceivedLimit, bool) {
 	ntc.mutex.Lock()
 	defer ntc.mutex.Unlock()
 	return ntc.received.Limit(run)
@@ -210,8 +210,8 @@
 		return
 	}
 	prev, _ := ntc.received.Limit(run)
-	ntc.received.Take(now, fleet.Notice{Run: run, Word: fleet.Unlimited{}})
-	ntc.host.log.Info().Stringer("Engine", run).Float64("FormerPerSecond", prev.PerSecond).Dur("FormerAge", now.Sub(prev.At)).Msg("engine rate limit ended, as reported by the scheduler")
+	ntc.received.Record(now, fleet.Notice{Run: run, Signal: fleet.Unlimited{}})
+	ntc.host.log.Info().Stringer("Engine", run).Float64("FormerPerSecond", prev.PerSecond).Dur("FormerAge", now.Sub(prev.ReceivedAt)).Msg("engine rate limit ended, as reported by the scheduler")
 }
 
 // current returns all notices in force.
@@ -227,7 +227,7 @@
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
 	defer ntc.mutex.Unlock()
-	ntc.received.Forget(now, snp.isRegistered)
+	ntc.received.Prune(now, snp.isRegistered)
 	for run, at := range ntc.loggedAt {
 		if now.Sub(at) >= noticeLogInterval {
 			delete(ntc.loggedAt, run)
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -61,7 +61,7 @@
 	engines := plainEngines(2)
 	sys := startWithLongRevocation(t, 3, engines)
 	sys.Store.SetFaults(platformtest.Faults{Down: true})
-	engines[0].Leave()
+	engines[0].StartDraining()
 	for num := range 40 {
 		for _, hos := range sys.Hosts {
 			ans := sendPlain(t, sys, hos, "public", num)
@@ -86,11 +86,11 @@
 func TestBackoffSignalStopsRequests(t *testing.T) {
 	engines := plainEngines(4)
 	sys := startWithLongRevocation(t, 2, engines)
-	engines[0].Pause(30 * time.Second)
+	engines[0].Backoff(30 * time.Second)
 	for _, eng := range engines[1:3] {
-		eng.Trouble(upstreamtest.Error, 1000)
+		eng.Fault(upstreamtest.Error, 1000)
 	}
-	engines[3].Trouble(upstreamtest.Slow, 1000)
+	engines[3].Fault(upstreamtest.Slow, 1000)
 	for num := range 12 {
 		for _, hos := range sys.Hosts {
 			sendPlain(t, sys, hos, "safe", num)
@@ -108,7 +108,7 @@
 func TestBackoffSignalOfOnlyEngineStopsRequests(t *testing.T) {
 	engines := plainEngines(1)
 	sys := startWithLongRevocation(t, 2, engines)
-	engines[0].Pause(30 * time.Second)
+	engines[0].Backoff(30 * time.Second)
 	for num := range 10 {
 		for _, hos := range sys.Hosts {
 			ans := sendPlain(t, sys, hos, "unsafe", num)
@@ -128,22 +128,22 @@
 	for _, tst := range []struct {
 		name    string
 		route   string
-		trouble upstreamtest.Trouble
+		trouble upstreamtest.Fault
 		status  int
 	}{
 		{"whole", "unsafe", upstreamtest.None, http.StatusOK},
 		{"failed", "unsafe", upstreamtest.Error, http.StatusInternalServerError},
 		{"failed, without another engine for a retry", "safe", upstreamtest.Error, http.StatusBadGateway},
-		{"rejected before it ran", "unsafe", upstreamtest.TurnAway, http.StatusServiceUnavailable},
+		{"rejected before it ran", "unsafe", upstreamtest.Reject, http.StatusServiceUnavailable},
 		{"after a stray answer", "unsafe", upstreamtest.StrayFirst, http.StatusOK},
 		{"stream", "stream", upstreamtest.None, http.StatusOK},
-		{"broken stream", "resume", upstreamtest.CutInEvent, http.StatusOK},
+		{"broken stream", "resume", upstreamtest.TruncateInEvent, http.StatusOK},
 	} {
 		t.Run(tst.name, func(t *testing.T) {
 			draining := engineForRoute(tst.route, "leaver")
 			sys := startWithLongRevocation(t, 1, []*upstreamtest.Engine{draining})
-			draining.Leave()
-			draining.Trouble(tst.trouble, 1)
+			draining.StartDraining()
+			draining.Fault(tst.trouble, 1)
 			first := make(chan entrytest.Answer, 1)
 			go func() { first <- sendPlain(t, sys, sys.Hosts[0], tst.route, 0) }()
 			sys.WaitUntil("the signal is recorded", func() bool { return len(sys.Hosts[0].Dump().Notices) == 1 })
@@ -197,7 +197,7 @@
 			others = append(others, hos)
 		}
 	}
-	engines[0].Leave()
+	engines[0].StartDraining()
 	for num := 0; len(others[0].Dump().Notices) == 0; num++ {
 		sendPlain(t, sys, others[0], "public", num)
 	}
@@ -230,9 +230,9 @@
 	engines := plainEngines(1)
 	sys := startSuspendable(t, 1, engines)
 	hos := sys.Hosts[0]
-	engines[0].Pause(20 * time.Second)
+	engines[0].Backoff(20 * time.Second)
 	assert.Equal(t, sendPlain(t, sys, hos, "unsafe", 0).Status, http.StatusServiceUnavailable)
-	engines[0].Pause(0)
+	engines[0].Backoff(0)
 	hos.Clock.Suspend(10 * time.Second)
 	sys.WaitForReady()
 	assert.Equal(t, sendPlain(t, sys, hos, "unsafe", 1).Status, http.StatusServiceUnavailable)
@@ -250,7 +250,7 @@
 	end := newEndpoint(t, former)
 	sys.PutEngineState("e", end.state(former, time.Now().Add(-time.Hour)))
 	sys.WaitForEngines(1)
-	former.Leave()
+	former.StartDraining()
 	assert.Equal(t, sendPlain(t, sys, sys.Hosts[0], "unsafe", 0).Status, http.StatusOK)
 	assert.Equal(t, sendPlain(t, sys, sys.Hosts[0], "unsafe", 1).Status, http.StatusServiceUnavailable)
 	end.switchTo(later)
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -58,7 +58,7 @@
 	// evacuations is the stored state of evacuations by failure domain. evacuationsChanged is set
 	// until it is published. withdrawnDomains are the domains whose order was withdrawn since, and
 	// loggedOrders are the orders that were logged because their domain is unknown.
-	evacuations        map[string]evacuation.Standing
+	evacuations        map[string]evacuation.StoredState
 	evacuationsChanged bool
 	withdrawnDomains   []string
 	loggedOrders       map[evacuation.Order]bool
@@ -91,7 +91,7 @@
 	return &storeWatcher{
 		host: hos, directory: fleet.NewDirectory(), relays: newRelayChooser(hos.epoch), needsFullRead: true,
 		invalidValues: newInvalidValues(hos.log, hos.metrics.invalidValues), unrecognized: newUnrecognizedKeys(hos),
-		evacuations: make(map[string]evacuation.Standing), loggedOrders: make(map[evacuation.Order]bool),
+		evacuations: make(map[string]evacuation.StoredState), loggedOrders: make(map[evacuation.Order]bool),
 	}
 }
 
@@ -136,7 +136,7 @@
 		wat.host.mirror.apply(upd.changes, upd.confirmed)
 	}
 	wat.revision = max(wat.revision, upd.changes.Revision)
-	settled := wat.directory.Settle(wat.host.clock.Now())
+	settled := wat.directory.DropMissing(wat.host.clock.Now())
 	wat.host.confirm(upd.confirmed)
 	if upd.complete || len(upd.changes.Changes) > 0 || settled {
 		wat.publish()
@@ -159,7 +159,7 @@
 	wat.lastError = err
 	wat.host.metrics.storeFailures.Inc(1)
 	if !wat.storeServesPeers(now) {
-		wat.directory.Hold(now.Add(expiryHold))
+		wat.directory.HoldRemovals(now.Add(expiryHold))
 	}
 	limit := maxStoreRetry
 	var rate *store.RateError
@@ -199,7 +199,7 @@
 	wat.host.storeUnavailable.Store(false)
 	wat.host.checkLease()
 	if !wat.storeServesPeers(now) {
-		wat.directory.Hold(now.Add(expiryHold))
+		wat.directory.HoldRemovals(now.Add(expiryHold))
 	}
 	wat.peerReadAt = time.Time{}
 }
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -42,7 +42,7 @@
 	if len(bro.inbound)+len(bro.publishedUnreachable) == 0 {
 		return idlePresenceInterval
 	}
-	unreachable := bro.presence.Absent(now)
+	unreachable := bro.presence.Unreachable(now)
 	if slices.Equal(unreachable, bro.publishedUnreachable) {
 		return presenceInterval
 	}
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -32,10 +32,10 @@
 // endPreviousRuns ends all calls that still wait for engines that have been restarted.
 func (wat *storeWatcher) endPreviousRuns(prev *snapshot, engines []fleet.Engine) {
 	for _, eng := range engines {
-		if known, found := prev.engines[eng.ID.Name]; eng.ID.Born.IsZero() || found && known.ID == eng.ID {
+		if known, found := prev.engines[eng.ID.Name]; eng.ID.StartTime.IsZero() || found && known.ID == eng.ID {
 			continue
 		}
-		wat.host.upstream.EndFormer(eng.ID)
+		wat.host.upstream.AbortEarlierRuns(eng.ID)
 	}
 }
 
--- a/entry/rates_test.go
+++ b/entry/rates_test.go
@@ -58,7 +58,7 @@
 	const perSecond = 1.5
 	engines := plainEngines(2)
 	sys := startWithLongRevocation(t, 3, engines)
-	engines[0].Limit(perSecond)
+	engines[0].SetRateLimit(perSecond)
 	for num := range 40 {
 		for _, hos := range sys.Hosts {
 			ans := sendPlain(t, sys, hos, "unsafe", num)
@@ -75,8 +75,8 @@
 func TestRateLimitRejectionsDoNotEjectEngine(t *testing.T) {
 	engines := plainEngines(1)
 	sys := startWithLongRevocation(t, 1, engines)
-	engines[0].Limit(50)
-	engines[0].Trouble(upstreamtest.TurnAway, 4)
+	engines[0].SetRateLimit(50)
+	engines[0].Fault(upstreamtest.Reject, 4)
 	num := 0
 	sys.WaitUntil("the engine serves again", func() bool {
 		num++
@@ -96,7 +96,7 @@
 	engines := plainEngines(2)
 	sys := startWithLongRevocation(t, 2, engines)
 	for _, eng := range engines {
-		eng.Limit(0)
+		eng.SetRateLimit(0)
 	}
 	refused := 0
 	for num := range 10 {
@@ -114,7 +114,7 @@
 	assert.Assert(t, refused >= 14, refused)
 	assert.Assert(t, strings.Contains(sys.Log(), `"Paced":2,"WaitedForRate":true`), "the log names the reason")
 	for _, eng := range engines {
-		eng.Unlimit()
+		eng.ClearRateLimit()
 	}
 	num := 10
 	sys.WaitUntil("all requests are served", func() bool {
--- a/entry/refused_test.go
+++ b/entry/refused_test.go
@@ -62,7 +62,7 @@
 // expired entries are kept. The other engines stay, and the fault is logged once.
 func TestInvalidEngineEntryRemovesEngine(t *testing.T) {
 	wat, log := newTestWatcher(t)
-	wat.directory.Hold(time.Now().Add(time.Hour))
+	wat.directory.HoldRemovals(time.Now().Add(time.Hour))
 	rev := store.Revision(10)
 	for range 5 {
 		rev++
--- a/entry/regions.go
+++ b/entry/regions.go
@@ -8,7 +8,7 @@
 // checkRegions logs the regions in a configuration that are unknown, and the routes and accounts
 // whose requests no region may serve. The configuration stays in force as its operators wrote it.
 func (wat *storeWatcher) checkRegions(tab *route.Table, val store.Value) {
-	for _, err := range tab.Nowhere() {
+	for _, err := range tab.RegionConflicts() {
 		wat.host.metrics.count("RoutesWithoutRegion")
 		wat.host.log.Error().Err(err).Str("Field", err.Field).Str("Route", err.Route).Str("Account", err.Account).
 			Uint64("Version", tab.Version()).Uint64("Revision", uint64(val.Revision)).Msg("configuration leaves no region for requests, they are refused")
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -23,9 +23,9 @@
 	evt = evt.AnErr("Because", err)
 	var blocked *BlockedError
 	if errors.As(err, &blocked) {
-		evt = evt.Stringer("Says", blocked.Notice.Word)
-		if bac, isBackoff := blocked.Notice.Word.(fleet.Pause); isBackoff {
-			evt = evt.Dur("For", bac.Left)
+		evt = evt.Stringer("Says", blocked.Notice.Signal)
+		if bac, isBackoff := blocked.Notice.Signal.(fleet.Backoff); isBackoff {
+			evt = evt.Dur("For", bac.Remaining)
 		}
 	}
 	evt.Msg("grant returned")
@@ -77,10 +77,10 @@
 		ID:      request.ID{Prefix: request.Prefix{Epoch: hos.epoch}, Unique: exc.request.ID},
 		Service: exc.service, Rank: exc.rank, Urgency: max(0, exc.route.Rank), Account: exc.account.Name,
 		PromptTokens: exc.request.PromptTokens, MaxTokens: exc.request.MaxTokens, AnswerTokens: exc.estimatedAnswerTokens(),
-		Remaining: exc.remaining(), Domain: hos.set.Domain, Aim: exc.latencyTarget(exc.host.clock.Now()), Age: exc.clientWait,
+		Remaining: exc.remaining(), Domain: hos.set.Domain, LatencyTarget: exc.latencyTarget(exc.host.clock.Now()), ClientWait: exc.clientWait,
 		Route: exc.route.Name, Repeatable: exc.route.Repeatable(),
 		Cost: exc.account.Cost(exc.request.Tokens()), Attempt: exc.attempts, Exclude: exc.exclude, Parts: exc.request.Parts,
-		Digest: exc.digest, Again: exc.lastGrantUnused, Regions: exc.regions,
+		Digest: exc.digest, Requeued: exc.lastGrantUnused, Regions: exc.regions,
 	}
 	if exc.route.Kind != route.KindStreaming {
 		res.PromptTokens = 0
@@ -128,7 +128,7 @@
 // target, but its client keeps waiting, and a stream that has begun is lost unless it continues.
 func (exc *exchange) latencyTarget(now time.Time) time.Duration {
 	if exc.attempts == 0 {
-		return exc.route.Aim - now.Sub(exc.started)
+		return exc.route.LatencyTarget - now.Sub(exc.started)
 	}
 	left := exc.deadline.Sub(now)
 	if exc.route.Kind != route.KindStreaming {
@@ -138,7 +138,7 @@
 	if exc.lastEventAt.After(lastEventAt) {
 		lastEventAt = exc.lastEventAt
 	}
-	timeout := max(minStreamTimeout, streamTimeoutTargets*exc.route.Aim, streamTimeoutPauses*exc.route.PauseAim)
+	timeout := max(minStreamTimeout, streamTimeoutTargets*exc.route.LatencyTarget, streamTimeoutPauses*exc.route.EventGapTarget)
 	return min(left, timeout-now.Sub(lastEventAt))
 }
 
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -61,9 +61,9 @@
 			startTime := time.Now().Add(-time.Hour)
 			sys.PutEngineState("e", end.state(former, startTime))
 			sys.WaitForEngines(1)
-			former.Trouble(upstreamtest.Hang, 1)
+			former.Fault(upstreamtest.Hang, 1)
 			taken := make(chan struct{})
-			former.OnTaken(func() { close(taken) })
+			former.OnNextRequest(func() { close(taken) })
 			answered := make(chan entrytest.Answer, 1)
 			sent := time.Now()
 			go func() {
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -22,14 +22,14 @@
 
 // rollouts is the stored state of roll-outs, by service.
 type rollouts struct {
-	stored map[string]rollout.Standing
+	stored map[string]rollout.StoredState
 	// changed is set until the scheduler has been informed.
 	changed bool
 }
 
-func (rls *rollouts) set(service string, change func(*rollout.Standing)) {
+func (rls *rollouts) set(service string, change func(*rollout.StoredState)) {
 	if rls.stored == nil {
-		rls.stored = make(map[string]rollout.Standing)
+		rls.stored = make(map[string]rollout.StoredState)
 	}
 	sst := rls.stored[service]
 	change(&sst)
@@ -38,8 +38,8 @@
 }
 
 // ordered returns the roll-outs that were ordered, sorted by service.
-func (rls *rollouts) ordered() []rollout.Standing {
-	var ordered []rollout.Standing
+func (rls *rollouts) ordered() []rollout.StoredState {
+	var ordered []rollout.StoredState
 	for _, name := range slices.Sorted(maps.Keys(rls.stored)) {
 		if sst := rls.stored[name]; sst.Order.Revision > 0 {
 			ordered = append(ordered, sst)
@@ -51,7 +51,7 @@
 // applyRolloutOrder applies an operator's order. An invalid one is ignored, and the previous one
 // stays in force.
 func (wat *storeWatcher) applyRolloutOrder(val store.Value) {
-	ord, err := platform.DecodeOrder(val)
+	ord, err := platform.DecodeRolloutOrder(val)
 	if !wat.invalidValues.checkValue(val, err, "roll-out order refused, keeping the previous one") {
 		return
 	}
@@ -64,7 +64,7 @@
 		}
 	}
 	wat.host.log.Info().Str("Service", ord.Service).Str("Version", ord.Version).Dur("Period", ord.Period).Uint64("Revision", ord.Revision).Msg("roll-out ordered")
-	wat.rollouts.set(ord.Service, func(sst *rollout.Standing) { sst.Order = ord })
+	wat.rollouts.set(ord.Service, func(sst *rollout.StoredState) { sst.Order = ord })
 }
 
 // applyRolloutState applies the published state of a roll-out.
@@ -73,7 +73,7 @@
 	// The revision of an invalid state is needed all the same: the next state is written in its
 	// place. So is a ledger's.
 	wat.invalidValues.checkValue(val, err, "stored roll-out state invalid, ignored")
-	wat.rollouts.set(name, func(sst *rollout.Standing) {
+	wat.rollouts.set(name, func(sst *rollout.StoredState) {
 		sst.State, sst.StateVersion, sst.StateRevision = sta, version, uint64(val.Revision)
 	})
 }
@@ -82,7 +82,7 @@
 func (wat *storeWatcher) applyLedger(name string, val store.Value) {
 	led, err := platform.DecodeLedger(val)
 	wat.invalidValues.checkValue(val, err, "stored roll-out ledger invalid, ignored")
-	wat.rollouts.set(name, func(sst *rollout.Standing) { sst.Ledger, sst.LedgerRevision = led, uint64(val.Revision) })
+	wat.rollouts.set(name, func(sst *rollout.StoredState) { sst.Ledger, sst.LedgerRevision = led, uint64(val.Revision) })
 }
 
 // publishRollouts passes changes of roll-outs to this host's scheduler.
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -33,7 +33,7 @@
 
 // secrets holds the deployment's secrets, unless the settings hold a key.
 type secrets struct {
-	keeper *credential.Keeper
+	keeper *credential.Authenticator
 	// known is closed once a secret is known.
 	known     chan struct{}
 	knownOnce sync.Once
@@ -51,7 +51,7 @@
 
 func newSecrets(hos *Host) *secrets {
 	sec := &secrets{known: make(chan struct{})}
-	sec.keeper = credential.NewKeeper(credential.Config{Refused: func(err error) { hos.recordRefusedPeer(time.Now(), err) }})
+	sec.keeper = credential.NewAuthenticator(credential.Config{Refused: func(err error) { hos.recordRefusedPeer(time.Now(), err) }})
 	return sec
 }
 
@@ -94,7 +94,7 @@
 	if hos.hasPeerKey() {
 		return true
 	}
-	_, known := hos.secrets.keeper.Ring()
+	_, known := hos.secrets.keeper.KeyRing()
 	return known
 }
 
@@ -103,7 +103,7 @@
 	sec := wat.host.secrets
 	rin, err := platform.DecodeRing(val)
 	if err == nil {
-		err = sec.keeper.Take(rin)
+		err = sec.keeper.SetKeyRing(rin)
 	}
 	sec.mutex.Lock()
 	sec.revision, sec.invalid = val.Revision, err != nil
@@ -161,13 +161,13 @@
 	sec.mutex.Lock()
 	revision, missing := sec.revision, sec.revision == 0 || sec.invalid
 	sec.mutex.Unlock()
-	ring, known := sec.keeper.Ring()
+	ring, known := sec.keeper.KeyRing()
 	var err error
 	due := false
 	switch {
 	case !known && missing:
 		due = true
-		ring, err = credential.NewRing(now)
+		ring, err = credential.NewKeyRing(now)
 	case known && missing:
 		due = hos.broker.coordinates()
 	case known && hos.broker.coordinates():
@@ -184,7 +184,7 @@
 
 // writeKeyRing writes secrets on condition of the key's revision. All hosts, this one included,
 // read the result from the store.
-func (hos *Host) writeKeyRing(ctx context.Context, ring credential.Ring, revision store.Revision) {
+func (hos *Host) writeKeyRing(ctx context.Context, ring credential.KeyRing, revision store.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, secretTimeout)
 	defer cancel()
 	data, err := platform.EncodeRing(ring)
--- a/entry/secret_test.go
+++ b/entry/secret_test.go
@@ -32,7 +32,7 @@
 	return sys
 }
 
-func storedKeyRing(t *testing.T, sys *entrytest.System) (credential.Ring, store.Revision) {
+func storedKeyRing(t *testing.T, sys *entrytest.System) (credential.KeyRing, store.Revision) {
 	t.Helper()
 	val, err := sys.Store.Get(t.Context(), platform.RingKey())
 	assert.NilError(t, err)
@@ -63,10 +63,10 @@
 // without a certificate.
 func TestUnauthenticatedPeerIsRefused(t *testing.T) {
 	sys := startWithStoredSecret(t, 2, settings.Bounds{})
-	other, err := credential.NewRing(time.Now())
+	other, err := credential.NewKeyRing(time.Now())
 	assert.NilError(t, err)
-	kee := credential.NewKeeper(credential.Config{})
-	assert.NilError(t, kee.Take(other))
+	kee := credential.NewAuthenticator(credential.Config{})
+	assert.NilError(t, kee.SetKeyRing(other))
 	anonymous := kee.TLS()
 	anonymous.GetClientCertificate, anonymous.VerifyConnection = nil, nil
 	unverified := kee.TLS()
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -184,7 +184,7 @@
 		}
 	}
 	bro.sessions++
-	bro.presence.Reached(from.Epoch)
+	bro.presence.SessionOpened(from.Epoch)
 	inb := &inbound{gateway: from.Epoch, name: from.Name, queue: que, cancel: cancel}
 	bro.inbound[bro.sessions] = inb
 	if bro.publishedLeader != 0 {
@@ -203,10 +203,10 @@
 	defer bro.mutex.Unlock()
 	if inb := bro.inbound[session]; inb != nil {
 		if app, isAppoint := rec.Message.(reservation.Appoint); isAppoint {
-			bro.setAppointed(inb, app.Decides)
+			bro.setAppointed(inb, app.Delegated)
 			return
 		}
-		if evc, isEvacuating := rec.Message.(reservation.Emptying); isEvacuating {
+		if evc, isEvacuating := rec.Message.(reservation.EnforcedOrders); isEvacuating {
 			bro.applyEnforcedOrders(inb.gateway, evc)
 			return
 		}
@@ -228,7 +228,7 @@
 func (bro *broker) dropInbound(session uint64) {
 	inb := bro.inbound[session]
 	delete(bro.inbound, session)
-	bro.presence.Lost(bro.host.clock.Now(), inb.gateway)
-	bro.evacuations.Forget(inb.gateway)
+	bro.presence.SessionEnded(bro.host.clock.Now(), inb.gateway)
+	bro.evacuations.ClearEnforced(inb.gateway)
 	bro.handleLocked(scheduler.GatewayLost{Gateway: inb.gateway})
 }
--- a/entry/share_test.go
+++ b/entry/share_test.go
@@ -54,7 +54,7 @@
 	hos, sessions := newHostInFleet(t, hosts)
 	assert.Equal(t, hos.Dump().Scheduler.Parts, float64(hosts), "a session alone doesn't appoint the host")
 	for _, ses := range sessions {
-		hos.broker.SessionMessage(ses, peer.Received{Message: reservation.Appoint{Decides: true}})
+		hos.broker.SessionMessage(ses, peer.Received{Message: reservation.Appoint{Delegated: true}})
 	}
 	assert.Equal(t, hos.Dump().Scheduler.Parts, 1.0)
 	// A third of the hosts appoints another coordinator, another third is lost.
--- a/entry/source.go
+++ b/entry/source.go
@@ -287,7 +287,7 @@
 	if err != nil {
 		return update{}, err
 	}
-	upd := update{complete: reply.Whole, changes: reply.Changes, confirmed: askedAt.Add(reply.Confirmed), relay: mem.Name}
+	upd := update{complete: reply.Snapshot, changes: reply.Changes, confirmed: askedAt.Add(reply.Confirmed), relay: mem.Name}
 	if age := wat.host.clock.Since(upd.confirmed); age > maxPeerCopyAge {
 		return update{}, &StaleMirrorError{Member: mem.Name, Age: age}
 	}
@@ -295,7 +295,7 @@
 		// An older copy must not undo changes that this host has applied.
 		return update{}, &BehindMirrorError{Member: mem.Name, Revision: upd.changes.Revision, Known: wat.revision}
 	}
-	if reply.Whole {
+	if reply.Snapshot {
 		for _, cha := range reply.Changes.Changes {
 			upd.values = append(upd.values, cha.Value)
 		}
@@ -307,7 +307,7 @@
 // against no rate limit, however many hosts start at once, and confirms nothing. The watch or read
 // through another host that follows brings the changes since.
 func (wat *storeWatcher) listStale(ctx context.Context) (update, error) {
-	values, rev, err := wat.host.store.ListStale(ctx, platform.Prefix)
+	values, rev, err := wat.host.store.ListStale(ctx, platform.RootPrefix)
 	if err != nil {
 		return update{}, err
 	}
@@ -317,7 +317,7 @@
 // list reads all keys from the store.
 func (wat *storeWatcher) list(ctx context.Context) (update, error) {
 	confirmed := wat.host.clock.Now()
-	values, rev, err := wat.host.store.List(ctx, platform.Prefix)
+	values, rev, err := wat.host.store.List(ctx, platform.RootPrefix)
 	if err != nil {
 		return update{}, err
 	}
@@ -335,7 +335,7 @@
 		wait = relayWatchTimeout
 	}
 	askedAt := wat.host.clock.Now()
-	changes, err := wat.host.store.Watch(ctx, platform.Prefix, wat.revision, wait)
+	changes, err := wat.host.store.Watch(ctx, platform.RootPrefix, wat.revision, wait)
 	var compacted *store.CompactedError
 	if errors.As(err, &compacted) {
 		wat.host.log.Info().Err(err).Msg("store compacted its history, reading all keys")
--- a/entry/spending.go
+++ b/entry/spending.go
@@ -43,8 +43,8 @@
 
 // message returns the message that reports the debt to a coordinator; burst is that of all hosts
 // together.
-func (adb *accountDebt) message(account string, burst float64) reservation.Spent {
-	return reservation.Spent{Account: account, Debt: adb.debt - adb.hostShare(adb.startDebt-adb.startDebtLeft), Share: adb.hostShare(burst - adb.startDebt)}
+func (adb *accountDebt) message(account string, burst float64) reservation.AccountDebt {
+	return reservation.AccountDebt{Account: account, Debt: adb.debt - adb.hostShare(adb.startDebt-adb.startDebtLeft), Share: adb.hostShare(burst - adb.startDebt)}
 }
 
 // limitedAccounts returns the accounts that have a limit.
@@ -73,7 +73,7 @@
 	}
 	bro.debtTable, bro.debtHosts = tab, hosts
 	cfg := schedulerConfig(bro.host)
-	var reports []reservation.Spent
+	var reports []reservation.AccountDebt
 	for _, acc := range bro.limitedAccounts() {
 		adb := bro.debts[acc.Name]
 		if adb == nil {
@@ -113,7 +113,7 @@
 func (bro *broker) reportDebts(chosen request.Epoch) {
 	now := bro.host.clock.Now()
 	cfg := schedulerConfig(bro.host)
-	var reports []reservation.Spent
+	var reports []reservation.AccountDebt
 	for _, acc := range bro.limitedAccounts() {
 		adb := bro.debts[acc.Name]
 		if adb == nil {
@@ -128,10 +128,10 @@
 }
 
 // largestDebts returns the largest debts, at most maxReportedDebts.
-func largestDebts(debts []reservation.Spent) []reservation.Spent {
+func largestDebts(debts []reservation.AccountDebt) []reservation.AccountDebt {
 	if len(debts) <= maxReportedDebts {
 		return debts
 	}
-	slices.SortStableFunc(debts, func(one, two reservation.Spent) int { return cmp.Compare(two.Debt, one.Debt) })
+	slices.SortStableFunc(debts, func(one, two reservation.AccountDebt) int { return cmp.Compare(two.Debt, one.Debt) })
 	return debts[:maxReportedDebts]
 }
--- a/entry/spending_test.go
+++ b/entry/spending_test.go
@@ -31,12 +31,12 @@
 	start := time.Unix(100, 0)
 	adb := &accountDebt{startDebt: 600, startDebtLeft: 600, rate: 120, hosts: 2, settledAt: start}
 	const burst = 900.0
-	assert.DeepEqual(t, adb.message("a", burst), reservation.Spent{Account: "a", Share: 150})
+	assert.DeepEqual(t, adb.message("a", burst), reservation.AccountDebt{Account: "a", Share: 150})
 	adb.hosts = 6
-	assert.DeepEqual(t, adb.message("a", burst), reservation.Spent{Account: "a", Share: 50})
+	assert.DeepEqual(t, adb.message("a", burst), reservation.AccountDebt{Account: "a", Share: 50})
 	adb.debt = 10
 	adb.settle(start.Add(time.Second))
-	assert.DeepEqual(t, adb.message("a", burst), reservation.Spent{Account: "a", Debt: 10 - 20, Share: 50})
+	assert.DeepEqual(t, adb.message("a", burst), reservation.AccountDebt{Account: "a", Debt: 10 - 20, Share: 50})
 	adb.settle(start.Add(6 * time.Second))
 	assert.Equal(t, adb.message("a", burst).Share-adb.message("a", burst).Debt, burst/6)
 }
@@ -68,9 +68,9 @@
 }
 
 func TestLargestDebtsAreReportedFirst(t *testing.T) {
-	var debts []reservation.Spent
+	var debts []reservation.AccountDebt
 	for idx := range 3 * maxReportedDebts {
-		debts = append(debts, reservation.Spent{Account: fmt.Sprint("account-", idx), Debt: float64(idx)})
+		debts = append(debts, reservation.AccountDebt{Account: fmt.Sprint("account-", idx), Debt: float64(idx)})
 	}
 	reported := largestDebts(debts)
 	assert.Equal(t, len(reported), maxReportedDebts)
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -25,7 +25,7 @@
 	for {
 		evt, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			ans.Whole()
+			ans.MarkComplete()
 			att.outcome, att.cause = outcomeDone, causeAnswered
 			att.release.Total = time.Since(att.started)
 			att.release.Answered = true
--- a/entry/survey.go
+++ b/entry/survey.go
@@ -20,7 +20,7 @@
 
 // applyMeasurements applies the stored measurements of the engines' speed.
 func (wat *storeWatcher) applyMeasurements(val store.Value) {
-	mea, err := platform.DecodeSurvey(val)
+	mea, err := platform.DecodeMeasurements(val)
 	if !wat.invalidValues.checkValue(val, err, "stored measurements invalid, ignored") {
 		return
 	}
@@ -67,9 +67,9 @@
 func (hos *Host) recordMeasurements(ctx context.Context, mea pace.Measurements) {
 	ctx, cancel := context.WithTimeout(ctx, measurementsTimeout)
 	defer cancel()
-	data, err := platform.EncodeSurvey(mea)
+	data, err := platform.EncodeMeasurements(mea)
 	if err == nil {
-		_, err = hos.store.Put(ctx, store.Write{Key: platform.SurveyKey(), Data: data, Blind: true})
+		_, err = hos.store.Put(ctx, store.Write{Key: platform.MeasurementsKey(), Data: data, Blind: true})
 	}
 	if err != nil {
 		hos.log.Warn().Err(err).Int("Bytes", len(data)).Msg("writing the measurements failed")
--- a/entry/take.go
+++ b/entry/take.go
@@ -31,11 +31,11 @@
 			if mem, usable := wat.decodeMember(val); usable {
 				members = append(members, mem)
 			}
-		case platform.KeySurvey:
+		case platform.KeyMeasurements:
 			wat.applyMeasurements(val)
 		case platform.KeyRing:
 			wat.applyKeyRing(val)
-		case platform.KeyOrder:
+		case platform.KeyRolloutOrder:
 			wat.applyRolloutOrder(val)
 		case platform.KeyRolloutState:
 			wat.applyRolloutState(name, val)
@@ -87,7 +87,7 @@
 	switch kind, name := platform.KindOf(cha.Key); kind {
 	case platform.KeyConfiguration:
 		wat.applyConfiguration(cha.Value)
-	case platform.KeySurvey:
+	case platform.KeyMeasurements:
 		wat.applyMeasurements(cha.Value)
 	case platform.KeyEngine:
 		if eng, usable := wat.decodeEngine(cha.Value); usable {
@@ -104,7 +104,7 @@
 		}
 	case platform.KeyRing:
 		wat.applyKeyRing(cha.Value)
-	case platform.KeyOrder:
+	case platform.KeyRolloutOrder:
 		wat.applyRolloutOrder(cha.Value)
 	case platform.KeyRolloutState:
 		wat.applyRolloutState(name, cha.Value)
@@ -135,9 +135,9 @@
 			wat.host.checkLease()
 		}
 	case platform.KeyRolloutState:
-		wat.rollouts.set(name, func(std *rollout.Standing) { std.State, std.StateVersion, std.StateRevision = 0, "", 0 })
+		wat.rollouts.set(name, func(std *rollout.StoredState) { std.State, std.StateVersion, std.StateRevision = 0, "", 0 })
 	case platform.KeyLedger:
-		wat.rollouts.set(name, func(std *rollout.Standing) { std.Ledger, std.LedgerRevision = rollout.Ledger{}, 0 })
+		wat.rollouts.set(name, func(std *rollout.StoredState) { std.Ledger, std.LedgerRevision = rollout.Ledger{}, 0 })
 	case platform.KeyRing:
 		wat.clearKeyRing()
 	case platform.KeyHolds:
@@ -145,8 +145,8 @@
 	case platform.KeyEvacuation:
 		wat.withdrawEvacuation(name, cha.Revision)
 	case platform.KeyEvacuationState:
-		wat.setEvacuation(name, func(std *evacuation.Standing) { std.Told = evacuation.Told{} })
-	case platform.KeyConfiguration, platform.KeySurvey, platform.KeyOrder, platform.KeyOther:
+		wat.setEvacuation(name, func(std *evacuation.StoredState) { std.Published = evacuation.PublishedState{} })
+	case platform.KeyConfiguration, platform.KeyMeasurements, platform.KeyRolloutOrder, platform.KeyOther:
 	}
 }
 
--- a/entry/unknown.go
+++ b/entry/unknown.go
@@ -54,8 +54,8 @@
 }
 
 // record counts the unrecognized headers of an answer, and logs each once per service.
-func (unr *unrecognizedHeaders) record(hrd upstream.Heard) {
-	for _, name := range hrd.Head.Unknown {
+func (unr *unrecognizedHeaders) record(hrd upstream.HeadReceived) {
+	for _, name := range hrd.Head.UnrecognizedHeaders {
 		unr.host.metrics.count("UnknownHeaders." + unr.metricName(name))
 		unr.logOnce(hrd, name[:min(len(name), maxNameBytes)])
 	}
@@ -68,7 +68,7 @@
 	return unr.names.metricName(name)
 }
 
-func (unr *unrecognizedHeaders) logOnce(hrd upstream.Heard, name string) {
+func (unr *unrecognizedHeaders) logOnce(hrd upstream.HeadReceived, name string) {
 	eng, _ := unr.host.snapshot.Load().engine(hrd.Engine)
 	key := unrecognizedHeader{name: name, service: eng.Service}
 	unr.mutex.Lock()
--- a/evacuation/board.go
+++ b/evacuation/board.go
@@ -13,9 +13,9 @@
 // outcome. A change is usually known within a tenth of that time.
 const rewriteInterval = time.Second
 
-// Board holds one host's view of the failure domains that are being evacuated.
-type Board struct {
-	states map[string]Standing
+// Tracker holds one host's view of the failure domains that are being evacuated.
+type Tracker struct {
+	states map[string]StoredState
 	// hosts are those that may send requests; enforced holds the revisions of the orders that
 	// each has reported to enforce, by domain.
 	hosts    map[request.Epoch]bool
@@ -25,16 +25,16 @@
 }
 
 // New returns a tracker without domains and hosts.
-func New() *Board {
-	return &Board{
-		states: make(map[string]Standing), hosts: make(map[request.Epoch]bool),
+func New() *Tracker {
+	return &Tracker{
+		states: make(map[string]StoredState), hosts: make(map[request.Epoch]bool),
 		enforced: make(map[request.Epoch]map[string]uint64), writtenAt: make(map[string]time.Time),
 	}
 }
 
-// SetStandings replaces the states with those in the store.
-func (trk *Board) SetStandings(states []Standing) {
-	byDomain := make(map[string]Standing, len(states))
+// SetStates replaces the states with those in the store.
+func (trk *Tracker) SetStates(states []StoredState) {
+	byDomain := make(map[string]StoredState, len(states))
 	for _, sta := range states {
 		if sta != trk.states[sta.Order.Domain] {
 			delete(trk.writtenAt, sta.Order.Domain)
@@ -45,7 +45,7 @@
 }
 
 // SetHosts sets the hosts that may send requests to engines.
-func (trk *Board) SetHosts(hosts []request.Epoch) {
+func (trk *Tracker) SetHosts(hosts []request.Epoch) {
 	clear(trk.hosts)
 	for _, epo := range hosts {
 		trk.hosts[epo] = true
@@ -53,8 +53,8 @@
 	maps.DeleteFunc(trk.enforced, func(epo request.Epoch, _ map[string]uint64) bool { return !trk.hosts[epo] })
 }
 
-// Take replaces the orders that a host has reported to enforce.
-func (trk *Board) Take(host request.Epoch, orders []Order) {
+// SetEnforced replaces the orders that a host has reported to enforce.
+func (trk *Tracker) SetEnforced(host request.Epoch, orders []Order) {
 	enforced := make(map[string]uint64, len(orders))
 	for _, ord := range orders {
 		enforced[ord.Domain] = ord.Revision
@@ -62,14 +62,14 @@
 	trk.enforced[host] = enforced
 }
 
-// Forget drops the report of a host whose session has ended. The host repeats the
+// ClearEnforced drops the report of a host whose session has ended. The host repeats the
 // report in its next session.
-func (trk *Board) Forget(host request.Epoch) {
+func (trk *Tracker) ClearEnforced(host request.Epoch) {
 	delete(trk.enforced, host)
 }
 
 // missing returns the hosts that haven't reported to enforce the order, sorted by epoch.
-func (trk *Board) missing(ord Order) []request.Epoch {
+func (trk *Tracker) missing(ord Order) []request.Epoch {
 	var missing []request.Epoch
 	for epo := range trk.hosts {
 		if trk.enforced[epo][ord.Domain] != ord.Revision {
@@ -81,7 +81,7 @@
 }
 
 // state returns the progress of an order; runs is the number of requests running in its domain.
-func (trk *Board) state(ord Order, runs int) State {
+func (trk *Tracker) state(ord Order, runs int) State {
 	switch {
 	case len(trk.hosts) == 0 || len(trk.missing(ord)) > 0:
 		return StateOrdered
@@ -92,15 +92,15 @@
 	}
 }
 
-// Open reports whether the store holds an order, or the published state of a canceled one.
-func (trk *Board) Open() bool {
+// Pending reports whether the store holds an order, or the published state of a canceled one.
+func (trk *Tracker) Pending() bool {
 	return len(trk.states) > 0
 }
 
 // Writes returns the changes to publish now; running returns the number of requests that run in
 // a failure domain. The published state of an order never goes back: a host that starts later
 // enforces the order before it sends any request.
-func (trk *Board) Writes(now time.Time, running func(domain string) int) []Write {
+func (trk *Tracker) Writes(now time.Time, running func(domain string) int) []Write {
 	var writes []Write
 	for _, domain := range slices.Sorted(maps.Keys(trk.states)) {
 		sta := trk.states[domain]
@@ -115,15 +115,15 @@
 }
 
 // write returns the change to publish for a domain, and whether one is needed.
-func (trk *Board) write(sta Standing, running func(domain string) int) (Write, bool) {
-	wri := Write{Domain: sta.Order.Domain, Order: sta.Order.Revision, Expect: sta.Told.Revision}
+func (trk *Tracker) write(sta StoredState, running func(domain string) int) (Write, bool) {
+	wri := Write{Domain: sta.Order.Domain, Order: sta.Order.Revision, Expect: sta.Published.Revision}
 	if sta.Order.Revision == 0 {
 		wri.Delete = true
-		return wri, sta.Told.Revision > 0
+		return wri, sta.Published.Revision > 0
 	}
 	wri.State = trk.state(sta.Order, running(sta.Order.Domain))
-	if sta.Told.Revision > 0 && sta.Told.Order == sta.Order.Revision {
-		return wri, wri.State > sta.Told.State
+	if sta.Published.Revision > 0 && sta.Published.Order == sta.Order.Revision {
+		return wri, wri.State > sta.Published.State
 	}
 	return wri, wri.State > StateOrdered
 }
@@ -144,7 +144,7 @@
 }
 
 // Dump returns the failure domains that are being evacuated, sorted by name.
-func (trk *Board) Dump(running func(domain string) int) []Dump {
+func (trk *Tracker) Dump(running func(domain string) int) []Dump {
 	var dumps []Dump
 	for domain, sta := range trk.states {
 		dum := Dump{Domain: domain, Order: sta.Order.Revision, Running: running(domain)}
@@ -154,8 +154,8 @@
 				dum.Missing = append(dum.Missing, epo.String())
 			}
 		}
-		if sta.Told.Revision > 0 && sta.Told.Order == sta.Order.Revision {
-			dum.Told = sta.Told.State.String()
+		if sta.Published.Revision > 0 && sta.Published.Order == sta.Order.Revision {
+			dum.Told = sta.Published.State.String()
 		}
 		dumps = append(dumps, dum)
 	}
--- a/evacuation/board_test.go
+++ b/evacuation/board_test.go
@@ -15,30 +15,30 @@
 
 func noneRunning(string) int { return 0 }
 
-func ordered(revision uint64) evacuation.Standing {
-	return evacuation.Standing{Order: evacuation.Order{Domain: domain, Revision: revision}}
+func ordered(revision uint64) evacuation.StoredState {
+	return evacuation.StoredState{Order: evacuation.Order{Domain: domain, Revision: revision}}
 }
 
 func TestOrderIsPublishedOnceAllHostsEnforceIt(t *testing.T) {
 	now := time.Unix(100, 0)
 	trk := evacuation.New()
-	assert.Assert(t, !trk.Open())
-	trk.SetStandings([]evacuation.Standing{ordered(7)})
+	assert.Assert(t, !trk.Pending())
+	trk.SetStates([]evacuation.StoredState{ordered(7)})
 	trk.SetHosts([]request.Epoch{1, 2})
 	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0)
-	trk.Take(1, []evacuation.Order{{Domain: domain, Revision: 7}})
-	trk.Take(2, []evacuation.Order{{Domain: domain, Revision: 5}, {Domain: "d2", Revision: 7}})
+	trk.SetEnforced(1, []evacuation.Order{{Domain: domain, Revision: 7}})
+	trk.SetEnforced(2, []evacuation.Order{{Domain: domain, Revision: 5}, {Domain: "d2", Revision: 7}})
 	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0, "an earlier order")
 	assert.DeepEqual(t, trk.Dump(noneRunning), []evacuation.Dump{{Domain: domain, Order: 7, State: "Ordered", Missing: []string{request.Epoch(2).String()}}})
-	trk.Take(2, []evacuation.Order{{Domain: domain, Revision: 7}})
+	trk.SetEnforced(2, []evacuation.Order{{Domain: domain, Revision: 7}})
 	runs := 3
 	running := func(string) int { return runs }
 	assert.DeepEqual(t, trk.Writes(now, running), []evacuation.Write{{Domain: domain, Order: 7, State: evacuation.StateClosed}})
 	assert.Equal(t, len(trk.Writes(now, running)), 0, "the outcome of the write isn't known yet")
 	assert.Equal(t, len(trk.Writes(now.Add(time.Second), running)), 1, "the store hasn't shown the write")
 	sta := ordered(7)
-	sta.Told = evacuation.Told{Order: 7, State: evacuation.StateClosed, Revision: 9}
-	trk.SetStandings([]evacuation.Standing{sta})
+	sta.Published = evacuation.PublishedState{Order: 7, State: evacuation.StateClosed, Revision: 9}
+	trk.SetStates([]evacuation.StoredState{sta})
 	assert.Equal(t, len(trk.Writes(now.Add(time.Minute), running)), 0, "published")
 	runs = 0
 	assert.DeepEqual(t, trk.Writes(now.Add(time.Minute), running), []evacuation.Write{{Domain: domain, Order: 7, State: evacuation.StateEmpty, Expect: 9}})
@@ -50,17 +50,17 @@
 	now := time.Unix(100, 0)
 	trk := evacuation.New()
 	sta := ordered(7)
-	sta.Told = evacuation.Told{Order: 7, State: evacuation.StateEmpty, Revision: 9}
-	trk.SetStandings([]evacuation.Standing{sta})
+	sta.Published = evacuation.PublishedState{Order: 7, State: evacuation.StateEmpty, Revision: 9}
+	trk.SetStates([]evacuation.StoredState{sta})
 	trk.SetHosts([]request.Epoch{1})
 	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0, "a host has just started")
 	sta.Order.Revision = 0
-	trk.SetStandings([]evacuation.Standing{sta})
+	trk.SetStates([]evacuation.StoredState{sta})
 	assert.DeepEqual(t, trk.Writes(now, noneRunning), []evacuation.Write{{Domain: domain, Delete: true, Expect: 9}})
 	sta.Order.Revision = 12
-	trk.SetStandings([]evacuation.Standing{sta})
+	trk.SetStates([]evacuation.StoredState{sta})
 	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0, "another order, which no host enforces yet")
-	trk.Take(1, []evacuation.Order{{Domain: domain, Revision: 12}})
+	trk.SetEnforced(1, []evacuation.Order{{Domain: domain, Revision: 12}})
 	assert.DeepEqual(t, trk.Writes(now, noneRunning), []evacuation.Write{{Domain: domain, Order: 12, State: evacuation.StateEmpty, Expect: 9}})
 }
 
@@ -69,11 +69,11 @@
 func TestOrderDoesNotWaitForAStoppedHost(t *testing.T) {
 	now := time.Unix(100, 0)
 	trk := evacuation.New()
-	trk.SetStandings([]evacuation.Standing{ordered(7)})
+	trk.SetStates([]evacuation.StoredState{ordered(7)})
 	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0, "no host is known")
 	trk.SetHosts([]request.Epoch{1, 2})
-	trk.Take(1, []evacuation.Order{{Domain: domain, Revision: 7}})
-	trk.Take(2, []evacuation.Order{{Domain: domain, Revision: 7}})
+	trk.SetEnforced(1, []evacuation.Order{{Domain: domain, Revision: 7}})
+	trk.SetEnforced(2, []evacuation.Order{{Domain: domain, Revision: 7}})
 	trk.SetHosts([]request.Epoch{1})
 	trk.SetHosts([]request.Epoch{1, 2})
 	assert.Equal(t, len(trk.Writes(now, noneRunning)), 0)
@@ -87,36 +87,36 @@
 	for _, to := range []string{domain, domain, "d2"} {
 		assert.Assert(t, gat.Enter(to))
 	}
-	assert.Assert(t, gat.Set([]evacuation.Order{order}))
-	assert.Assert(t, !gat.Set([]evacuation.Order{order}))
+	assert.Assert(t, gat.SetOrders([]evacuation.Order{order}))
+	assert.Assert(t, !gat.SetOrders([]evacuation.Order{order}))
 	assert.Assert(t, !gat.Enter(domain) && gat.Enter("d2"))
-	assert.Equal(t, len(gat.Kept()), 0)
+	assert.Equal(t, len(gat.Enforced()), 0)
 	assert.Assert(t, !gat.Leave(domain))
 	assert.Assert(t, gat.Leave(domain))
-	assert.DeepEqual(t, gat.Kept(), []evacuation.Order{order})
+	assert.DeepEqual(t, gat.Enforced(), []evacuation.Order{order})
 	assert.Assert(t, !gat.Leave("d2"))
-	assert.Assert(t, gat.Set(nil))
+	assert.Assert(t, gat.SetOrders(nil))
 	assert.Assert(t, gat.Enter(domain))
 }
 
 // fakeStore holds the order and published state of one domain, as the store does.
 type fakeStore struct {
 	revision uint64
-	state    evacuation.Standing
+	state    evacuation.StoredState
 	// published counts, by revision of the order, how often an order was published.
 	published map[uint64]int
 }
 
 func (fst *fakeStore) write(rt *rapid.T, wri evacuation.Write, enforced func(order uint64) bool) {
-	if wri.Expect != fst.state.Told.Revision {
+	if wri.Expect != fst.state.Published.Revision {
 		return
 	}
 	fst.revision++
 	if wri.Delete {
-		fst.state.Told = evacuation.Told{}
+		fst.state.Published = evacuation.PublishedState{}
 		return
 	}
-	if wri.Order == fst.state.Order.Revision && fst.state.Told.Order != wri.Order {
+	if wri.Order == fst.state.Order.Revision && fst.state.Published.Order != wri.Order {
 		fst.published[wri.Order]++
 		if fst.published[wri.Order] > 1 {
 			rt.Fatalf("order %d was published twice", wri.Order)
@@ -125,7 +125,7 @@
 			rt.Fatalf("order %d is published, and some host doesn't enforce it", wri.Order)
 		}
 	}
-	fst.state.Told = evacuation.Told{Order: wri.Order, State: wri.State, Revision: fst.revision}
+	fst.state.Published = evacuation.PublishedState{Order: wri.Order, State: wri.State, Revision: fst.revision}
 }
 
 // Orders are given and canceled, hosts are late or fail, and two coordinators act at once on
@@ -136,7 +136,7 @@
 		now := time.Unix(100, 0)
 		const hosts = 4
 		fst := &fakeStore{revision: 1, state: ordered(0), published: make(map[uint64]int)}
-		trackers := []*evacuation.Board{evacuation.New(), evacuation.New()}
+		trackers := []*evacuation.Tracker{evacuation.New(), evacuation.New()}
 		var epochs []request.Epoch
 		known := make(map[request.Epoch]evacuation.Order)
 		next := request.Epoch(1)
@@ -168,7 +168,7 @@
 				known[epochs[num]] = fst.state.Order
 			case 2:
 				trk.SetHosts(epochs)
-				trk.Take(epochs[num], []evacuation.Order{known[epochs[num]]})
+				trk.SetEnforced(epochs[num], []evacuation.Order{known[epochs[num]]})
 			case 3:
 				// The host fails; another starts, which reads the store before it sends any request.
 				known[next] = fst.state.Order
@@ -176,7 +176,7 @@
 				next++
 			case 4:
 				trk.SetHosts(epochs)
-				trk.SetStandings([]evacuation.Standing{fst.state})
+				trk.SetStates([]evacuation.StoredState{fst.state})
 			default:
 				trk.SetHosts(epochs)
 				for _, wri := range trk.Writes(now, noneRunning) {
--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -12,7 +12,7 @@
 //		// write to the store if the revision there is wri.Expect
 //	}
 //
-// A Board does no I/O: its user passes in the contents of the store, the hosts' reports and
+// A Tracker does no I/O: its user passes in the contents of the store, the hosts' reports and
 // the time. The types of this package are not safe for concurrent use.
 package evacuation
 
@@ -49,16 +49,16 @@
 	return names[sta]
 }
 
-// Standing is what the store holds for a failure domain.
-type Standing struct {
+// StoredState is what the store holds for a failure domain.
+type StoredState struct {
 	// Order has Revision 0 if there is no order.
-	Order Order
-	Told  Told
+	Order     Order
+	Published PublishedState
 }
 
 // PublishedState is the state of an evacuation that was last written to the store, where
 // operators read it.
-type Told struct {
+type PublishedState struct {
 	// Order is the revision of the order that the state belongs to.
 	Order uint64
 	State State
--- a/evacuation/gate.go
+++ b/evacuation/gate.go
@@ -21,8 +21,8 @@
 	return &Gate{orders: make(map[string]Order), writing: make(map[string]int)}
 }
 
-// Set replaces the orders and reports whether they changed.
-func (gat *Gate) Set(orders []Order) bool {
+// SetOrders replaces the orders and reports whether they changed.
+func (gat *Gate) SetOrders(orders []Order) bool {
 	next := make(map[string]Order, len(orders))
 	changed := len(orders) != len(gat.orders)
 	for _, ord := range orders {
@@ -61,9 +61,9 @@
 	return closed
 }
 
-// Kept returns the orders that the host enforces, sorted by domain: none of its requests
+// Enforced returns the orders that the host enforces, sorted by domain: none of its requests
 // to these domains is still to be written.
-func (gat *Gate) Kept() []Order {
+func (gat *Gate) Enforced() []Order {
 	var enforced []Order
 	for domain, ord := range gat.orders {
 		if gat.writing[domain] == 0 {
--- a/fleet/directory.go
+++ b/fleet/directory.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Hold defers removals until the given time.
-func (dir *Directory) Hold(until time.Time) {
+// HoldRemovals defers removals until the given time.
+func (dir *Directory) HoldRemovals(until time.Time) {
 	dir.holdUntil = until
 }
 
@@ -65,7 +65,7 @@
 func (dir *Directory) SetEngine(now time.Time, eng Engine) bool {
 	name := eng.ID.Name
 	prev, known := dir.engines[name]
-	if known && eng.ID.Born.IsZero() && !prev.ID.Born.IsZero() {
+	if known && eng.ID.StartTime.IsZero() && !prev.ID.StartTime.IsZero() {
 		dir.DropEngine(name)
 		return false
 	}
@@ -99,10 +99,10 @@
 	return now.Add(remaining)
 }
 
-// Chill marks the engines of a failure domain as cold for at least the duration that
+// MarkCold marks the engines of a failure domain as cold for at least the duration that
 // coldFor returns for their service; 0 marks none. Engines may have become cold while they
 // were idle, and receive requests again before their entries report it.
-func (dir *Directory) Chill(now time.Time, domain string, coldFor func(service string) time.Duration) {
+func (dir *Directory) MarkCold(now time.Time, domain string, coldFor func(service string) time.Duration) {
 	for name, eng := range dir.engines {
 		if eng.Domain != domain {
 			continue
@@ -145,9 +145,9 @@
 	delete(dir.members, name)
 }
 
-// Settle removes the missing entries once the hold has ended, and reports whether it
+// DropMissing removes the missing entries once the hold has ended, and reports whether it
 // removed any.
-func (dir *Directory) Settle(now time.Time) bool {
+func (dir *Directory) DropMissing(now time.Time) bool {
 	if now.Before(dir.holdUntil) || len(dir.missingEngines)+len(dir.missingMembers) == 0 {
 		return false
 	}
--- a/fleet/engine.go
+++ b/fleet/engine.go
@@ -12,9 +12,9 @@
 // made with NewEngineID.
 type EngineID struct {
 	Name string
-	// Born is the start time of the run by the engine's own clock, in whole milliseconds;
+	// StartTime is the start time of the run by the engine's own clock, in whole milliseconds;
 	// zero if the engine doesn't report it.
-	Born time.Time
+	StartTime time.Time
 }
 
 // NewEngineID returns the id of the named engine's run with the given start time, which is
@@ -23,7 +23,7 @@
 	if startTime.IsZero() {
 		return EngineID{Name: name}
 	}
-	return EngineID{Name: name, Born: time.UnixMilli(startTime.UnixMilli()).UTC()}
+	return EngineID{Name: name, StartTime: time.UnixMilli(startTime.UnixMilli()).UTC()}
 }
 
 // startSeparator separates the name from the start time in milliseconds.
@@ -32,12 +32,12 @@
 // String returns the name, followed by the start time if it is known. Messages between hosts
 // and log lines use this form.
 func (eid EngineID) String() string {
-	if eid.Born.IsZero() && !strings.Contains(eid.Name, startSeparator) {
+	if eid.StartTime.IsZero() && !strings.Contains(eid.Name, startSeparator) {
 		return eid.Name
 	}
 	millis := int64(0)
-	if !eid.Born.IsZero() {
-		millis = eid.Born.UnixMilli()
+	if !eid.StartTime.IsZero() {
+		millis = eid.StartTime.UnixMilli()
 	}
 	return eid.Name + startSeparator + strconv.FormatInt(millis, 10)
 }
@@ -72,7 +72,7 @@
 
 // Follows reports whether this is a later run of the same engine than other.
 func (eid EngineID) Follows(other EngineID) bool {
-	return eid.Name == other.Name && eid.Born.After(other.Born)
+	return eid.Name == other.Name && eid.StartTime.After(other.StartTime)
 }
 
 // Engine is the entry of an engine, or of a backend server of a service without a model.
@@ -109,7 +109,7 @@
 // engine: entries may arrive out of order. An entry without a start time never supersedes one
 // that has it, since the engine didn't write it.
 func (eng Engine) Supersedes(prev Engine) bool {
-	if eng.ID.Born.Equal(prev.ID.Born) {
+	if eng.ID.StartTime.Equal(prev.ID.StartTime) {
 		return eng.Sequence >= prev.Sequence
 	}
 	return eng.ID.Follows(prev.ID)
--- a/fleet/notices.go
+++ b/fleet/notices.go
@@ -19,11 +19,11 @@
 // Notices is not safe for concurrent use.
 type Notices struct {
 	// final holds the signal of each run that drains or is replaced; it doesn't expire.
-	final map[EngineID]Word
+	final map[EngineID]Signal
 	// backoffUntil holds the end of each run's backoff.
 	backoffUntil map[EngineID]time.Time
 	// limits holds each run's rate limit.
-	limits map[EngineID]NamedLimit
+	limits map[EngineID]ReceivedLimit
 	// coldUntil holds the end of each run's warm-up.
 	coldUntil map[EngineID]time.Time
 	// lastRegistered holds the time at which each run with a notice was last known to be
@@ -31,47 +31,47 @@
 	lastRegistered map[EngineID]time.Time
 }
 
-// NamedLimit is a rate limit and the time at which the run last sent it.
-type NamedLimit struct {
+// ReceivedLimit is a rate limit and the time at which the run last sent it.
+type ReceivedLimit struct {
 	RateLimit
-	At time.Time
+	ReceivedAt time.Time
 }
 
 // NewNotices returns an empty set of notices.
 func NewNotices() *Notices {
 	return &Notices{
-		final: make(map[EngineID]Word), backoffUntil: make(map[EngineID]time.Time),
-		limits: make(map[EngineID]NamedLimit), coldUntil: make(map[EngineID]time.Time), lastRegistered: make(map[EngineID]time.Time),
+		final: make(map[EngineID]Signal), backoffUntil: make(map[EngineID]time.Time),
+		limits: make(map[EngineID]ReceivedLimit), coldUntil: make(map[EngineID]time.Time), lastRegistered: make(map[EngineID]time.Time),
 	}
 }
 
-// Take stores a notice received at now and reports whether it changes the state of the run:
+// Record stores a notice received at now and reports whether it changes the state of the run:
 // the first signal that the run drains or is replaced, a backoff or warm-up while none was in
 // effect, a new or different rate limit, or the end of one. A shorter backoff doesn't end a
 // longer one, and a draining run stays so after its backoff has expired.
-func (ntc *Notices) Take(now time.Time, not Notice) bool {
-	if not.Word == nil {
+func (ntc *Notices) Record(now time.Time, not Notice) bool {
+	if not.Signal == nil {
 		return false
 	}
 	ntc.lastRegistered[not.Run] = now
-	switch sig := not.Word.(type) {
-	case Leaving, Replaced:
+	switch sig := not.Signal.(type) {
+	case Draining, Replaced:
 		_, known := ntc.final[not.Run]
 		ntc.final[not.Run] = sig
 		return !known
-	case Pause:
+	case Backoff:
 		prev := ntc.backoffUntil[not.Run]
-		if until := now.Add(sig.Left); until.After(prev) {
+		if until := now.Add(sig.Remaining); until.After(prev) {
 			ntc.backoffUntil[not.Run] = until
 		}
 		return !now.Before(prev)
 	case RateLimit:
 		prev, known := ntc.limits[not.Run]
-		ntc.limits[not.Run] = NamedLimit{RateLimit: sig, At: now}
+		ntc.limits[not.Run] = ReceivedLimit{RateLimit: sig, ReceivedAt: now}
 		return !known || prev.RateLimit != sig
 	case Cold:
 		prev := ntc.coldUntil[not.Run]
-		if until := now.Add(sig.Left); until.After(prev) {
+		if until := now.Add(sig.Remaining); until.After(prev) {
 			ntc.coldUntil[not.Run] = until
 		}
 		return !now.Before(prev)
@@ -84,14 +84,14 @@
 	}
 }
 
-// Bar returns the signal that forbids sending requests to the run, with the
+// BlockingSignal returns the signal that forbids sending requests to the run, with the
 // remaining time of a backoff; nil if requests may be sent.
-func (ntc *Notices) Bar(now time.Time, run EngineID) Word {
+func (ntc *Notices) BlockingSignal(now time.Time, run EngineID) Signal {
 	if sig, final := ntc.final[run]; final {
 		return sig
 	}
 	if remaining := ntc.backoffUntil[run].Sub(now); remaining > 0 {
-		return Pause{Left: remaining}
+		return Backoff{Remaining: remaining}
 	}
 	return nil
 }
@@ -102,7 +102,7 @@
 }
 
 // Limit returns the rate limit that the run last sent, and whether one is in effect.
-func (ntc *Notices) Limit(run EngineID) (NamedLimit, bool) {
+func (ntc *Notices) Limit(run EngineID) (ReceivedLimit, bool) {
 	lim, active := ntc.limits[run]
 	return lim, active
 }
@@ -112,28 +112,28 @@
 // was received may be older than the limit.
 func (ntc *Notices) EndsLimit(run EngineID, sent time.Time) bool {
 	lim, known := ntc.limits[run]
-	return known && sent.After(lim.At)
+	return known && sent.After(lim.ReceivedAt)
 }
 
 // Current returns the notices in effect, in no particular order.
 func (ntc *Notices) Current(now time.Time) []Notice {
 	var current []Notice
 	for run := range ntc.lastRegistered {
-		if sig := ntc.Bar(now, run); sig != nil {
-			current = append(current, Notice{Run: run, Word: sig})
+		if sig := ntc.BlockingSignal(now, run); sig != nil {
+			current = append(current, Notice{Run: run, Signal: sig})
 		}
 		if lim, active := ntc.Limit(run); active {
-			current = append(current, Notice{Run: run, Word: lim.RateLimit})
+			current = append(current, Notice{Run: run, Signal: lim.RateLimit})
 		}
 		if remaining := ntc.ColdFor(now, run); remaining > 0 {
-			current = append(current, Notice{Run: run, Word: Cold{Left: remaining}})
+			current = append(current, Notice{Run: run, Signal: Cold{Remaining: remaining}})
 		}
 	}
 	return current
 }
 
-// Forget drops expired notices, and those of runs that have been unregistered for some time.
-func (ntc *Notices) Forget(now time.Time, isRegistered func(EngineID) bool) {
+// Prune drops expired notices, and those of runs that have been unregistered for some time.
+func (ntc *Notices) Prune(now time.Time, isRegistered func(EngineID) bool) {
 	expired := func(_ EngineID, until time.Time) bool { return !now.Before(until) }
 	maps.DeleteFunc(ntc.backoffUntil, expired)
 	maps.DeleteFunc(ntc.coldUntil, expired)
--- a/fleet/notices_test.go
+++ b/fleet/notices_test.go
@@ -17,23 +17,23 @@
 func TestNoticesApplyToTheRunThatSentThem(t *testing.T) {
 	now := time.Unix(100, 0)
 	ntc := fleet.NewNotices()
-	assert.Assert(t, ntc.Take(now, fleet.Notice{Run: run("e", 1), Word: fleet.Leaving{}}))
-	assert.Assert(t, !ntc.Take(now, fleet.Notice{Run: run("e", 1), Word: fleet.Leaving{}}), "repeated")
-	assert.Equal(t, ntc.Bar(now, run("e", 1)), fleet.Leaving{})
-	assert.Equal(t, ntc.Bar(now, run("e", 2)), nil, "a later run of the same name")
-	assert.Equal(t, ntc.Bar(now, run("f", 1)), nil)
-	assert.Assert(t, !ntc.Take(now, fleet.Notice{Run: run("f", 1)}), "no signal")
+	assert.Assert(t, ntc.Record(now, fleet.Notice{Run: run("e", 1), Signal: fleet.Draining{}}))
+	assert.Assert(t, !ntc.Record(now, fleet.Notice{Run: run("e", 1), Signal: fleet.Draining{}}), "repeated")
+	assert.Equal(t, ntc.BlockingSignal(now, run("e", 1)), fleet.Draining{})
+	assert.Equal(t, ntc.BlockingSignal(now, run("e", 2)), nil, "a later run of the same name")
+	assert.Equal(t, ntc.BlockingSignal(now, run("f", 1)), nil)
+	assert.Assert(t, !ntc.Record(now, fleet.Notice{Run: run("f", 1)}), "no signal")
 }
 
 func TestLongerBackoffNoticePrevails(t *testing.T) {
 	now := time.Unix(100, 0)
 	eng := run("e", 1)
 	ntc := fleet.NewNotices()
-	assert.Assert(t, ntc.Take(now, fleet.Notice{Run: eng, Word: fleet.Pause{Left: 3 * time.Second}}))
-	assert.Assert(t, !ntc.Take(now.Add(time.Second), fleet.Notice{Run: eng, Word: fleet.Pause{Left: time.Second}}))
-	assert.Equal(t, ntc.Bar(now.Add(2*time.Second), eng), fleet.Pause{Left: time.Second})
-	assert.Equal(t, ntc.Bar(now.Add(3*time.Second), eng), nil)
-	assert.Assert(t, ntc.Take(now.Add(3*time.Second), fleet.Notice{Run: eng, Word: fleet.Pause{Left: time.Second}}), "another backoff")
+	assert.Assert(t, ntc.Record(now, fleet.Notice{Run: eng, Signal: fleet.Backoff{Remaining: 3 * time.Second}}))
+	assert.Assert(t, !ntc.Record(now.Add(time.Second), fleet.Notice{Run: eng, Signal: fleet.Backoff{Remaining: time.Second}}))
+	assert.Equal(t, ntc.BlockingSignal(now.Add(2*time.Second), eng), fleet.Backoff{Remaining: time.Second})
+	assert.Equal(t, ntc.BlockingSignal(now.Add(3*time.Second), eng), nil)
+	assert.Assert(t, ntc.Record(now.Add(3*time.Second), fleet.Notice{Run: eng, Signal: fleet.Backoff{Remaining: time.Second}}), "another backoff")
 }
 
 // The notices of a run are dropped after it has been unregistered for a minute, and not while
@@ -42,16 +42,16 @@
 	now := time.Unix(100, 0)
 	eng := run("e", 1)
 	ntc := fleet.NewNotices()
-	ntc.Take(now, fleet.Notice{Run: eng, Word: fleet.Leaving{}})
-	ntc.Take(now, fleet.Notice{Run: run("f", 1), Word: fleet.Pause{Left: time.Second}})
+	ntc.Record(now, fleet.Notice{Run: eng, Signal: fleet.Draining{}})
+	ntc.Record(now, fleet.Notice{Run: run("f", 1), Signal: fleet.Backoff{Remaining: time.Second}})
 	none := func(fleet.EngineID) bool { return false }
-	ntc.Forget(now.Add(30*time.Second), none)
+	ntc.Prune(now.Add(30*time.Second), none)
 	assert.Equal(t, len(ntc.Current(now.Add(30*time.Second))), 1)
-	ntc.Forget(now.Add(50*time.Second), func(fleet.EngineID) bool { return true })
-	ntc.Forget(now.Add(100*time.Second), none)
-	assert.Equal(t, ntc.Bar(now.Add(100*time.Second), eng), fleet.Leaving{}, "registered 50 s ago")
-	ntc.Forget(now.Add(110*time.Second), none)
-	assert.Equal(t, ntc.Bar(now.Add(110*time.Second), eng), nil)
+	ntc.Prune(now.Add(50*time.Second), func(fleet.EngineID) bool { return true })
+	ntc.Prune(now.Add(100*time.Second), none)
+	assert.Equal(t, ntc.BlockingSignal(now.Add(100*time.Second), eng), fleet.Draining{}, "registered 50 s ago")
+	ntc.Prune(now.Add(110*time.Second), none)
+	assert.Equal(t, ntc.BlockingSignal(now.Add(110*time.Second), eng), nil)
 	assert.Equal(t, len(ntc.Current(now.Add(110*time.Second))), 0)
 }
 
@@ -69,23 +69,23 @@
 			not := fleet.Notice{Run: eng}
 			switch rapid.IntRange(0, 3).Draw(rt, "word") {
 			case 1:
-				not.Word, final[eng] = fleet.Leaving{}, true
+				not.Signal, final[eng] = fleet.Draining{}, true
 			case 2:
-				not.Word, final[eng] = fleet.Replaced{}, true
+				not.Signal, final[eng] = fleet.Replaced{}, true
 			case 3:
 				remaining := time.Duration(rapid.IntRange(1, 5000).Draw(rt, "left")) * time.Millisecond
-				not.Word = fleet.Pause{Left: remaining}
+				not.Signal = fleet.Backoff{Remaining: remaining}
 				if end := now.Add(remaining); end.After(until[eng]) {
 					until[eng] = end
 				}
 			}
-			ntc.Take(now, not)
-			ntc.Forget(now, func(fleet.EngineID) bool { return true })
+			ntc.Record(now, not)
+			ntc.Prune(now, func(fleet.EngineID) bool { return true })
 			blocked := 0
 			for idx := range int64(4) {
 				eng := run("e", idx+1)
 				want := final[eng] || now.Before(until[eng])
-				if got := ntc.Bar(now, eng) != nil; got != want {
+				if got := ntc.BlockingSignal(now, eng) != nil; got != want {
 					rt.Fatalf("run %d: blocked is %v, want %v", idx+1, got, want)
 				}
 				if want {
@@ -100,34 +100,34 @@
 }
 
 func limitNotice(eng fleet.EngineID, perSecond float64) fleet.Notice {
-	return fleet.Notice{Run: eng, Word: fleet.RateLimit{PerSecond: perSecond}}
+	return fleet.Notice{Run: eng, Signal: fleet.RateLimit{PerSecond: perSecond}}
 }
 
 func TestRateLimitAppliesUntilALaterResponseHasNone(t *testing.T) {
 	now := time.Unix(100, 0)
 	eng := run("e", 1)
 	ntc := fleet.NewNotices()
-	assert.Assert(t, ntc.Take(now, limitNotice(eng, 2)))
-	assert.Assert(t, !ntc.Take(now.Add(time.Second), limitNotice(eng, 2)), "repeated")
-	assert.Assert(t, ntc.Take(now.Add(2*time.Second), limitNotice(eng, 1.5)), "another limit")
+	assert.Assert(t, ntc.Record(now, limitNotice(eng, 2)))
+	assert.Assert(t, !ntc.Record(now.Add(time.Second), limitNotice(eng, 2)), "repeated")
+	assert.Assert(t, ntc.Record(now.Add(2*time.Second), limitNotice(eng, 1.5)), "another limit")
 	assert.Assert(t, !ntc.EndsLimit(eng, now.Add(time.Second)), "request sent before the limit was last received")
 	assert.DeepEqual(t, ntc.Current(now), []fleet.Notice{limitNotice(eng, 1.5)})
-	assert.Equal(t, ntc.Bar(now, eng), nil, "a rate limit doesn't block the run")
+	assert.Equal(t, ntc.BlockingSignal(now, eng), nil, "a rate limit doesn't block the run")
 	_, active := ntc.Limit(run("e", 2))
 	assert.Assert(t, !active, "a later run of the same name")
 	assert.Assert(t, !ntc.EndsLimit(run("f", 1), now.Add(time.Hour)), "no limit received")
 	assert.Assert(t, ntc.EndsLimit(eng, now.Add(3*time.Second)))
-	assert.Assert(t, ntc.Take(now.Add(3*time.Second), fleet.Notice{Run: eng, Word: fleet.Unlimited{}}))
+	assert.Assert(t, ntc.Record(now.Add(3*time.Second), fleet.Notice{Run: eng, Signal: fleet.Unlimited{}}))
 	assert.Equal(t, len(ntc.Current(now)), 0)
 }
 
 func TestRateLimitIsDroppedWithTheRun(t *testing.T) {
 	now := time.Unix(100, 0)
 	ntc := fleet.NewNotices()
-	ntc.Take(now, limitNotice(run("e", 1), 2))
-	ntc.Forget(now.Add(50*time.Second), func(fleet.EngineID) bool { return true })
-	ntc.Forget(now.Add(100*time.Second), func(fleet.EngineID) bool { return false })
+	ntc.Record(now, limitNotice(run("e", 1), 2))
+	ntc.Prune(now.Add(50*time.Second), func(fleet.EngineID) bool { return true })
+	ntc.Prune(now.Add(100*time.Second), func(fleet.EngineID) bool { return false })
 	assert.Equal(t, len(ntc.Current(now)), 1, "registered 50 s ago")
-	ntc.Forget(now.Add(110*time.Second), func(fleet.EngineID) bool { return false })
+	ntc.Prune(now.Add(110*time.Second), func(fleet.EngineID) bool { return false })
 	assert.Equal(t, len(ntc.Current(now)), 0)
 }
--- a/fleet/presence.go
+++ b/fleet/presence.go
@@ -56,14 +56,14 @@
 	pre.unreachableAt, pre.members = unreachableAt, members
 }
 
-// Reached records that a host has opened its session.
-func (pre *Presence) Reached(epo request.Epoch) {
+// SessionOpened records that a host has opened its session.
+func (pre *Presence) SessionOpened(epo request.Epoch) {
 	pre.reachable[epo] = true
 	delete(pre.unreachableAt, epo)
 }
 
-// Lost records that a host's session has ended.
-func (pre *Presence) Lost(now time.Time, epo request.Epoch) {
+// SessionEnded records that a host's session has ended.
+func (pre *Presence) SessionEnded(now time.Time, epo request.Epoch) {
 	delete(pre.reachable, epo)
 	if epo == pre.self {
 		return
@@ -71,9 +71,9 @@
 	pre.unreachableAt[epo] = now.Add(reconnectGrace)
 }
 
-// Absent returns the registered hosts that are unreachable, in the order of the
+// Unreachable returns the registered hosts that are unreachable, in the order of the
 // members; none if the host itself is assumed to be partitioned.
-func (pre *Presence) Absent(now time.Time) []request.Epoch {
+func (pre *Presence) Unreachable(now time.Time) []request.Epoch {
 	var unreachable []request.Epoch
 	for _, mem := range pre.members {
 		if at, pending := pre.unreachableAt[mem.Epoch]; pending && !now.Before(at) {
--- a/fleet/presence_test.go
+++ b/fleet/presence_test.go
@@ -26,22 +26,22 @@
 	pre := fleet.NewPresence(1)
 	pre.SetMembers(now, membersUpTo(8))
 	for epo := range request.Epoch(6) {
-		pre.Reached(epo + 1)
+		pre.SessionOpened(epo + 1)
 	}
-	assert.Equal(t, len(pre.Absent(now)), 0)
-	pre.Lost(now, 3)
-	pre.Lost(now, 4)
-	assert.Equal(t, len(pre.Absent(now.Add(100*time.Millisecond))), 0, "a session may be opened again")
-	pre.Reached(4)
-	assert.DeepEqual(t, pre.Absent(now.Add(400*time.Millisecond)), []request.Epoch{3})
+	assert.Equal(t, len(pre.Unreachable(now)), 0)
+	pre.SessionEnded(now, 3)
+	pre.SessionEnded(now, 4)
+	assert.Equal(t, len(pre.Unreachable(now.Add(100*time.Millisecond))), 0, "a session may be opened again")
+	pre.SessionOpened(4)
+	assert.DeepEqual(t, pre.Unreachable(now.Add(400*time.Millisecond)), []request.Epoch{3})
 	// Two hosts never had a session.
-	assert.DeepEqual(t, pre.Absent(now.Add(3*time.Second)), []request.Epoch{3, 7, 8})
-	pre.Reached(7)
+	assert.DeepEqual(t, pre.Unreachable(now.Add(3*time.Second)), []request.Epoch{3, 7, 8})
+	pre.SessionOpened(7)
 	pre.SetMembers(now.Add(3*time.Second), membersUpTo(7))
 	// A deregistered host is not reported.
-	assert.DeepEqual(t, pre.Absent(now.Add(4*time.Second)), []request.Epoch{3})
-	pre.Reached(3)
-	assert.Equal(t, len(pre.Absent(now.Add(4*time.Second))), 0)
+	assert.DeepEqual(t, pre.Unreachable(now.Add(4*time.Second)), []request.Epoch{3})
+	pre.SessionOpened(3)
+	assert.Equal(t, len(pre.Unreachable(now.Add(4*time.Second))), 0)
 }
 
 func TestPartitionedHostReportsNoneUnreachable(t *testing.T) {
@@ -49,18 +49,18 @@
 	pre := fleet.NewPresence(1)
 	pre.SetMembers(now, membersUpTo(9))
 	for epo := range request.Epoch(8) {
-		pre.Reached(epo + 2)
+		pre.SessionOpened(epo + 2)
 	}
 	for epo := range request.Epoch(6) {
-		pre.Lost(now, epo+2)
+		pre.SessionEnded(now, epo+2)
 	}
-	assert.Equal(t, len(pre.Absent(now.Add(time.Second))), 6, "six of the eight other hosts may have failed at once")
-	pre.Lost(now, 8)
-	assert.Equal(t, len(pre.Absent(now.Add(time.Second))), 0)
+	assert.Equal(t, len(pre.Unreachable(now.Add(time.Second))), 6, "six of the eight other hosts may have failed at once")
+	pre.SessionEnded(now, 8)
+	assert.Equal(t, len(pre.Unreachable(now.Add(time.Second))), 0)
 	// Of two hosts without a session between them, neither knows which one is partitioned.
 	pair := fleet.NewPresence(1)
 	pair.SetMembers(now, membersUpTo(2))
-	assert.Equal(t, len(pair.Absent(now.Add(time.Minute))), 0)
+	assert.Equal(t, len(pair.Unreachable(now.Add(time.Minute))), 0)
 }
 
 // In any order of events, a host that has a session or is not registered is never reported.
@@ -77,13 +77,13 @@
 				registered = rapid.IntRange(0, 9).Draw(t, "listed")
 				pre.SetMembers(now, membersUpTo(registered))
 			case 1:
-				pre.Reached(epo)
+				pre.SessionOpened(epo)
 				reachable[epo] = true
 			default:
-				pre.Lost(now, epo)
+				pre.SessionEnded(now, epo)
 				delete(reachable, epo)
 			}
-			for _, epo := range pre.Absent(now) {
+			for _, epo := range pre.Unreachable(now) {
 				if reachable[epo] || int(epo) > registered {
 					t.Fatalf("host %d is unreachable, with a session: %t, of %d registered", epo, reachable[epo], registered)
 				}
--- a/gateway/action.go
+++ b/gateway/action.go
@@ -37,14 +37,14 @@
 	Final Final
 	// Granters are the granters' answers to the fence of an undecided request;
 	// empty if no fence was sent.
-	Granters []GranterWord
+	Granters []GranterAnswer
 }
 
-// GranterWord is one granter's answer to a fence, for the log.
-type GranterWord struct {
+// GranterAnswer is one granter's answer to a fence, for the log.
+type GranterAnswer struct {
 	Granter view.Member
-	// Standing is 0 if the granter didn't answer.
-	Standing reservation.Standing
+	// State is 0 if the granter didn't answer.
+	State reservation.FenceState
 	// Stopped is set if the granter has handed its complete ledger over to another host.
 	Stopped bool
 }
@@ -77,34 +77,34 @@
 	Message reservation.Message
 }
 
-// AskFence sends a fence to a host. FenceAnswered or FenceFailed follows.
-type AskFence struct {
+// SendFence sends a fence to a host. FenceAnswered or FenceFailed follows.
+type SendFence struct {
 	To    view.Member
 	Fence reservation.Fence
 }
 
-// SendVouch sends a coordinator an attestation of what a lost coordinator had
+// SendAttestation sends a coordinator an attestation of what a lost coordinator had
 // granted and closed.
-type SendVouch struct {
-	To    view.Member
-	Vouch reservation.Vouch
+type SendAttestation struct {
+	To          view.Member
+	Attestation reservation.Attestation
 }
 
-// SendUnvouch revokes an attestation. Unvouched follows.
-type SendUnvouch struct {
-	To      view.Member
-	Unvouch reservation.Unvouch
+// SendRevocation revokes an attestation. RevocationAnswered follows.
+type SendRevocation struct {
+	To         view.Member
+	Revocation reservation.Revocation
 }
 
-func (Attach) isAction()      {}
-func (Answer) isAction()      {}
-func (Relay) isAction()       {}
-func (Finish) isAction()      {}
-func (Dispatch) isAction()    {}
-func (Resume) isAction()      {}
-func (Cancel) isAction()      {}
-func (Forget) isAction()      {}
-func (Send) isAction()        {}
-func (AskFence) isAction()    {}
-func (SendVouch) isAction()   {}
-func (SendUnvouch) isAction() {}
+func (Attach) isAction()          {}
+func (Answer) isAction()          {}
+func (Relay) isAction()           {}
+func (Finish) isAction()          {}
+func (Dispatch) isAction()        {}
+func (Resume) isAction()          {}
+func (Cancel) isAction()          {}
+func (Forget) isAction()          {}
+func (Send) isAction()            {}
+func (SendFence) isAction()       {}
+func (SendAttestation) isAction() {}
+func (SendRevocation) isAction()  {}
--- a/gateway/arrive.go
+++ b/gateway/arrive.go
@@ -26,7 +26,7 @@
 // another body under the same id is rejected.
 func (gat *Core) attach(now time.Time, ent *entry, arr Arrived) {
 	if ent.spec.Fingerprint != arr.Spec.Fingerprint {
-		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseOtherBody, Outcome: request.Unknown}})
+		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseIDReused, Outcome: request.Unknown}})
 		return
 	}
 	ent.clients++
@@ -42,14 +42,14 @@
 	vie, known := gat.views.Get(arr.ID.View)
 	switch {
 	case arr.ID.Window > current || arr.ID.View > gat.views.Last().Number:
-		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseNotHandedOut, Outcome: request.NotRun}})
+		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CausePrefixNotIssued, Outcome: request.NotRun}})
 		return
 	case arr.ID.Window+WindowsKept <= current || !known:
 		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseTooOld, Outcome: request.Unknown}})
 		return
 	}
 	if _, member := vie.Member(gat.cfg.Self); !member {
-		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseNotHandedOut, Outcome: request.NotRun}})
+		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CausePrefixNotIssued, Outcome: request.NotRun}})
 		return
 	}
 	ent := gat.newEntry(now, arr, request.Ballot{Holder: gat.cfg.Self})
@@ -95,7 +95,7 @@
 	}
 	owner, member := vie.Member(arr.ID.Epoch)
 	if !member {
-		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseNotHandedOut, Outcome: request.NotRun}})
+		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CausePrefixNotIssued, Outcome: request.NotRun}})
 		return
 	}
 	if !arr.Relayed && gat.mayBeAlive(owner) {
--- a/gateway/attestation.go
+++ b/gateway/attestation.go
@@ -88,8 +88,8 @@
 	gat.sequence++
 	for _, mem := range gat.attestersFor(epo) {
 		los.attesters[mem.Epoch] = &attesterState{}
-		key := reservation.VouchKey{Lost: epo, Holder: gat.cfg.Self}
-		gat.emit(SendVouch{To: mem, Vouch: reservation.Vouch{VouchKey: key, Sequence: gat.sequence, Records: records}})
+		key := reservation.AttestationKey{Lost: epo, Holder: gat.cfg.Self}
+		gat.emit(SendAttestation{To: mem, Attestation: reservation.Attestation{AttestationKey: key, Sequence: gat.sequence, Records: records}})
 	}
 }
 
@@ -98,14 +98,14 @@
 func (gat *Core) attestersFor(lost request.Epoch) []view.Member {
 	var usable []view.Member
 	for _, mem := range gat.views.Last().Granters(gat.cfg.Self) {
-		if mem.Epoch != lost && gat.isUp(mem.Epoch) && gat.lost[mem.Epoch] == nil && !mem.Leaving {
+		if mem.Epoch != lost && gat.isUp(mem.Epoch) && gat.lost[mem.Epoch] == nil && !mem.Draining {
 			usable = append(usable, mem)
 		}
 	}
 	slices.SortFunc(usable, func(one, two view.Member) int {
 		return cmp.Compare(view.Score(lost.String(), two.Name), view.Score(lost.String(), one.Name))
 	})
-	return view.Spread(usable, attesterCount)
+	return view.PickAcrossDomains(usable, attesterCount)
 }
 
 // peerUp handles an established session. The grants of an epoch that was lost are
@@ -166,23 +166,23 @@
 		}
 		ats.revoking = true
 		gat.sequence++
-		key := reservation.VouchKey{Lost: epo, Holder: gat.cfg.Self}
-		gat.emit(SendUnvouch{To: mem, Unvouch: reservation.Unvouch{VouchKey: key, Sequence: gat.sequence}})
+		key := reservation.AttestationKey{Lost: epo, Holder: gat.cfg.Self}
+		gat.emit(SendRevocation{To: mem, Revocation: reservation.Revocation{AttestationKey: key, Sequence: gat.sequence}})
 	}
 }
 
-func (gat *Core) revocationAnswered(evt Unvouched) {
+func (gat *Core) revocationAnswered(evt RevocationAnswered) {
 	los := gat.lost[evt.Answer.Lost]
-	if los == nil || los.attesters[evt.Voucher] == nil {
+	if los == nil || los.attesters[evt.Attester] == nil {
 		return
 	}
 	switch {
 	case evt.Failed:
-		los.attesters[evt.Voucher].revoking = false
-	case !evt.Answer.Released:
+		los.attesters[evt.Attester].revoking = false
+	case !evt.Answer.Revoked:
 		los.permanent = true
 	default:
-		delete(los.attesters, evt.Voucher)
+		delete(los.attesters, evt.Attester)
 		gat.retryRevocations()
 	}
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -106,7 +106,7 @@
 	case len(ent.refused) > 0:
 		gat.requestEviction(now, ent)
 	case gat.isOutdated(ent):
-		gat.close(now, ent, Final{Cause: CauseRetired, Outcome: request.NotRun, Retry: true})
+		gat.close(now, ent, Final{Cause: CausePrefixRetired, Outcome: request.NotRun, Retry: true})
 	default:
 		gat.table.stranded[ent.id] = ent
 	}
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -38,8 +38,8 @@
 	CloseTimeout time.Duration
 	// OrphanGrace is how long a request continues without an attached client.
 	OrphanGrace time.Duration
-	// StrandedTime is how long a request waits while no coordinator is available.
-	StrandedTime time.Duration
+	// NoCoordinatorTimeout is how long a request waits while no coordinator is available.
+	NoCoordinatorTimeout time.Duration
 	// MoveAfter is how long a reservation waits before it may move to a
 	// coordinator with a free slot.
 	MoveAfter time.Duration
@@ -47,11 +47,11 @@
 
 // The defaults of Config.
 const (
-	DefaultWindow       = 5 * time.Minute
-	DefaultCloseTimeout = time.Second
-	DefaultOrphanGrace  = 10 * time.Second
-	DefaultStrandedTime = 2 * time.Second
-	DefaultMoveAfter    = 250 * time.Millisecond
+	DefaultWindow               = 5 * time.Minute
+	DefaultCloseTimeout         = time.Second
+	DefaultOrphanGrace          = 10 * time.Second
+	DefaultNoCoordinatorTimeout = 2 * time.Second
+	DefaultMoveAfter            = 250 * time.Millisecond
 )
 
 // WindowsKept is the number of windows, including the current one, whose ids are
@@ -86,7 +86,7 @@
 	setDefault(&cfg.Window, DefaultWindow)
 	setDefault(&cfg.CloseTimeout, DefaultCloseTimeout)
 	setDefault(&cfg.OrphanGrace, DefaultOrphanGrace)
-	setDefault(&cfg.StrandedTime, DefaultStrandedTime)
+	setDefault(&cfg.NoCoordinatorTimeout, DefaultNoCoordinatorTimeout)
 	setDefault(&cfg.MoveAfter, DefaultMoveAfter)
 	return &Core{
 		cfg:         cfg,
@@ -142,7 +142,7 @@
 		gat.fenceAnswered(now, evt)
 	case FenceFailed:
 		gat.fenceFailed(now, evt)
-	case Unvouched:
+	case RevocationAnswered:
 		gat.revocationAnswered(evt)
 	case EngineDone:
 		gat.engineDone(now, evt)
@@ -182,12 +182,12 @@
 // that is still accepted can refer to them.
 func (gat *Core) forgetHosts() {
 	for epo := range gat.lost {
-		if !gat.views.Knows(epo) {
+		if !gat.views.ContainsEpoch(epo) {
 			delete(gat.lost, epo)
 		}
 	}
 	for epo := range gat.unreachable {
-		if !gat.views.Knows(epo) {
+		if !gat.views.ContainsEpoch(epo) {
 			delete(gat.unreachable, epo)
 		}
 	}
@@ -263,8 +263,8 @@
 		gat.shed(now, ent)
 	case ent.phase == phaseWaiting && !now.Before(ent.deadline):
 		gat.close(now, ent, Final{Cause: CauseExpired, Outcome: request.NotRun})
-	case ent.phase == phaseWaiting && ent.coordinator == 0 && now.Sub(ent.reserved) >= gat.cfg.StrandedTime:
-		gat.close(now, ent, Final{Cause: CauseStranded, Outcome: request.NotRun, Retry: true, RetryAfter: undecidedRetryAfter})
+	case ent.phase == phaseWaiting && ent.coordinator == 0 && now.Sub(ent.reserved) >= gat.cfg.NoCoordinatorTimeout:
+		gat.close(now, ent, Final{Cause: CauseNoCoordinator, Outcome: request.NotRun, Retry: true, RetryAfter: undecidedRetryAfter})
 	case ent.phase == phaseWaiting && ent.coordinator == 0:
 		gat.reserve(now, ent)
 	case ent.phase == phaseWaiting:
@@ -294,7 +294,7 @@
 func (gat *Core) abandon(now time.Time, ent *entry) {
 	switch ent.phase {
 	case phaseWaiting:
-		gat.close(now, ent, Final{Cause: CauseAbandoned, Outcome: request.NotRun})
+		gat.close(now, ent, Final{Cause: CauseClientLeft, Outcome: request.NotRun})
 	case phaseRunning, phaseResuming:
 		ent.abandonedAt = time.Time{}
 		gat.emit(Cancel{ID: ent.id})
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -136,13 +136,13 @@
 	actions := har.handle(gateway.Received{From: to, Message: reservation.Refuse{ID: wit.ID, Ballot: wit.Ballot, Reason: reservation.ReasonClosed}})
 	fin, finished := find[gateway.Finish](actions)
 	assert.Assert(t, finished)
-	assert.Equal(t, fin.Final.Cause, gateway.CauseRetired)
+	assert.Equal(t, fin.Final.Cause, gateway.CausePrefixRetired)
 	assert.Equal(t, fin.Final.Outcome, request.NotRun)
 	assert.Assert(t, fin.Final.Retry)
 }
 
 func leaving(mem view.Member) view.Member {
-	mem.Leaving = true
+	mem.Draining = true
 	return mem
 }
 
@@ -177,18 +177,18 @@
 	fences := 0
 	var bal request.Ballot
 	for _, act := range har.arrive(id) {
-		if ask, isAsk := act.(gateway.AskFence); isAsk {
+		if ask, isAsk := act.(gateway.SendFence); isAsk {
 			fences++
 			bal = ask.Fence.Ballot
 		}
 	}
 	assert.Equal(t, fences, 3)
-	answer := func(from request.Epoch, sta reservation.Standing) []gateway.Action {
-		return har.handle(gateway.FenceAnswered{Ballot: bal, Answer: reservation.FenceAnswer{ID: id, From: from, Standing: sta, Engine: "engine-1"}})
+	answer := func(from request.Epoch, sta reservation.FenceState) []gateway.Action {
+		return har.handle(gateway.FenceAnswered{Ballot: bal, Answer: reservation.FenceAnswer{ID: id, From: from, State: sta, Engine: "engine-1"}})
 	}
-	_, early := find[gateway.Finish](answer(2, reservation.StandingClosed))
+	_, early := find[gateway.Finish](answer(2, reservation.FenceStateClosed))
 	assert.Assert(t, !early)
-	res, resumed := find[gateway.Resume](answer(3, reservation.StandingGranted))
+	res, resumed := find[gateway.Resume](answer(3, reservation.FenceStateGranted))
 	assert.Assert(t, resumed)
 	assert.Equal(t, res.Engine, "engine-1")
 }
@@ -197,17 +197,17 @@
 // list. Its grants must be rejected until every attestation is revoked.
 func TestLostCoordinatorIsRefusedUntilEveryAttestationIsRevoked(t *testing.T) {
 	har := newHarness(t, 4, member(1, "a"), member(2, "b"), member(3, "c"))
-	att, attested := find[gateway.SendVouch](har.handle(gateway.PeerLost{Peer: 2}))
+	att, attested := find[gateway.SendAttestation](har.handle(gateway.PeerLost{Peer: 2}))
 	assert.Assert(t, attested)
 	assert.Equal(t, att.To.Epoch, request.Epoch(3))
-	rev, asked := find[gateway.SendUnvouch](har.handle(gateway.PeerUp{Peer: 2}))
+	rev, asked := find[gateway.SendRevocation](har.handle(gateway.PeerUp{Peer: 2}))
 	assert.Assert(t, asked)
 	for num := range 8 {
 		to, _, reserved := sent[reservation.Reserve](har.arrive(har.idOf(self, fmt.Sprintf("before-%d", num))))
 		assert.Assert(t, reserved)
 		assert.Equal(t, to, request.Epoch(3))
 	}
-	har.handle(gateway.Unvouched{Voucher: 3, Answer: reservation.UnvouchAnswer{VouchKey: rev.Unvouch.VouchKey, Released: true}})
+	har.handle(gateway.RevocationAnswered{Attester: 3, Answer: reservation.RevocationAnswer{AttestationKey: rev.Revocation.AttestationKey, Revoked: true}})
 	used := make(map[request.Epoch]bool)
 	for num := range 8 {
 		to, _, _ := sent[reservation.Reserve](har.arrive(har.idOf(self, fmt.Sprintf("after-%d", num))))
@@ -232,14 +232,14 @@
 	assert.Equal(t, to, first)
 }
 
-// A request without an available coordinator must fail after DefaultStrandedTime with a
+// A request without an available coordinator must fail after DefaultNoCoordinatorTimeout with a
 // time for the retry, instead of waiting until its deadline.
 func TestRequestWithoutCoordinatorFailsAfterTimeout(t *testing.T) {
 	har := newHarness(t, 4, member(1, "a"), member(2, "b"))
 	har.handle(gateway.PeerLost{Peer: 2})
 	har.arrive(har.idOf(self, "one"))
-	har.now = har.now.Add(gateway.DefaultStrandedTime)
-	ask, asked := find[gateway.AskFence](har.handle(gateway.Tick{}))
+	har.now = har.now.Add(gateway.DefaultNoCoordinatorTimeout)
+	ask, asked := find[gateway.SendFence](har.handle(gateway.Tick{}))
 	assert.Assert(t, asked)
 	fin, finished := find[gateway.Finish](har.handle(gateway.FenceFailed{ID: ask.Fence.ID, Ballot: ask.Fence.Ballot, Peer: 2}))
 	assert.Assert(t, finished)
@@ -274,18 +274,18 @@
 		har.handle(gateway.PeerUp{Peer: epo})
 	}
 	actions := har.arrive(har.idOf(self, "one"))
-	ask, asked := find[gateway.AskFence](actions)
+	ask, asked := find[gateway.SendFence](actions)
 	assert.Assert(t, asked)
 	for _, epo := range []request.Epoch{2, 3} {
 		_, early := find[gateway.Finish](har.handle(gateway.FenceFailed{ID: ask.Fence.ID, Ballot: ask.Fence.Ballot, Peer: epo}))
 		assert.Assert(t, !early)
 	}
 	actions = har.handle(gateway.FenceAnswered{Ballot: ask.Fence.Ballot, Answer: reservation.FenceAnswer{
-		ID: ask.Fence.ID, From: 4, Standing: reservation.StandingBystander, Successions: []request.Epoch{2, 3},
+		ID: ask.Fence.ID, From: 4, State: reservation.FenceStateBystander, Successions: []request.Epoch{2, 3},
 	}})
 	fin, finished := find[gateway.Finish](actions)
 	assert.Assert(t, finished)
-	assert.Equal(t, fin.Final.Cause, gateway.CauseRetired)
+	assert.Equal(t, fin.Final.Cause, gateway.CausePrefixRetired)
 	assert.Equal(t, fin.Final.Outcome, request.NotRun)
 	assert.Assert(t, fin.Final.Retry)
 }
@@ -305,20 +305,20 @@
 	for _, epo := range []request.Epoch{5, 6, 7} {
 		har.handle(gateway.PeerUp{Peer: epo})
 	}
-	ask, asked := find[gateway.AskFence](har.arrive(har.idOf(4, "one")))
+	ask, asked := find[gateway.SendFence](har.arrive(har.idOf(4, "one")))
 	assert.Assert(t, asked)
-	fenced := func(from request.Epoch, sta reservation.Standing) []gateway.Action {
+	fenced := func(from request.Epoch, sta reservation.FenceState) []gateway.Action {
 		return har.handle(gateway.FenceAnswered{Ballot: ask.Fence.Ballot, Answer: reservation.FenceAnswer{
-			ID: ask.Fence.ID, From: from, Standing: sta, Successions: []request.Epoch{2, 3, 4},
+			ID: ask.Fence.ID, From: from, State: sta, Successions: []request.Epoch{2, 3, 4},
 		}})
 	}
-	fenced(5, reservation.StandingBystander)
-	to, wit, withdrawn := sent[reservation.Withdraw](fenced(self, reservation.StandingPromised))
+	fenced(5, reservation.FenceStateBystander)
+	to, wit, withdrawn := sent[reservation.Withdraw](fenced(self, reservation.FenceStatePromised))
 	assert.Assert(t, withdrawn && wit.Close)
 	assert.Equal(t, to, self)
 	actions := har.handle(gateway.Received{From: to, Message: reservation.Refuse{ID: wit.ID, Ballot: wit.Ballot, Reason: reservation.ReasonClosed}})
 	fin, finished := find[gateway.Finish](actions)
 	assert.Assert(t, finished)
-	assert.Equal(t, fin.Final.Cause, gateway.CauseRetired)
+	assert.Equal(t, fin.Final.Cause, gateway.CausePrefixRetired)
 	assert.Equal(t, fin.Final.Outcome, request.NotRun)
 }
--- a/gateway/engine.go
+++ b/gateway/engine.go
@@ -28,7 +28,7 @@
 func (gat *Core) release(ent *entry, res Result) {
 	rel := reservation.Release{
 		ID: ent.id, Ballot: ent.ballot, Engine: ent.engine, Dispatched: res.Dispatched,
-		Failed:        !res.Dispatched || !res.Whole,
+		Failed:        !res.Dispatched || !res.Complete,
 		PrefillTokens: res.PrefillTokens, DecodeTokens: res.DecodeTokens,
 		FirstToken: res.FirstToken, Total: res.Total,
 	}
@@ -47,7 +47,7 @@
 
 func (gat *Core) dispatchDone(now time.Time, ent *entry, res Result) {
 	switch {
-	case res.Whole:
+	case res.Complete:
 		gat.table.enter(ent, phaseDone)
 	case !res.Dispatched:
 		gat.retryDispatch(now, ent)
@@ -82,9 +82,9 @@
 // because a repeat may still be able to read the answer.
 func (gat *Core) resumeDone(ent *entry, res Result) {
 	switch {
-	case res.Whole:
+	case res.Complete:
 		gat.table.enter(ent, phaseDone)
-	case res.NotKnown:
+	case res.NotFound:
 		gat.undecided(ent)
 	default:
 		gat.finish(ent, Final{Cause: CauseEngineFailed, Outcome: request.Ran})
--- a/gateway/entry.go
+++ b/gateway/entry.go
@@ -119,13 +119,13 @@
 	rec := reservation.Record{ID: ent.id, Ballot: ent.ballot}
 	switch {
 	case ent.granter == lost && ent.engine != "":
-		rec.Standing, rec.Engine = reservation.StandingGranted, ent.engine
+		rec.State, rec.Engine = reservation.FenceStateGranted, ent.engine
 	case ent.granter == lost:
-		rec.Standing = reservation.StandingClosed
+		rec.State = reservation.FenceStateClosed
 	case ent.closeAsked && ent.granter == 0:
 		// The lost coordinator may have closed the request, and another host may have
 		// relied on that.
-		rec.Standing = reservation.StandingForgotten
+		rec.State = reservation.FenceStateForgotten
 	default:
 		return rec, false
 	}
--- a/gateway/event.go
+++ b/gateway/event.go
@@ -76,24 +76,24 @@
 	Load    reservation.Load
 }
 
-// FenceAnswered delivers the answer to AskFence.
+// FenceAnswered delivers the answer to SendFence.
 type FenceAnswered struct {
 	Ballot request.Ballot
 	Answer reservation.FenceAnswer
 }
 
-// FenceFailed reports that a host didn't answer AskFence.
+// FenceFailed reports that a host didn't answer SendFence.
 type FenceFailed struct {
 	ID     request.ID
 	Ballot request.Ballot
 	Peer   request.Epoch
 }
 
-// Unvouched delivers the answer to SendUnvouch; Failed is set if there was none.
-type Unvouched struct {
-	Voucher request.Epoch
-	Answer  reservation.UnvouchAnswer
-	Failed  bool
+// RevocationAnswered delivers the answer to SendRevocation; Failed is set if there was none.
+type RevocationAnswered struct {
+	Attester request.Epoch
+	Answer   reservation.RevocationAnswer
+	Failed   bool
 }
 
 // EngineDone reports the result of a dispatch or a resumption.
@@ -108,10 +108,10 @@
 	Dispatched bool
 	// Answered is set if the engine sent any part of an answer.
 	Answered bool
-	// Whole is set if the complete answer arrived.
-	Whole bool
-	// NotKnown is set if the engine to resume from has no such request.
-	NotKnown bool
+	// Complete is set if the complete answer arrived.
+	Complete bool
+	// NotFound is set if the engine to resume from has no such request.
+	NotFound bool
 	// PrefillTokens and DecodeTokens count the processed tokens; FirstToken and Total
 	// are the times from the dispatch to the first token and to the end.
 	PrefillTokens int
@@ -142,7 +142,7 @@
 func (Received) isEvent()             {}
 func (FenceAnswered) isEvent()        {}
 func (FenceFailed) isEvent()          {}
-func (Unvouched) isEvent()            {}
+func (RevocationAnswered) isEvent()   {}
 func (EngineDone) isEvent()           {}
 func (ViewChanged) isEvent()          {}
 func (ConfigurationChanged) isEvent() {}
--- a/gateway/fence.go
+++ b/gateway/fence.go
@@ -47,7 +47,7 @@
 	ent.fence = att
 	for _, mem := range gat.fenceRecipients(att.granters, ent.id.Epoch) {
 		att.pending[mem.Epoch] = true
-		gat.emit(AskFence{To: mem, Fence: reservation.Fence{ID: ent.id, Ballot: ent.ballot}})
+		gat.emit(SendFence{To: mem, Fence: reservation.Fence{ID: ent.id, Ballot: ent.ballot}})
 	}
 }
 
@@ -72,12 +72,12 @@
 	ans := evt.Answer
 	delete(ent.fence.pending, ans.From)
 	ent.fence.answers[ans.From] = ans
-	switch ans.Standing {
-	case reservation.StandingGranted:
+	switch ans.State {
+	case reservation.FenceStateGranted:
 		gat.resume(ent, ans)
-	case reservation.StandingOutbid:
+	case reservation.FenceStateSuperseded:
 		gat.superseded(now, ent, ans)
-	case reservation.StandingClosed, reservation.StandingPromised, reservation.StandingForgotten, reservation.StandingBystander:
+	case reservation.FenceStateClosed, reservation.FenceStatePromised, reservation.FenceStateForgotten, reservation.FenceStateBystander:
 		gat.evaluateFence(now, ent)
 	}
 }
@@ -142,16 +142,16 @@
 // isSettled reports whether it is certain that the granter hasn't granted the request
 // and never grants it under a lower ballot.
 func (att *fenceAttempt) isSettled(granter, owner request.Epoch) bool {
-	switch att.answers[granter].Standing {
-	case reservation.StandingPromised, reservation.StandingClosed:
+	switch att.answers[granter].State {
+	case reservation.FenceStatePromised, reservation.FenceStateClosed:
 		return true
-	case reservation.StandingGranted, reservation.StandingOutbid, reservation.StandingForgotten, reservation.StandingBystander:
+	case reservation.FenceStateGranted, reservation.FenceStateSuperseded, reservation.FenceStateForgotten, reservation.FenceStateBystander:
 	}
 	if att.hasStopped(granter) {
 		return true
 	}
 	for _, holder := range att.holders(owner) {
-		if !att.isAttested(reservation.VouchKey{Lost: granter, Holder: holder}) {
+		if !att.isAttested(reservation.AttestationKey{Lost: granter, Holder: holder}) {
 			return false
 		}
 	}
@@ -182,10 +182,10 @@
 
 // isAttested reports whether a granter that has promised holds the attestation. Only
 // such a granter knows of all earlier claims.
-func (att *fenceAttempt) isAttested(key reservation.VouchKey) bool {
+func (att *fenceAttempt) isAttested(key reservation.AttestationKey) bool {
 	for _, mem := range att.granters {
 		ans := att.answers[mem.Epoch]
-		if ans.Standing == reservation.StandingPromised && slices.Contains(ans.Vouches, key) {
+		if ans.State == reservation.FenceStatePromised && slices.Contains(ans.Attestations, key) {
 			return true
 		}
 	}
@@ -193,21 +193,21 @@
 }
 
 // granterAnswers returns the answer of each granter, for the log.
-func (att *fenceAttempt) granterAnswers() []GranterWord {
+func (att *fenceAttempt) granterAnswers() []GranterAnswer {
 	if att == nil {
 		return nil
 	}
-	answers := make([]GranterWord, 0, len(att.granters))
+	answers := make([]GranterAnswer, 0, len(att.granters))
 	for _, mem := range att.granters {
-		answers = append(answers, GranterWord{Granter: mem, Standing: att.answers[mem.Epoch].Standing, Stopped: att.hasStopped(mem.Epoch)})
+		answers = append(answers, GranterAnswer{Granter: mem, State: att.answers[mem.Epoch].State, Stopped: att.hasStopped(mem.Epoch)})
 	}
 	return answers
 }
 
 // anyState reports whether any host answered with the state.
-func (att *fenceAttempt) anyState(sta reservation.Standing) bool {
+func (att *fenceAttempt) anyState(sta reservation.FenceState) bool {
 	for _, ans := range att.answers {
-		if ans.Standing == sta {
+		if ans.State == sta {
 			return true
 		}
 	}
@@ -221,8 +221,8 @@
 func (gat *Core) takeOver(now time.Time, ent *entry) {
 	att := ent.fence
 	ent.fence = nil
-	closed := att.anyState(reservation.StandingClosed)
-	promised := att.anyState(reservation.StandingPromised)
+	closed := att.anyState(reservation.FenceStateClosed)
+	promised := att.anyState(reservation.FenceStatePromised)
 	switch {
 	case !promised && (!closed || gat.closingGranter(ent) == 0):
 		// Every granter has stopped cleanly without a grant or has closed the request:
@@ -243,7 +243,7 @@
 	if ent.closeAsked && !ent.final.Retry {
 		return ent.final
 	}
-	return Final{Cause: CauseRetired, Outcome: request.NotRun, Retry: true}
+	return Final{Cause: CausePrefixRetired, Outcome: request.NotRun, Retry: true}
 }
 
 func (gat *Core) admitTakenOver(now time.Time, ent *entry) {
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -37,7 +37,7 @@
 	}
 	gateways = max(1, gateways)
 	if acc.MaxInFlight > 0 && inFlight > ceilDiv(acc.MaxInFlight, gateways) {
-		return Final{Cause: CauseAccountBusy, Outcome: request.NotRun, Retry: true, RetryAfter: inFlightRetryAfter}, true
+		return Final{Cause: CauseAccountInFlight, Outcome: request.NotRun, Retry: true, RetryAfter: inFlightRetryAfter}, true
 	}
 	if acc.RequestsPerSecond <= 0 {
 		return Final{}, false
--- a/host/actions.go
+++ b/host/actions.go
@@ -57,11 +57,11 @@
 		delete(lop.jobs, act.ID)
 	case gateway.Send:
 		lop.sendToCoordinator(now, act.To, act.Message)
-	case gateway.AskFence:
+	case gateway.SendFence:
 		lop.sendFence(now, act)
-	case gateway.SendVouch:
+	case gateway.SendAttestation:
 		lop.sendAttestation(now, act)
-	case gateway.SendUnvouch:
+	case gateway.SendRevocation:
 		lop.revokeAttestation(now, act)
 	}
 }
@@ -75,7 +75,7 @@
 	answers := zerolog.Arr()
 	for _, ans := range act.Granters {
 		answers.Dict(zerolog.Dict().Str("Host", ans.Granter.Name).Stringer("Epoch", ans.Granter.Epoch).
-			Stringer("Standing", ans.Standing).Bool("Stopped", ans.Stopped))
+			Stringer("Standing", ans.State).Bool("Stopped", ans.Stopped))
 	}
 	lop.host.log.Info().Stringer("RequestID", act.ID).Array("Granters", answers).Msg("fencing could not determine whether the request ran")
 }
@@ -152,7 +152,7 @@
 	jb.exchange.Drop()
 }
 
-func (lop *loop) sendFence(now time.Time, act gateway.AskFence) {
+func (lop *loop) sendFence(now time.Time, act gateway.SendFence) {
 	lop.count("Fences")
 	if act.To.Epoch == lop.host.epoch {
 		ans, actions := lop.coordinator.Fence(now, act.Fence)
@@ -180,38 +180,38 @@
 	})
 }
 
-func (lop *loop) sendAttestation(now time.Time, act gateway.SendVouch) {
+func (lop *loop) sendAttestation(now time.Time, act gateway.SendAttestation) {
 	lop.count("Vouches")
 	if act.To.Epoch == lop.host.epoch {
-		lop.coordinator.Vouch(now, act.Vouch)
+		lop.coordinator.Attest(now, act.Attestation)
 		return
 	}
 	ctx := lop.ctx
 	lop.host.spawn(func() {
 		ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		defer cancel()
-		if err := lop.host.peers.Vouch(ctx, act.To, act.Vouch); err != nil {
+		if err := lop.host.peers.Vouch(ctx, act.To, act.Attestation); err != nil {
 			lop.host.log.Warn().Err(err).Str("To", act.To.Name).Msg("sending the attestation of a lost host's grants to a peer failed")
 		}
 	})
 }
 
-func (lop *loop) revokeAttestation(now time.Time, act gateway.SendUnvouch) {
+func (lop *loop) revokeAttestation(now time.Time, act gateway.SendRevocation) {
 	if act.To.Epoch == lop.host.epoch {
-		ans := lop.coordinator.Unvouch(act.Unvouch)
-		lop.gatewayEvent(now, gateway.Unvouched{Voucher: act.To.Epoch, Answer: ans})
+		ans := lop.coordinator.RevokeAttestation(act.Revocation)
+		lop.gatewayEvent(now, gateway.RevocationAnswered{Attester: act.To.Epoch, Answer: ans})
 		return
 	}
 	ctx := lop.ctx
 	lop.host.spawn(func() {
 		ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		defer cancel()
-		ans, err := lop.host.peers.Unvouch(ctx, act.To, act.Unvouch)
+		ans, err := lop.host.peers.Unvouch(ctx, act.To, act.Revocation)
 		if err != nil {
-			ans.VouchKey = act.Unvouch.VouchKey
+			ans.AttestationKey = act.Revocation.AttestationKey
 		}
 		lop.post(func(now time.Time) {
-			lop.gatewayEvent(now, gateway.Unvouched{Voucher: act.To.Epoch, Answer: ans, Failed: err != nil})
+			lop.gatewayEvent(now, gateway.RevocationAnswered{Attester: act.To.Epoch, Answer: ans, Failed: err != nil})
 		})
 	})
 }
--- a/host/callerbackend.go
+++ b/host/callerbackend.go
@@ -116,13 +116,13 @@
 	}
 }
 
-// Left implements caller.Backend.
-func (hos *Host) Left(id request.ID) {
+// Detach implements caller.Backend.
+func (hos *Host) Detach(id request.ID) {
 	hos.loop.post(func(now time.Time) { hos.loop.gatewayEvent(now, gateway.CallerLeft{ID: id}) })
 }
 
-// Alive implements caller.Backend.
-func (hos *Host) Alive(ctx context.Context, mem view.Member) error {
+// WaitUnreachable implements caller.Backend.
+func (hos *Host) WaitUnreachable(ctx context.Context, mem view.Member) error {
 	timeout := hos.set.Timing.PeerTimeout.Std()
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, timeout)
@@ -160,7 +160,7 @@
 	if len(vie.Members) != members {
 		return false
 	}
-	for _, mem := range vie.Reach(hos.epoch, hos.Configuration().SlotsByService()) {
+	for _, mem := range vie.SessionPeers(hos.epoch, hos.Configuration().SlotsByService()) {
 		if _, known := hos.shared.header(mem.Epoch); !known {
 			return false
 		}
--- a/host/catchup.go
+++ b/host/catchup.go
@@ -65,10 +65,10 @@
 	if err != nil {
 		return err
 	}
-	return hos.applyHead(ctx, hea, func(_ context.Context, ref resource.PartRef) ([]byte, error) {
+	return hos.applyHead(ctx, hea, func(_ context.Context, ref resource.ChunkRef) ([]byte, error) {
 		data, sent := sta.Parts[ref.Digest]
 		if !sent {
-			return nil, &resource.PartError{Digest: ref.Digest, Reason: "missing in the peer's answer"}
+			return nil, &resource.ChunkError{Digest: ref.Digest, Reason: "missing in the peer's answer"}
 		}
 		return data, nil
 	})
--- a/host/configuration.go
+++ b/host/configuration.go
@@ -53,19 +53,19 @@
 
 // chunkSource fetches one chunk of a stored configuration. A chunk holds the JSON of a
 // group of resources and is stored under its SHA-256 digest.
-type chunkSource func(ctx context.Context, ref resource.PartRef) ([]byte, error)
+type chunkSource func(ctx context.Context, ref resource.ChunkRef) ([]byte, error)
 
-func chunkKey(ref resource.PartRef) string {
+func chunkKey(ref resource.ChunkRef) string {
 	return fmt.Sprintf("%s%d-%s", chunksPrefix, ref.Since, ref.Digest)
 }
 
-func (hos *Host) chunkFromPlatform(ctx context.Context, ref resource.PartRef) ([]byte, error) {
+func (hos *Host) chunkFromPlatform(ctx context.Context, ref resource.ChunkRef) ([]byte, error) {
 	val, err := hos.store.Get(ctx, chunkKey(ref))
 	if err != nil {
 		return nil, err
 	}
 	if val.Revision == 0 {
-		return nil, &resource.PartError{Digest: ref.Digest, Reason: "not found on the platform"}
+		return nil, &resource.ChunkError{Digest: ref.Digest, Reason: "not found on the platform"}
 	}
 	return val.Data, nil
 }
@@ -73,8 +73,8 @@
 // collectChunks returns the chunks that the head refers to, by digest. Those that
 // aren't in the cache are fetched.
 func (hos *Host) collectChunks(ctx context.Context, hea resource.Head, fetch chunkSource) (map[string][]byte, error) {
-	all := make(map[string][]byte, len(hea.Parts))
-	for _, ref := range hea.Parts {
+	all := make(map[string][]byte, len(hea.Chunks))
+	for _, ref := range hea.Chunks {
 		data, known := hos.chunks.get(ref.Digest)
 		if !known {
 			var err error
@@ -152,7 +152,7 @@
 	// have taken effect.
 	uncertain bool
 	// created are the chunks stored by an attempt whose head wasn't written.
-	created []resource.PartRef
+	created []resource.ChunkRef
 }
 
 // try makes one attempt. It returns settled as false if another attempt may succeed.
@@ -166,7 +166,7 @@
 		return res, true, err
 	}
 	wrc.dropUnusedChunks(ctx, current)
-	if rev, landed := current.Landed(wrc.change.ID); landed {
+	if rev, landed := current.ChangeRevision(wrc.change.ID); landed {
 		wrc.uncertain = false
 		wrc.activate(ctx, current)
 		return operator.ChangeResult{Revision: rev}, true, nil
@@ -214,7 +214,7 @@
 // storeChunks stores the chunks that are new in this revision. A chunk that already exists
 // was stored by an earlier attempt or by a concurrent writer of the same content.
 func (wrc *writer) storeChunks(ctx context.Context, hea resource.Head, chunks map[string][]byte) error {
-	for _, ref := range hea.Parts {
+	for _, ref := range hea.Chunks {
 		if ref.Since != hea.Revision {
 			continue
 		}
@@ -250,8 +250,8 @@
 // dropUnreferenced deletes the chunks that the new head no longer refers to. A chunk whose
 // deletion fails only occupies storage.
 func (wrc *writer) dropUnreferenced(ctx context.Context, current, hea resource.Head) {
-	for _, ref := range current.Parts {
-		if _, kept := hea.Part(ref.Digest); !kept {
+	for _, ref := range current.Chunks {
+		if _, kept := hea.Chunk(ref.Digest); !kept {
 			wrc.dropChunk(ctx, ref)
 		}
 	}
@@ -262,7 +262,7 @@
 	created := wrc.created
 	wrc.created = nil
 	for _, ref := range created {
-		if kept, known := hea.Part(ref.Digest); known && kept == ref {
+		if kept, known := hea.Chunk(ref.Digest); known && kept == ref {
 			continue
 		}
 		if ref.Since <= hea.Revision {
@@ -271,7 +271,7 @@
 	}
 }
 
-func (wrc *writer) dropChunk(ctx context.Context, ref resource.PartRef) {
+func (wrc *writer) dropChunk(ctx context.Context, ref resource.ChunkRef) {
 	val, err := wrc.host.store.Get(ctx, chunkKey(ref))
 	if err != nil || val.Revision == 0 {
 		return
--- a/host/dispatch.go
+++ b/host/dispatch.go
@@ -58,7 +58,7 @@
 	_, isModel := jb.work.(caller.ModelWork)
 	if !known || !isModel {
 		// Engines of plain services retain no answers.
-		return gateway.Result{Dispatched: true, NotKnown: !known}
+		return gateway.Result{Dispatched: true, NotFound: !known}
 	}
 	start := time.Now()
 	res := hos.engines.Resume(ctx, eng.Address, id, 0, modelSink(jb.exchange))
@@ -66,7 +66,7 @@
 		res = hos.resumeInterrupted(ctx, id, eng.Address, res, jb)
 	}
 	if res.NotKnown {
-		return gateway.Result{Dispatched: true, NotKnown: true}
+		return gateway.Result{Dispatched: true, NotFound: true}
 	}
 	return hos.finishModel(ctx, id, eng.Address, res, start, jb)
 }
@@ -93,7 +93,7 @@
 // finishModel completes the exchange, or cancels a request whose client disconnected,
 // and returns the result for the gateway.
 func (hos *Host) finishModel(ctx context.Context, id request.ID, adr netip.AddrPort, res engine.Result, start time.Time, jb *job) gateway.Result {
-	var rer *engine.RefusalError
+	var rer *engine.StatusError
 	switch {
 	case res.Whole:
 		jb.exchange.Data([]byte("data: [DONE]\n\n"))
@@ -111,14 +111,14 @@
 	}
 	return gateway.Result{
 		Dispatched: res.Dispatched, Answered: res.Answered,
-		Whole:         res.Whole || (rer != nil && !res.NotKnown),
+		Complete:      res.Whole || (rer != nil && !res.NotKnown),
 		PrefillTokens: max(0, res.Usage.PromptTokens-cached), DecodeTokens: res.Usage.CompletionTokens,
 		FirstToken: res.FirstToken, Total: time.Since(start),
 	}
 }
 
 func isRefusal(err error) bool {
-	var rer *engine.RefusalError
+	var rer *engine.StatusError
 	return errors.As(err, &rer)
 }
 
@@ -146,11 +146,11 @@
 	res := hos.backends.Call(ctx, backend.Call{
 		Address: adr, ID: id, Method: work.Method, Path: work.Path, Query: work.Query, Header: work.Header, Body: work.Body,
 	}, jb.exchange)
-	if res.Whole {
+	if res.Complete {
 		jb.exchange.End(true)
 	}
 	return gateway.Result{
-		Dispatched: res.Dispatched, Answered: res.Answered, Whole: res.Whole,
+		Dispatched: res.Dispatched, Answered: res.Answered, Complete: res.Complete,
 		FirstToken: res.FirstByte, Total: res.Total,
 	}
 }
--- a/host/drain.go
+++ b/host/drain.go
@@ -123,5 +123,5 @@
 			others = append(others, mem)
 		}
 	}
-	return view.Spread(others, len(others))
+	return view.PickAcrossDomains(others, len(others))
 }
--- a/host/membership.go
+++ b/host/membership.go
@@ -37,7 +37,7 @@
 func (hos *Host) member() view.Member {
 	return view.Member{
 		Name: hos.set.Name, Epoch: hos.epoch, Domain: hos.set.Domain,
-		CallerAddress: hos.set.CallerAddress, PeerAddress: hos.set.PeerAddress, Leaving: hos.draining.Load(),
+		CallerAddress: hos.set.CallerAddress, PeerAddress: hos.set.PeerAddress, Draining: hos.draining.Load(),
 	}
 }
 
