--- a/host/monitor.go
+++ b/host/monitor.go
@@ -69,7 +69,7 @@
 // engineReading is the result of polling one engine, which has its own goroutine.
 type engineReading struct {
 	engine   resource.Engine
-	reported coordinator.Reported
+	reported coordinator.EngineReported
 	changed  coordinator.CacheChanged
 	next     uint64
 	failed   bool
@@ -108,7 +108,7 @@
 		rea.failed = true
 		return rea
 	}
-	rea.reported = coordinator.Reported{Engine: eng.Name, Running: loa.Running, Leaving: loa.Leaving}
+	rea.reported = coordinator.EngineReported{Engine: eng.Name, Running: loa.Running, Draining: loa.Draining}
 	ser, _ := mon.host.Configuration().Service(eng.Service)
 	if ser.Protocol != resource.ProtocolModel {
 		return rea
@@ -133,7 +133,7 @@
 	name := rea.engine.Name
 	mon.sequences[name] = rea.next
 	if mon.draining[name] {
-		rea.reported = coordinator.Reported{Engine: name, Running: rea.reported.Running, Leaving: true}
+		rea.reported = coordinator.EngineReported{Engine: name, Running: rea.reported.Running, Draining: true}
 	} else if rea.failed {
 		return
 	}
--- a/host/operatorbackend.go
+++ b/host/operatorbackend.go
@@ -42,7 +42,7 @@
 }
 
 func (hos *Host) hostStatus(ctx context.Context, mem view.Member) operator.HostStatus {
-	sta := operator.HostStatus{Name: mem.Name, Epoch: mem.Epoch, Domain: mem.Domain, Leaving: mem.Leaving}
+	sta := operator.HostStatus{Name: mem.Name, Epoch: mem.Epoch, Domain: mem.Domain, Leaving: mem.Draining}
 	hea, err := hos.headerOf(ctx, mem)
 	if err != nil {
 		sta.Problem = "unreachable: " + err.Error()
--- a/host/parts.go
+++ b/host/parts.go
@@ -34,8 +34,8 @@
 func (cac *chunkCache) forHead(hea resource.Head) map[string][]byte {
 	cac.mutex.Lock()
 	defer cac.mutex.Unlock()
-	found := make(map[string][]byte, len(hea.Parts))
-	for _, ref := range hea.Parts {
+	found := make(map[string][]byte, len(hea.Chunks))
+	for _, ref := range hea.Chunks {
 		if data, known := cac.data[ref.Digest]; known {
 			found[ref.Digest] = data
 		}
--- a/host/sessions.go
+++ b/host/sessions.go
@@ -50,7 +50,7 @@
 			cancel()
 		}
 	}
-	for _, mem := range vie.Reach(hos.epoch, hos.Configuration().SlotsByService()) {
+	for _, mem := range vie.SessionPeers(hos.epoch, hos.Configuration().SlotsByService()) {
 		if running[mem.Epoch] != nil {
 			continue
 		}
--- a/load/report.go
+++ b/load/report.go
@@ -44,9 +44,9 @@
 }
 
 // Summarize returns the report of a run.
-func Summarize(results []Ended, aud Audit) Report {
+func Summarize(results []Result, aud Audit) Report {
 	rep := Report{Audit: aud, Codes: make(map[string]int)}
-	byTier := make(map[string][]Ended)
+	byTier := make(map[string][]Result)
 	for _, res := range results {
 		byTier[res.Kind.Tier] = append(byTier[res.Kind.Tier], res)
 		if !res.Own {
@@ -71,7 +71,7 @@
 	}
 }
 
-func summarizeTier(tier string, results []Ended, wasted int) TierReport {
+func summarizeTier(tier string, results []Result, wasted int) TierReport {
 	tir := TierReport{Tier: tier, Sent: len(results), WastedTokens: wasted}
 	first := hdrhistogram.New(1, histogramMax, histogramDigits)
 	for _, res := range results {
--- a/load/run.go
+++ b/load/run.go
@@ -32,8 +32,8 @@
 	Whole int
 }
 
-// Ended is a finished request with its answer.
-type Ended struct {
+// Result is a finished request with its answer.
+type Result struct {
 	Kind   Kind
 	Answer Answer
 	// Own is set if the answer is the expected answer to this request.
@@ -42,14 +42,14 @@
 
 // Run sends the load and returns the result of every request in the order of the
 // intended send times.
-func Run(ctx context.Context, cfg Config) ([]Ended, error) {
+func Run(ctx context.Context, cfg Config) ([]Result, error) {
 	arrivals, err := planArrivals(cfg)
 	if err != nil {
 		return nil, err
 	}
 	type indexedResult struct {
 		index  int
-		result Ended
+		result Result
 	}
 	results := make(chan indexedResult)
 	start := time.Now()
@@ -60,11 +60,11 @@
 			go func() {
 				cli := cfg.Clients[arr.sample.kind.Account]
 				ans := cli.Send(ctx, arr.sample.request)
-				results <- indexedResult{idx, Ended{Kind: arr.sample.kind, Answer: ans, Own: ans.Whole && arr.sample.matches(ans)}}
+				results <- indexedResult{idx, Result{Kind: arr.sample.kind, Answer: ans, Own: ans.Whole && arr.sample.matches(ans)}}
 			}()
 		}
 	}()
-	all := make([]Ended, len(arrivals))
+	all := make([]Result, len(arrivals))
 	counts := Counts{Sent: len(arrivals)}
 	for range arrivals {
 		res := <-results
@@ -132,9 +132,9 @@
 }
 
 // AuditRun returns the audit of a run.
-func AuditRun(results []Ended, dispatches []engine.DispatchRecord) Audit {
+func AuditRun(results []Result, dispatches []engine.DispatchRecord) Audit {
 	aud := Audit{Dispatches: len(dispatches), WastedByTier: make(map[string]int)}
-	owner := make(map[string]Ended)
+	owner := make(map[string]Result)
 	reported := make(map[string]request.Outcome)
 	for _, res := range results {
 		for _, id := range res.Answer.IDs {
--- a/modeltest/choice.go
+++ b/modeltest/choice.go
@@ -141,10 +141,10 @@
 		que.answer = &ans
 		wor.coordinatorActions(hst, actions)
 	case que.attestation != nil:
-		hst.cor.Vouch(wor.now, *que.attestation)
+		hst.cor.Attest(wor.now, *que.attestation)
 		wor.drop(que)
 	case que.revocation != nil:
-		ans := hst.cor.Unvouch(*que.revocation)
+		ans := hst.cor.RevokeAttestation(*que.revocation)
 		que.revocationAnswer = &ans
 	}
 }
@@ -155,7 +155,7 @@
 		wor.handleAtGateway(sender, gateway.FenceAnswered{Ballot: que.fence.Ballot, Answer: *que.answer})
 		return
 	}
-	wor.handleAtGateway(sender, gateway.Unvouched{Voucher: que.to, Answer: *que.revocationAnswer})
+	wor.handleAtGateway(sender, gateway.RevocationAnswered{Attester: que.to, Answer: *que.revocationAnswer})
 }
 
 // fail ends a query without an answer, whether or not it arrived.
@@ -165,8 +165,8 @@
 	case que.fence != nil:
 		wor.handleAtGateway(sender, gateway.FenceFailed{ID: que.fence.ID, Ballot: que.fence.Ballot, Peer: que.to})
 	case que.revocation != nil:
-		ans := reservation.UnvouchAnswer{VouchKey: que.revocation.VouchKey}
-		wor.handleAtGateway(sender, gateway.Unvouched{Voucher: que.to, Answer: ans, Failed: true})
+		ans := reservation.RevocationAnswer{AttestationKey: que.revocation.AttestationKey}
+		wor.handleAtGateway(sender, gateway.RevocationAnswered{Attester: que.to, Answer: ans, Failed: true})
 	}
 }
 
@@ -209,7 +209,7 @@
 			all = append(all, Choice{Name: "resume " + rnn.id.Unique, take: func() { wor.resume(hst, rnn) }})
 		case rnn.sent:
 			all = append(all, Choice{Name: "engine completes " + rnn.id.Unique, take: func() {
-				wor.completeRun(hst, rnn, gateway.Result{Dispatched: true, Answered: true, Whole: true})
+				wor.completeRun(hst, rnn, gateway.Result{Dispatched: true, Answered: true, Complete: true})
 			}})
 		default:
 			all = append(all, Choice{Name: fmt.Sprintf("host-%d dispatches %s", hst.number, rnn.id.Unique), take: func() {
@@ -225,9 +225,9 @@
 }
 
 func (wor *World) resume(hst *simHost, rnn *run) {
-	res := gateway.Result{Dispatched: true, NotKnown: true}
+	res := gateway.Result{Dispatched: true, NotFound: true}
 	if wor.dispatched[rnn.id] > 0 {
-		res = gateway.Result{Dispatched: true, Answered: true, Whole: true}
+		res = gateway.Result{Dispatched: true, Answered: true, Complete: true}
 	}
 	wor.completeRun(hst, rnn, res)
 }
@@ -301,7 +301,7 @@
 		}
 		count++
 		mem, member := latest.Member(hst.epoch)
-		if !member || mem.Leaving != hst.draining {
+		if !member || mem.Draining != hst.draining {
 			return true
 		}
 	}
--- a/modeltest/world.go
+++ b/modeltest/world.go
@@ -106,9 +106,9 @@
 	from, to         request.Epoch
 	fence            *reservation.Fence
 	answer           *reservation.FenceAnswer
-	attestation      *reservation.Vouch
-	revocation       *reservation.Unvouch
-	revocationAnswer *reservation.UnvouchAnswer
+	attestation      *reservation.Attestation
+	revocation       *reservation.Revocation
+	revocationAnswer *reservation.RevocationAnswer
 }
 
 // relay is a client's request in transit from one host to another.
@@ -224,7 +224,7 @@
 }
 
 func (wor *World) member(hst *simHost) view.Member {
-	return view.Member{Name: fmt.Sprintf("host-%d", hst.number), Epoch: hst.epoch, Domain: hst.domain, Leaving: hst.draining}
+	return view.Member{Name: fmt.Sprintf("host-%d", hst.number), Epoch: hst.epoch, Domain: hst.domain, Draining: hst.draining}
 }
 
 // deliverView delivers the next published view to a host.
@@ -327,14 +327,14 @@
 		wor.runs = append(wor.runs, &run{host: hst.epoch, id: act.ID, resume: true})
 	case gateway.Send:
 		wor.toCoordinator(hst, act)
-	case gateway.AskFence:
+	case gateway.SendFence:
 		fen := act.Fence
 		wor.queries = append(wor.queries, &query{from: hst.epoch, to: act.To.Epoch, fence: &fen})
-	case gateway.SendVouch:
-		att := act.Vouch
+	case gateway.SendAttestation:
+		att := act.Attestation
 		wor.queries = append(wor.queries, &query{from: hst.epoch, to: act.To.Epoch, attestation: &att})
-	case gateway.SendUnvouch:
-		rev := act.Unvouch
+	case gateway.SendRevocation:
+		rev := act.Revocation
 		wor.queries = append(wor.queries, &query{from: hst.epoch, to: act.To.Epoch, revocation: &rev})
 	}
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -107,7 +107,7 @@
 // calls up once, when the first frame arrives and carries the expected epoch, and
 // deliver for each received message, and with a nil message for each frame's header.
 // A member with another epoch ends the session with an *EpochError, a missed
-// heartbeat with a *SilenceError.
+// heartbeat with a *HeartbeatTimeoutError.
 func (cli *Client) Session(ctx context.Context, mem view.Member, que *Queue, up func(), deliver func(Received)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -185,9 +185,9 @@
 
 // Vouch sends the member an attestation of what a lost coordinator epoch had
 // granted.
-func (cli *Client) Vouch(ctx context.Context, mem view.Member, att reservation.Vouch) error {
+func (cli *Client) Vouch(ctx context.Context, mem view.Member, att reservation.Attestation) error {
 	msg := &peerpb.VouchRequest{
-		Header: headerToWire(cli.cfg.Self()), Key: attestationKeyToWire(att.VouchKey),
+		Header: headerToWire(cli.cfg.Self()), Key: attestationKeyToWire(att.AttestationKey),
 		Sequence: att.Sequence, Records: recordsToWire(att.Records),
 	}
 	_, err := cli.stub(mem.PeerAddress).Vouch(ctx, newRequest(cli, msg))
@@ -195,13 +195,13 @@
 }
 
 // Unvouch revokes an attestation that was sent to the member.
-func (cli *Client) Unvouch(ctx context.Context, mem view.Member, rev reservation.Unvouch) (reservation.UnvouchAnswer, error) {
-	msg := &peerpb.UnvouchRequest{Header: headerToWire(cli.cfg.Self()), Key: attestationKeyToWire(rev.VouchKey), Sequence: rev.Sequence}
+func (cli *Client) Unvouch(ctx context.Context, mem view.Member, rev reservation.Revocation) (reservation.RevocationAnswer, error) {
+	msg := &peerpb.UnvouchRequest{Header: headerToWire(cli.cfg.Self()), Key: attestationKeyToWire(rev.AttestationKey), Sequence: rev.Sequence}
 	res, err := cli.stub(mem.PeerAddress).Unvouch(ctx, newRequest(cli, msg))
 	if err != nil {
-		return reservation.UnvouchAnswer{}, err
+		return reservation.RevocationAnswer{}, err
 	}
-	return reservation.UnvouchAnswer{VouchKey: attestationKeyFromWire(res.Msg.GetKey()), Released: res.Msg.GetReleased()}, nil
+	return reservation.RevocationAnswer{AttestationKey: attestationKeyFromWire(res.Msg.GetKey()), Revoked: res.Msg.GetReleased()}, nil
 }
 
 // Handover transfers the ledger of this stopping host to the member.
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -78,24 +78,24 @@
 	case reservation.Adopt:
 		env.Message = &peerpb.Envelope_Adopt{Adopt: &peerpb.Adopt{
 			Id: idToWire(msg.ID), Ballot: ballotToWire(msg.Ballot), Engine: msg.Engine,
-			Service: msg.Service, Account: msg.Account, Cost: msg.Cost, Unread: msg.Unread, PromptTokens: uint32(msg.PromptTokens),
+			Service: msg.Service, Account: msg.Account, Cost: msg.Cost, Unread: msg.PendingPrefill, PromptTokens: uint32(msg.PromptTokens),
 			Route: msg.Route, Digest: msg.Digest[:],
 		}}
-	case reservation.Spent:
+	case reservation.AccountDebt:
 		env.Message = &peerpb.Envelope_Spent{Spent: &peerpb.Spent{Account: msg.Account, Debt: msg.Debt, Share: msg.Share}}
 	case reservation.Appoint:
-		env.Message = &peerpb.Envelope_Appoint{Appoint: &peerpb.Appoint{Decides: msg.Decides}}
+		env.Message = &peerpb.Envelope_Appoint{Appoint: &peerpb.Appoint{Decides: msg.Delegated}}
 	case reservation.Absent:
 		env.Message = &peerpb.Envelope_Absent{Absent: &peerpb.Absent{Hosts: epochsToWire(msg.Hosts)}}
 	case reservation.Leader:
 		env.Message = &peerpb.Envelope_Leader{Leader: &peerpb.Leader{Host: uint64(msg.Host)}}
-	case reservation.EngineEnded:
+	case reservation.EngineCrashed:
 		env.Message = &peerpb.Envelope_EngineEnded{EngineEnded: crashToWire(msg)}
 	case reservation.CaseReport:
 		env.Message = &peerpb.Envelope_CaseReport{CaseReport: caseReportToWire(msg.Report)}
 	case reservation.EngineNotice:
 		env.Message = &peerpb.Envelope_EngineNotice{EngineNotice: noticeToWire(msg)}
-	case reservation.Emptying:
+	case reservation.EnforcedOrders:
 		env.Message = &peerpb.Envelope_Emptying{Emptying: enforcedOrdersToWire(msg)}
 	case reservation.Progress:
 		env.Message = &peerpb.Envelope_Progress{Progress: &peerpb.Progress{
@@ -129,10 +129,10 @@
 		PromptTokens: uint32(msg.PromptTokens), MaxTokens: uint32(msg.MaxTokens),
 		PrefixHash: msg.PrefixHash, PrefixTokens: uint32(msg.PrefixTokens),
 		RemainingUs: msg.Remaining.Microseconds(), Overflow: msg.Overflow,
-		Domain: msg.Domain, AimUs: msg.Aim.Microseconds(), AgeUs: msg.Age.Microseconds(), Route: msg.Route, Repeatable: msg.Repeatable,
+		Domain: msg.Domain, AimUs: msg.LatencyTarget.Microseconds(), AgeUs: msg.ClientWait.Microseconds(), Route: msg.Route, Repeatable: msg.Repeatable,
 		Cost: msg.Cost, Attempt: uint32(msg.Attempt),
 		Exclude: msg.Exclude, Parts: partsToWire(msg.Parts),
-		Urgency: uint32(msg.Urgency), AnswerTokens: uint32(msg.AnswerTokens), Digest: msg.Digest[:], Again: msg.Again, Regions: msg.Regions,
+		Urgency: uint32(msg.Urgency), AnswerTokens: uint32(msg.AnswerTokens), Digest: msg.Digest[:], Again: msg.Requeued, Regions: msg.Regions,
 	}
 }
 
@@ -158,7 +158,7 @@
 		Dispatched: msg.Dispatched, Failed: msg.Failed,
 		PrefillTokens: uint32(msg.PrefillTokens), DecodeTokens: uint32(msg.DecodeTokens),
 		FirstTokenUs: msg.FirstToken.Microseconds(), TotalUs: msg.Total.Microseconds(),
-		Rejected: msg.Rejected, Answered: msg.Answered, BackedOff: msg.BackedOff,
+		Rejected: msg.Rejected, Answered: msg.Answered, BackedOff: msg.Throttled,
 	}
 }
 
@@ -197,9 +197,9 @@
 	case *peerpb.Envelope_Adopt:
 		return adoptFromWire(wms.Adopt)
 	case *peerpb.Envelope_Spent:
-		return reservation.Spent{Account: wms.Spent.GetAccount(), Debt: wms.Spent.GetDebt(), Share: wms.Spent.GetShare()}
+		return reservation.AccountDebt{Account: wms.Spent.GetAccount(), Debt: wms.Spent.GetDebt(), Share: wms.Spent.GetShare()}
 	case *peerpb.Envelope_Appoint:
-		return reservation.Appoint{Decides: wms.Appoint.GetDecides()}
+		return reservation.Appoint{Delegated: wms.Appoint.GetDecides()}
 	case *peerpb.Envelope_Absent:
 		return reservation.Absent{Hosts: epochsFromWire(wms.Absent.GetHosts())}
 	case *peerpb.Envelope_Leader:
@@ -229,7 +229,7 @@
 	return reservation.Adopt{
 		ID: idFromWire(wad.GetId()), Ballot: ballotFromWire(wad.GetBallot(), wad.GetId()), Engine: wad.GetEngine(),
 		Service: wad.GetService(), Account: wad.GetAccount(), Cost: wad.GetCost(),
-		Unread: wad.GetUnread(), PromptTokens: int(wad.GetPromptTokens()), Route: wad.GetRoute(), Digest: digestFromWire(wad.GetDigest()),
+		PendingPrefill: wad.GetUnread(), PromptTokens: int(wad.GetPromptTokens()), Route: wad.GetRoute(), Digest: digestFromWire(wad.GetDigest()),
 	}
 }
 
@@ -240,16 +240,16 @@
 		PromptTokens: int(wre.GetPromptTokens()), MaxTokens: int(wre.GetMaxTokens()),
 		PrefixHash: wre.GetPrefixHash(), PrefixTokens: int(wre.GetPrefixTokens()),
 		Remaining: fromMicros(wre.GetRemainingUs()), Overflow: wre.GetOverflow(),
-		Domain: wre.GetDomain(), Aim: fromMicros(wre.GetAimUs()), Age: fromMicros(wre.GetAgeUs()), Route: wre.GetRoute(), Repeatable: wre.GetRepeatable(),
+		Domain: wre.GetDomain(), LatencyTarget: fromMicros(wre.GetAimUs()), ClientWait: fromMicros(wre.GetAgeUs()), Route: wre.GetRoute(), Repeatable: wre.GetRepeatable(),
 		Cost: wre.GetCost(), Attempt: int(wre.GetAttempt()),
 		Exclude: wre.GetExclude(), Parts: partsFromWire(wre.GetParts()),
-		Urgency: int(wre.GetUrgency()), AnswerTokens: int(wre.GetAnswerTokens()), Digest: digestFromWire(wre.GetDigest()), Again: wre.GetAgain(), Regions: wre.GetRegions(),
+		Urgency: int(wre.GetUrgency()), AnswerTokens: int(wre.GetAnswerTokens()), Digest: digestFromWire(wre.GetDigest()), Requeued: wre.GetAgain(), Regions: wre.GetRegions(),
 	}
 }
 
 func grantFromWire(wgr *peerpb.Grant) reservation.Grant {
 	gra := reservation.Grant{ID: idFromWire(wgr.GetId()), Ballot: ballotFromWire(wgr.GetBallot(), wgr.GetId()), Engine: wgr.GetEngine(), Cold: wgr.GetCold()}
-	if rate := wgr.GetRate(); rate <= uint32(reservation.GrantRateEnded) {
+	if rate := wgr.GetRate(); rate <= uint32(reservation.GrantRateUnlimited) {
 		gra.Rate = reservation.GrantRate(rate)
 	}
 	return gra
@@ -268,7 +268,7 @@
 		Dispatched: wre.GetDispatched(), Failed: wre.GetFailed(),
 		PrefillTokens: int(wre.GetPrefillTokens()), DecodeTokens: int(wre.GetDecodeTokens()),
 		FirstToken: fromMicros(wre.GetFirstTokenUs()), Total: fromMicros(wre.GetTotalUs()),
-		Rejected: wre.GetRejected(), Answered: wre.GetAnswered(), BackedOff: wre.GetBackedOff(),
+		Rejected: wre.GetRejected(), Answered: wre.GetAnswered(), Throttled: wre.GetBackedOff(),
 	}
 }
 
@@ -284,7 +284,7 @@
 	raw := make([]*peerpb.Record, len(records))
 	for idx, rec := range records {
 		raw[idx] = &peerpb.Record{
-			Id: idToWire(rec.ID), Ballot: ballotToWire(rec.Ballot), Standing: uint32(rec.Standing), Engine: rec.Engine,
+			Id: idToWire(rec.ID), Ballot: ballotToWire(rec.Ballot), Standing: uint32(rec.State), Engine: rec.Engine,
 		}
 	}
 	return raw
@@ -295,26 +295,26 @@
 	for idx, wre := range raw {
 		records[idx] = reservation.Record{
 			ID: idFromWire(wre.GetId()), Ballot: ballotFromWire(wre.GetBallot(), wre.GetId()),
-			Standing: reservation.Standing(wre.GetStanding()), Engine: wre.GetEngine(),
+			State: reservation.FenceState(wre.GetStanding()), Engine: wre.GetEngine(),
 		}
 	}
 	return records
 }
 
-func attestationKeyToWire(key reservation.VouchKey) *peerpb.VouchKey {
+func attestationKeyToWire(key reservation.AttestationKey) *peerpb.VouchKey {
 	return &peerpb.VouchKey{Lost: uint64(key.Lost), Holder: uint64(key.Holder)}
 }
 
-func attestationKeyFromWire(wke *peerpb.VouchKey) reservation.VouchKey {
-	return reservation.VouchKey{Lost: request.Epoch(wke.GetLost()), Holder: request.Epoch(wke.GetHolder())}
+func attestationKeyFromWire(wke *peerpb.VouchKey) reservation.AttestationKey {
+	return reservation.AttestationKey{Lost: request.Epoch(wke.GetLost()), Holder: request.Epoch(wke.GetHolder())}
 }
 
 func fenceAnswerToWire(ans reservation.FenceAnswer) *peerpb.FenceResponse {
 	res := &peerpb.FenceResponse{
-		Id: idToWire(ans.ID), Standing: uint32(ans.Standing), Ballot: ballotToWire(ans.Ballot), Engine: ans.Engine,
+		Id: idToWire(ans.ID), Standing: uint32(ans.State), Ballot: ballotToWire(ans.Ballot), Engine: ans.Engine,
 		Holders: epochsToWire(ans.Holders), Successions: epochsToWire(ans.Successions),
 	}
-	for _, key := range ans.Vouches {
+	for _, key := range ans.Attestations {
 		res.Vouches = append(res.Vouches, attestationKeyToWire(key))
 	}
 	return res
@@ -323,11 +323,11 @@
 func fenceAnswerFromWire(res *peerpb.FenceResponse) reservation.FenceAnswer {
 	ans := reservation.FenceAnswer{
 		ID: idFromWire(res.GetId()), From: request.Epoch(res.GetHeader().GetEpoch()),
-		Standing: reservation.Standing(res.GetStanding()), Ballot: ballotFromWire(res.GetBallot(), res.GetId()), Engine: res.GetEngine(),
+		State: reservation.FenceState(res.GetStanding()), Ballot: ballotFromWire(res.GetBallot(), res.GetId()), Engine: res.GetEngine(),
 		Holders: epochsFromWire(res.GetHolders()), Successions: epochsFromWire(res.GetSuccessions()),
 	}
 	for _, wke := range res.GetVouches() {
-		ans.Vouches = append(ans.Vouches, attestationKeyFromWire(wke))
+		ans.Attestations = append(ans.Attestations, attestationKeyFromWire(wke))
 	}
 	return ans
 }
--- a/peer/convertcase.go
+++ b/peer/convertcase.go
@@ -39,19 +39,19 @@
 
 func noticeToWire(msg reservation.EngineNotice) *peerpb.EngineNotice {
 	wno := &peerpb.EngineNotice{Engine: msg.Run.String()}
-	switch sig := msg.Word.(type) {
-	case fleet.Leaving:
+	switch sig := msg.Signal.(type) {
+	case fleet.Draining:
 		wno.Word = signalDraining
 	case fleet.Replaced:
 		wno.Word = signalReplaced
-	case fleet.Pause:
-		wno.Word, wno.LeftUs = signalBackoff, sig.Left.Microseconds()
+	case fleet.Backoff:
+		wno.Word, wno.LeftUs = signalBackoff, sig.Remaining.Microseconds()
 	case fleet.RateLimit:
 		wno.Word, wno.PerSecond = signalRateLimit, sig.PerSecond
 	case fleet.Unlimited:
 		wno.Word = signalUnlimited
 	case fleet.Cold:
-		wno.Word, wno.LeftUs = signalCold, sig.Left.Microseconds()
+		wno.Word, wno.LeftUs = signalCold, sig.Remaining.Microseconds()
 	}
 	return wno
 }
@@ -62,22 +62,22 @@
 	not := fleet.Notice{Run: fleet.ParseEngineID(wno.GetEngine())}
 	switch wno.GetWord() {
 	case signalDraining:
-		not.Word = fleet.Leaving{}
+		not.Signal = fleet.Draining{}
 	case signalReplaced:
-		not.Word = fleet.Replaced{}
+		not.Signal = fleet.Replaced{}
 	case signalBackoff:
-		not.Word = fleet.Pause{Left: fromMicros(wno.GetLeftUs())}
+		not.Signal = fleet.Backoff{Remaining: fromMicros(wno.GetLeftUs())}
 	case signalRateLimit:
-		not.Word = fleet.RateLimit{PerSecond: wno.GetPerSecond()}
+		not.Signal = fleet.RateLimit{PerSecond: wno.GetPerSecond()}
 	case signalUnlimited:
-		not.Word = fleet.Unlimited{}
+		not.Signal = fleet.Unlimited{}
 	case signalCold:
-		not.Word = fleet.Cold{Left: fromMicros(wno.GetLeftUs())}
+		not.Signal = fleet.Cold{Remaining: fromMicros(wno.GetLeftUs())}
 	}
 	return reservation.EngineNotice{Notice: not}
 }
 
-func enforcedOrdersToWire(msg reservation.Emptying) *peerpb.Emptying {
+func enforcedOrdersToWire(msg reservation.EnforcedOrders) *peerpb.Emptying {
 	weo := &peerpb.Emptying{}
 	for _, ord := range msg.Orders {
 		weo.Orders = append(weo.Orders, &peerpb.Emptying_Order{Domain: ord.Domain, Revision: ord.Revision})
@@ -85,33 +85,33 @@
 	return weo
 }
 
-func enforcedOrdersFromWire(weo *peerpb.Emptying) reservation.Emptying {
-	var msg reservation.Emptying
+func enforcedOrdersFromWire(weo *peerpb.Emptying) reservation.EnforcedOrders {
+	var msg reservation.EnforcedOrders
 	for _, ord := range weo.GetOrders() {
 		msg.Orders = append(msg.Orders, evacuation.Order{Domain: ord.GetDomain(), Revision: ord.GetRevision()})
 	}
 	return msg
 }
 
-func crashToWire(msg reservation.EngineEnded) *peerpb.EngineEnded {
+func crashToWire(msg reservation.EngineCrashed) *peerpb.EngineEnded {
 	return &peerpb.EngineEnded{
-		Id: idToWire(msg.ID), Subject: subjectToWire(msg.Subject), Engine: msg.Engine, Uncertain: msg.Uncertain, Alone: msg.Alone, RanUs: msg.Ran.Microseconds(),
+		Id: idToWire(msg.ID), Subject: subjectToWire(msg.Subject), Engine: msg.Engine, Uncertain: msg.Unconfirmed, Alone: msg.Exclusive, RanUs: msg.RunTime.Microseconds(),
 	}
 }
 
-func crashFromWire(wcr *peerpb.EngineEnded) reservation.EngineEnded {
-	return reservation.EngineEnded{
-		ID: idFromWire(wcr.GetId()), Uncertain: wcr.GetUncertain(),
-		Observation: quarantine.Observation{Subject: subjectFromWire(wcr.GetSubject()), Engine: wcr.GetEngine(), Alone: wcr.GetAlone(), Ran: fromMicros(wcr.GetRanUs())},
+func crashFromWire(wcr *peerpb.EngineEnded) reservation.EngineCrashed {
+	return reservation.EngineCrashed{
+		ID: idFromWire(wcr.GetId()), Unconfirmed: wcr.GetUncertain(),
+		Observation: quarantine.Observation{Subject: subjectFromWire(wcr.GetSubject()), Engine: wcr.GetEngine(), Exclusive: wcr.GetAlone(), RunTime: fromMicros(wcr.GetRanUs())},
 	}
 }
 
 func caseReportToWire(rep quarantine.Report) *peerpb.CaseReport {
 	wre := &peerpb.CaseReport{
-		Subject: subjectToWire(rep.Subject), Held: rep.Held, ForGood: rep.ForGood, LeftUs: rep.Left.Microseconds(),
+		Subject: subjectToWire(rep.Subject), Held: rep.Held, ForGood: rep.Indefinite, LeftUs: rep.Remaining.Microseconds(),
 		Trials: uint32(rep.Trials), Cleared: rep.Cleared,
 	}
-	for _, cra := range rep.Ends {
+	for _, cra := range rep.Crashes {
 		wre.Ends = append(wre.Ends, &peerpb.CaseReport_End{Engine: cra.Engine, Alone: cra.Alone, Again: uint32(cra.Again)})
 	}
 	return wre
@@ -119,11 +119,11 @@
 
 func caseReportFromWire(wre *peerpb.CaseReport) quarantine.Report {
 	rep := quarantine.Report{
-		Subject: subjectFromWire(wre.GetSubject()), Held: wre.GetHeld(), ForGood: wre.GetForGood(), Left: fromMicros(wre.GetLeftUs()),
+		Subject: subjectFromWire(wre.GetSubject()), Held: wre.GetHeld(), Indefinite: wre.GetForGood(), Remaining: fromMicros(wre.GetLeftUs()),
 		Trials: int(wre.GetTrials()), Cleared: wre.GetCleared(),
 	}
 	for _, wcr := range wre.GetEnds() {
-		rep.Ends = append(rep.Ends, quarantine.End{Engine: wcr.GetEngine(), Alone: wcr.GetAlone(), Again: int(wcr.GetAgain())})
+		rep.Crashes = append(rep.Crashes, quarantine.Crash{Engine: wcr.GetEngine(), Alone: wcr.GetAlone(), Again: int(wcr.GetAgain())})
 	}
 	return rep
 }
--- a/peer/follow.go
+++ b/peer/follow.go
@@ -12,12 +12,12 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// Following is a set of changes of the store that a host serves to its peers.
-type Following struct {
-	// Whole reports that Changes is a full snapshot, which replaces the receiver's
+// MirrorUpdate is a set of changes of the store that a host serves to its peers.
+type MirrorUpdate struct {
+	// Snapshot reports that Changes is a full snapshot, which replaces the receiver's
 	// copy.
-	Whole   bool
-	Changes store.Changes
+	Snapshot bool
+	Changes  store.Changes
 	// Confirmed is the time, relative to the start of the request, at which the
 	// store last confirmed that the copy was current. It is negative for a time
 	// before the request.
@@ -28,7 +28,7 @@
 type Mirror interface {
 	// Follow waits up to the given time for changes after the revision. For
 	// revision 0 it returns a full snapshot.
-	Follow(ctx context.Context, after store.Revision, wait time.Duration) (Following, error)
+	Follow(ctx context.Context, after store.Revision, wait time.Duration) (MirrorUpdate, error)
 }
 
 // Unready is implemented by errors of a Mirror that has no copy of the store yet but
@@ -53,16 +53,16 @@
 // waits up to the given time for changes. The answer's Confirmed time is to be counted
 // from this call, which precedes the arrival of the request at the peer: the copy is
 // therefore never taken for newer than it is.
-func (cli *Client) Follow(ctx context.Context, adr netip.AddrPort, after store.Revision, wait time.Duration) (Following, error) {
+func (cli *Client) Follow(ctx context.Context, adr netip.AddrPort, after store.Revision, wait time.Duration) (MirrorUpdate, error) {
 	msg := &peerpb.FollowRequest{Header: headerToWire(cli.cfg.Self()), After: uint64(after), WaitUs: wait.Microseconds()}
 	res, err := cli.stub(adr).Follow(ctx, newRequest(cli, msg))
 	if connect.CodeOf(err) == connect.CodeFailedPrecondition {
-		return Following{}, &UnreadyError{Cause: err}
+		return MirrorUpdate{}, &UnreadyError{Cause: err}
 	}
 	if err != nil {
-		return Following{}, err
+		return MirrorUpdate{}, err
 	}
-	fol := Following{Whole: res.Msg.GetWhole(), Confirmed: fromMicros(res.Msg.GetConfirmedUs())}
+	fol := MirrorUpdate{Snapshot: res.Msg.GetWhole(), Confirmed: fromMicros(res.Msg.GetConfirmedUs())}
 	fol.Changes.Revision = store.Revision(res.Msg.GetRevision())
 	for _, ent := range res.Msg.GetEntries() {
 		fol.Changes.Changes = append(fol.Changes.Changes, store.Change{
@@ -87,7 +87,7 @@
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
 	res := &peerpb.FollowResponse{
-		Header: headerToWire(srv.cfg.Sessions.Header()), Whole: fol.Whole,
+		Header: headerToWire(srv.cfg.Sessions.Header()), Whole: fol.Snapshot,
 		Revision: uint64(fol.Changes.Revision), ConfirmedUs: fol.Confirmed.Microseconds(),
 	}
 	for _, cha := range fol.Changes.Changes {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -94,15 +94,15 @@
 	return subtle.ConstantTimeCompare(got, []byte("Bearer "+sec.Key)) == 1
 }
 
-// SilenceError reports a session that ended because no frame arrived in time.
-type SilenceError struct {
-	// After is the timeout that was exceeded.
-	After time.Duration
+// HeartbeatTimeoutError reports a session that ended because no frame arrived in time.
+type HeartbeatTimeoutError struct {
+	// Timeout is the timeout that was exceeded.
+	Timeout time.Duration
 }
 
 // Error implements error.
-func (hte *SilenceError) Error() string {
-	return fmt.Sprintf("no frame from the peer within %s", hte.After)
+func (hte *HeartbeatTimeoutError) Error() string {
+	return fmt.Sprintf("no frame from the peer within %s", hte.Timeout)
 }
 
 // EpochError reports that another process than the expected one answered: its epoch
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -65,15 +65,15 @@
 
 func (bac *backend) Fence(_ context.Context, fen reservation.Fence) (reservation.FenceAnswer, error) {
 	return reservation.FenceAnswer{
-		ID: fen.ID, From: bac.epoch, Standing: reservation.StandingGranted, Ballot: fen.Ballot, Engine: "engine-2",
-		Holders: []request.Epoch{7}, Vouches: []reservation.VouchKey{{Lost: 8, Holder: 9}}, Successions: []request.Epoch{10},
+		ID: fen.ID, From: bac.epoch, State: reservation.FenceStateGranted, Ballot: fen.Ballot, Engine: "engine-2",
+		Holders: []request.Epoch{7}, Attestations: []reservation.AttestationKey{{Lost: 8, Holder: 9}}, Successions: []request.Epoch{10},
 	}, nil
 }
 
-func (bac *backend) Vouch(context.Context, reservation.Vouch) error { return nil }
+func (bac *backend) Vouch(context.Context, reservation.Attestation) error { return nil }
 
-func (bac *backend) Unvouch(_ context.Context, rev reservation.Unvouch) (reservation.UnvouchAnswer, error) {
-	return reservation.UnvouchAnswer{VouchKey: rev.VouchKey, Released: true}, nil
+func (bac *backend) Unvouch(_ context.Context, rev reservation.Revocation) (reservation.RevocationAnswer, error) {
+	return reservation.RevocationAnswer{AttestationKey: rev.AttestationKey, Revoked: true}, nil
 }
 
 func (bac *backend) Handover(context.Context, reservation.Handover) error { return nil }
@@ -165,16 +165,16 @@
 	ans, err := cli.Fence(t.Context(), mem, fen)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, ans, reservation.FenceAnswer{
-		ID: testID(), From: 5, Standing: reservation.StandingGranted, Ballot: fen.Ballot, Engine: "engine-2",
-		Holders: []request.Epoch{7}, Vouches: []reservation.VouchKey{{Lost: 8, Holder: 9}}, Successions: []request.Epoch{10},
+		ID: testID(), From: 5, State: reservation.FenceStateGranted, Ballot: fen.Ballot, Engine: "engine-2",
+		Holders: []request.Epoch{7}, Attestations: []reservation.AttestationKey{{Lost: 8, Holder: 9}}, Successions: []request.Epoch{10},
 	})
 	sta, err := cli.FetchState(t.Context(), mem.PeerAddress, 1, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, string(sta.Parts["p"]), "part")
 	assert.Equal(t, sta.Header.View, uint64(3))
-	rev, err := cli.Unvouch(t.Context(), mem, reservation.Unvouch{VouchKey: reservation.VouchKey{Lost: 1, Holder: 2}, Sequence: 3})
+	rev, err := cli.Unvouch(t.Context(), mem, reservation.Revocation{AttestationKey: reservation.AttestationKey{Lost: 1, Holder: 2}, Sequence: 3})
 	assert.NilError(t, err)
-	assert.Assert(t, rev.Released && rev.Lost == 1 && rev.Holder == 2)
+	assert.Assert(t, rev.Revoked && rev.Lost == 1 && rev.Holder == 2)
 }
 
 // The zero ballot is omitted on the wire and restored from the request id, with the
--- a/peer/pump.go
+++ b/peer/pump.go
@@ -62,7 +62,7 @@
 			return err
 		case now := <-ticker.C:
 			if expired, limit := ses.heartbeat.timedOut(now, ses.timing); expired {
-				return &SilenceError{After: limit}
+				return &HeartbeatTimeoutError{Timeout: limit}
 			}
 		case <-ctx.Done():
 			return ctx.Err()
--- a/peer/server.go
+++ b/peer/server.go
@@ -37,8 +37,8 @@
 	Sessions
 	// Fence, Vouch, Unvouch and Handover handle the RPCs of these names.
 	Fence(ctx context.Context, fen reservation.Fence) (reservation.FenceAnswer, error)
-	Vouch(ctx context.Context, att reservation.Vouch) error
-	Unvouch(ctx context.Context, rev reservation.Unvouch) (reservation.UnvouchAnswer, error)
+	Vouch(ctx context.Context, att reservation.Attestation) error
+	Unvouch(ctx context.Context, rev reservation.Revocation) (reservation.RevocationAnswer, error)
 	Handover(ctx context.Context, han reservation.Handover) error
 	// State returns the views from viewsFrom on and, if it is newer than
 	// aboveRevision, the configuration.
@@ -178,8 +178,8 @@
 	if srv.cfg.Backend == nil {
 		return nil, errSessionsOnly
 	}
-	att := reservation.Vouch{
-		VouchKey: attestationKeyFromWire(req.Msg.GetKey()), Sequence: req.Msg.GetSequence(), Records: recordsFromWire(req.Msg.GetRecords()),
+	att := reservation.Attestation{
+		AttestationKey: attestationKeyFromWire(req.Msg.GetKey()), Sequence: req.Msg.GetSequence(), Records: recordsFromWire(req.Msg.GetRecords()),
 	}
 	if err := srv.cfg.Backend.Vouch(ctx, att); err != nil {
 		return nil, err
@@ -192,12 +192,12 @@
 	if srv.cfg.Backend == nil {
 		return nil, errSessionsOnly
 	}
-	rev := reservation.Unvouch{VouchKey: attestationKeyFromWire(req.Msg.GetKey()), Sequence: req.Msg.GetSequence()}
+	rev := reservation.Revocation{AttestationKey: attestationKeyFromWire(req.Msg.GetKey()), Sequence: req.Msg.GetSequence()}
 	ans, err := srv.cfg.Backend.Unvouch(ctx, rev)
 	if err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(&peerpb.UnvouchResponse{Key: attestationKeyToWire(ans.VouchKey), Released: ans.Released}), nil
+	return connect.NewResponse(&peerpb.UnvouchResponse{Key: attestationKeyToWire(ans.AttestationKey), Released: ans.Revoked}), nil
 }
 
 // Handover implements peerpbconnect.PeerServiceHandler.
--- a/processtest/hold_test.go
+++ b/processtest/hold_test.go
@@ -194,7 +194,7 @@
 			switch {
 			case drainedAt.IsZero() && cou.Ended > cou.Sent/4:
 				drainedAt = time.Now()
-				sys.Post(draining.Address, enginetest.PathLeaving, true)
+				sys.Post(draining.Address, enginetest.PathDraining, true)
 			case !drainedAt.IsZero() && before == 0 && time.Since(drainedAt) > drainingLimit:
 				before = len(sys.DispatchesOf(draining))
 			}
--- a/quarantine/doubt.go
+++ b/quarantine/doubt.go
@@ -19,11 +19,11 @@
 	since       time.Time
 }
 
-// Doubt records that the connection to an engine ended while it ran a request,
+// RecordUnconfirmedCrash records that the connection to an engine ended while it ran a request,
 // with the crash of the engine unconfirmed: the link may have failed or one answer may have
 // been invalid, and another run of the engine may have started before the host checked.
-// EnginesChanged resolves it by the registered engines.
-func (reg *Registry) Doubt(now time.Time, obs Observation) {
+// ApplyEngines resolves it by the registered engines.
+func (reg *Registry) RecordUnconfirmedCrash(now time.Time, obs Observation) {
 	reg.prune(now)
 	if obs.Digest == (call.Digest{}) || len(reg.unconfirmed) >= maxCases {
 		return
@@ -39,20 +39,20 @@
 type Engine struct {
 	// Run is the engine's name and start.
 	Run string
-	// Leaving reports whether the engine is draining, so that its exit is planned.
-	Leaving bool
+	// Draining reports whether the engine is draining, so that its exit is planned.
+	Draining bool
 }
 
-// EnginesChanged applies the list of registered engines. It returns the unconfirmed crashes
+// ApplyEngines applies the list of registered engines. It returns the unconfirmed crashes
 // that this list confirms: those whose engine run isn't registered any more and was never seen
 // draining.
-func (reg *Registry) EnginesChanged(now time.Time, engines []Engine) []Observation {
+func (reg *Registry) ApplyEngines(now time.Time, engines []Engine) []Observation {
 	if len(reg.unconfirmed) == 0 {
 		return nil
 	}
 	draining := make(map[string]bool, len(engines))
 	for _, eng := range engines {
-		draining[eng.Run] = eng.Leaving
+		draining[eng.Run] = eng.Draining
 	}
 	var confirmed []Observation
 	for key, ucr := range reg.unconfirmed {
@@ -63,7 +63,7 @@
 		case !registered:
 			reg.removeUnconfirmed(key)
 			obs := ucr.observation
-			obs.Ran += now.Sub(ucr.since)
+			obs.RunTime += now.Sub(ucr.since)
 			confirmed = append(confirmed, obs)
 		}
 	}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -4,8 +4,8 @@
 // # Usage
 //
 //	reg := quarantine.New(quarantine.Config{})
-//	reg.Ended(now, quarantine.Observation{Subject: sub, Engine: "e1"}) // the engine crashed while it ran the request
-//	reg.Answered(now, sub.Digest)                                     // a later run was answered
+//	reg.RecordCrash(now, quarantine.Observation{Subject: sub, Engine: "e1"}) // the engine crashed while it ran the request
+//	reg.RecordAnswer(now, sub.Digest)                                     // a later run was answered
 //	switch reg.Level(now, sub.Digest) {
 //	case quarantine.LevelHeld: // reject the request
 //	case quarantine.LevelSuspected: // run it exclusively on an engine
@@ -60,11 +60,11 @@
 // Config holds the settings of a Registry. Zero fields take the defaults.
 type Config struct {
 	// SuspectAt is the number of crashes from which a request is suspected, and HoldAt the
-	// number from which it is held. HoldAloneAt is the number from which it is held if it
+	// number from which it is held. HoldExclusiveAt is the number from which it is held if it
 	// ran exclusively in the last of them.
-	SuspectAt   int
-	HoldAt      int
-	HoldAloneAt int
+	SuspectAt       int
+	HoldAt          int
+	HoldExclusiveAt int
 }
 
 // The defaults of Config. With six of eighteen engines running a request for a second time by
@@ -121,9 +121,9 @@
 	Route   string
 }
 
-// Source returns the traffic source of the request.
-func (sub Subject) Source() Source {
-	return Source{Service: sub.Service, Account: sub.Account, Route: sub.Route}
+// TrafficSource returns the traffic source of the request.
+func (sub Subject) TrafficSource() TrafficSource {
+	return TrafficSource{Service: sub.Service, Account: sub.Account, Route: sub.Route}
 }
 
 // Observation is the crash of an engine while it ran a request.
@@ -131,14 +131,14 @@
 	Subject
 	// Engine is the engine run that crashed.
 	Engine string
-	// Alone reports whether the engine ran nothing else.
-	Alone bool
-	// Ran is how long the engine had been running the request.
-	Ran time.Duration
+	// Exclusive reports whether the engine ran nothing else.
+	Exclusive bool
+	// RunTime is how long the engine had been running the request.
+	RunTime time.Duration
 }
 
-// End is the crash of an engine while it ran the request of a case.
-type End struct {
+// Crash is the crash of an engine while it ran the request of a case.
+type Crash struct {
 	// Engine is the engine run that crashed, as far as it is known: an engine may restart and
 	// crash once more before the store reports the new run. Again numbers the crashes of the
 	// same run, from 0.
@@ -152,7 +152,7 @@
 // Case is the evidence against one request.
 type Case struct {
 	Subject
-	Ends []End
+	Crashes []Crash
 	// Held reports whether the request was ever held. The hold lasts until the time Until, or
 	// until an operator frees the request if Until is zero.
 	Held  bool
@@ -172,7 +172,7 @@
 	switch {
 	case cas.isHeld(now):
 		return LevelHeld
-	case cas.Held || len(cas.Ends) >= cfg.SuspectAt:
+	case cas.Held || len(cas.Crashes) >= cfg.SuspectAt:
 		// A request whose hold has expired runs exclusively.
 		return LevelSuspected
 	default:
@@ -184,14 +184,14 @@
 // the same crash of an engine run, for requests that ran there at the same time. A run of the
 // request that began after the recorded crash was seen belongs to another crash.
 func (cas *Case) addCrash(now time.Time, obs Observation) bool {
-	cra := End{Engine: obs.Engine, Alone: obs.Alone, seenAt: now}
-	for idx, known := range cas.Ends {
+	cra := Crash{Engine: obs.Engine, Alone: obs.Exclusive, seenAt: now}
+	for idx, known := range cas.Crashes {
 		if known.Engine != obs.Engine {
 			continue
 		}
-		if !known.seenAt.Before(now.Add(-obs.Ran)) {
-			cas.Ends[idx].Alone = known.Alone || obs.Alone
-			return cas.Ends[idx].Alone != known.Alone
+		if !known.seenAt.Before(now.Add(-obs.RunTime)) {
+			cas.Crashes[idx].Alone = known.Alone || obs.Exclusive
+			return cas.Crashes[idx].Alone != known.Alone
 		}
 		cra.Again = known.Again + 1
 	}
@@ -201,11 +201,11 @@
 
 // mergeCrash records a crash that another host reported, and reports whether it changes the
 // case.
-func (cas *Case) mergeCrash(now time.Time, cra End) bool {
-	for idx, known := range cas.Ends {
+func (cas *Case) mergeCrash(now time.Time, cra Crash) bool {
+	for idx, known := range cas.Crashes {
 		if known.Engine == cra.Engine && known.Again == cra.Again {
-			cas.Ends[idx].Alone = known.Alone || cra.Alone
-			return cas.Ends[idx].Alone != known.Alone
+			cas.Crashes[idx].Alone = known.Alone || cra.Alone
+			return cas.Crashes[idx].Alone != known.Alone
 		}
 	}
 	cra.seenAt = now
@@ -213,17 +213,17 @@
 	return true
 }
 
-func (cas *Case) appendCrash(cra End) {
-	if len(cas.Ends) >= maxCrashes {
-		cas.Ends = append(cas.Ends[:0:0], cas.Ends[1:]...)
+func (cas *Case) appendCrash(cra Crash) {
+	if len(cas.Crashes) >= maxCrashes {
+		cas.Crashes = append(cas.Crashes[:0:0], cas.Crashes[1:]...)
 	}
-	cas.Ends = append(cas.Ends, cra)
+	cas.Crashes = append(cas.Crashes, cra)
 }
 
 // reachesHold reports whether the crashes suffice to hold the request.
 func (cas *Case) reachesHold(cfg Config) bool {
-	if len(cas.Ends) >= cfg.HoldAt {
+	if len(cas.Crashes) >= cfg.HoldAt {
 		return true
 	}
-	return len(cas.Ends) >= cfg.HoldAloneAt && cas.Ends[len(cas.Ends)-1].Alone
+	return len(cas.Crashes) >= cfg.HoldExclusiveAt && cas.Crashes[len(cas.Crashes)-1].Alone
 }
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -21,7 +21,7 @@
 	unconfirmedCounts map[call.Digest]int
 	// cleared is when each request was cleared on this host, for clearedTTL.
 	cleared   map[call.Digest]time.Time
-	sources   map[Source]*sourceState
+	sources   map[TrafficSource]*sourceState
 	changes   []Change
 	nextPrune time.Time
 	// version counts the changes that may raise a request's level or restrict a traffic source.
@@ -34,15 +34,15 @@
 func New(cfg Config) *Registry {
 	cfg.SuspectAt = cmp.Or(cfg.SuspectAt, defaultSuspectAt)
 	cfg.HoldAt = cmp.Or(cfg.HoldAt, defaultHoldAt)
-	cfg.HoldAloneAt = cmp.Or(cfg.HoldAloneAt, defaultHoldExclusiveAt)
+	cfg.HoldExclusiveAt = cmp.Or(cfg.HoldExclusiveAt, defaultHoldExclusiveAt)
 	return &Registry{
 		cfg: cfg, cases: make(map[call.Digest]*Case), unconfirmed: make(map[unconfirmedKey]unconfirmedCrash), unconfirmedCounts: make(map[call.Digest]int), cleared: make(map[call.Digest]time.Time),
-		sources: make(map[Source]*sourceState), stored: make(map[call.Digest]storedHold),
+		sources: make(map[TrafficSource]*sourceState), stored: make(map[call.Digest]storedHold),
 	}
 }
 
-// Quiet reports whether the registry holds no evidence against any request or traffic source.
-func (reg *Registry) Quiet() bool {
+// IsEmpty reports whether the registry holds no evidence against any request or traffic source.
+func (reg *Registry) IsEmpty() bool {
 	return len(reg.cases) == 0 && len(reg.unconfirmed) == 0 && len(reg.sources) == 0
 }
 
@@ -71,8 +71,8 @@
 	return max(0, cas.Until.Sub(now))
 }
 
-// Ended records the crash of an engine while it ran a request.
-func (reg *Registry) Ended(now time.Time, obs Observation) {
+// RecordCrash records the crash of an engine while it ran a request.
+func (reg *Registry) RecordCrash(now time.Time, obs Observation) {
 	if obs.Digest == (call.Digest{}) {
 		return
 	}
@@ -85,7 +85,7 @@
 		reg.cases[obs.Digest] = cas
 	}
 	before := cas.level(now, reg.cfg)
-	known := len(cas.Ends) > 0
+	known := len(cas.Crashes) > 0
 	cas.Seen = now
 	if !cas.addCrash(now, obs) {
 		return
@@ -111,9 +111,9 @@
 	}
 }
 
-// Answered records that an engine answered a request, which clears the request.
-func (reg *Registry) Answered(now time.Time, dig call.Digest) {
-	reg.clear(now, dig, KindAcquitted)
+// RecordAnswer records that an engine answered a request, which clears the request.
+func (reg *Registry) RecordAnswer(now time.Time, dig call.Digest) {
+	reg.clear(now, dig, KindCleared)
 	if len(reg.unconfirmed) > 0 {
 		reg.removeUnconfirmedOf(dig)
 	}
@@ -138,29 +138,29 @@
 // clearFromPeer clears a case because another host has cleared it.
 func (reg *Registry) clearFromPeer(now time.Time, dig call.Digest, kin Kind) {
 	if reg.clear(now, dig, kin) {
-		reg.changes[len(reg.changes)-1].Heard = true
+		reg.changes[len(reg.changes)-1].FromPeer = true
 	}
 }
 
-// Lives records that an engine run that was recorded as crashed has answered since, so
+// RecordAlive records that an engine run that was recorded as crashed has answered since, so
 // that only its connections had failed. The crash is removed from all cases that aren't held.
-func (reg *Registry) Lives(now time.Time, engine string) {
+func (reg *Registry) RecordAlive(now time.Time, engine string) {
 	for dig, cas := range reg.cases {
-		remaining := slices.DeleteFunc(slices.Clone(cas.Ends), func(cra End) bool { return cra.Engine == engine })
+		remaining := slices.DeleteFunc(slices.Clone(cas.Crashes), func(cra Crash) bool { return cra.Engine == engine })
 		switch {
-		case len(remaining) == len(cas.Ends) || cas.Held:
+		case len(remaining) == len(cas.Crashes) || cas.Held:
 		case len(remaining) == 0:
-			reg.clear(now, dig, KindAcquitted)
+			reg.clear(now, dig, KindCleared)
 		default:
-			cas.Ends = remaining
+			cas.Crashes = remaining
 		}
 	}
 }
 
-// Ends returns the number of recorded crashes that a request was part of.
-func (reg *Registry) Ends(dig call.Digest) int {
+// Crashes returns the number of recorded crashes that a request was part of.
+func (reg *Registry) Crashes(dig call.Digest) int {
 	if cas := reg.cases[dig]; cas != nil {
-		return len(cas.Ends)
+		return len(cas.Crashes)
 	}
 	return 0
 }
@@ -170,7 +170,7 @@
 	all := make([]Case, 0, len(reg.cases))
 	for _, cas := range reg.cases {
 		copied := *cas
-		copied.Ends = slices.Clone(cas.Ends)
+		copied.Crashes = slices.Clone(cas.Crashes)
 		all = append(all, copied)
 	}
 	slices.SortFunc(all, func(one, two Case) int {
@@ -232,7 +232,7 @@
 	case cas.Held:
 		// The request may still be sent again, and would crash as many engines as at first.
 		return now.Sub(cas.Until) > laterHoldTime
-	case len(cas.Ends) >= cfg.SuspectAt:
+	case len(cas.Crashes) >= cfg.SuspectAt:
 		return now.Sub(cas.Seen) > suspectedTTL
 	default:
 		return now.Sub(cas.Seen) > watchedTTL
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -23,7 +23,7 @@
 }
 
 func crash(num int, engine string, exclusive bool) quarantine.Observation {
-	return quarantine.Observation{Subject: subject(num), Engine: engine, Alone: exclusive}
+	return quarantine.Observation{Subject: subject(num), Engine: engine, Exclusive: exclusive}
 }
 
 func TestLevelFollowsCrashes(t *testing.T) {
@@ -47,7 +47,7 @@
 		t.Run(name, func(t *testing.T) {
 			reg := quarantine.New(quarantine.Config{})
 			for _, obs := range tst.crashes {
-				reg.Ended(startTime, obs)
+				reg.RecordCrash(startTime, obs)
 			}
 			assert.Equal(t, reg.Level(startTime, digest(1)), tst.want)
 			assert.Equal(t, reg.Level(startTime, call.Digest{}), quarantine.LevelClear)
@@ -59,7 +59,7 @@
 	t.Helper()
 	reg := quarantine.New(quarantine.Config{})
 	for _, name := range []string{"a", "b", "c"} {
-		reg.Ended(startTime, crash(1, name, false))
+		reg.RecordCrash(startTime, crash(1, name, false))
 	}
 	assert.Equal(t, reg.Level(startTime, digest(1)), quarantine.LevelHeld)
 	return reg
@@ -67,9 +67,9 @@
 
 func TestAnswerClearsRequest(t *testing.T) {
 	reg := heldRegistry(t)
-	reg.Answered(startTime, digest(1))
+	reg.RecordAnswer(startTime, digest(1))
 	assert.Equal(t, reg.Level(startTime, digest(1)), quarantine.LevelClear)
-	assert.Assert(t, reg.Quiet())
+	assert.Assert(t, reg.IsEmpty())
 }
 
 // A held request runs once more, exclusively, after an hour and after a further day, and never
@@ -85,7 +85,7 @@
 		}
 		assert.Equal(t, reg.Level(now, digest(1)), quarantine.LevelSuspected)
 		trials++
-		reg.Ended(now, crash(1, fmt.Sprint("day-", day), true))
+		reg.RecordCrash(now, crash(1, fmt.Sprint("day-", day), true))
 		assert.Equal(t, reg.Level(now, digest(1)), quarantine.LevelHeld)
 	}
 	assert.Equal(t, trials, 2)
@@ -105,26 +105,26 @@
 		"still registered":          {[]quarantine.Engine{{Run: "a"}}, time.Second, 0},
 		"deregistered":              {nil, time.Second, 1},
 		"another run registered":    {[]quarantine.Engine{{Run: "a@17"}}, time.Second, 1},
-		"draining":                  {[]quarantine.Engine{{Run: "a", Leaving: true}}, time.Second, 0},
+		"draining":                  {[]quarantine.Engine{{Run: "a", Draining: true}}, time.Second, 0},
 		"deregistered too late":     {nil, time.Minute, 0},
 		"another engine registered": {[]quarantine.Engine{{Run: "b"}}, time.Second, 1},
 	}
 	for name, tst := range cases {
 		t.Run(name, func(t *testing.T) {
 			reg := quarantine.New(quarantine.Config{})
-			reg.Doubt(startTime, crash(1, "a", false))
+			reg.RecordUnconfirmedCrash(startTime, crash(1, "a", false))
 			assert.Equal(t, reg.Level(startTime, digest(1)), quarantine.LevelWatched)
-			assert.Equal(t, len(reg.EnginesChanged(startTime.Add(tst.after), tst.engines)), tst.want)
+			assert.Equal(t, len(reg.ApplyEngines(startTime.Add(tst.after), tst.engines)), tst.want)
 		})
 	}
 }
 
 func TestLiveEngineRetractsCrashes(t *testing.T) {
 	reg := quarantine.New(quarantine.Config{})
-	reg.Ended(startTime, crash(1, "a", false))
-	reg.Ended(startTime, crash(1, "b", false))
-	reg.Ended(startTime, crash(2, "b", false))
-	reg.Lives(startTime, "b")
+	reg.RecordCrash(startTime, crash(1, "a", false))
+	reg.RecordCrash(startTime, crash(1, "b", false))
+	reg.RecordCrash(startTime, crash(2, "b", false))
+	reg.RecordAlive(startTime, "b")
 	assert.Equal(t, reg.Level(startTime, digest(1)), quarantine.LevelWatched)
 	assert.Equal(t, reg.Level(startTime, digest(2)), quarantine.LevelClear)
 }
@@ -132,19 +132,19 @@
 func TestCasesAreBounded(t *testing.T) {
 	reg := heldRegistry(t)
 	for num := range 6000 {
-		reg.Ended(startTime, crash(100+num, "x", false))
+		reg.RecordCrash(startTime, crash(100+num, "x", false))
 	}
 	assert.Assert(t, len(reg.Cases(startTime)) <= 4096)
 	assert.Equal(t, reg.Level(startTime, digest(1)), quarantine.LevelHeld, "cases of the lowest level are removed first")
 	for num := range 400 {
 		for _, name := range []string{"a", "b", "c"} {
-			reg.Ended(startTime.Add(time.Second), crash(10_000+num, name, false))
+			reg.RecordCrash(startTime.Add(time.Second), crash(10_000+num, name, false))
 		}
 	}
-	holds, _ := reg.ToStore()
+	holds, _ := reg.HoldsToStore()
 	assert.Assert(t, len(holds) <= quarantine.MaxHeld, len(holds))
 	later := startTime.Add(11 * time.Minute)
-	reg.Ended(later, crash(50_000, "y", false))
+	reg.RecordCrash(later, crash(50_000, "y", false))
 	assert.Assert(t, len(reg.Cases(later)) <= quarantine.MaxHeld+1, len(reg.Cases(later)))
 }
 
@@ -157,7 +157,7 @@
 			return crash(rapid.IntRange(1, 3).Draw(t, "request"), rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "engine"), false)
 		}), 1, 12).Draw(t, "ends")
 		for _, obs := range crashes {
-			hosts[rapid.IntRange(0, 2).Draw(t, "host")].Ended(startTime, obs)
+			hosts[rapid.IntRange(0, 2).Draw(t, "host")].RecordCrash(startTime, obs)
 		}
 		var reports []quarantine.Report
 		for _, hos := range hosts {
@@ -173,7 +173,7 @@
 		}
 		all := quarantine.New(quarantine.Config{})
 		for _, obs := range crashes {
-			all.Ended(startTime, obs)
+			all.RecordCrash(startTime, obs)
 		}
 		for num := 1; num <= 3; num++ {
 			for _, hos := range hosts {
@@ -193,21 +193,21 @@
 
 func TestHeldRequestsSurviveHostRestart(t *testing.T) {
 	reg := heldRegistry(t)
-	holds, differ := reg.ToStore()
+	holds, differ := reg.HoldsToStore()
 	assert.Assert(t, differ)
-	reg.TakeStored(startTime, holds)
-	_, differ = reg.ToStore()
+	reg.ApplyStored(startTime, holds)
+	_, differ = reg.HoldsToStore()
 	assert.Assert(t, !differ, "the store is up to date")
 
 	other := quarantine.New(quarantine.Config{})
-	other.TakeStored(startTime.Add(time.Minute), holds)
+	other.ApplyStored(startTime.Add(time.Minute), holds)
 	assert.Equal(t, other.Level(startTime.Add(time.Minute), digest(1)), quarantine.LevelHeld)
 	assert.Equal(t, other.HeldFor(startTime.Add(time.Minute), digest(1)), 59*time.Minute)
 
 	assert.Assert(t, other.Free(startTime.Add(time.Minute), digest(1)))
-	remaining, differ := other.ToStore()
+	remaining, differ := other.HoldsToStore()
 	assert.Assert(t, differ && len(remaining) == 0)
-	reg.TakeStored(startTime.Add(time.Minute), remaining)
+	reg.ApplyStored(startTime.Add(time.Minute), remaining)
 	assert.Equal(t, reg.Level(startTime.Add(time.Minute), digest(1)), quarantine.LevelClear, "freed by another host")
 }
 
@@ -216,7 +216,7 @@
 func TestClearedRequestIgnoresEarlierReports(t *testing.T) {
 	reg := heldRegistry(t)
 	reports := reg.Reports(startTime, quarantine.LevelHeld, 1)
-	reg.Answered(startTime, digest(1))
+	reg.RecordAnswer(startTime, digest(1))
 	reg.Merge(startTime.Add(time.Second), reports[0])
 	assert.Equal(t, reg.Level(startTime.Add(time.Second), digest(1)), quarantine.LevelClear)
 }
@@ -225,7 +225,7 @@
 // on: within three crashes if it sends a twentieth of the work, and within twelve if it sends
 // nearly half of it. Crashes by coincidence restrict at most one source in a thousand.
 func TestSourceOfChangingRequestsIsRestricted(t *testing.T) {
-	source := quarantine.Source{Service: "model", Account: "kitchen", Route: "stream"}
+	source := quarantine.TrafficSource{Service: "model", Account: "kitchen", Route: "stream"}
 	cases := map[string]struct {
 		usual, young float64
 		within       int
@@ -239,11 +239,11 @@
 			crashes := 0
 			for restricted := false; !restricted; crashes++ {
 				assert.Assert(t, crashes < 50)
-				reg.UnexplainedEnd(startTime, []quarantine.Presence{{Source: source, Here: true, Young: true, Usual: tst.usual, UsualYoung: tst.young}})
+				reg.RecordUnexplainedCrash(startTime, []quarantine.Presence{{TrafficSource: source, HasRequest: true, HasNewRequest: true, RequestShare: tst.usual, NewRequestShare: tst.young}})
 				restricted, _ = reg.Restriction(startTime, source)
 			}
 			assert.Assert(t, crashes <= tst.within, crashes)
-			reg.EndedAlone(startTime, source, 18)
+			reg.RecordExclusiveCrash(startTime, source, 18)
 			_, pause := reg.Restriction(startTime, source)
 			assert.Assert(t, pause > 8*time.Second && pause < 9*time.Second, pause)
 		})
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -18,8 +18,8 @@
 	KindSuspected
 	// KindHeld is a request that isn't run from now on.
 	KindHeld
-	// KindAcquitted is a request that was cleared by an answer.
-	KindAcquitted
+	// KindCleared is a request that was cleared by an answer.
+	KindCleared
 	// KindFreed is a request that an operator freed.
 	KindFreed
 	// KindForgotten is a request that was pruned from the registry.
@@ -43,18 +43,18 @@
 	Case Case
 	// Report is sent to other hosts.
 	Report Report
-	// Heard reports whether another host caused the change by its report.
-	Heard bool
+	// FromPeer reports whether another host caused the change by its report.
+	FromPeer bool
 }
 
-// Spreads reports whether the change is sent to gateways whose requests this host
+// ConcernsGateways reports whether the change is sent to gateways whose requests this host
 // schedules. They receive requests from the second crash on.
-func (cha Change) Spreads() bool {
+func (cha Change) ConcernsGateways() bool {
 	switch cha.Kind {
 	case KindSuspected, KindHeld:
 		return true
-	case KindAcquitted, KindFreed:
-		return cha.Case.Held || len(cha.Case.Ends) > 1
+	case KindCleared, KindFreed:
+		return cha.Case.Held || len(cha.Case.Crashes) > 1
 	case KindWatched, KindForgotten:
 		return false
 	default:
@@ -66,23 +66,23 @@
 // points in time, since the clocks of hosts differ.
 type Report struct {
 	Subject
-	Ends []End
-	Held bool
-	// ForGood reports whether the request is held until an operator frees it. If not,
-	// Left is how much longer it is held.
-	ForGood bool
-	Left    time.Duration
-	Trials  int
+	Crashes []Crash
+	Held    bool
+	// Indefinite reports whether the request is held until an operator frees it. If not,
+	// Remaining is how much longer it is held.
+	Indefinite bool
+	Remaining  time.Duration
+	Trials     int
 	// Cleared reports whether the request was answered or freed, which voids all evidence
 	// against it.
 	Cleared bool
 }
 
 func (cas *Case) report(now time.Time) Report {
-	rep := Report{Subject: cas.Subject, Ends: slices.Clone(cas.Ends), Held: cas.Held, Trials: cas.Trials}
-	rep.ForGood = cas.Held && cas.Until.IsZero()
-	if cas.Held && !rep.ForGood {
-		rep.Left = cas.Until.Sub(now)
+	rep := Report{Subject: cas.Subject, Crashes: slices.Clone(cas.Crashes), Held: cas.Held, Trials: cas.Trials}
+	rep.Indefinite = cas.Held && cas.Until.IsZero()
+	if cas.Held && !rep.Indefinite {
+		rep.Remaining = cas.Until.Sub(now)
 	}
 	return rep
 }
@@ -90,9 +90,9 @@
 // recordChange appends a change of a case to those that Changes returns.
 func (reg *Registry) recordChange(now time.Time, kin Kind, cas *Case) {
 	copied := *cas
-	copied.Ends = slices.Clone(cas.Ends)
+	copied.Crashes = slices.Clone(cas.Crashes)
 	cha := Change{Kind: kin, Case: copied, Report: cas.report(now)}
-	cha.Report.Cleared = kin == KindAcquitted || kin == KindFreed
+	cha.Report.Cleared = kin == KindCleared || kin == KindFreed
 	reg.changes = append(reg.changes, cha)
 }
 
@@ -140,7 +140,7 @@
 		return
 	}
 	if rep.Cleared {
-		reg.clearFromPeer(now, rep.Digest, KindAcquitted)
+		reg.clearFromPeer(now, rep.Digest, KindCleared)
 		return
 	}
 	if at, cleared := reg.cleared[rep.Digest]; cleared && now.Sub(at) <= clearedTTL {
@@ -154,8 +154,8 @@
 		reg.cases[rep.Digest] = cas
 	}
 	before := cas.level(now, reg.cfg)
-	known := len(cas.Ends) > 0
-	for _, cra := range rep.Ends[:min(maxCrashes, len(rep.Ends))] {
+	known := len(cas.Crashes) > 0
+	for _, cra := range rep.Crashes[:min(maxCrashes, len(rep.Crashes))] {
 		if cas.mergeCrash(now, cra) {
 			cas.Seen = now
 		}
@@ -175,9 +175,9 @@
 // mergeHold applies another host's hold if it is the longer one.
 func (cas *Case) mergeHold(now time.Time, rep Report) {
 	cas.Trials = max(cas.Trials, rep.Trials)
-	until := now.Add(rep.Left)
+	until := now.Add(rep.Remaining)
 	switch {
-	case rep.ForGood:
+	case rep.Indefinite:
 		cas.Until = time.Time{}
 	case !cas.Held || !cas.Until.IsZero() && until.After(cas.Until):
 		cas.Until = until
--- a/quarantine/source.go
+++ b/quarantine/source.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Source is a traffic source: a client account's requests to a service by one route. The
+// TrafficSource is a traffic source: a client account's requests to a service by one route. The
 // account's other routes aren't restricted because of what it sends on this one.
-type Source struct {
+type TrafficSource struct {
 	Service string
 	Account string
 	Route   string
@@ -19,15 +19,15 @@
 // Presence describes the requests of a traffic source on an engine that crashed while it ran no
 // request with a recorded crash.
 type Presence struct {
-	Source Source
-	// Here reports whether the source had a request on the engine, and Young
+	TrafficSource TrafficSource
+	// HasRequest reports whether the source had a request on the engine, and HasNewRequest
 	// whether it had one that was new.
-	Here  bool
-	Young bool
-	// Usual and UsualYoung are the shares of the service's other engines on which
+	HasRequest    bool
+	HasNewRequest bool
+	// RequestShare and NewRequestShare are the shares of the service's other engines on which
 	// the source had any request and a new one at that moment.
-	Usual      float64
-	UsualYoung float64
+	RequestShare    float64
+	NewRequestShare float64
 }
 
 // sourceState is the evidence against a traffic source that changes its requests each time, so
@@ -46,11 +46,11 @@
 }
 
 const (
-	// YoungFor is how long a request counts as new on an engine: a poison request usually
+	// NewRequestAge is how long a request counts as new on an engine: a poison request usually
 	// crashes its engine soon after it starts.
-	YoungFor = 500 * time.Millisecond
+	NewRequestAge = 500 * time.Millisecond
 	// newRequestCrashShare is the share of crashes by poison requests that occur within
-	// YoungFor.
+	// NewRequestAge.
 	newRequestCrashShare = 0.7
 	// restrictScore is the score from which a source is restricted: the crashes are then a
 	// thousand times likelier if the source caused them.
@@ -78,33 +78,33 @@
 	maxSources = 1024
 )
 
-// UnexplainedEnd records the crash of an engine whose requests were part of no earlier
+// RecordUnexplainedCrash records the crash of an engine whose requests were part of no earlier
 // crash, and returns the sources that it restricts. A source that changes its request each time
 // is detected because it is present at each crash more often than its share of the work
 // explains.
-func (reg *Registry) UnexplainedEnd(now time.Time, present []Presence) []Source {
-	seen := make(map[Source]bool, len(present))
-	var restricted []Source
+func (reg *Registry) RecordUnexplainedCrash(now time.Time, present []Presence) []TrafficSource {
+	seen := make(map[TrafficSource]bool, len(present))
+	var restricted []TrafficSource
 	for _, pre := range present {
-		seen[pre.Source] = true
-		sta := reg.sources[pre.Source]
+		seen[pre.TrafficSource] = true
+		sta := reg.sources[pre.TrafficSource]
 		if sta == nil {
 			if len(reg.sources) >= maxSources {
 				continue
 			}
 			sta = &sourceState{}
-			reg.sources[pre.Source] = sta
+			reg.sources[pre.TrafficSource] = sta
 		}
 		sta.lastCrash = now
 		sta.score = max(0, sta.score+pre.scoreStep())
 		if sta.score >= restrictScore && !sta.restricted {
 			sta.restricted, sta.consecutiveAnswers = true, 0
 			reg.version++
-			restricted = append(restricted, pre.Source)
+			restricted = append(restricted, pre.TrafficSource)
 		}
 	}
 	for src, sta := range reg.sources {
-		if len(present) > 0 && src.Service == present[0].Source.Service && !seen[src] {
+		if len(present) > 0 && src.Service == present[0].TrafficSource.Service && !seen[src] {
 			sta.score = max(0, sta.score-absenceStep)
 		}
 	}
@@ -114,11 +114,11 @@
 // scoreStep returns the change of the source's score by one crash.
 func (pre Presence) scoreStep() float64 {
 	likely := 0.0
-	if pre.Young {
-		likely += newRequestCrashShare / pre.UsualYoung
+	if pre.HasNewRequest {
+		likely += newRequestCrashShare / pre.NewRequestShare
 	}
-	if pre.Here {
-		likely += (1 - newRequestCrashShare) / pre.Usual
+	if pre.HasRequest {
+		likely += (1 - newRequestCrashShare) / pre.RequestShare
 	}
 	if likely == 0 {
 		return -absenceStep
@@ -128,7 +128,7 @@
 
 // Restriction reports whether a source's requests run only on isolated engines, and returns how
 // much longer none of them is run.
-func (reg *Registry) Restriction(now time.Time, src Source) (bool, time.Duration) {
+func (reg *Registry) Restriction(now time.Time, src TrafficSource) (bool, time.Duration) {
 	sta := reg.sources[src]
 	if sta == nil || !sta.restricted {
 		return false, 0
@@ -136,9 +136,9 @@
 	return true, max(0, sta.pausedUntil.Sub(now))
 }
 
-// EndedAlone records that a restricted source's request crashed one of a service's
+// RecordExclusiveCrash records that a restricted source's request crashed one of a service's
 // engines, whose number is given. The source's other requests pause.
-func (reg *Registry) EndedAlone(now time.Time, src Source, engines int) {
+func (reg *Registry) RecordExclusiveCrash(now time.Time, src TrafficSource, engines int) {
 	sta := reg.sources[src]
 	if sta == nil || !sta.restricted {
 		return
@@ -148,9 +148,9 @@
 	sta.pausedUntil = now.Add(min(maxSourcePause, time.Duration(pause)))
 }
 
-// AnsweredAlone records that a restricted source's request was answered, and reports
+// RecordExclusiveAnswer records that a restricted source's request was answered, and reports
 // whether this lifts the restriction.
-func (reg *Registry) AnsweredAlone(src Source) bool {
+func (reg *Registry) RecordExclusiveAnswer(src TrafficSource) bool {
 	sta := reg.sources[src]
 	if sta == nil || !sta.restricted {
 		return false
@@ -163,22 +163,22 @@
 	return true
 }
 
-// Restricted returns the restricted sources, sorted.
-func (reg *Registry) Restricted() []Source {
-	var all []Source
+// RestrictedSources returns the restricted sources, sorted.
+func (reg *Registry) RestrictedSources() []TrafficSource {
+	var all []TrafficSource
 	for src, sta := range reg.sources {
 		if sta.restricted {
 			all = append(all, src)
 		}
 	}
-	slices.SortFunc(all, func(one, two Source) int {
+	slices.SortFunc(all, func(one, two TrafficSource) int {
 		return cmp.Or(cmp.Compare(one.Service, two.Service), cmp.Compare(one.Account, two.Account), cmp.Compare(one.Route, two.Route))
 	})
 	return all
 }
 
 func (reg *Registry) pruneSources(now time.Time) {
-	maps.DeleteFunc(reg.sources, func(_ Source, sta *sourceState) bool {
+	maps.DeleteFunc(reg.sources, func(_ TrafficSource, sta *sourceState) bool {
 		return now.Sub(sta.lastCrash) > sourceTTL && !now.Before(sta.pausedUntil)
 	})
 }
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -10,8 +10,8 @@
 // Hold is a held request as kept in the store, so that it survives the loss of all hosts.
 type Hold struct {
 	Subject
-	// Ends are the crashes of the engines that ran the request.
-	Ends []End
+	// Crashes are the crashes of the engines that ran the request.
+	Ends []Crash
 	// Until is the wall-clock time at which the hold expires; zero means until an operator
 	// frees it.
 	Until  time.Time
@@ -24,14 +24,14 @@
 	indefinite bool
 }
 
-// TakeStored applies the held requests read from the store. A request that was there at the
+// ApplyStored applies the held requests read from the store. A request that was there at the
 // last read and is missing now was freed by another host.
-func (reg *Registry) TakeStored(now time.Time, holds []Hold) {
+func (reg *Registry) ApplyStored(now time.Time, holds []Hold) {
 	previous := reg.stored
 	reg.stored = make(map[call.Digest]storedHold, len(holds))
 	for _, hol := range holds {
 		reg.stored[hol.Digest] = storedHold{trials: hol.Trials, indefinite: hol.Until.IsZero()}
-		reg.Merge(now, Report{Subject: hol.Subject, Ends: hol.Ends, Held: true, ForGood: hol.Until.IsZero(), Left: hol.Until.Sub(now), Trials: hol.Trials})
+		reg.Merge(now, Report{Subject: hol.Subject, Crashes: hol.Ends, Held: true, Indefinite: hol.Until.IsZero(), Remaining: hol.Until.Sub(now), Trials: hol.Trials})
 	}
 	for dig := range previous {
 		if _, found := reg.stored[dig]; !found {
@@ -40,9 +40,9 @@
 	}
 }
 
-// ToStore returns the held requests that the store should hold, sorted by digest, and
+// HoldsToStore returns the held requests that the store should hold, sorted by digest, and
 // whether they differ from what was last read from the store.
-func (reg *Registry) ToStore() ([]Hold, bool) {
+func (reg *Registry) HoldsToStore() ([]Hold, bool) {
 	var holds []Hold
 	differs := false
 	for dig, cas := range reg.cases {
@@ -51,7 +51,7 @@
 		}
 		known, stored := reg.stored[dig]
 		differs = differs || !stored || known != (storedHold{trials: cas.Trials, indefinite: cas.Until.IsZero()})
-		holds = append(holds, Hold{Subject: cas.Subject, Ends: slices.Clone(cas.Ends), Until: cas.Until, Trials: cas.Trials})
+		holds = append(holds, Hold{Subject: cas.Subject, Ends: slices.Clone(cas.Crashes), Until: cas.Until, Trials: cas.Trials})
 	}
 	slices.SortFunc(holds, func(one, two Hold) int { return slices.Compare(one.Digest[:], two.Digest[:]) })
 	return holds, differs || len(holds) != len(reg.stored)
--- a/reservation/emptying.go
+++ b/reservation/emptying.go
@@ -2,11 +2,11 @@
 
 import "lynxwell.dev/lynxwell/evacuation"
 
-// Emptying reports to a coordinator all evacuation orders that the gateway enforces. The
+// EnforcedOrders reports to a coordinator all evacuation orders that the gateway enforces. The
 // coordinator grants the gateway no engine in these failure domains, and learns when no gateway
 // sends requests there any more.
-type Emptying struct {
+type EnforcedOrders struct {
 	Orders []evacuation.Order
 }
 
-func (Emptying) isMessage() {}
+func (EnforcedOrders) isMessage() {}
--- a/reservation/fence.go
+++ b/reservation/fence.go
@@ -10,26 +10,26 @@
 }
 
 // FenceState is the state of a request in a ledger.
-type Standing uint8
+type FenceState uint8
 
 // The states of a request in a ledger.
 const (
-	// StandingPromised means that the request wasn't granted and won't be under a lower ballot.
-	StandingPromised Standing = iota + 1
-	// StandingGranted means that a slot of an engine was granted for the request.
-	StandingGranted
-	// StandingClosed means that the request never ran and never will.
-	StandingClosed
-	// StandingOutbid means that a higher ballot holds the request.
-	StandingOutbid
-	// StandingForgotten means that the request is older than the ledger's records.
-	StandingForgotten
-	// StandingBystander means that the host may not grant the request and knows of no grant.
-	StandingBystander
+	// FenceStatePromised means that the request wasn't granted and won't be under a lower ballot.
+	FenceStatePromised FenceState = iota + 1
+	// FenceStateGranted means that a slot of an engine was granted for the request.
+	FenceStateGranted
+	// FenceStateClosed means that the request never ran and never will.
+	FenceStateClosed
+	// FenceStateSuperseded means that a higher ballot holds the request.
+	FenceStateSuperseded
+	// FenceStateForgotten means that the request is older than the ledger's records.
+	FenceStateForgotten
+	// FenceStateBystander means that the host may not grant the request and knows of no grant.
+	FenceStateBystander
 )
 
 // String returns the name of the state.
-func (sta Standing) String() string {
+func (sta FenceState) String() string {
 	names := [...]string{"None", "Promised", "Granted", "Closed", "Outbid", "Forgotten", "Bystander"}
 	if int(sta) >= len(names) {
 		return "Invalid"
@@ -39,9 +39,9 @@
 
 // FenceAnswer is a ledger's answer to a Fence.
 type FenceAnswer struct {
-	ID       request.ID
-	From     request.Epoch
-	Standing Standing
+	ID    request.ID
+	From  request.Epoch
+	State FenceState
 	// Ballot is the ballot under which the request was granted, or the higher ballot that
 	// holds it.
 	Ballot request.Ballot
@@ -49,16 +49,16 @@
 	Engine string
 	// Holders are the gateways that have claimed the request at this ledger.
 	Holders []request.Epoch
-	// Vouches identify the attestations that the host holds for lost coordinator epochs.
-	Vouches []VouchKey
+	// Attestations identify the attestations that the host holds for lost coordinator epochs.
+	Attestations []AttestationKey
 	// Successions are the stopped coordinator epochs whose complete ledgers the host has
 	// taken over.
 	Successions []request.Epoch
 }
 
-// VouchKey identifies the subject of an attestation: all grants of the lost coordinator
+// AttestationKey identifies the subject of an attestation: all grants of the lost coordinator
 // epoch to the holder, which is a gateway epoch.
-type VouchKey struct {
+type AttestationKey struct {
 	Lost   request.Epoch
 	Holder request.Epoch
 }
@@ -67,34 +67,34 @@
 type Record struct {
 	ID     request.ID
 	Ballot request.Ballot
-	// State is StandingPromised, StandingGranted, StandingClosed or, if the gateway doesn't
-	// know whether the request was closed, StandingForgotten.
-	Standing Standing
-	Engine   string
+	// State is FenceStatePromised, FenceStateGranted, FenceStateClosed or, if the gateway doesn't
+	// know whether the request was closed, FenceStateForgotten.
+	State  FenceState
+	Engine string
 }
 
-// Vouch reports to a coordinator all requests that a lost coordinator epoch granted to
+// Attestation reports to a coordinator all requests that a lost coordinator epoch granted to
 // the gateway or closed for it. Afterwards the gateway accepts no grant of that epoch.
-type Vouch struct {
-	VouchKey
+type Attestation struct {
+	AttestationKey
 	// Sequence orders the attestations and revocations of one key.
 	Sequence uint64
 	Records  []Record
 }
 
-// Unvouch revokes an attestation, so that the gateway may accept grants of the coordinator
+// Revocation revokes an attestation, so that the gateway may accept grants of the coordinator
 // epoch again.
-type Unvouch struct {
-	VouchKey
+type Revocation struct {
+	AttestationKey
 	Sequence uint64
 }
 
-// UnvouchAnswer is a coordinator's answer to Unvouch.
-type UnvouchAnswer struct {
-	VouchKey
-	// Released is false if a request of the holder was fenced on the basis of the attestation;
+// RevocationAnswer is a coordinator's answer to Revocation.
+type RevocationAnswer struct {
+	AttestationKey
+	// Revoked is false if a request of the holder was fenced on the basis of the attestation;
 	// the gateway then refuses grants of the coordinator epoch permanently.
-	Released bool
+	Revoked bool
 }
 
 // Handover passes the complete ledger of a stopping coordinator to another one.
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -3,7 +3,7 @@
 // # Usage
 //
 // A gateway sends Reserve, Withdraw, Release, Adopt and Hold; a coordinator answers with Grant
-// and Refuse. Fence, Vouch, Unvouch and Handover are separate remote calls, and not
+// and Refuse. Fence, Attestation, Revocation and Handover are separate remote calls, and not
 // messages of a session. A receiver of messages switches on the type:
 //
 //	switch msg := msg.(type) {
@@ -60,12 +60,12 @@
 	Urgency int
 	// Domain is the gateway's failure domain.
 	Domain string
-	// Aim is the time from now within which the first part of the answer should
+	// LatencyTarget is the time from now within which the first part of the answer should
 	// arrive; for a client's retry, how much longer the client waits.
-	Aim time.Duration
-	// Age is how long the client has already waited since its first attempt; 0 for the
+	LatencyTarget time.Duration
+	// ClientWait is how long the client has already waited since its first attempt; 0 for the
 	// first.
-	Age time.Duration
+	ClientWait time.Duration
 	// Cost is the number of units that the request counts against the client account's limit.
 	Cost float64
 	// Route is the name of the route. Repeatable means that the request may be sent to another
@@ -82,9 +82,9 @@
 	Digest call.Digest
 	// Regions are those in which the request may be served; empty for all.
 	Regions []string
-	// Again means that the request was granted before and not sent. It keeps its position in
+	// Requeued means that the request was granted before and not sent. It keeps its position in
 	// the queue, and is not counted against the retry budget a second time.
-	Again bool
+	Requeued bool
 }
 
 // Subject returns the properties of the request by which quarantine tracks poison requests.
@@ -112,11 +112,11 @@
 const (
 	// GrantRateUnknown means that the coordinator knew of no rate limit.
 	GrantRateUnknown GrantRate = iota
-	// GrantRatePaced means that the grant is within the rate limit.
-	GrantRatePaced
-	// GrantRateEnded means that a response without a rate limit has come after all responses
+	// GrantRateLimited means that the grant is within the rate limit.
+	GrantRateLimited
+	// GrantRateUnlimited means that a response without a rate limit has come after all responses
 	// with one.
-	GrantRateEnded
+	GrantRateUnlimited
 )
 
 // Reason is why a coordinator doesn't keep a reservation.
@@ -201,9 +201,9 @@
 	Failed bool
 	// Rejected is set if the engine rejected the request.
 	Rejected bool
-	// BackedOff is set if the engine requested a backoff instead of answering, or rejected the
+	// Throttled is set if the engine requested a backoff instead of answering, or rejected the
 	// request because of its rate limit. Neither is a sign of the engine's health.
-	BackedOff bool
+	Throttled bool
 	// Answered is set if the engine's answer is complete, even if it is an error.
 	Answered bool
 	// PrefillTokens, DecodeTokens, FirstToken and Total are measurements of the run: the tokens
@@ -219,13 +219,13 @@
 	ID     request.ID
 	Ballot request.Ballot
 	Engine string
-	// Service, Account and Cost are as in the Reserve. Unread is set until the first
+	// Service, Account and Cost are as in the Reserve. PendingPrefill is set until the first
 	// part of the answer arrives; PromptTokens is the number of prompt tokens left to process.
-	Service      string
-	Account      string
-	Cost         float64
-	Unread       bool
-	PromptTokens int
+	Service        string
+	Account        string
+	Cost           float64
+	PendingPrefill bool
+	PromptTokens   int
 	// Route and Digest are as in the Reserve.
 	Route  string
 	Digest call.Digest
@@ -243,11 +243,11 @@
 	FirstToken time.Duration
 }
 
-// Spent reports to a coordinator that starts to schedule for a gateway how much the
+// AccountDebt reports to a coordinator that starts to schedule for a gateway how much the
 // gateway's requests still owe to a client account's limit, whichever host scheduled them: their
 // cost, less the gateway's equal share of the rate in the meantime. A gateway that learns soon
 // after its start that there are more or fewer hosts sends the report once more.
-type Spent struct {
+type AccountDebt struct {
 	Account string
 	Debt    float64
 	// Share is the gateway's equal share of the burst that all hosts together may spend, by the
@@ -259,7 +259,7 @@
 // gateway also has sessions with hosts to which it doesn't delegate, and may be silent for long
 // while it has no requests, so neither a session nor silence shows this.
 type Appoint struct {
-	Decides bool
+	Delegated bool
 }
 
 // Leader tells a gateway which host, to the sender's knowledge, schedules for more than half of
@@ -274,14 +274,14 @@
 	Hosts []request.Epoch
 }
 
-// EngineEnded reports to a coordinator that an engine crashed while it ran a request of the
+// EngineCrashed reports to a coordinator that an engine crashed while it ran a request of the
 // gateway. It is sent before the Release of the request.
-type EngineEnded struct {
+type EngineCrashed struct {
 	ID request.ID
 	quarantine.Observation
-	// Uncertain is set if the gateway saw the connection end and doesn't know whether the
+	// Unconfirmed is set if the gateway saw the connection end and doesn't know whether the
 	// engine crashed.
-	Uncertain bool
+	Unconfirmed bool
 }
 
 // CaseReport passes on the crashes recorded against a poison request. A gateway sends it to its
@@ -325,20 +325,20 @@
 	Delay time.Duration
 }
 
-func (Reserve) isMessage()  {}
-func (Grant) isMessage()    {}
-func (Refuse) isMessage()   {}
-func (Withdraw) isMessage() {}
-func (Release) isMessage()  {}
-func (Adopt) isMessage()    {}
-func (Hold) isMessage()     {}
-func (Evict) isMessage()    {}
-func (Evicted) isMessage()  {}
-func (Progress) isMessage() {}
-func (Spent) isMessage()    {}
-func (Appoint) isMessage()  {}
-func (Absent) isMessage()   {}
-func (Leader) isMessage()   {}
+func (Reserve) isMessage()     {}
+func (Grant) isMessage()       {}
+func (Refuse) isMessage()      {}
+func (Withdraw) isMessage()    {}
+func (Release) isMessage()     {}
+func (Adopt) isMessage()       {}
+func (Hold) isMessage()        {}
+func (Evict) isMessage()       {}
+func (Evicted) isMessage()     {}
+func (Progress) isMessage()    {}
+func (AccountDebt) isMessage() {}
+func (Appoint) isMessage()     {}
+func (Absent) isMessage()      {}
+func (Leader) isMessage()      {}
 
-func (EngineEnded) isMessage() {}
-func (CaseReport) isMessage()  {}
+func (EngineCrashed) isMessage() {}
+func (CaseReport) isMessage()    {}
--- a/resource/head.go
+++ b/resource/head.go
@@ -25,32 +25,32 @@
 type Head struct {
 	// Revision is the configuration's revision.
 	Revision uint64
-	// Parts are the references to the chunks, sorted by digest.
-	Parts []PartRef `json:"Parts"`
+	// Chunks are the references to the chunks, sorted by digest.
+	Chunks []ChunkRef `json:"Parts"`
 	// Changes are the last changes, newest last.
-	Changes []LandedChange
+	Changes []WrittenChange
 }
 
-// PartRef refers to a stored chunk. Its key on the platform includes the revision, so that
+// ChunkRef refers to a stored chunk. Its key on the platform includes the revision, so that
 // a chunk whose content recurs is stored under a new key and isn't deleted by a pending
 // cleanup of the old one.
-type PartRef struct {
+type ChunkRef struct {
 	// Digest is the SHA-256 digest of the chunk in hexadecimal.
 	Digest string
 	// Since is the revision of the configuration that stored the chunk.
 	Since uint64
 }
 
-// LandedChange records a change that has been written to the configuration.
-type LandedChange struct {
+// WrittenChange records a change that has been written to the configuration.
+type WrittenChange struct {
 	// ID is the id of the change.
 	ID string
 	// Revision is the configuration's revision after the change.
 	Revision uint64
 }
 
-// Landed returns the revision of the change with the id, and whether the head lists it.
-func (hea Head) Landed(changeID string) (uint64, bool) {
+// ChangeRevision returns the revision of the change with the id, and whether the head lists it.
+func (hea Head) ChangeRevision(changeID string) (uint64, bool) {
 	for _, chg := range hea.Changes {
 		if chg.ID == changeID {
 			return chg.Revision, true
@@ -59,14 +59,14 @@
 	return 0, false
 }
 
-// Part returns the reference to the chunk with the digest, if the head has one.
-func (hea Head) Part(digest string) (PartRef, bool) {
-	for _, ref := range hea.Parts {
+// Chunk returns the reference to the chunk with the digest, if the head has one.
+func (hea Head) Chunk(digest string) (ChunkRef, bool) {
+	for _, ref := range hea.Chunks {
 		if ref.Digest == digest {
 			return ref, true
 		}
 	}
-	return PartRef{}, false
+	return ChunkRef{}, false
 }
 
 // Split encodes the configuration as a head and its chunks by digest. The head takes over
@@ -86,37 +86,37 @@
 		}
 		digest := Digest(data)
 		chunks[digest] = data
-		ref, known := previous.Part(digest)
+		ref, known := previous.Chunk(digest)
 		if !known {
-			ref = PartRef{Digest: digest, Since: con.Revision}
+			ref = ChunkRef{Digest: digest, Since: con.Revision}
 		}
-		hea.Parts = append(hea.Parts, ref)
+		hea.Chunks = append(hea.Chunks, ref)
 	}
-	slices.SortFunc(hea.Parts, func(one, two PartRef) int { return cmp.Compare(one.Digest, two.Digest) })
-	hea.Changes = append(slices.Clone(previous.Changes), LandedChange{ID: changeID, Revision: con.Revision})
+	slices.SortFunc(hea.Chunks, func(one, two ChunkRef) int { return cmp.Compare(one.Digest, two.Digest) })
+	hea.Changes = append(slices.Clone(previous.Changes), WrittenChange{ID: changeID, Revision: con.Revision})
 	if excess := len(hea.Changes) - maxRememberedChanges; excess > 0 {
 		hea.Changes = hea.Changes[excess:]
 	}
 	return hea, chunks, nil
 }
 
-// Join decodes the configuration of a head from its chunks. It returns a *PartError if a
+// Join decodes the configuration of a head from its chunks. It returns a *ChunkError if a
 // chunk is missing, doesn't match its digest or can't be decoded, and a *CheckError if the
 // configuration is invalid.
 func Join(hea Head, chunks map[string][]byte) (Configuration, error) {
 	var all []Entry
-	for _, ref := range hea.Parts {
+	for _, ref := range hea.Chunks {
 		digest := ref.Digest
 		data, present := chunks[digest]
 		if !present {
-			return Configuration{}, &PartError{Digest: digest, Reason: "missing"}
+			return Configuration{}, &ChunkError{Digest: digest, Reason: "missing"}
 		}
 		if Digest(data) != digest {
-			return Configuration{}, &PartError{Digest: digest, Reason: "content does not match the digest"}
+			return Configuration{}, &ChunkError{Digest: digest, Reason: "content does not match the digest"}
 		}
 		var group []Entry
 		if err := json.Unmarshal(data, &group); err != nil {
-			return Configuration{}, &PartError{Digest: digest, Reason: err.Error()}
+			return Configuration{}, &ChunkError{Digest: digest, Reason: err.Error()}
 		}
 		all = append(all, group...)
 	}
@@ -127,8 +127,8 @@
 	return con, nil
 }
 
-// PartError reports a missing or invalid chunk.
-type PartError struct {
+// ChunkError reports a missing or invalid chunk.
+type ChunkError struct {
 	// Digest is the expected digest of the chunk.
 	Digest string
 	// Reason states what is wrong.
@@ -136,7 +136,7 @@
 }
 
 // Error returns the digest and the reason.
-func (cer *PartError) Error() string {
+func (cer *ChunkError) Error() string {
 	return fmt.Sprintf("configuration chunk %s: %s", cer.Digest, cer.Reason)
 }
 
--- a/resource/resource_test.go
+++ b/resource/resource_test.go
@@ -68,7 +68,7 @@
 	first := applyEdits(t, resource.Configuration{}, edits...)
 	head, chunks, err := first.Split(resource.Head{}, "one")
 	assert.NilError(t, err)
-	assert.Equal(t, len(head.Parts), 17)
+	assert.Equal(t, len(head.Chunks), 17)
 	joined, err := resource.Join(head, chunks)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, joined.Entries(), first.Entries())
@@ -77,13 +77,13 @@
 	next, _, err := second.Split(head, "two")
 	assert.NilError(t, err)
 	changed := 0
-	for _, ref := range next.Parts {
+	for _, ref := range next.Chunks {
 		if ref.Since == 2 {
 			changed++
 		}
 	}
 	assert.Equal(t, changed, 1, "only the changed chunk is stored again")
-	revision, written := next.Landed("one")
+	revision, written := next.ChangeRevision("one")
 	assert.Assert(t, written && revision == 1)
 }
 
@@ -91,10 +91,10 @@
 	con := applyEdits(t, resource.Configuration{}, write(resource.Tier{Name: "Normal"}, 0))
 	head, chunks, err := con.Split(resource.Head{}, "one")
 	assert.NilError(t, err)
-	var per *resource.PartError
+	var per *resource.ChunkError
 	_, err = resource.Join(head, nil)
 	assert.Assert(t, errors.As(err, &per))
-	chunks[head.Parts[0].Digest] = []byte("[]")
+	chunks[head.Chunks[0].Digest] = []byte("[]")
 	_, err = resource.Join(head, chunks)
 	assert.Assert(t, errors.As(err, &per))
 }
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -62,7 +62,7 @@
 	// answered it or its change hasn't been read: the store answers in milliseconds, and hosts
 	// read changes within half a second.
 	writeRetryInterval = time.Second
-	// leaderTimeout is the time after which a host that hasn't called Writes no longer counts
+	// leaderTimeout is the time after which a host that hasn't called Advance no longer counts
 	// as the leader: five times the interval between two calls.
 	leaderTimeout = 500 * time.Millisecond
 )
@@ -72,7 +72,7 @@
 	cfg Config
 	// isFaulty is the test that finds a version faulty.
 	isFaulty func(Counts) bool
-	stored   Standing
+	stored   StoredState
 	state    State
 	// reason explains the state to operators.
 	reason string
@@ -104,9 +104,9 @@
 }
 
 // New returns the roll-out of an order in the state that the store holds.
-func New(cfg Config, sto Standing) *Rollout {
+func New(cfg Config, sto StoredState) *Rollout {
 	rol := &Rollout{sinceCanary: requestsPerCanary, cfg: cfg, isFaulty: Counts.isFaulty, cusums: make(map[string]*cusum), state: StateRunning, reason: "ordered"}
-	rol.Adopt(sto)
+	rol.ApplyStored(sto)
 	if sto.publishedState() == StateNone && sto.State == StateCompleted && sto.StateVersion == sto.Order.Version {
 		// An earlier order has already moved all requests to the version.
 		rol.finish(StateCompleted, "the version already serves all requests")
@@ -122,12 +122,12 @@
 
 // IsOver reports whether the store holds the final state of the roll-out.
 func (rol *Rollout) IsOver() bool {
-	return rol.state.IsEnd() && rol.stored.publishedState() == rol.state
+	return rol.state.IsFinal() && rol.stored.publishedState() == rol.state
 }
 
-// Adopt applies what the store holds now. A final state in the store takes precedence
+// ApplyStored applies what the store holds now. A final state in the store takes precedence
 // over this host's state, since a roll-out has only one.
-func (rol *Rollout) Adopt(sto Standing) {
+func (rol *Rollout) ApplyStored(sto StoredState) {
 	if sto.Ledger.Order != sto.Order.Revision {
 		sto.Ledger = Ledger{Order: sto.Order.Revision, Version: sto.Order.Version}
 	}
@@ -147,7 +147,7 @@
 	if !sto.Ledger.Began.IsZero() {
 		rol.began = sto.Ledger.Began
 	}
-	if published := sto.publishedState(); published.IsEnd() && published != rol.state {
+	if published := sto.publishedState(); published.IsFinal() && published != rol.state {
 		rol.state, rol.reason = published, "published by another host"
 	}
 }
@@ -163,30 +163,30 @@
 	isLeader := now.Sub(rol.ledAt) < leaderTimeout
 	switch {
 	case rol.state == StateCompleted:
-		return Access{Former: true, New: true}
+		return Access{Old: true, New: true}
 	case rol.state == StateRolledBack:
-		return Access{Former: true}
+		return Access{Old: true}
 	case !isLeader:
-		return Access{Former: true}
+		return Access{Old: true}
 	case rol.phase == phaseCutover:
 		return Access{New: true}
 	case rol.phase == phaseMoving && !req.Repeatable:
-		return Access{New: true, Former: req.Repeated}
+		return Access{New: true, Old: req.Repeated}
 	case rol.phase == phaseMoving:
-		return Access{Former: true}
+		return Access{Old: true}
 	case req.Repeated || rol.ownGranted >= rol.ownReserved || rol.sinceCanary < requestsPerCanary:
-		return Access{Former: true}
+		return Access{Old: true}
 	case !req.Repeatable && rol.totals().Routes[req.Route].isHealthy():
 		// Requests that can't be repeated are used as canary requests only until their route is
 		// known to be healthy.
-		return Access{Former: true}
+		return Access{Old: true}
 	default:
-		return Access{Former: true, New: true}
+		return Access{Old: true, New: true}
 	}
 }
 
-// Given records that a request was granted to an engine.
-func (rol *Rollout) Given(isNew bool) {
+// RecordGrant records that a request was granted to an engine.
+func (rol *Rollout) RecordGrant(isNew bool) {
 	rol.unwritten.Requests++
 	rol.sinceCanary++
 	if isNew && rol.phase == phaseCanary {
@@ -195,14 +195,14 @@
 	}
 }
 
-// Answered records the result of a request.
-func (rol *Rollout) Answered(now time.Time, ans Answer) {
-	if rol.state.IsEnd() {
+// RecordAnswer records the result of a request.
+func (rol *Rollout) RecordAnswer(now time.Time, ans Answer) {
+	if rol.state.IsFinal() {
 		return
 	}
-	timed := ans.Took > 0 && ans.Expected > 0
-	bad := ans.Failed || timed && rol.baseline.isSlow(ans.Route, ans.Took, ans.Expected)
-	if ans.Unfinished && !bad {
+	timed := ans.Elapsed > 0 && ans.Expected > 0
+	bad := ans.Failed || timed && rol.baseline.isSlow(ans.Route, ans.Elapsed, ans.Expected)
+	if ans.Canceled && !bad {
 		return
 	}
 	var cou Counts
@@ -219,8 +219,8 @@
 	if ans.New && ans.Loaded {
 		cou.Loaded = 1
 	}
-	if timed && !ans.New && !ans.Unfinished {
-		rol.baseline.observe(ans.Route, ans.Took, ans.Expected)
+	if timed && !ans.New && !ans.Canceled {
+		rol.baseline.observe(ans.Route, ans.Elapsed, ans.Expected)
 	}
 	rol.unwritten.add(ans.Route, cou)
 	rol.evaluate(now, ans, bad)
@@ -253,18 +253,18 @@
 // advancePhase moves the roll-out to its next phase or ends it, by the evidence and the time
 // passed.
 func (rol *Rollout) advancePhase(now time.Time, fle Fleet) {
-	if rol.state.IsEnd() {
+	if rol.state.IsFinal() {
 		return
 	}
 	if rol.began.IsZero() {
 		rol.began = now
-		if fle.FormerSlots == 0 && fle.NewSlots > 0 {
+		if fle.OldSlots == 0 && fle.NewSlots > 0 {
 			rol.finish(StateCompleted, "no engines of an old version")
 			return
 		}
 	}
 	elapsed := float64(now.Sub(rol.began)) / float64(max(1, rol.stored.Order.Period))
-	hasSlots := fle.NewSlots > 0 && float64(fle.NewSlots) >= minSlotRatio*float64(fle.FormerSlots)
+	hasSlots := fle.NewSlots > 0 && float64(fle.NewSlots) >= minSlotRatio*float64(fle.OldSlots)
 	switch {
 	case rol.phase == phaseCutover:
 		if fle.Pinned == 0 && (fle.Running == 0 || now.Sub(rol.cutoverAt) >= cutoverTime) {
@@ -336,12 +336,12 @@
 	Reason  string
 }
 
-// Writes advances the roll-out as the leader, and returns the writes that are due.
-func (rol *Rollout) Writes(now time.Time, fle Fleet) []Write {
+// Advance advances the roll-out as the leader, and returns the writes that are due.
+func (rol *Rollout) Advance(now time.Time, fle Fleet) []Write {
 	rol.ledAt = now
 	rol.advancePhase(now, fle)
 	var writes []Write
-	if published := rol.stored.publishedState(); published != rol.state && !published.IsEnd() && (rol.requestedState != rol.state || now.Sub(rol.stateRequestedAt) >= writeRetryInterval) {
+	if published := rol.stored.publishedState(); published != rol.state && !published.IsFinal() && (rol.requestedState != rol.state || now.Sub(rol.stateRequestedAt) >= writeRetryInterval) {
 		rol.stateRequestedAt, rol.requestedState = now, rol.state
 		writes = append(writes, Write{
 			Service: rol.stored.Order.Service, Expect: rol.stored.StateRevision, State: rol.state, Version: rol.stored.Order.Version, Reason: rol.reason,
@@ -362,7 +362,7 @@
 	if rol.hasPendingWrite() {
 		interval = writeRetryInterval
 	}
-	if rol.state.IsEnd() || rol.phase != phaseCanary || now.Sub(rol.ledgerRequestedAt) < interval {
+	if rol.state.IsFinal() || rol.phase != phaseCanary || now.Sub(rol.ledgerRequestedAt) < interval {
 		return Write{}, false
 	}
 	if allowed-old.Reserved < minReservation && !old.Began.IsZero() {
@@ -380,8 +380,8 @@
 // hasPendingWrite reports whether a write of the ledger isn't confirmed yet.
 func (rol *Rollout) hasPendingWrite() bool { return rol.writePending }
 
-// Recorded applies a completed write, given the new revision of its key.
-func (rol *Rollout) Recorded(wri Write, revision uint64) {
+// ConfirmWrite applies a completed write, given the new revision of its key.
+func (rol *Rollout) ConfirmWrite(wri Write, revision uint64) {
 	if wri.Ledger == nil {
 		if revision > rol.stored.StateRevision {
 			rol.stored.State, rol.stored.StateVersion, rol.stored.StateRevision = wri.State, wri.Version, revision
--- a/rollout/policy_test.go
+++ b/rollout/policy_test.go
@@ -21,7 +21,7 @@
 
 // fakeStore is a fake of the store: it holds one ledger and one state, each with its revision.
 type fakeStore struct {
-	stored   rollout.Standing
+	stored   rollout.StoredState
 	revision uint64
 }
 
@@ -95,23 +95,23 @@
 	now := time.Unix(1000, 0)
 	return &simulation{
 		store: sto, rol: rollout.New(rollout.Config{Self: "a", Share: share, Slack: slack}, sto.stored), random: rand.New(rand.NewPCG(seed, 7)),
-		now: now, startedAt: now, fleet: rollout.Fleet{FormerSlots: 540, NewSlots: 540}, rate: 400, loadedShare: 1,
+		now: now, startedAt: now, fleet: rollout.Fleet{OldSlots: 540, NewSlots: 540}, rate: 400, loadedShare: 1,
 	}
 }
 
 // tick lets the leader advance the roll-out and write to the store.
 func (sim *simulation) tick() {
-	writes := sim.rol.Writes(sim.now, sim.fleet)
+	writes := sim.rol.Advance(sim.now, sim.fleet)
 	for _, wri := range writes {
 		if sim.storeDown {
 			continue
 		}
 		if rev, done := sim.store.put(wri); done {
-			sim.rol.Recorded(wri, rev)
+			sim.rol.ConfirmWrite(wri, rev)
 		}
 	}
 	if !sim.storeDown {
-		sim.rol.Adopt(sim.store.stored)
+		sim.rol.ApplyStored(sim.store.stored)
 	}
 	if sim.finishedAfter == 0 && sim.rol.IsOver() {
 		sim.finishedAfter = sim.now.Sub(sim.startedAt)
@@ -127,9 +127,9 @@
 	acc := sim.rol.Access(sim.now, req)
 	isNew := acc.New
 	sim.requests++
-	sim.rol.Given(isNew)
+	sim.rol.RecordGrant(isNew)
 	ans := rollout.Answer{Route: req.Route, New: isNew, Failed: sim.random.Float64() < sim.badRate, Loaded: sim.random.Float64() < sim.loadedShare}
-	ans.Took, ans.Expected = time.Duration(float64(time.Second)*(0.6+0.8*sim.random.Float64())), time.Second
+	ans.Elapsed, ans.Expected = time.Duration(float64(time.Second)*(0.6+0.8*sim.random.Float64())), time.Second
 	if isNew {
 		sim.exposed++
 		flt := sim.fault
@@ -140,7 +140,7 @@
 				sim.afterFifty++
 			}
 			if flt.slow {
-				ans.Took *= 6
+				ans.Elapsed *= 6
 			} else {
 				ans.Failed = true
 			}
@@ -149,7 +149,7 @@
 			}
 		}
 	}
-	sim.rol.Answered(sim.now, ans)
+	sim.rol.RecordAnswer(sim.now, ans)
 }
 
 // run simulates until the given time after the order.
@@ -267,7 +267,7 @@
 	sim := newSimulation(1)
 	sim.tick()
 	for range 200 {
-		sim.rol.Answered(sim.now, rollout.Answer{Route: "safe", New: true, Took: 20 * time.Millisecond, Expected: time.Millisecond})
+		sim.rol.RecordAnswer(sim.now, rollout.Answer{Route: "safe", New: true, Elapsed: 20 * time.Millisecond, Expected: time.Millisecond})
 	}
 	assert.Equal(t, sim.rol.State(), rollout.StateRunning)
 }
@@ -280,7 +280,7 @@
 	sim.run(2 * period)
 	assert.Equal(t, sim.store.stored.State, rollout.StateRunning)
 	assert.Equal(t, sim.rol.Access(sim.now, rollout.Request{Route: "unsafe"}), rollout.Access{New: true})
-	assert.Equal(t, sim.rol.Access(sim.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true})
+	assert.Equal(t, sim.rol.Access(sim.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Old: true})
 	sim.fleet.Pinned = 0
 	sim.tick()
 	assert.Equal(t, sim.rol.Access(sim.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{New: true})
@@ -302,7 +302,7 @@
 	assert.Equal(t, sim.store.stored.Ledger.Reserved, reserved)
 	sim.storeDown = false
 	sim.run(13 * time.Second)
-	assert.Assert(t, sim.store.stored.State.IsEnd())
+	assert.Assert(t, sim.store.stored.State.IsFinal())
 
 	other := newSimulation(3)
 	other.run(time.Second)
@@ -310,7 +310,7 @@
 	other.store.stored.State, other.store.stored.StateVersion, other.store.stored.StateRevision = rollout.StateRolledBack, "v2", other.store.revision
 	other.run(period)
 	assert.Equal(t, other.store.stored.State, rollout.StateRolledBack)
-	assert.Equal(t, other.rol.Access(other.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true})
+	assert.Equal(t, other.rol.Access(other.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Old: true})
 }
 
 // The next leader continues from what the store holds: the count of requests sent to the new
@@ -320,7 +320,7 @@
 	sim.run(6 * time.Second)
 	sta := sim.store.stored
 	next := rollout.New(rollout.Config{Self: "b", Share: share, Slack: slack}, sta)
-	assert.Equal(t, next.Access(sim.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Former: true}, "no requests are reserved for it yet")
+	assert.Equal(t, next.Access(sim.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Old: true}, "no requests are reserved for it yet")
 	assert.Equal(t, next.Dump().Reserved, sta.Ledger.Reserved)
 	assert.Assert(t, next.Dump().Requests > 1500, "%d", next.Dump().Requests)
 	sim.rol = next
@@ -341,7 +341,7 @@
 		sim.rate = tst.rate
 		sim.run(tst.until)
 		assert.Assert(t, sim.rol.Access(sim.now, tst.req).New, "%s", tst.until)
-		assert.Equal(t, sim.rol.Access(sim.now.Add(time.Second), tst.req), rollout.Access{Former: true})
+		assert.Equal(t, sim.rol.Access(sim.now.Add(time.Second), tst.req), rollout.Access{Old: true})
 	}
 }
 
@@ -368,8 +368,8 @@
 	assert.Equal(t, sim.store.stored.State, rollout.StateCompleted)
 	sim.store.order("v2")
 	again := rollout.New(rollout.Config{Self: "a", Share: share, Slack: slack}, sim.store.stored)
-	assert.Equal(t, again.Access(sim.now, rollout.Request{Route: "safe"}), rollout.Access{Former: true, New: true})
-	writes := again.Writes(sim.now, sim.fleet)
+	assert.Equal(t, again.Access(sim.now, rollout.Request{Route: "safe"}), rollout.Access{Old: true, New: true})
+	writes := again.Advance(sim.now, sim.fleet)
 	assert.Equal(t, len(writes), 1)
 	assert.Equal(t, writes[0].State, rollout.StateCompleted)
 
@@ -404,14 +404,14 @@
 			case 0:
 				start(idx)
 			case 1:
-				rol.Adopt(sto.stored)
+				rol.ApplyStored(sto.stored)
 			case 2:
 				for _, wri := range late {
 					sto.put(wri)
 				}
 				late = nil
 			default:
-				for _, wri := range rol.Writes(now, rollout.Fleet{FormerSlots: 1}) {
+				for _, wri := range rol.Advance(now, rollout.Fleet{OldSlots: 1}) {
 					switch rapid.IntRange(0, 3).Draw(rt, "reply") {
 					case 0:
 						late = append(late, wri)
@@ -419,9 +419,9 @@
 						sto.put(wri)
 					default:
 						if rev, done := sto.put(wri); done {
-							rol.Recorded(wri, rev)
+							rol.ConfirmWrite(wri, rev)
 						} else {
-							rol.Adopt(sto.stored)
+							rol.ApplyStored(sto.stored)
 						}
 					}
 				}
@@ -432,7 +432,7 @@
 				if isNew {
 					exposed++
 				}
-				rol.Given(isNew)
+				rol.RecordGrant(isNew)
 			}
 			if float64(exposed) > share*float64(requests)+slack {
 				rt.Fatalf("%d of %d", exposed, requests)
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -4,12 +4,12 @@
 //
 // # Usage
 //
-//	rol := rollout.New(cfg, rollout.Standing{Order: order})
+//	rol := rollout.New(cfg, rollout.StoredState{Order: order})
 //	acc := rol.Access(now, rollout.Request{Route: "r1", Repeatable: true})
-//	rol.Given(isNew)
-//	rol.Answered(now, rollout.Answer{Route: "r1", New: true, Failed: true})
-//	for _, wri := range rol.Writes(now, fleet) { ... } // write each under the condition of its revision
-//	rol.Recorded(wri, revision)
+//	rol.RecordGrant(isNew)
+//	rol.RecordAnswer(now, rollout.Answer{Route: "r1", New: true, Failed: true})
+//	for _, wri := range rol.Advance(now, fleet) { ... } // write each under the condition of its revision
+//	rol.ConfirmWrite(wri, revision)
 //
 // A Rollout does no I/O and reads no clock: its methods take events and the time. It returns
 // what must be written to the store to survive the loss of the leader: a ledger and the state.
@@ -46,8 +46,8 @@
 	return names[sta]
 }
 
-// IsEnd reports whether the state is final.
-func (sta State) IsEnd() bool {
+// IsFinal reports whether the state is final.
+func (sta State) IsFinal() bool {
 	return sta == StateCompleted || sta == StateRolledBack
 }
 
@@ -61,8 +61,8 @@
 	Revision uint64
 }
 
-// Standing is what the store holds about a roll-out.
-type Standing struct {
+// StoredState is what the store holds about a roll-out.
+type StoredState struct {
 	Order Order
 	// Ledger is the ledger of the order, and LedgerRevision its revision. Both are zero if none
 	// was written.
@@ -76,7 +76,7 @@
 }
 
 // publishedState returns the published state of the current order, or StateNone.
-func (sto Standing) publishedState() State {
+func (sto StoredState) publishedState() State {
 	if sto.StateRevision < sto.Order.Revision || sto.StateVersion != sto.Order.Version {
 		return StateNone
 	}
@@ -120,8 +120,8 @@
 
 // Access reports to the engines of which versions a request may be sent.
 type Access struct {
-	Former bool
-	New    bool
+	Old bool
+	New bool
 }
 
 // Answer is the result of a request.
@@ -131,12 +131,12 @@
 	New bool
 	// Failed reports whether the engine failed or gave no answer.
 	Failed bool
-	// Unfinished reports whether the client disconnected before the end of the answer. Such an
+	// Canceled reports whether the client disconnected before the end of the answer. Such an
 	// answer counts only if it was already slow.
-	Unfinished bool
-	// Took is the duration of the answer, and Expected the duration on an engine of usual
+	Canceled bool
+	// Elapsed is the duration of the answer, and Expected the duration on an engine of usual
 	// speed. If either is zero, the duration isn't judged.
-	Took     time.Duration
+	Elapsed  time.Duration
 	Expected time.Duration
 	// Loaded reports whether the engine had as many requests to run as the engines of the old
 	// version have.
@@ -145,8 +145,8 @@
 
 // Fleet describes the engines of a service.
 type Fleet struct {
-	FormerSlots int
-	NewSlots    int
+	OldSlots int
+	NewSlots int
 	// Running is the number of requests running on engines of the old version.
 	Running int
 	// Pinned is the number of these requests that can't be repeated and would be lost with
--- a/route/region.go
+++ b/route/region.go
@@ -53,8 +53,8 @@
 	return sco
 }
 
-// NowhereError reports a route and a client account without a common region.
-type NowhereError struct {
+// RegionConflictError reports a route and a client account without a common region.
+type RegionConflictError struct {
 	Route   string
 	Account string
 	// Field is the path of the account's field.
@@ -62,24 +62,24 @@
 }
 
 // Error returns the field, the route and the account.
-func (rce *NowhereError) Error() string {
+func (rce *RegionConflictError) Error() string {
 	return "configuration: " + rce.Field + ": shares no region with route " + rce.Route + "; requests of account " + rce.Account + " to this route are rejected"
 }
 
 // maxReported bounds the number of conflicts and of fields that are reported.
 const maxReported = 16
 
-// Nowhere returns the pairs of a route and a client account without a common region,
+// RegionConflicts returns the pairs of a route and a client account without a common region,
 // at most 16.
-func (tab *Table) Nowhere() []*NowhereError {
-	var conflicts []*NowhereError
+func (tab *Table) RegionConflicts() []*RegionConflictError {
+	var conflicts []*RegionConflictError
 	for idx, acc := range tab.configuration.Accounts {
 		if len(acc.Regions) == 0 {
 			continue
 		}
 		for _, rou := range tab.configuration.Routes {
 			if sco := rou.Scope(acc); sco.Bounded && len(sco.Regions) == 0 && len(conflicts) < maxReported {
-				conflicts = append(conflicts, &NowhereError{Route: rou.Name, Account: acc.Name, Field: accountField(idx, "Regions")})
+				conflicts = append(conflicts, &RegionConflictError{Route: rou.Name, Account: acc.Name, Field: accountField(idx, "Regions")})
 			}
 		}
 	}
--- a/route/region_test.go
+++ b/route/region_test.go
@@ -39,8 +39,8 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, tab.HostRegions("MENUS:80"), route.Scope{Bounded: true, Regions: []string{"y"}})
 	assert.DeepEqual(t, tab.HostRegions("other"), route.Scope{})
-	conflicts := tab.Nowhere()
+	conflicts := tab.RegionConflicts()
 	assert.Equal(t, len(conflicts), 1)
-	assert.DeepEqual(t, *conflicts[0], route.NowhereError{Route: "/c/", Account: "strange", Field: "Accounts[1].Regions"})
+	assert.DeepEqual(t, *conflicts[0], route.RegionConflictError{Route: "/c/", Account: "strange", Field: "Accounts[1].Regions"})
 	assert.DeepEqual(t, tab.UnknownRegions(func(region string) bool { return region != "nowhere" && region != "z" }), []string{"Routes[2].Regions", "Accounts[1].Regions"})
 }
--- a/route/route.go
+++ b/route/route.go
@@ -62,12 +62,12 @@
 	Shares []Share
 	// Timeout is the longest time for which a request may be held.
 	Timeout time.Duration
-	// Aim is the time within which an answer, or the first event of a stream, should
+	// LatencyTarget is the time within which an answer, or the first event of a stream, should
 	// arrive.
-	Aim time.Duration
-	// PauseAim is the longest gap that should occur between events of a stream; 0 if the
+	LatencyTarget time.Duration
+	// EventGapTarget is the longest gap that should occur between events of a stream; 0 if the
 	// route doesn't stream.
-	PauseAim time.Duration
+	EventGapTarget time.Duration
 	// Rank orders waiting requests; 0 is served first.
 	Rank int
 	// MaxAttempts is the number of engines that one request may be sent to.
@@ -145,8 +145,8 @@
 	Burst float64
 	// ByTokens is set if the units are tokens; otherwise each request counts as 1.
 	ByTokens bool
-	// PlainTokens is the cost of a request that doesn't state its tokens.
-	PlainTokens int
+	// DefaultTokens is the cost of a request that doesn't state its tokens.
+	DefaultTokens int
 	// Regions are those in which the account's requests may be served and held; empty for all.
 	Regions []string
 }
@@ -160,7 +160,7 @@
 	case tokens > 0:
 		return float64(tokens)
 	default:
-		return float64(acc.PlainTokens)
+		return float64(acc.DefaultTokens)
 	}
 }
 
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -19,7 +19,7 @@
 			{Name: "short", Host: "a.example", PathPrefix: "/a/", Shares: []route.Share{{Service: "one", Weight: 1}}, Timeout: time.Second, MaxAttempts: 1},
 			{Name: "long", Host: "a.example", PathPrefix: "/a/b/", Shares: []route.Share{{Service: "two", Weight: 1}}, Timeout: time.Second, MaxAttempts: 1},
 		},
-		Accounts: []route.Account{{Name: "kitchen", Keys: []string{"k1", "k2"}, ByTokens: true, PlainTokens: 200}},
+		Accounts: []route.Account{{Name: "kitchen", Keys: []string{"k1", "k2"}, ByTokens: true, DefaultTokens: 200}},
 	}
 }
 
@@ -67,7 +67,7 @@
 }
 
 func TestCostIsInTokensOrRequests(t *testing.T) {
-	acc := route.Account{ByTokens: true, PlainTokens: 200}
+	acc := route.Account{ByTokens: true, DefaultTokens: 200}
 	assert.Equal(t, acc.Cost(1500), 1500.0)
 	assert.Equal(t, acc.Cost(0), 200.0)
 	assert.Equal(t, route.Account{}.Cost(1500), 1.0)
--- a/scheduler/apart.go
+++ b/scheduler/apart.go
@@ -78,7 +78,7 @@
 		return len(ene.running) == 0
 	}
 	for _, rnn := range ene.running {
-		if !rnn.restricted || now.Sub(rnn.grantedAt) < quarantine.YoungFor {
+		if !rnn.restricted || now.Sub(rnn.grantedAt) < quarantine.NewRequestAge {
 			return false
 		}
 	}
--- a/scheduler/choose_test.go
+++ b/scheduler/choose_test.go
@@ -143,7 +143,7 @@
 		want string
 	}{"first-try": {0, "near"}, "second-try": {110 * time.Millisecond, "far"}} {
 		res := promptReservation(name, 1000)
-		res.Aim, res.Age = 300*time.Millisecond, tst.age
+		res.LatencyTarget, res.ClientWait = 300*time.Millisecond, tst.age
 		assert.Equal(t, grantedEngine(har.reserve(res), name), tst.want)
 		har.release(reservation.Release{ID: requestID(name)})
 	}
--- a/scheduler/cold_sim_test.go
+++ b/scheduler/cold_sim_test.go
@@ -86,7 +86,7 @@
 	case gra.Cold && sim.now.Sub(granted) < coldGrantTTL:
 		return true
 	}
-	sim.reportNotice(hos, fleet.Notice{Run: eng.ID, Word: fleet.Cold{Left: left}})
+	sim.reportNotice(hos, fleet.Notice{Run: eng.ID, Signal: fleet.Cold{Remaining: left}})
 	return false
 }
 
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -91,8 +91,8 @@
 func TestLongestColdSignalApplies(t *testing.T) {
 	har := newColdRateHarness()
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", time.Second)}})
-	har.reportSignal(peerEpoch, "a", fleet.Cold{Left: 2 * time.Second})
-	har.reportSignal(peerEpoch, "a", fleet.Cold{Left: time.Millisecond})
+	har.reportSignal(peerEpoch, "a", fleet.Cold{Remaining: 2 * time.Second})
+	har.reportSignal(peerEpoch, "a", fleet.Cold{Remaining: time.Millisecond})
 	har.advance(1900 * time.Millisecond)
 	assert.Assert(t, har.countGrants("a", 50, 0) < 10)
 	har.advance(100 * time.Millisecond)
@@ -130,7 +130,7 @@
 // although the store has no entry of it yet.
 func TestCrashedEngineIsColdWhenItReturns(t *testing.T) {
 	har := newColdRateHarness(plainEngine("a", 100), plainEngine("b", 0))
-	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineEnded{
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineCrashed{
 		ID: requestID("r"), Observation: quarantine.Observation{Subject: plainReservation("r").Subject(), Engine: "a"},
 	}})
 	har.advance(2500 * time.Millisecond)
@@ -159,6 +159,6 @@
 	har := newHarness()
 	har.configure()
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", coldPeriod)}})
-	har.reportSignal(peerEpoch, "a", fleet.Cold{Left: time.Hour})
+	har.reportSignal(peerEpoch, "a", fleet.Cold{Remaining: time.Hour})
 	assert.Equal(t, har.countGrants("a", 50, 0), 50)
 }
--- a/scheduler/crash_sim_test.go
+++ b/scheduler/crash_sim_test.go
@@ -172,7 +172,7 @@
 	for _, run := range eng.sortedRuns() {
 		delete(sim.runs, run.reserve.ID)
 		sub := run.reserve.Subject()
-		sim.apply(sim.har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineEnded{
+		sim.apply(sim.har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineCrashed{
 			ID: run.reserve.ID, Observation: quarantine.Observation{Subject: sub, Engine: name},
 		}}))
 		sim.apply(sim.har.release(reservation.Release{ID: run.reserve.ID, Engine: name, Dispatched: true, Failed: true}))
--- a/scheduler/dump.go
+++ b/scheduler/dump.go
@@ -19,8 +19,8 @@
 	// Cases are the requests that were involved in crashes, the most suspect first. Restricted
 	// are the traffic sources whose requests run only on isolated engines, since they crash
 	// engines and change each time.
-	Cases      []CaseDump          `json:",omitempty"`
-	Restricted []quarantine.Source `json:",omitempty"`
+	Cases      []CaseDump                 `json:",omitempty"`
+	Restricted []quarantine.TrafficSource `json:",omitempty"`
 }
 
 // ServiceDump is the state of one service.
@@ -95,7 +95,7 @@
 
 // Dump returns the state of the core.
 func (cor *Core) Dump(now time.Time) Dump {
-	dum := Dump{Parts: cor.divisor, Cases: cor.dumpCases(now), Restricted: cor.quarantine.Restricted()}
+	dum := Dump{Parts: cor.divisor, Cases: cor.dumpCases(now), Restricted: cor.quarantine.RestrictedSources()}
 	for _, svc := range cor.services {
 		dum.Services = append(dum.Services, svc.dump(now))
 	}
--- a/scheduler/line.go
+++ b/scheduler/line.go
@@ -39,20 +39,20 @@
 		return
 	}
 	if res.Attempt == 0 {
-		if !res.Again {
+		if !res.Requeued {
 			svc.retries.count(now)
 		}
 		if cor.exceedsLimit(now, res) {
 			cor.refuse(from, res, reservation.ReasonLimit, svc.inputs(now, now))
 			return
 		}
-	} else if !res.Again && !svc.retries.take(now, cor.divisor) {
+	} else if !res.Requeued && !svc.retries.take(now, cor.divisor) {
 		cor.refuse(from, res, reservation.ReasonBudget, svc.inputs(now, now))
 		return
 	}
 	svc.arrivals++
 	wai := &waiter{reserve: res, gateway: from, number: svc.arrivals, since: now, scope: strings.Join(res.Regions, " ")}
-	wai.late = res.Attempt == 0 && res.Age > res.Aim
+	wai.late = res.Attempt == 0 && res.ClientWait > res.LatencyTarget
 	wai.until = now.Add(maxWait(res))
 	pos, _ := slices.BinarySearchFunc(svc.waiting, wai, compareWaiters)
 	svc.waiting = slices.Insert(svc.waiting, pos, wai)
@@ -61,7 +61,7 @@
 
 // maxWait returns the maximum time that a request may wait for an engine.
 func maxWait(res reservation.Reserve) time.Duration {
-	return min(max(0, time.Duration(maxWaitShare*float64(res.Aim))-responseMargin), res.Remaining)
+	return min(max(0, time.Duration(maxWaitShare*float64(res.LatencyTarget))-responseMargin), res.Remaining)
 }
 
 func compareWaiters(left, right *waiter) int {
@@ -79,7 +79,7 @@
 }
 
 func (wai *waiter) waitedBefore() bool {
-	return wai.reserve.Attempt > 0 || wai.reserve.Again
+	return wai.reserve.Attempt > 0 || wai.reserve.Requeued
 }
 
 func ordinal(val bool) int {
--- a/scheduler/notice.go
+++ b/scheduler/notice.go
@@ -76,17 +76,17 @@
 	if ene == nil {
 		return
 	}
-	switch sgn := msg.Word.(type) {
-	case fleet.Leaving, fleet.Replaced:
+	switch sgn := msg.Signal.(type) {
+	case fleet.Draining, fleet.Replaced:
 		cor.signalsOf(ene).draining = true
-	case fleet.Pause:
-		cor.signalsOf(ene).applyBackoff(now, from, sgn.Left, cor.cfg.BackoffScope)
+	case fleet.Backoff:
+		cor.signalsOf(ene).applyBackoff(now, from, sgn.Remaining, cor.cfg.BackoffScope)
 	case fleet.RateLimit:
 		cor.applyRateLimit(now, ene, sgn)
 	case fleet.Unlimited:
 		cor.clearRate(now, ene)
 	case fleet.Cold:
-		cor.markCold(now, ene, now.Add(sgn.Left))
+		cor.markCold(now, ene, now.Add(sgn.Remaining))
 	}
 	cor.serveEngine(now, ene)
 }
--- a/scheduler/notice_test.go
+++ b/scheduler/notice_test.go
@@ -16,9 +16,9 @@
 const otherPeerEpoch = request.Epoch(3)
 
 // reportSignal reports an engine's signal that a gateway received.
-func (har *harness) reportSignal(gateway request.Epoch, engine string, signal fleet.Word) []scheduler.Send {
+func (har *harness) reportSignal(gateway request.Epoch, engine string, signal fleet.Signal) []scheduler.Send {
 	return har.handle(scheduler.Received{From: gateway, Message: reservation.EngineNotice{
-		Notice: fleet.Notice{Run: fleet.EngineID{Name: engine}, Word: signal},
+		Notice: fleet.Notice{Run: fleet.EngineID{Name: engine}, Signal: signal},
 	}})
 }
 
@@ -53,7 +53,7 @@
 // engine's entry is written again as ready.
 func TestDrainingSignalExcludesEngineForAllGateways(t *testing.T) {
 	har := newHarness(plainEngine("a", 4), plainEngine("b", 4))
-	har.reportSignal(peerEpoch, "a", fleet.Leaving{})
+	har.reportSignal(peerEpoch, "a", fleet.Draining{})
 	ready := plainEngine("a", 4)
 	ready.Sequence = 9
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{ready, plainEngine("b", 4)}})
@@ -70,7 +70,7 @@
 // the engine with one request at a time, and an answer unblocks it for them.
 func TestBackoffBlocksItsReceiverWhileOthersProbe(t *testing.T) {
 	har := newHarness(plainEngine("a", 4))
-	har.reportSignal(peerEpoch, "a", fleet.Pause{Left: 6 * time.Second})
+	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: 6 * time.Second})
 	har.advance(4 * time.Second)
 	_, ref := decisionFor(har.reserveFrom(peerEpoch, plainReservation("asked")), "asked")
 	assert.Equal(t, ref.Reason, reservation.ReasonBackoff)
@@ -89,7 +89,7 @@
 // doubles, up to four seconds and at most the backoff requested.
 func TestBackoffAfterProbeDelaysNextProbe(t *testing.T) {
 	har := newHarness(plainEngine("a", 4))
-	har.reportSignal(request.Epoch(50), "a", fleet.Pause{Left: 10 * time.Second})
+	har.reportSignal(request.Epoch(50), "a", fleet.Backoff{Remaining: 10 * time.Second})
 	for num, delay := range []time.Duration{0, 500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
 		gateway := request.Epoch(100 + num)
 		if delay > 0 {
@@ -103,21 +103,21 @@
 		name := fmt.Sprint("try", num)
 		assert.Equal(t, grantedEngine(har.reserveFrom(gateway, plainReservation(name)), name), "a")
 		har.now = har.now.Add(300 * time.Millisecond)
-		har.reportSignal(gateway, "a", fleet.Pause{Left: 10 * time.Second})
-		har.release(reservation.Release{ID: requestID(name), Engine: "a", Dispatched: true, Rejected: true, BackedOff: true})
+		har.reportSignal(gateway, "a", fleet.Backoff{Remaining: 10 * time.Second})
+		har.release(reservation.Release{ID: requestID(name), Engine: "a", Dispatched: true, Rejected: true, Throttled: true})
 	}
 	har.advance(4 * time.Second)
 	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("served")), "served"), "a")
 	har.now = har.now.Add(10 * time.Millisecond)
 	har.release(answeredRelease("served"))
-	har.reportSignal(request.Epoch(51), "a", fleet.Pause{Left: 10 * time.Second})
+	har.reportSignal(request.Epoch(51), "a", fleet.Backoff{Remaining: 10 * time.Second})
 	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("anew")), "anew"), "a", "the engine has served a request since, so the delay starts at zero")
 }
 
 // The answer to a probe may be lost: another request probes the engine after a second.
 func TestLostProbeBlocksOthersForOneSecond(t *testing.T) {
 	har := newHarness(plainEngine("a", 4))
-	har.reportSignal(peerEpoch, "a", fleet.Pause{Left: time.Second})
+	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: time.Second})
 	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("lost")), "lost"), "a")
 	har.advance(950 * time.Millisecond)
 	engine, _ := decisionFor(har.reserveFrom(otherPeerEpoch, plainReservation("waits")), "waits")
@@ -129,12 +129,12 @@
 // extend the block of the others.
 func TestRepeatedBackoffReportDoesNotBlockOthers(t *testing.T) {
 	har := newHarness(plainEngine("a", 4))
-	har.reportSignal(peerEpoch, "a", fleet.Pause{Left: time.Hour})
+	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: time.Hour})
 	har.now = har.now.Add(5 * time.Second)
 	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("probe")), "probe"), "a")
 	har.now = har.now.Add(20 * time.Millisecond)
 	har.handle(scheduler.Received{From: otherPeerEpoch, Message: answeredRelease("probe")})
-	har.reportSignal(peerEpoch, "a", fleet.Pause{Left: time.Hour - 5*time.Second})
+	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: time.Hour - 5*time.Second})
 	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("next")), "next"), "a")
 	_, ref := decisionFor(har.reserveFrom(peerEpoch, plainReservation("asked")), "asked")
 	assert.Equal(t, ref.Reason, reservation.ReasonBackoff)
@@ -149,7 +149,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			har := newHarness(plainEngine("a", 4))
-			har.reportSignal(peerEpoch, "a", fleet.Pause{Left: time.Second})
+			har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: time.Second})
 			har.advance(time.Second)
 			assert.Equal(t, grantedEngine(har.reserve(plainReservation("probe")), "probe"), "a")
 			end(har)
@@ -163,8 +163,8 @@
 // served in the order of tiers.
 func TestAllEnginesInBackoffOrDraining(t *testing.T) {
 	har := newHarness(plainEngine("a", 1), plainEngine("b", 4))
-	har.reportSignal(peerEpoch, "b", fleet.Leaving{})
-	har.reportSignal(peerEpoch, "a", fleet.Pause{Left: 2 * time.Second})
+	har.reportSignal(peerEpoch, "b", fleet.Draining{})
+	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: 2 * time.Second})
 	_, ref := decisionFor(har.reserve(plainReservation("early")), "early")
 	assert.Equal(t, ref.Reason, reservation.ReasonBackoff)
 	assert.Assert(t, ref.RetryAfter >= 100*time.Millisecond && ref.RetryAfter <= 500*time.Millisecond, "other hosts may use the engine, so a retry is worthwhile soon: %s", ref.RetryAfter)
@@ -178,7 +178,7 @@
 	assert.Equal(t, grantedEngine(har.advance(40*time.Millisecond), "high"), "a")
 	har.now = har.now.Add(10 * time.Millisecond)
 	assert.Equal(t, grantedEngine(har.release(answeredRelease("high")), "low"), "a")
-	har.reportSignal(peerEpoch, "a", fleet.Leaving{})
+	har.reportSignal(peerEpoch, "a", fleet.Draining{})
 	_, ref = decisionFor(har.reserve(plainReservation("none")), "none")
 	assert.Equal(t, ref.Reason, reservation.ReasonBackoff)
 	assert.Assert(t, ref.RetryAfter > 0)
@@ -192,7 +192,7 @@
 		assert.Equal(t, grantedEngine(har.reserve(longReservation(name)), name), "a")
 	}
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{plainEngine("a", 1), plainEngine("b", 4)}})
-	har.reportSignal(peerEpoch, "b", fleet.Pause{Left: 50 * time.Millisecond})
+	har.reportSignal(peerEpoch, "b", fleet.Backoff{Remaining: 50 * time.Millisecond})
 	waiting := plainReservation("waits")
 	waiting.Rank = -1
 	engine, _ := decisionFor(har.reserve(waiting), "waits")
@@ -207,7 +207,7 @@
 	for num := range 6 {
 		name := fmt.Sprint("r", num)
 		engine := grantedEngine(har.reserve(plainReservation(name)), name)
-		har.release(reservation.Release{ID: requestID(name), Engine: engine, Dispatched: true, Rejected: true, BackedOff: true})
+		har.release(reservation.Release{ID: requestID(name), Engine: engine, Dispatched: true, Rejected: true, Throttled: true})
 	}
 	for _, svc := range har.core.Dump(har.now).Services {
 		for _, eng := range svc.Engines {
@@ -226,13 +226,13 @@
 	for num := range 6 {
 		har.reserve(plainReservation(fmt.Sprint("line", num)))
 	}
-	har.reportSignal(peerEpoch, "a", fleet.Leaving{})
+	har.reportSignal(peerEpoch, "a", fleet.Draining{})
 	har.release(reservation.Release{ID: first.ID, Engine: "a"})
-	first.Again = true
+	first.Requeued = true
 	har.reserve(first)
 	assert.Equal(t, grantedEngine(har.release(answeredRelease("other")), "first"), "b", "before the requests that arrived later")
 	repeat := plainReservation("repeat")
-	repeat.Attempt, repeat.Again = 1, true
+	repeat.Attempt, repeat.Requeued = 1, true
 	for range 50 {
 		_, ref := decisionFor(har.reserve(repeat), "repeat")
 		assert.Assert(t, ref.Reason != reservation.ReasonBudget)
@@ -254,7 +254,7 @@
 			}
 			for num := range backedOff {
 				for gateway := range 20 {
-					har.reportSignal(request.Epoch(100+gateway*15), fmt.Sprintf("e%03d", num), fleet.Pause{Left: time.Hour})
+					har.reportSignal(request.Epoch(100+gateway*15), fmt.Sprintf("e%03d", num), fleet.Backoff{Remaining: time.Hour})
 				}
 			}
 			for num := range 4096 {
@@ -269,6 +269,6 @@
 
 func longReservation(name string) reservation.Reserve {
 	res := plainReservation(name)
-	res.Aim, res.Remaining = 10*time.Hour, 10*time.Hour
+	res.LatencyTarget, res.Remaining = 10*time.Hour, 10*time.Hour
 	return res
 }
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -180,7 +180,7 @@
 		run.reserve = plainReservation(fmt.Sprintf("p%09d", sim.sent))
 	}
 	spent := sim.har.now.Sub(run.startedAt)
-	run.reserve.Aim, run.reserve.Remaining = backoffLatencyTarget-spent, backoffTimeout-spent
+	run.reserve.LatencyTarget, run.reserve.Remaining = backoffLatencyTarget-spent, backoffTimeout-spent
 	sim.waiting[run.reserve.ID] = run
 	sim.apply(sim.har.handle(scheduler.Received{From: run.host, Message: run.reserve}))
 }
@@ -212,10 +212,10 @@
 // handleGrant checks the host's own notices of the engine once more and sends the request.
 func (sim *backoffSim) handleGrant(run *backoffRun, name string) {
 	eng, now := sim.engines[name], sim.har.now
-	if sig := sim.notices[run.host].Bar(now, eng.ID); sig != nil {
-		sim.reportNotice(run.host, fleet.Notice{Run: eng.ID, Word: sig})
+	if sig := sim.notices[run.host].BlockingSignal(now, eng.ID); sig != nil {
+		sim.reportNotice(run.host, fleet.Notice{Run: eng.ID, Signal: sig})
 		sim.release(run, reservation.Release{ID: run.reserve.ID, Engine: name})
-		run.reserve.Again = true
+		run.reserve.Requeued = true
 		if sim.cfg.policy == backoffByHost {
 			// The coordinator doesn't know why the grant was returned.
 			run.reserve.Exclude = append(run.reserve.Exclude, name)
@@ -253,15 +253,15 @@
 	}
 	rel := reservation.Release{ID: run.reserve.ID, Engine: eng.ID.Name, Dispatched: true, Rejected: true}
 	if sim.cfg.policy != backoffIgnored {
-		ntc := fleet.Notice{Run: eng.ID, Word: fleet.Pause{Left: backoffPeriod}}
-		sim.notices[run.host].Take(sim.har.now, ntc)
+		ntc := fleet.Notice{Run: eng.ID, Signal: fleet.Backoff{Remaining: backoffPeriod}}
+		sim.notices[run.host].Record(sim.har.now, ntc)
 		sim.reportNotice(run.host, ntc)
-		rel.BackedOff = sim.cfg.policy != backoffByHost
+		rel.Throttled = sim.cfg.policy != backoffByHost
 	}
 	sim.release(run, rel)
 	run.reserve.Attempt++
 	run.reserve.Exclude = append(run.reserve.Exclude, eng.ID.Name)
-	run.reserve.Again = false
+	run.reserve.Requeued = false
 	if run.reserve.Attempt < sim.cfg.maxAttempts {
 		sim.reserve(run, false)
 		return
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -136,7 +136,7 @@
 			har := newRegionalHarness(engines...)
 			longRegional := func(name string) reservation.Reserve {
 				res := reservationInRegions(name, regions...)
-				res.Aim, res.Remaining = time.Hour, time.Hour
+				res.LatencyTarget, res.Remaining = time.Hour, time.Hour
 				return res
 			}
 			for num := range 650 * 2 {
--- a/scheduler/place_ways_test.go
+++ b/scheduler/place_ways_test.go
@@ -165,7 +165,7 @@
 		release(reservation.Release{})
 		sim.result.returned++
 		run.returned++
-		run.reserve.Again = true
+		run.reserve.Requeued = true
 		run.reserve.Exclude = append(slices.Clone(run.reserve.Exclude), gra.Engine)
 		if run.returned >= maxReturned && sim.policy == evacuateByReturn {
 			sim.result.refused++
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -53,7 +53,7 @@
 // handling returns how a request is treated. It returns early while the quarantine is empty.
 func (cor *Core) handling(now time.Time, res reservation.Reserve) handling {
 	reg := cor.quarantine
-	if reg.Quiet() {
+	if reg.IsEmpty() {
 		return handleNormal
 	}
 	switch reg.Level(now, res.Digest) {
@@ -70,7 +70,7 @@
 		}
 	case quarantine.LevelClear:
 	}
-	restricted, pause := reg.Restriction(now, res.Subject().Source())
+	restricted, pause := reg.Restriction(now, res.Subject().TrafficSource())
 	switch {
 	case pause > 0:
 		return handleDeferred
@@ -99,14 +99,14 @@
 // refuseQuarantined refuses a request that can't run in time, and reports whether it did: a held
 // request, or one whose traffic source is paused for longer than the request may wait.
 func (cor *Core) refuseQuarantined(now time.Time, from request.Epoch, res reservation.Reserve, svc *service) bool {
-	if cor.quarantine.Quiet() {
+	if cor.quarantine.IsEmpty() {
 		return false
 	}
 	if ref, held := cor.Held(now, res); held {
 		cor.send(from, ref, svc.inputs(now, now))
 		return true
 	}
-	_, pause := cor.quarantine.Restriction(now, res.Subject().Source())
+	_, pause := cor.quarantine.Restriction(now, res.Subject().TrafficSource())
 	if pause <= maxWait(res) {
 		return false
 	}
@@ -116,7 +116,7 @@
 
 // Held returns the refusal of a request, and whether the request is held.
 func (cor *Core) Held(now time.Time, res reservation.Reserve) (reservation.Refuse, bool) {
-	if cor.quarantine.Quiet() || cor.quarantine.Level(now, res.Digest) != quarantine.LevelHeld {
+	if cor.quarantine.IsEmpty() || cor.quarantine.Level(now, res.Digest) != quarantine.LevelHeld {
 		return reservation.Refuse{}, false
 	}
 	left := cor.quarantine.HeldFor(now, res.Digest)
@@ -164,27 +164,27 @@
 // recordComplete records a complete answer: it clears the request of suspicion and shows that the
 // engine is alive.
 func (cor *Core) recordComplete(now time.Time, rnn *run) {
-	if cor.quarantine.Quiet() {
+	if cor.quarantine.IsEmpty() {
 		return
 	}
-	cor.quarantine.Answered(now, rnn.subject.Digest)
-	if rnn.restricted && cor.quarantine.AnsweredAlone(rnn.subject.Source()) {
-		cor.sourceChanges = append(cor.sourceChanges, SourceChange{Source: rnn.subject.Source()})
+	cor.quarantine.RecordAnswer(now, rnn.subject.Digest)
+	if rnn.restricted && cor.quarantine.RecordExclusiveAnswer(rnn.subject.TrafficSource()) {
+		cor.sourceChanges = append(cor.sourceChanges, SourceChange{Source: rnn.subject.TrafficSource()})
 	}
 	if rnn.engine.crashed && rnn.grantedAt.After(rnn.engine.crashedAt) {
 		rnn.engine.crashed = false
-		cor.quarantine.Lives(now, rnn.engine.name)
+		cor.quarantine.RecordAlive(now, rnn.engine.name)
 	}
 }
 
 // applyCrash records a gateway's report that an engine crashed while it ran a request.
-func (cor *Core) applyCrash(now time.Time, msg reservation.EngineEnded) {
+func (cor *Core) applyCrash(now time.Time, msg reservation.EngineCrashed) {
 	obs := msg.Observation
 	if rnn := cor.runs[msg.ID]; rnn != nil && rnn.engine.name == obs.Engine {
-		obs.Alone = rnn.exclusive || rnn.restricted && now.Sub(rnn.grantedAt) < quarantine.YoungFor
+		obs.Exclusive = rnn.exclusive || rnn.restricted && now.Sub(rnn.grantedAt) < quarantine.NewRequestAge
 	}
-	if msg.Uncertain {
-		cor.quarantine.Doubt(now, obs)
+	if msg.Unconfirmed {
+		cor.quarantine.RecordUnconfirmedCrash(now, obs)
 		return
 	}
 	cor.recordCrash(now, obs)
@@ -201,16 +201,16 @@
 			cor.recordUnexplainedCrash(now, ene)
 		}
 	}
-	cor.quarantine.Ended(now, obs)
-	if obs.Alone {
-		cor.quarantine.EndedAlone(now, obs.Source(), len(cor.service(obs.Service).engines))
+	cor.quarantine.RecordCrash(now, obs)
+	if obs.Exclusive {
+		cor.quarantine.RecordExclusiveCrash(now, obs.TrafficSource(), len(cor.service(obs.Service).engines))
 	}
 }
 
 // hasKnownCause reports whether the engine ran a request that was involved in an earlier crash.
 func (cor *Core) hasKnownCause(ene *engine) bool {
 	for _, rnn := range ene.running {
-		if rnn.exclusive || rnn.restricted || cor.quarantine.Ends(rnn.subject.Digest) > 0 {
+		if rnn.exclusive || rnn.restricted || cor.quarantine.Crashes(rnn.subject.Digest) > 0 {
 			return true
 		}
 	}
@@ -222,8 +222,8 @@
 func (cor *Core) recordUnexplainedCrash(now time.Time, crashed *engine) {
 	svc := cor.service(crashed.Service)
 	otherEngines := 0
-	counts := make(map[quarantine.Source]int)
-	youngCounts := make(map[quarantine.Source]int)
+	counts := make(map[quarantine.TrafficSource]int)
+	youngCounts := make(map[quarantine.TrafficSource]int)
 	for _, ene := range svc.engines {
 		if ene == crashed || ene.isDraining() || ene.crashedRecently(now) {
 			continue
@@ -241,21 +241,21 @@
 	here, young := crashed.sourcesAt(now)
 	var present []quarantine.Presence
 	for src := range here {
-		present = append(present, quarantine.Presence{Source: src, Here: true, Young: young[src], Usual: shareOf(counts[src]), UsualYoung: shareOf(youngCounts[src])})
+		present = append(present, quarantine.Presence{TrafficSource: src, HasRequest: true, HasNewRequest: young[src], RequestShare: shareOf(counts[src]), NewRequestShare: shareOf(youngCounts[src])})
 	}
-	for _, src := range cor.quarantine.UnexplainedEnd(now, present) {
+	for _, src := range cor.quarantine.RecordUnexplainedCrash(now, present) {
 		cor.sourceChanges = append(cor.sourceChanges, SourceChange{Source: src, Restricted: true})
 	}
 }
 
 // sourcesAt returns the traffic sources with a request at the engine, and those with a young
 // request.
-func (ene *engine) sourcesAt(now time.Time) (here, young map[quarantine.Source]bool) {
-	here, young = make(map[quarantine.Source]bool), make(map[quarantine.Source]bool)
+func (ene *engine) sourcesAt(now time.Time) (here, young map[quarantine.TrafficSource]bool) {
+	here, young = make(map[quarantine.TrafficSource]bool), make(map[quarantine.TrafficSource]bool)
 	for _, rnn := range ene.running {
-		src := rnn.subject.Source()
+		src := rnn.subject.TrafficSource()
 		here[src] = true
-		if now.Sub(rnn.grantedAt) <= quarantine.YoungFor {
+		if now.Sub(rnn.grantedAt) <= quarantine.NewRequestAge {
 			young[src] = true
 		}
 	}
@@ -264,14 +264,14 @@
 
 // settleUnconfirmed passes the known engines to the registry, to settle unconfirmed crashes.
 func (cor *Core) settleUnconfirmed(now time.Time) {
-	if cor.quarantine.Quiet() {
+	if cor.quarantine.IsEmpty() {
 		return
 	}
 	known := make([]quarantine.Engine, 0, len(cor.engines))
 	for _, ene := range cor.engines {
-		known = append(known, quarantine.Engine{Run: ene.name, Leaving: ene.isDraining()})
+		known = append(known, quarantine.Engine{Run: ene.name, Draining: ene.isDraining()})
 	}
-	for _, obs := range cor.quarantine.EnginesChanged(now, known) {
+	for _, obs := range cor.quarantine.ApplyEngines(now, known) {
 		cor.recordCrash(now, obs)
 	}
 }
@@ -279,7 +279,7 @@
 // SourceChange reports that the requests of a traffic source are restricted to isolated engines
 // from now on, or no longer.
 type SourceChange struct {
-	Source     quarantine.Source
+	Source     quarantine.TrafficSource
 	Restricted bool
 }
 
@@ -299,13 +299,13 @@
 
 // HasCase reports whether the request was involved in a crash.
 func (cor *Core) HasCase(dig call.Digest) bool {
-	return cor.quarantine.Ends(dig) > 0
+	return cor.quarantine.Crashes(dig) > 0
 }
 
 // HoldsToStore returns the held requests to be stored, and whether they differ from those last
 // read from the store.
 func (cor *Core) HoldsToStore() ([]quarantine.Hold, bool) {
-	return cor.quarantine.ToStore()
+	return cor.quarantine.HoldsToStore()
 }
 
 // CaseDump is the state of a request that was involved in crashes.
@@ -339,7 +339,7 @@
 			Digest: cas.Digest, Level: cor.quarantine.LevelOf(now, cas).String(), Service: cas.Service, Account: cas.Account, Route: cas.Route,
 			Until: cas.Until, ForGood: cas.Held && cas.Until.IsZero(), Trials: cas.Trials,
 		}
-		for _, end := range cas.Ends {
+		for _, end := range cas.Crashes {
 			dum.Engines, dum.Alone = append(dum.Engines, end.Engine), end.Alone
 		}
 		dumps = append(dumps, dum)
--- a/scheduler/quarantine_test.go
+++ b/scheduler/quarantine_test.go
@@ -28,7 +28,7 @@
 
 // reportCrash reports, as the request's gateway does, that an engine crashed under a request.
 func (har *harness) reportCrash(res reservation.Reserve, engine string) {
-	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineEnded{
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineCrashed{
 		ID: res.ID, Observation: quarantine.Observation{Subject: res.Subject(), Engine: engine},
 	}})
 	har.release(reservation.Release{ID: res.ID, Engine: engine, Dispatched: true, Failed: true})
@@ -174,10 +174,10 @@
 	name   string
 	policy quarantine.Config
 }{
-	{"never", quarantine.Config{SuspectAt: 1000, HoldAt: 1000, HoldAloneAt: 1000}},
-	{"three-ends", quarantine.Config{SuspectAt: 1000, HoldAt: 3, HoldAloneAt: 1000}},
-	{"two-ends", quarantine.Config{SuspectAt: 1000, HoldAt: 2, HoldAloneAt: 1000}},
-	{"alone-from-first", quarantine.Config{SuspectAt: 1, HoldAt: 3, HoldAloneAt: 2}},
+	{"never", quarantine.Config{SuspectAt: 1000, HoldAt: 1000, HoldExclusiveAt: 1000}},
+	{"three-ends", quarantine.Config{SuspectAt: 1000, HoldAt: 3, HoldExclusiveAt: 1000}},
+	{"two-ends", quarantine.Config{SuspectAt: 1000, HoldAt: 2, HoldExclusiveAt: 1000}},
+	{"alone-from-first", quarantine.Config{SuspectAt: 1, HoldAt: 3, HoldExclusiveAt: 2}},
 	{"alone-from-second", quarantine.Config{}},
 }
 
@@ -243,7 +243,7 @@
 			for num := range 1024 {
 				name := fmt.Sprint("wait-", num)
 				res := sameRequest(name, name)
-				res.Aim, res.Remaining = time.Hour, time.Hour
+				res.LatencyTarget, res.Remaining = time.Hour, time.Hour
 				har.reserve(res)
 			}
 			for b.Loop() {
@@ -259,7 +259,7 @@
 // reportUnconfirmedCrash reports a broken connection to an engine that may still run.
 func (har *harness) reportUnconfirmedCrash(num int) {
 	res := sameRequest(fmt.Sprint("doubted-", num), fmt.Sprint("doubted-", num))
-	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineEnded{
-		ID: res.ID, Observation: quarantine.Observation{Subject: res.Subject(), Engine: "e01"}, Uncertain: true,
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineCrashed{
+		ID: res.ID, Observation: quarantine.Observation{Subject: res.Subject(), Engine: "e01"}, Unconfirmed: true,
 	}})
 }
--- a/scheduler/rate.go
+++ b/scheduler/rate.go
@@ -237,9 +237,9 @@
 func (ene *engine) grantRate() reservation.GrantRate {
 	switch {
 	case ene.limiter != nil && ene.limiter.hasRate:
-		return reservation.GrantRatePaced
+		return reservation.GrantRateLimited
 	case ene.rateEnded:
-		return reservation.GrantRateEnded
+		return reservation.GrantRateUnlimited
 	default:
 		return reservation.GrantRateUnknown
 	}
--- a/scheduler/rate_sim_test.go
+++ b/scheduler/rate_sim_test.go
@@ -308,8 +308,8 @@
 	sim.sent++
 	previous := run.reserve
 	run.reserve = plainReservation(fmt.Sprintf("q%09d", sim.sent))
-	run.reserve.Exclude, run.reserve.Again = previous.Exclude, run.retries > 0
-	run.reserve.Aim = rateLatencyTarget
+	run.reserve.Exclude, run.reserve.Requeued = previous.Exclude, run.retries > 0
+	run.reserve.LatencyTarget = rateLatencyTarget
 	run.reservedAt = sim.now
 	sim.runs[run.reserve.ID] = run
 	sim.schedule(rateNetworkDelay, func() {
@@ -386,7 +386,7 @@
 		// A host reports an engine's signal before it releases the request that carried it.
 		ntc := sim.readSignal(run.host, eng, sent)
 		sim.schedule(rateNetworkDelay, func() {
-			if ntc.Word != nil {
+			if ntc.Signal != nil {
 				sim.reportNotice(run.host, ntc)
 			}
 			sim.release(crd, run.host, reservation.Release{ID: run.reserve.ID, Engine: gra.Engine, Dispatched: true, Answered: true, Total: took})
@@ -403,14 +403,14 @@
 	ntc := fleet.Notice{Run: eng.ID}
 	switch {
 	case eng.limited:
-		ntc.Word = fleet.RateLimit{PerSecond: eng.rate}
+		ntc.Signal = fleet.RateLimit{PerSecond: eng.rate}
 		if _, known := eng.sentLimit[hos]; !known {
 			eng.sentLimit[hos] = sim.now
 		}
 	case hos.notices.EndsLimit(eng.ID, sent):
-		ntc.Word = fleet.Unlimited{}
+		ntc.Signal = fleet.Unlimited{}
 	}
-	hos.notices.Take(sim.now, ntc)
+	hos.notices.Record(sim.now, ntc)
 	return ntc
 }
 
@@ -432,14 +432,14 @@
 		return true
 	}
 	if sim.cfg.policy == rateByGrant {
-		if gra.Rate == reservation.GrantRatePaced && sim.now.Sub(granted) < rateGrantTTL {
+		if gra.Rate == reservation.GrantRateLimited && sim.now.Sub(granted) < rateGrantTTL {
 			return true
 		}
-		if gra.Rate == reservation.GrantRateEnded && reservedAt.After(lim.At) {
-			hos.notices.Take(sim.now, fleet.Notice{Run: eng.ID, Word: fleet.Unlimited{}})
+		if gra.Rate == reservation.GrantRateUnlimited && reservedAt.After(lim.ReceivedAt) {
+			hos.notices.Record(sim.now, fleet.Notice{Run: eng.ID, Signal: fleet.Unlimited{}})
 			return true
 		}
-		sim.reportNotice(hos, fleet.Notice{Run: eng.ID, Word: lim.RateLimit})
+		sim.reportNotice(hos, fleet.Notice{Run: eng.ID, Signal: lim.RateLimit})
 		return false
 	}
 	return sim.shareOf(hos, eng).take(sim.now, lim.PerSecond)
--- a/scheduler/rate_test.go
+++ b/scheduler/rate_test.go
@@ -14,7 +14,7 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-func rateLimitSignal(perSecond float64) fleet.Word {
+func rateLimitSignal(perSecond float64) fleet.Signal {
 	return fleet.RateLimit{PerSecond: perSecond}
 }
 
@@ -116,7 +116,7 @@
 	assert.Equal(t, grantedEngine(har.reserve(plainReservation("unsent")), "unsent"), "a")
 	har.release(reservation.Release{ID: requestID("unsent")})
 	assert.Equal(t, grantedEngine(har.reserve(plainReservation("sent")), "sent"), "a")
-	har.release(reservation.Release{ID: requestID("sent"), Dispatched: true, Rejected: true, BackedOff: true})
+	har.release(reservation.Release{ID: requestID("sent"), Dispatched: true, Rejected: true, Throttled: true})
 	assert.Equal(t, grantedEngine(har.reserve(plainReservation("next")), "next"), "")
 	assert.Equal(t, grantedEngine(har.advance(400*time.Millisecond), "next"), "", "the engine isn't ejected, and its limit is one request per second")
 }
@@ -203,7 +203,7 @@
 func TestRateLimitAppliesAfterBackoff(t *testing.T) {
 	har := newHarness(plainEngine("a", 100))
 	har.reportSignal(peerEpoch, "a", rateLimitSignal(4))
-	har.reportSignal(peerEpoch, "a", fleet.Pause{Left: 2 * time.Second})
+	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: 2 * time.Second})
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 19, 100*time.Millisecond), 0)
 	har.advance(time.Second)
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 3)
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -9,7 +9,7 @@
 )
 
 // RolloutsChanged brings the stored state of all roll-outs.
-type RolloutsChanged struct{ States []rollout.Standing }
+type RolloutsChanged struct{ States []rollout.StoredState }
 
 // RolloutRecorded reports that a write of a roll-out was stored, with the resulting revision of
 // its key.
@@ -23,11 +23,11 @@
 
 // applyRollouts applies the stored states. A version whose roll-out is replaced by another
 // order before it was known to be healthy gets no further requests.
-func (cor *Core) applyRollouts(now time.Time, states []rollout.Standing) {
+func (cor *Core) applyRollouts(now time.Time, states []rollout.StoredState) {
 	for _, sta := range states {
 		svc := cor.service(sta.Order.Service)
 		if svc.rollout != nil && sta.Order.Revision <= svc.rollout.Order().Revision {
-			svc.rollout.Adopt(sta)
+			svc.rollout.ApplyStored(sta)
 			svc.stopOldVersion()
 			continue
 		}
@@ -46,7 +46,7 @@
 
 func (cor *Core) recordRollout(rec RolloutRecorded) {
 	if svc := cor.services[rec.Write.Service]; svc != nil && svc.rollout != nil {
-		svc.rollout.Recorded(rec.Write, rec.Revision)
+		svc.rollout.ConfirmWrite(rec.Write, rec.Revision)
 	}
 }
 
@@ -69,7 +69,7 @@
 	var writes []rollout.Write
 	for _, svc := range cor.services {
 		if svc.rollout != nil {
-			writes = append(writes, svc.rollout.Writes(now, svc.rolloutFleet())...)
+			writes = append(writes, svc.rollout.Advance(now, svc.rolloutFleet())...)
 			svc.stopOldVersion()
 		}
 	}
@@ -93,7 +93,7 @@
 
 // hasActiveRollout reports whether the service has an undecided roll-out.
 func (svc *service) hasActiveRollout() bool {
-	return svc.rollout != nil && !svc.rollout.State().IsEnd()
+	return svc.rollout != nil && !svc.rollout.State().IsFinal()
 }
 
 // rolloutFleet returns the counts of engines and runs that the roll-out is decided by.
@@ -105,7 +105,7 @@
 			fle.NewSlots += ene.Slots
 		case !svc.runsNewVersion(ene):
 			if !ene.isDraining() {
-				fle.FormerSlots += ene.Slots
+				fle.OldSlots += ene.Slots
 			}
 			fle.Running += len(ene.running)
 			for _, rnn := range ene.running {
@@ -138,7 +138,7 @@
 	}
 	acc := access{service: svc, restricted: true}
 	acc.Access = svc.rollout.Access(now, rollout.Request{Route: res.Route, Repeatable: res.Repeatable, Repeated: res.Attempt > 0})
-	if !acc.New || !acc.Former || !svc.hasActiveRollout() {
+	if !acc.New || !acc.Old || !svc.hasActiveRollout() {
 		return acc
 	}
 	acc.New = false
@@ -160,7 +160,7 @@
 	case acc.service.runsNewVersion(ene):
 		return acc.New || ene == acc.canary
 	default:
-		return acc.Former
+		return acc.Old
 	}
 }
 
@@ -185,23 +185,23 @@
 		return
 	}
 	rnn.loaded = svc.hasActiveRollout() && len(rnn.engine.running)+1 >= svc.typicalLoad()
-	svc.rollout.Given(svc.runsNewVersion(rnn.engine))
+	svc.rollout.RecordGrant(svc.runsNewVersion(rnn.engine))
 }
 
 // recordAnswer records the result of a run for the service's roll-out.
 func (svc *service) recordAnswer(now time.Time, rnn *run, rel reservation.Release) {
 	// The result of a suspect request says nothing about the version of its engine.
-	if !svc.hasActiveRollout() || rnn.route == "" || !rel.Dispatched || rel.Rejected || rel.BackedOff || rnn.exclusive || rnn.restricted || rnn.watched {
+	if !svc.hasActiveRollout() || rnn.route == "" || !rel.Dispatched || rel.Rejected || rel.Throttled || rnn.exclusive || rnn.restricted || rnn.watched {
 		return
 	}
 	ans := rollout.Answer{
 		Route: rnn.route, New: svc.runsNewVersion(rnn.engine), Failed: rel.Failed, Loaded: rnn.loaded,
-		Unfinished: rel.Total == 0, Took: rel.Total, Expected: svc.referenceTime(rnn, rel.DecodeTokens),
+		Canceled: rel.Total == 0, Elapsed: rel.Total, Expected: svc.referenceTime(rnn, rel.DecodeTokens),
 	}
-	if ans.Unfinished {
-		ans.Took = now.Sub(rnn.grantedAt)
+	if ans.Canceled {
+		ans.Elapsed = now.Sub(rnn.grantedAt)
 	}
-	svc.rollout.Answered(now, ans)
+	svc.rollout.RecordAnswer(now, ans)
 }
 
 // referenceTime returns how long an engine of reference speed takes for the answer or, for a
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -29,15 +29,15 @@
 		}),
 		now: time.Unix(5000, 0),
 	}
-	har.handle(scheduler.RolloutsChanged{States: []rollout.Standing{storedStateOf("v2", 7)}})
+	har.handle(scheduler.RolloutsChanged{States: []rollout.StoredState{storedStateOf("v2", 7)}})
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{
 		versionedEngine("new-1", "v2"), versionedEngine("new-2", "v2"), versionedEngine("old-1", "v1"), versionedEngine("old-2", "v1"),
 	}})
 	return har
 }
 
-func storedStateOf(version string, revision uint64) rollout.Standing {
-	return rollout.Standing{Order: rollout.Order{Service: "plain", Version: version, Period: 10 * time.Second, Revision: revision}}
+func storedStateOf(version string, revision uint64) rollout.StoredState {
+	return rollout.StoredState{Order: rollout.Order{Service: "plain", Version: version, Period: 10 * time.Second, Revision: revision}}
 }
 
 // recordRollouts records the writes that the core wants for its roll-outs as done.
@@ -92,7 +92,7 @@
 // A version whose order was superseded gets no request until it is ordered again.
 func TestVersionOfSupersededOrderGetsNoRequests(t *testing.T) {
 	har := newRolloutHarness(t)
-	har.handle(scheduler.RolloutsChanged{States: []rollout.Standing{storedStateOf("v3", 9)}})
+	har.handle(scheduler.RolloutsChanged{States: []rollout.StoredState{storedStateOf("v3", 9)}})
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{versionedEngine("new-1", "v2"), versionedEngine("old-1", "v1")}})
 	har.recordRollouts()
 	for idx := range 3 {
@@ -129,7 +129,7 @@
 	har := newRolloutHarness(t)
 	completed := storedStateOf("v2", 7)
 	completed.State, completed.StateVersion, completed.StateRevision = rollout.StateCompleted, "v2", 8
-	har.handle(scheduler.RolloutsChanged{States: []rollout.Standing{completed}})
+	har.handle(scheduler.RolloutsChanged{States: []rollout.StoredState{completed}})
 	granted := make(map[string]int)
 	for idx := range 16 {
 		name := fmt.Sprint("r-", idx)
@@ -142,8 +142,8 @@
 		assert.Equal(t, grantedEngine(har.reserve(repeatableReservation(eng.ID.Name)), eng.ID.Name), eng.ID.Name)
 	}
 	laterHost := newHarness(later...)
-	laterHost.handle(scheduler.RolloutsChanged{States: []rollout.Standing{completed}})
+	laterHost.handle(scheduler.RolloutsChanged{States: []rollout.StoredState{completed}})
 	laterHost.handle(scheduler.EnginesChanged{Engines: later})
-	laterHost.handle(scheduler.RolloutsChanged{States: []rollout.Standing{completed}})
+	laterHost.handle(scheduler.RolloutsChanged{States: []rollout.StoredState{completed}})
 	assert.Assert(t, grantedEngine(laterHost.reserve(repeatableReservation("r")), "r") != "")
 }
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -66,7 +66,7 @@
 	clu.coordinator = next
 	for gateway := range hosts {
 		clu.cores[next].Handle(clu.now, scheduler.ShareChanged{Divisor: float64(hosts) / float64(gateway+1), Hosts: hosts})
-		clu.cores[next].Handle(clu.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: reservation.Spent{
+		clu.cores[next].Handle(clu.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: reservation.AccountDebt{
 			Account: "kitchen", Debt: clu.debts[gateway], Share: clu.share(hosts),
 		}})
 	}
@@ -159,7 +159,7 @@
 	clu := newCluster(hosts, acc)
 	clu.coordinator = 0
 	report := func(gateway, known int) {
-		clu.cores[0].Handle(clu.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: reservation.Spent{
+		clu.cores[0].Handle(clu.now, scheduler.Received{From: request.Epoch(gateway + 1), Message: reservation.AccountDebt{
 			Account: "kitchen", Share: (cfg.Burst(acc) - cfg.StartDebt(acc)) / float64(known),
 		}})
 	}
--- a/soak/check.go
+++ b/soak/check.go
@@ -42,7 +42,7 @@
 		random := rand.New(rand.NewPCG(seed, uint64(num)+2))
 		vis := visitor.New(visitor.Config{
 			Directories: directories, HostName: entrytest.HostName, Domain: "d0", Prefix: fmt.Sprintf("s%d-v%d", seed, num), Random: random,
-			KeepsConnections: num%2 == 0, KeepsLonger: num%3 == 0,
+			KeepAlive: num%2 == 0, CachesLonger: num%3 == 0,
 		})
 		go func() {
 			defer vis.Close()
@@ -60,7 +60,7 @@
 	return all
 }
 
-func sendRequests(ctx context.Context, vis *visitor.Visitor, random *rand.Rand) []sentRequest {
+func sendRequests(ctx context.Context, vis *visitor.Client, random *rand.Rand) []sentRequest {
 	var sent []sentRequest
 	for ctx.Err() == nil {
 		req := requestTemplates[random.IntN(len(requestTemplates))]
@@ -133,7 +133,7 @@
 	if once && len(runs) > 1 {
 		sys.t.Errorf("%s (%s) ran %d times, allowed once", att.ID, req.Path, len(runs))
 	}
-	if once && att.Promised() && len(runs) > 0 {
+	if once && att.GuaranteesNotRun() && len(runs) > 0 {
 		sys.t.Errorf("%s (%s) got status %d, which promises that it did not run, but it ran", att.ID, req.Path, att.Status)
 	}
 	if len(runs) > 2 {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -100,10 +100,10 @@
 	if eng.hasCrashed() {
 		return
 	}
-	flt := upstreamtest.Trouble(1 + sys.random.IntN(int(upstreamtest.Early)-1))
-	req := upstreamtest.Switch{Trouble: flt, Times: 1 + sys.random.IntN(4)}
+	flt := upstreamtest.Fault(1 + sys.random.IntN(int(upstreamtest.Early)-1))
+	req := upstreamtest.FaultRequest{Fault: flt, Times: 1 + sys.random.IntN(4)}
 	sys.t.Log(eng.id, "gets a fault", req)
-	sys.control(eng, upstreamtest.PathTrouble, req)
+	sys.control(eng, upstreamtest.PathFault, req)
 }
 
 // retireEngine drains an engine, or deregisters it without draining, and starts a replacement.
@@ -143,7 +143,7 @@
 	for _, eng := range sys.engines {
 		// An engine that received few requests has faults left to apply.
 		if !eng.hasCrashed() {
-			sys.control(eng, upstreamtest.PathTrouble, upstreamtest.Switch{Clear: true})
+			sys.control(eng, upstreamtest.PathFault, upstreamtest.FaultRequest{Clear: true})
 		}
 	}
 	for _, hos := range sys.hosts {
--- a/soak/places.go
+++ b/soak/places.go
@@ -109,7 +109,7 @@
 		}
 		arrivals := readList[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals)
 		for _, arr := range arrivals {
-			if arr.Fell {
+			if arr.Crashed {
 				sys.t.Errorf("cold engine %s crashed: it received more requests than it withstands", eng.id)
 			}
 			if eng.domain != evacuatedDomain {
--- a/soak/rates.go
+++ b/soak/rates.go
@@ -39,7 +39,7 @@
 	} else {
 		eng.rate = &rateLimits[sys.rateRandom.IntN(len(rateLimits))]
 	}
-	sys.setSignals(eng, upstreamtest.Word{Rate: eng.rate, Leaves: eng.signalsDraining})
+	sys.setSignals(eng, upstreamtest.Signals{Rate: eng.rate, Draining: eng.signalsDraining})
 }
 
 // checkRates checks the requests that an engine received against the rate limits it had sent.
--- a/soak/words.go
+++ b/soak/words.go
@@ -37,12 +37,12 @@
 	}
 	if sys.signalRandom.IntN(4) == 0 {
 		eng.signalsDraining = true
-		sys.setSignals(eng, upstreamtest.Word{Leaves: true, Rate: eng.rate})
+		sys.setSignals(eng, upstreamtest.Signals{Draining: true, Rate: eng.rate})
 		sys.addEngine(fmt.Sprintf("%s-%d", eng.id, len(sys.engines)), eng.service)
 		return
 	}
 	eng.signalsBackoff = true
-	sys.setSignals(eng, upstreamtest.Word{Rate: eng.rate, Pause: time.Second + time.Duration(sys.signalRandom.Int64N(int64(maxBackoff-time.Second)))})
+	sys.setSignals(eng, upstreamtest.Signals{Rate: eng.rate, Backoff: time.Second + time.Duration(sys.signalRandom.Int64N(int64(maxBackoff-time.Second)))})
 }
 
 // clearBackoffs makes all engines serve again.
@@ -56,15 +56,15 @@
 
 func (sys *system) clearBackoff(eng *engine) {
 	eng.signalsBackoff = false
-	sys.setSignals(eng, upstreamtest.Word{Rate: eng.rate})
+	sys.setSignals(eng, upstreamtest.Signals{Rate: eng.rate})
 }
 
-func (sys *system) setSignals(eng *engine, sig upstreamtest.Word) {
+func (sys *system) setSignals(eng *engine, sig upstreamtest.Signals) {
 	if eng.hasCrashed() {
 		return
 	}
 	sys.t.Log(time.Now().Format("05.000"), eng.id, "signals", sig)
-	sys.control(eng, upstreamtest.PathWord, sig)
+	sys.control(eng, upstreamtest.PathSignals, sig)
 }
 
 // checkSignals checks the requests that each engine received from each host against the signals
@@ -85,7 +85,7 @@
 		}
 		by := make(map[netip.AddrPort][]upstreamtest.Arrival)
 		for _, arr := range readList[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals) {
-			if arr.Leaves || arr.Pause > 0 || arr.Rate != nil {
+			if arr.Draining || arr.Backoff > 0 || arr.Rate != nil {
 				signaled++
 			}
 			if att, known := attempts[arr.ID]; known {
@@ -105,7 +105,7 @@
 func (sys *system) checkDraining(eng *engine, hos *host, arrivals []upstreamtest.Arrival, attempts map[string]visitor.Attempt) {
 	for _, first := range arrivals {
 		att := attempts[first.ID]
-		if !first.Leaves || first.Silent || att.Status == 0 || att.Err != nil {
+		if !first.Draining || first.Silent || att.Status == 0 || att.Err != nil {
 			continue
 		}
 		passedOnAt := att.Sent.Add(att.Took)
@@ -121,17 +121,17 @@
 
 func (sys *system) checkBackoffs(eng *engine, hos *host, arrivals []upstreamtest.Arrival) {
 	for _, backoff := range arrivals {
-		if backoff.Pause == 0 || hos.disturbedDuring(backoff.At.Add(-time.Second), backoff.At.Add(backoff.Pause)) {
+		if backoff.Backoff == 0 || hos.disturbedDuring(backoff.At.Add(-time.Second), backoff.At.Add(backoff.Backoff)) {
 			continue
 		}
 		count := 0
 		for _, arr := range arrivals {
-			if since := arr.At.Sub(backoff.At); since > backoffBound && since < backoff.Pause {
+			if since := arr.At.Sub(backoff.At); since > backoffBound && since < backoff.Backoff {
 				count++
 			}
 		}
 		if count > maxInBackoff {
-			sys.t.Errorf("host %s sent %d requests to engine %s during a requested backoff of %s", hos.set.Name, count, eng.id, backoff.Pause)
+			sys.t.Errorf("host %s sent %d requests to engine %s during a requested backoff of %s", hos.set.Name, count, eng.id, backoff.Backoff)
 		}
 	}
 }
--- a/story/story.go
+++ b/story/story.go
@@ -5,7 +5,7 @@
 //
 // # Usage
 //
-//	tli := story.NewTeller("9c41d07be2a35f68")
+//	tli := story.NewTimeline("9c41d07be2a35f68")
 //	err := tli.Read(file)
 //	err = tli.Write(os.Stdout)
 //
@@ -58,17 +58,17 @@
 	return text
 }
 
-// Teller collects the log lines that concern one request.
-type Teller struct {
+// Timeline collects the log lines that concern one request.
+type Timeline struct {
 	id           string
 	requestLines []line
 	otherLines   []line
 	linesRead    int
 }
 
-// NewTeller returns an empty timeline of the request with the given id.
-func NewTeller(id string) *Teller {
-	return &Teller{id: id}
+// NewTimeline returns an empty timeline of the request with the given id.
+func NewTimeline(id string) *Timeline {
+	return &Timeline{id: id}
 }
 
 // NotFoundError reports a request that no log line mentions.
@@ -83,7 +83,7 @@
 }
 
 // Read reads one log to its end.
-func (tli *Teller) Read(log io.Reader) error {
+func (tli *Timeline) Read(log io.Reader) error {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
@@ -92,7 +92,7 @@
 	return errors.Wrap(lines.Err(), "read log")
 }
 
-func (tli *Teller) add(raw []byte) {
+func (tli *Timeline) add(raw []byte) {
 	lin, known := parseLine(raw)
 	if !known {
 		return
@@ -133,7 +133,7 @@
 
 // Write writes the collected lines in order of time and marks the request's own lines
 // with an asterisk. It returns a *NotFoundError if no line mentions the request.
-func (tli *Teller) Write(out io.Writer) error {
+func (tli *Timeline) Write(out io.Writer) error {
 	if len(tli.requestLines) == 0 {
 		return &NotFoundError{ID: tli.id, Lines: tli.linesRead}
 	}
@@ -154,7 +154,7 @@
 // surroundingLines returns the lines without a request that the request's hosts
 // logged between lookback before its start and its last line: those about no
 // engine, and those about engines that the request used.
-func (tli *Teller) surroundingLines() []line {
+func (tli *Timeline) surroundingLines() []line {
 	hosts, engines := make(map[string]bool), make(map[string]bool)
 	first, last := tli.requestLines[0].at, tli.requestLines[0].at
 	for _, lin := range tli.requestLines {
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -10,7 +10,7 @@
 //	if err != nil {
 //		return transport.NotSent(err), transport.Cause(ctx, err)
 //	}
-//	wat.Heard() // for each piece of data received
+//	wat.Reset() // for each piece of data received
 package transport
 
 import (
@@ -54,7 +54,7 @@
 	cancel context.CancelCauseFunc
 }
 
-// Watch returns a context that is cancelled with a *SilenceError if Heard isn't called
+// Watch returns a context that is cancelled with a *SilenceError if Reset isn't called
 // within the limit. Stop releases the watcher.
 func Watch(ctx context.Context, limit time.Duration) (context.Context, *Watcher) {
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -63,8 +63,8 @@
 	return ctx, wat
 }
 
-// Heard restarts the time limit, as data has been received.
-func (wat *Watcher) Heard() {
+// Reset restarts the time limit, as data has been received.
+func (wat *Watcher) Reset() {
 	wat.timer.Reset(wat.limit)
 }
 
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -47,8 +47,8 @@
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	if cfg.Heard == nil {
-		cfg.Heard = func(Heard) {}
+	if cfg.HeadReceived == nil {
+		cfg.HeadReceived = func(HeadReceived) {}
 	}
 	return &Client{cfg: cfg, idle: make(map[Endpoint][]*connection), busy: make(map[*connection]struct{})}
 }
@@ -222,11 +222,11 @@
 	delete(cli.busy, con)
 }
 
-// EndFormer aborts the calls to earlier runs of the engine. Bytes of their answers that
+// AbortEarlierRuns aborts the calls to earlier runs of the engine. Bytes of their answers that
 // have already arrived are still read. A connection that received data after the later run
 // started, or up to maxClockSkew before, stays open, since it may lead to the later run.
-func (cli *Client) EndFormer(later fleet.EngineID) {
-	limit := later.Born.Add(-maxClockSkew)
+func (cli *Client) AbortEarlierRuns(later fleet.EngineID) {
+	limit := later.StartTime.Add(-maxClockSkew)
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
 	for con := range cli.busy {
@@ -307,7 +307,7 @@
 		}
 		head := exc.client.cfg.Decode(rep.StatusCode, rep.Header)
 		own := head.ID == "" || head.ID == cal.ID
-		exc.client.cfg.Heard(Heard{Endpoint: cal.Endpoint, Head: head, Sent: sent, Stray: !own})
+		exc.client.cfg.HeadReceived(HeadReceived{Endpoint: cal.Endpoint, Head: head, Sent: sent, Stray: !own})
 		if head.ID == "" && rep.StatusCode < http.StatusBadRequest {
 			return nil, &StrayError{}
 		}
@@ -336,9 +336,9 @@
 	afterStray bool
 }
 
-// ReadWhole reads the body to its end. It returns an *AnswerTooLargeError if the body is
+// ReadAll reads the body to its end. It returns an *AnswerTooLargeError if the body is
 // larger than limit bytes; nothing of such a body may be passed on as a complete answer.
-func (ans *Answer) ReadWhole(limit int64) ([]byte, error) {
+func (ans *Answer) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(ans.Body, limit+1))
 	if err != nil {
 		return nil, err
@@ -346,13 +346,13 @@
 	if int64(len(body)) > limit {
 		return nil, &AnswerTooLargeError{Limit: limit}
 	}
-	ans.Whole()
+	ans.MarkComplete()
 	return body, nil
 }
 
-// Whole records that the body was read to its end, which lets Close keep the connection
+// MarkComplete records that the body was read to its end, which lets Close keep the connection
 // for reuse.
-func (ans *Answer) Whole() {
+func (ans *Answer) MarkComplete() {
 	ans.complete = true
 }
 
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -42,7 +42,7 @@
 		})
 		assert.NilError(t, err)
 		defer ans.Close()
-		return ans.ReadWhole(limit)
+		return ans.ReadAll(limit)
 	}
 	body, err := send(http.Header{})
 	assert.NilError(t, err)
@@ -136,7 +136,7 @@
 		}
 		defer ans.Close()
 		assert.Assert(t, ans.Head.ID == "mine" || ans.Status >= http.StatusBadRequest)
-		body, err := ans.ReadWhole(limit)
+		body, err := ans.ReadAll(limit)
 		assert.Assert(t, err != nil || len(body) <= limit)
 	})
 }
--- a/upstream/connection_test.go
+++ b/upstream/connection_test.go
@@ -70,15 +70,15 @@
 		result <- err
 	}()
 	<-received
-	cli.EndFormer(fleet.NewEngineID("other", time.Now().Add(time.Hour)))
-	cli.EndFormer(earlier)
-	cli.EndFormer(fleet.NewEngineID("e", time.Now().Add(-time.Minute)))
+	cli.AbortEarlierRuns(fleet.NewEngineID("other", time.Now().Add(time.Hour)))
+	cli.AbortEarlierRuns(earlier)
+	cli.AbortEarlierRuns(fleet.NewEngineID("e", time.Now().Add(-time.Minute)))
 	select {
 	case err := <-result:
 		t.Fatalf("the call was aborted without a later run of its engine: %v", err)
 	default:
 	}
-	cli.EndFormer(fleet.NewEngineID("e", time.Now().Add(time.Minute)))
+	cli.AbortEarlierRuns(fleet.NewEngineID("e", time.Now().Add(time.Minute)))
 	var ree *upstream.RunEndedError
 	err := <-result
 	assert.Assert(t, errors.As(err, &ree), "%v", err)
@@ -101,7 +101,7 @@
 			ans, err := cli.Do(t.Context(), newCall(upstream.Endpoint{Address: address, Engine: earlier}))
 			assert.NilError(t, err)
 			<-received
-			cli.EndFormer(fleet.NewEngineID("e", time.Now().Add(time.Minute)))
+			cli.AbortEarlierRuns(fleet.NewEngineID("e", time.Now().Add(time.Minute)))
 			got, err := io.ReadAll(ans.Body)
 			ans.Close()
 			assert.Equal(t, string(got), body)
@@ -135,7 +135,7 @@
 	}{{1000, 1}, {1000, 1}, {2000, 2}, {2000, 2}, {1000, 2}} {
 		ans, err := cli.Do(t.Context(), newCall(upstream.Endpoint{Address: address, Engine: fleet.NewEngineID("e", time.UnixMilli(tst.born))}))
 		assert.NilError(t, err)
-		_, err = ans.ReadWhole(10)
+		_, err = ans.ReadAll(10)
 		assert.NilError(t, err)
 		ans.Close()
 		assert.Equal(t, dialed, tst.dialed, "call %d", idx)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -29,13 +29,13 @@
 	DialTimeout time.Duration
 	// Decode decodes an answer's head.
 	Decode func(status int, header http.Header) call.AnswerHead
-	// Now is the clock for idle connections and for Heard.Sent; nil means time.Now.
+	// Now is the clock for idle connections and for HeadReceived.Sent; nil means time.Now.
 	Now func() time.Time
 	// Dialed, if not nil, is called for each new connection.
 	Dialed func()
-	// Heard, if not nil, is called with the head of each answer of an engine before any of
+	// HeadReceived, if not nil, is called with the head of each answer of an engine before any of
 	// the answer is passed on, including answers that belong to another request.
-	Heard func(Heard)
+	HeadReceived func(HeadReceived)
 }
 
 const (
@@ -66,8 +66,8 @@
 	Engine  fleet.EngineID
 }
 
-// Heard is the head of an answer received from an engine.
-type Heard struct {
+// HeadReceived is the head of an answer received from an engine.
+type HeadReceived struct {
 	Endpoint
 	Head call.AnswerHead
 	// Sent is when writing of the pending request began.
--- a/upstreamtest/engine.go
+++ b/upstreamtest/engine.go
@@ -5,7 +5,7 @@
 //
 //	eng := upstreamtest.NewEngine(upstreamtest.Config{ID: "e1", Service: "menus", Slots: 4, Events: 3})
 //	http.Serve(lis, eng.Handler())
-//	eng.Trouble(upstreamtest.CutInEvent, 1) // affects the next request
+//	eng.Fault(upstreamtest.TruncateInEvent, 1) // affects the next request
 //	runs := eng.Runs()                      // the requests that it ran
 //
 // The package spells out the protocol's headers itself rather than using the client's
@@ -22,25 +22,25 @@
 	"time"
 )
 
-// Trouble is a fault of an answer.
-type Trouble uint8
+// Fault is a fault of an answer.
+type Fault uint8
 
 // The faults of an answer.
 const (
 	// None is a valid answer.
-	None Trouble = iota
+	None Fault = iota
 	// Error runs the request and answers with status 500 and a valid signature.
 	Error
-	// TurnAway rejects the request with status 503 and Not-Executed, without running it.
-	TurnAway
+	// Reject rejects the request with status 503 and Not-Executed, without running it.
+	Reject
 	// Hang runs the request and sends nothing until the client closes the connection.
 	Hang
-	// Lose runs the request and closes the connection without an answer.
-	Lose
-	// Cut truncates a plain answer, or a stream between two events.
-	Cut
-	// CutInEvent truncates a stream within an event.
-	CutInEvent
+	// DropAnswer runs the request and closes the connection without an answer.
+	DropAnswer
+	// Truncate truncates a plain answer, or a stream between two events.
+	Truncate
+	// TruncateInEvent truncates a stream within an event.
+	TruncateInEvent
 	// Extra sends an unsolicited second answer after the first.
 	Extra
 	// StrayFirst sends an answer to another request first.
@@ -106,7 +106,7 @@
 type Engine struct {
 	cfg    Config
 	mutex  sync.Mutex
-	faults []Trouble
+	faults []Fault
 	runs   []Run
 	active int
 	// abandoned counts the requests whose client disconnected before the end of the answer.
@@ -157,8 +157,8 @@
 // Slots returns the number of concurrent requests; at least 1.
 func (eng *Engine) Slots() int { return max(1, eng.cfg.Slots) }
 
-// Trouble queues a fault for each of the next requests, as many as times.
-func (eng *Engine) Trouble(flt Trouble, times int) {
+// Fault queues a fault for each of the next requests, as many as times.
+func (eng *Engine) Fault(flt Fault, times int) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	for range times {
@@ -173,9 +173,9 @@
 	eng.faults = nil
 }
 
-// OnTaken sets a function that is called once, when the next request has been assigned its
+// OnNextRequest sets a function that is called once, when the next request has been assigned its
 // fault.
-func (eng *Engine) OnTaken(callback func()) {
+func (eng *Engine) OnNextRequest(callback func()) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.onNextRequest = callback
@@ -188,8 +188,8 @@
 	return append([]Run(nil), eng.runs...)
 }
 
-// Left returns the number of requests whose client disconnected before the end of the answer.
-func (eng *Engine) Left() int {
+// AbandonedRequests returns the number of requests whose client disconnected before the end of the answer.
+func (eng *Engine) AbandonedRequests() int {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	return eng.abandoned
@@ -215,7 +215,7 @@
 		}
 		defer eng.release()
 		wri.Header().Set("Request-Id", req.Header.Get("Request-Id"))
-		if flt == TurnAway || !admitted {
+		if flt == Reject || !admitted {
 			wri.Header().Set("Not-Executed", "1")
 			wri.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -239,8 +239,8 @@
 }
 
 // acquire takes a slot or a place in the queue. It returns the request's fault, whether the
-// request is admitted, and the function set by OnTaken, if any.
-func (eng *Engine) acquire() (Trouble, bool, func()) {
+// request is admitted, and the function set by OnNextRequest, if any.
+func (eng *Engine) acquire() (Fault, bool, func()) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.active++
@@ -258,7 +258,7 @@
 
 // plannedFault returns the configured fault of the next answer, which simulates a faulty
 // version.
-func (cfg Config) plannedFault(answers int) Trouble {
+func (cfg Config) plannedFault(answers int) Fault {
 	answers -= cfg.Sound
 	switch {
 	case answers < 0:
@@ -309,7 +309,7 @@
 	return text.String()
 }
 
-func (eng *Engine) answer(wri http.ResponseWriter, req *http.Request, flt Trouble) {
+func (eng *Engine) answer(wri http.ResponseWriter, req *http.Request, flt Fault) {
 	id := req.Header.Get("Request-Id")
 	if flt != Unsigned {
 		wri.Header().Set("Response-Signature", "signed-"+id)
@@ -326,7 +326,7 @@
 		eng.recordSilent(id)
 		<-req.Context().Done()
 		eng.recordAbandoned()
-	case Lose:
+	case DropAnswer:
 		eng.recordSilent(id)
 		panic(http.ErrAbortHandler)
 	case Extra, StrayFirst, Unframed, UnframedReset:
@@ -340,10 +340,10 @@
 	}
 }
 
-func (eng *Engine) plain(wri http.ResponseWriter, id string, flt Trouble) {
+func (eng *Engine) plain(wri http.ResponseWriter, id string, flt Fault) {
 	body := PlainBody(id)
 	wri.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if flt == Cut {
+	if flt == Truncate {
 		// Only the first half of the body is sent.
 		_, _ = io.WriteString(wri, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
@@ -372,7 +372,7 @@
 	}
 }
 
-func (eng *Engine) stream(wri http.ResponseWriter, req *http.Request, flt Trouble) {
+func (eng *Engine) stream(wri http.ResponseWriter, req *http.Request, flt Fault) {
 	id := req.Header.Get("Request-Id")
 	prompt, _, _ := strings.Cut(req.Header.Get("Token-Counts"), ",")
 	tokens, _ := strconv.Atoi(prompt)
@@ -386,10 +386,10 @@
 	for num := first + 1; num <= eng.cfg.Events; num++ {
 		event := EventText(id, num)
 		middle := num == first+1+(eng.cfg.Events-first)/2
-		if middle && flt == Cut {
+		if middle && flt == Truncate {
 			panic(http.ErrAbortHandler)
 		}
-		if middle && flt == CutInEvent {
+		if middle && flt == TruncateInEvent {
 			_, _ = io.WriteString(wri, event[:len(event)/2])
 			_ = http.NewResponseController(wri).Flush()
 			panic(http.ErrAbortHandler)
--- a/upstreamtest/raw.go
+++ b/upstreamtest/raw.go
@@ -9,7 +9,7 @@
 )
 
 // writeRaw writes an answer directly to the connection, bypassing net/http's framing.
-func (eng *Engine) writeRaw(wri http.ResponseWriter, id string, flt Trouble) {
+func (eng *Engine) writeRaw(wri http.ResponseWriter, id string, flt Fault) {
 	con, buf, err := http.NewResponseController(wri).Hijack()
 	if err != nil {
 		return
--- a/upstreamtest/switch.go
+++ b/upstreamtest/switch.go
@@ -8,34 +8,34 @@
 
 // The control paths of the fake engine.
 const (
-	// PathTrouble takes a Switch by POST.
-	PathTrouble = "/standin/trouble"
+	// PathFault takes a FaultRequest by POST.
+	PathFault = "/standin/trouble"
 	// PathRuns answers GET with all values of Engine.Runs.
 	PathRuns = "/standin/runs"
 	// PathArrivals answers GET with all values of Engine.Arrivals.
 	PathArrivals = "/standin/arrivals"
-	// PathWord takes a Word by POST.
-	PathWord = "/standin/word"
+	// PathSignals takes a Signals by POST.
+	PathSignals = "/standin/word"
 	// PathCold takes a Cold by POST.
 	PathCold = "/standin/cold"
 )
 
-// Switch is the body of PathTrouble.
-type Switch struct {
-	Trouble Trouble `json:"Trouble"`
+// FaultRequest is the body of PathFault.
+type FaultRequest struct {
+	Fault Fault `json:"Trouble"`
 	// Times is the number of requests that get the fault.
 	Times int
 	// Clear removes all queued faults first.
 	Clear bool
 }
 
-// Word is the set of signals that the engine sends from now on: the body of PathWord.
-type Word struct {
-	// Leaves makes all answers report that the engine is draining; it can't be reset.
-	Leaves bool `json:"Leaves"`
-	// Pause makes the engine reject all requests with a backoff request of this duration; 0
+// Signals is the set of signals that the engine sends from now on: the body of PathSignals.
+type Signals struct {
+	// Draining makes all answers report that the engine is draining; it can't be reset.
+	Draining bool `json:"Leaves"`
+	// Backoff makes the engine reject all requests with a backoff request of this duration; 0
 	// makes it serve again.
-	Pause time.Duration `json:"Pause"`
+	Backoff time.Duration `json:"Pause"`
 	// Rate is the rate limit sent with all answers, in requests per second; nil means none.
 	Rate *float64
 }
@@ -43,8 +43,8 @@
 // serveControl serves the control paths; it returns false for all other paths.
 func (eng *Engine) serveControl(wri http.ResponseWriter, req *http.Request) bool {
 	switch req.URL.Path {
-	case PathTrouble:
-		var swi Switch
+	case PathFault:
+		var swi FaultRequest
 		if err := json.NewDecoder(req.Body).Decode(&swi); err != nil {
 			http.Error(wri, err.Error(), http.StatusBadRequest)
 			return true
@@ -52,28 +52,28 @@
 		if swi.Clear {
 			eng.Clear()
 		}
-		eng.Trouble(swi.Trouble, swi.Times)
+		eng.Fault(swi.Fault, swi.Times)
 	case PathCold:
 		var col Cold
 		if err := json.NewDecoder(req.Body).Decode(&col); err != nil {
 			http.Error(wri, err.Error(), http.StatusBadRequest)
 			return true
 		}
-		eng.Chill(col)
-	case PathWord:
-		var sig Word
+		eng.MarkCold(col)
+	case PathSignals:
+		var sig Signals
 		if err := json.NewDecoder(req.Body).Decode(&sig); err != nil {
 			http.Error(wri, err.Error(), http.StatusBadRequest)
 			return true
 		}
-		if sig.Leaves {
-			eng.Leave()
+		if sig.Draining {
+			eng.StartDraining()
 		}
-		eng.Pause(sig.Pause)
+		eng.Backoff(sig.Backoff)
 		if sig.Rate != nil {
-			eng.Limit(*sig.Rate)
+			eng.SetRateLimit(*sig.Rate)
 		} else {
-			eng.Unlimit()
+			eng.ClearRateLimit()
 		}
 	case PathArrivals:
 		wri.Header().Set("Content-Type", "application/json")
--- a/upstreamtest/word.go
+++ b/upstreamtest/word.go
@@ -16,29 +16,29 @@
 type Arrival struct {
 	ID string
 	At time.Time
-	// Leaves is set if the answer reported that the engine is draining.
-	Leaves bool `json:"Leaves"`
-	// Pause is the requested backoff if the engine rejected the request with one; 0 otherwise.
-	Pause time.Duration `json:"Pause"`
+	// Draining is set if the answer reported that the engine is draining.
+	Draining bool `json:"Leaves"`
+	// Backoff is the requested backoff if the engine rejected the request with one; 0 otherwise.
+	Backoff time.Duration `json:"Pause"`
 	// Rate is the rate limit sent with the answer; nil means none.
 	Rate *float64
 	// Silent is set if no head of an answer was sent, so that no signal was sent either.
 	Silent bool
-	// Fell is set if the engine crashed on receiving the request or had crashed before.
-	Fell bool `json:"Fell"`
+	// Crashed is set if the engine crashed on receiving the request or had crashed before.
+	Crashed bool `json:"Fell"`
 }
 
-// Leave makes all answers report that the engine is draining. It continues to serve
+// StartDraining makes all answers report that the engine is draining. It continues to serve
 // requests.
-func (eng *Engine) Leave() {
+func (eng *Engine) StartDraining() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.draining = true
 }
 
-// Pause makes the engine reject all requests with a backoff request of the duration; 0 makes
+// Backoff makes the engine reject all requests with a backoff request of the duration; 0 makes
 // it serve again.
-func (eng *Engine) Pause(dur time.Duration) {
+func (eng *Engine) Backoff(dur time.Duration) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.backoff = dur
@@ -51,16 +51,16 @@
 	return append([]Arrival(nil), eng.arrivals...)
 }
 
-// Limit makes all answers send a rate limit in requests per second, for all hosts together.
-// The engine doesn't enforce it. Unlimit removes the limit.
-func (eng *Engine) Limit(perSecond float64) {
+// SetRateLimit makes all answers send a rate limit in requests per second, for all hosts together.
+// The engine doesn't enforce it. ClearRateLimit removes the limit.
+func (eng *Engine) SetRateLimit(perSecond float64) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.rateLimit = &perSecond
 }
 
-// Unlimit makes the answers send no rate limit any more.
-func (eng *Engine) Unlimit() {
+// ClearRateLimit makes the answers send no rate limit any more.
+func (eng *Engine) ClearRateLimit() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.rateLimit = nil
@@ -71,10 +71,10 @@
 func (eng *Engine) recordArrival(id string) Arrival {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	arr := Arrival{ID: id, At: time.Now(), Leaves: eng.draining, Pause: eng.backoff, Rate: eng.rateLimit}
+	arr := Arrival{ID: id, At: time.Now(), Draining: eng.draining, Backoff: eng.backoff, Rate: eng.rateLimit}
 	eng.arrivals = append(eng.arrivals, arr)
 	if !eng.survives(arr.At) {
-		eng.arrivals[len(eng.arrivals)-1].Fell = true
+		eng.arrivals[len(eng.arrivals)-1].Crashed = true
 		panic(http.ErrAbortHandler)
 	}
 	return arr
@@ -96,18 +96,18 @@
 // rejected the request with a backoff request.
 func (eng *Engine) sendSignals(wri http.ResponseWriter, req *http.Request) bool {
 	arr := eng.recordArrival(req.Header.Get("Request-Id"))
-	if arr.Leaves {
+	if arr.Draining {
 		wri.Header().Set(headerDraining, "1")
 	}
 	if arr.Rate != nil {
 		wri.Header().Set(headerRate, formatRate(*arr.Rate))
 	}
-	if arr.Pause <= 0 {
+	if arr.Backoff <= 0 {
 		return false
 	}
 	wri.Header().Set("Request-Id", arr.ID)
 	wri.Header().Set("Not-Executed", "1")
-	wri.Header().Set("Retry-After", strconv.FormatFloat(arr.Pause.Seconds(), 'f', -1, 64))
+	wri.Header().Set("Retry-After", strconv.FormatFloat(arr.Backoff.Seconds(), 'f', -1, 64))
 	wri.WriteHeader(http.StatusServiceUnavailable)
 	return true
 }
@@ -145,16 +145,16 @@
 	For       time.Duration
 }
 
-// Chill makes the engine cold: it crashes for good when it receives more requests within one
+// MarkCold makes the engine cold: it crashes for good when it receives more requests within one
 // second than it survives.
-func (eng *Engine) Chill(col Cold) {
+func (eng *Engine) MarkCold(col Cold) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.coldRate, eng.coldUntil = col.PerSecond, time.Now().Add(col.For)
 }
 
-// Fallen reports whether the engine crashed while it was cold.
-func (eng *Engine) Fallen() bool {
+// Crashed reports whether the engine crashed while it was cold.
+func (eng *Engine) Crashed() bool {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	return eng.crashed
--- a/view/history.go
+++ b/view/history.go
@@ -53,8 +53,8 @@
 	return views
 }
 
-// Knows reports whether any stored view has a member with the epoch.
-func (his *History) Knows(epo request.Epoch) bool {
+// ContainsEpoch reports whether any stored view has a member with the epoch.
+func (his *History) ContainsEpoch(epo request.Epoch) bool {
 	_, known := his.Find(func(mem Member) bool { return mem.Epoch == epo })
 	return known
 }
--- a/view/sessionpeers.go
+++ b/view/sessionpeers.go
@@ -16,11 +16,11 @@
 // keeps sessions in a larger view.
 const coordinatorsPerService = 2
 
-// Reach returns the members with which the gateway with the given epoch keeps sessions. In
+// SessionPeers returns the members with which the gateway with the given epoch keeps sessions. In
 // a view with at most 24 other members these are all of them. In a larger view they are two
 // coordinators of each service that are outside the gateway's failure domain, if possible
 // in different domains. The choice differs between gateways, which distributes the load.
-func (vie View) Reach(gateway request.Epoch, services map[string][]resource.EngineSlots) []Member {
+func (vie View) SessionPeers(gateway request.Epoch, services map[string][]resource.EngineSlots) []Member {
 	var others []Member
 	for _, mem := range vie.Members {
 		if mem.Epoch != gateway {
@@ -54,12 +54,12 @@
 	slices.SortFunc(coordinators, func(one, two Member) int {
 		return cmp.Compare(Score(key, two.Name), Score(key, one.Name))
 	})
-	return Spread(coordinators, coordinatorsPerService)
+	return PickAcrossDomains(coordinators, coordinatorsPerService)
 }
 
-// Spread returns up to count members, one of each failure domain before any second one of
+// PickAcrossDomains returns up to count members, one of each failure domain before any second one of
 // a domain, otherwise in the given order.
-func Spread(members []Member, count int) []Member {
+func PickAcrossDomains(members []Member, count int) []Member {
 	var first, rest []Member
 	for _, mem := range members {
 		sameDomain := func(other Member) bool { return other.Domain == mem.Domain }
--- a/view/view.go
+++ b/view/view.go
@@ -32,8 +32,8 @@
 	CallerAddress netip.AddrPort
 	// PeerAddress is the IP address and port to which other hosts connect.
 	PeerAddress netip.AddrPort
-	// Leaving is set while the host drains; it gets no new work.
-	Leaving bool `json:"Leaving"`
+	// Draining is set while the host drains; it gets no new work.
+	Draining bool `json:"Leaving"`
 }
 
 // View is one numbered, immutable set of members, sorted by name.
@@ -101,7 +101,7 @@
 func (vie View) Active() []Member {
 	var active []Member
 	for _, mem := range vie.Members {
-		if !mem.Leaving {
+		if !mem.Draining {
 			active = append(active, mem)
 		}
 	}
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -90,7 +90,7 @@
 		"LeasesExpired":   {nil, map[request.Epoch]bool{1: true, 2: true, 3: true}, current.Members},
 		"LostAndExpired":  {current.Members[:2], map[request.Epoch]bool{1: true}, current.Members[:2]},
 		"Restarted":       {[]view.Member{{Name: "b", Epoch: 9}}, map[request.Epoch]bool{1: true, 2: true}, []view.Member{{Name: "a", Epoch: 1}, {Name: "b", Epoch: 9}}},
-		"DrainingByLease": {[]view.Member{{Name: "a", Epoch: 1, Leaving: true}}, map[request.Epoch]bool{1: true}, []view.Member{{Name: "a", Epoch: 1, Leaving: true}}},
+		"DrainingByLease": {[]view.Member{{Name: "a", Epoch: 1, Draining: true}}, map[request.Epoch]bool{1: true}, []view.Member{{Name: "a", Epoch: 1, Draining: true}}},
 	}
 	for name, cas := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -131,7 +131,7 @@
 		services[service] = append(services[service], resource.EngineSlots{Engine: fmt.Sprintf("engine-%d", num), Slots: 8})
 	}
 	for _, gat := range vie.Members[:20] {
-		peers := vie.Reach(gat.Epoch, services)
+		peers := vie.SessionPeers(gat.Epoch, services)
 		assert.Assert(t, len(peers) <= 44, "%d sessions", len(peers))
 		for service, engines := range services {
 			domains := make(map[string]bool)
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -41,7 +41,7 @@
 	maxAnswerBytes = 16 << 20
 )
 
-// Config configures a Visitor.
+// Config configures a Client.
 type Config struct {
 	// Directories are the addresses that serve the list of addresses, the nearest first.
 	Directories []netip.AddrPort
@@ -52,15 +52,15 @@
 	// this client.
 	Prefix string
 	Random *rand.Rand
-	// KeepsConnections enables HTTP keep-alive.
-	KeepsConnections bool
-	// KeepsLonger makes the client cache the list of addresses for three times the
+	// KeepAlive enables HTTP keep-alive.
+	KeepAlive bool
+	// CachesLonger makes the client cache the list of addresses for three times the
 	// permitted time.
-	KeepsLonger bool
+	CachesLonger bool
 }
 
-// Visitor is one client. It sends one request at a time.
-type Visitor struct {
+// Client is one client. It sends one request at a time.
+type Client struct {
 	cfg       Config
 	transport *http.Transport
 	mutex     sync.Mutex
@@ -106,8 +106,8 @@
 	Unsent bool
 }
 
-// Promised reports whether the answer's status guarantees that the request has not run.
-func (att Attempt) Promised() bool {
+// GuaranteesNotRun reports whether the answer's status guarantees that the request has not run.
+func (att Attempt) GuaranteesNotRun() bool {
 	switch att.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -136,16 +136,16 @@
 }
 
 // New returns a client with an empty cache of addresses.
-func New(cfg Config) *Visitor {
+func New(cfg Config) *Client {
 	transport := &http.Transport{
-		DisableCompression: true, DisableKeepAlives: !cfg.KeepsConnections, MaxIdleConnsPerHost: 1,
+		DisableCompression: true, DisableKeepAlives: !cfg.KeepAlive, MaxIdleConnsPerHost: 1,
 		TLSHandshakeTimeout: connectTimeout,
 	}
-	return &Visitor{cfg: cfg, transport: transport, failed: make(map[netip.AddrPort]bool)}
+	return &Client{cfg: cfg, transport: transport, failed: make(map[netip.AddrPort]bool)}
 }
 
 // Close closes idle connections.
-func (cli *Visitor) Close() {
+func (cli *Client) Close() {
 	cli.transport.CloseIdleConnections()
 }
 
@@ -157,7 +157,7 @@
 
 // Send sends a request, with the permitted retries, until it is served or its deadline
 // has passed.
-func (cli *Visitor) Send(ctx context.Context, req Request) Result {
+func (cli *Client) Send(ctx context.Context, req Request) Result {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline)
 	defer cancel()
@@ -175,9 +175,9 @@
 
 func mayRepeat(req Request, att Attempt) bool {
 	switch {
-	case att.Served(), att.Status >= 400 && att.Status < 500 && !att.Promised():
+	case att.Served(), att.Status >= 400 && att.Status < 500 && !att.GuaranteesNotRun():
 		return false
-	case att.Promised(), att.Unsent:
+	case att.GuaranteesNotRun(), att.Unsent:
 		return true
 	default:
 		return req.Kind == route.KindSafe || (req.Kind == route.KindStreaming && req.Resumable)
@@ -192,7 +192,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (cli *Visitor) attempt(ctx context.Context, req Request, left time.Duration) Attempt {
+func (cli *Client) attempt(ctx context.Context, req Request, left time.Duration) Attempt {
 	att := Attempt{ID: cli.nextID(), Sent: time.Now()}
 	adr, err := cli.address(ctx)
 	if err != nil {
@@ -208,14 +208,14 @@
 	return att
 }
 
-func (cli *Visitor) nextID() string {
+func (cli *Client) nextID() string {
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
 	cli.attempts++
 	return fmt.Sprintf("%s-%d", cli.cfg.Prefix, cli.attempts)
 }
 
-func (cli *Visitor) exchange(ctx context.Context, req Request, left time.Duration, att *Attempt) {
+func (cli *Client) exchange(ctx context.Context, req Request, left time.Duration, att *Attempt) {
 	method := http.MethodGet
 	if req.Body != "" {
 		method = http.MethodPost
@@ -243,7 +243,7 @@
 }
 
 // read reads an answer's body and records when its first byte arrived.
-func (cli *Visitor) read(body io.Reader, att *Attempt) {
+func (cli *Client) read(body io.Reader, att *Attempt) {
 	first := make([]byte, 1)
 	num, err := io.ReadFull(body, first)
 	att.First = time.Since(att.Sent)
@@ -260,7 +260,7 @@
 
 // address returns a random address, excluding those that failed since the list was last
 // fetched. If all have failed, it considers all of them again.
-func (cli *Visitor) address(ctx context.Context) (netip.AddrPort, error) {
+func (cli *Client) address(ctx context.Context) (netip.AddrPort, error) {
 	cli.mutex.Lock()
 	fresh := time.Now().Before(cli.expires)
 	cli.mutex.Unlock()
@@ -285,25 +285,25 @@
 	return usable[cli.cfg.Random.IntN(len(usable))], nil
 }
 
-func (cli *Visitor) markFailed(adr netip.AddrPort) {
+func (cli *Client) markFailed(adr netip.AddrPort) {
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
 	cli.failed[adr] = true
 }
 
-// longCacheFactor multiplies the time for which clients with KeepsLonger cache the list of
+// longCacheFactor multiplies the time for which clients with CachesLonger cache the list of
 // addresses.
 const longCacheFactor = 3
 
 // refresh requests the list of addresses from up to maxDirectories hosts. If none of them
 // answers, the cached list stays in use.
-func (cli *Visitor) refresh(ctx context.Context) {
+func (cli *Client) refresh(ctx context.Context) {
 	for _, adr := range cli.cfg.Directories[:min(maxDirectories, len(cli.cfg.Directories))] {
 		addresses, keep, err := cli.queryAddresses(ctx, adr)
 		if err != nil || len(addresses) == 0 {
 			continue
 		}
-		if cli.cfg.KeepsLonger {
+		if cli.cfg.CachesLonger {
 			keep *= longCacheFactor
 		}
 		cli.mutex.Lock()
@@ -314,7 +314,7 @@
 	}
 }
 
-func (cli *Visitor) queryAddresses(ctx context.Context, adr netip.AddrPort) ([]netip.AddrPort, time.Duration, error) {
+func (cli *Client) queryAddresses(ctx context.Context, adr netip.AddrPort) ([]netip.AddrPort, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	target := platform.AddressesTarget(platform.AddressesQuery{Host: cli.cfg.HostName, Region: cli.cfg.Region, Domain: cli.cfg.Domain})
