--- a/credential/credential.go
+++ b/credential/credential.go
@@ -159,8 +159,8 @@
 	keys atomic.Pointer[keySet]
 }
 
-// NewAuthenticator returns an instance without a key ring, which rejects every peer until SetKeyRing
-// sets one.
+// NewAuthenticator returns an instance without a key ring, which rejects every peer until
+// SetKeyRing sets one.
 func NewAuthenticator(cfg Config) *Authenticator {
 	return &Authenticator{cfg: cfg}
 }
@@ -209,8 +209,8 @@
 // Error implements error.
 func (*NoKeyRingError) Error() string { return "no key ring has been loaded yet" }
 
-// UnauthenticatedError reports a peer that did not authenticate itself with a secret of the key
-// ring.
+// UnauthenticatedError reports a peer that did not authenticate itself with a secret of the
+// key ring.
 type UnauthenticatedError struct {
 	// Reason is why the peer's certificate was rejected.
 	Reason string
--- a/evacuation/board.go
+++ b/evacuation/board.go
@@ -134,7 +134,7 @@
 	// Order is the revision of the order; 0 if it was canceled and its published state hasn't
 	// been deleted yet.
 	Order uint64
-	// State is the progress as this host sees it; Published is the state in the store.
+	// State is the progress as this host sees it; Told is the state in the store.
 	State string
 	Told  string `json:",omitempty"`
 	// Running is the number of requests that run in the domain. Missing names the hosts that
--- a/fleet/word.go
+++ b/fleet/word.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Signal is an engine's statement about its own state in a response to a host: one of Draining,
-// Replaced, Backoff, RateLimit, Unlimited and Cold.
+// Signal is an engine's statement about its own state in a response to a host: one of
+// Draining, Replaced, Backoff, RateLimit, Unlimited and Cold.
 type Signal interface {
 	// String returns the name of the signal.
 	String() string
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -232,8 +232,8 @@
 	assert.Equal(t, to, first)
 }
 
-// A request without an available coordinator must fail after DefaultNoCoordinatorTimeout with a
-// time for the retry, instead of waiting until its deadline.
+// A request without an available coordinator must fail after DefaultNoCoordinatorTimeout
+// with a time for the retry, instead of waiting until its deadline.
 func TestRequestWithoutCoordinatorFailsAfterTimeout(t *testing.T) {
 	har := newHarness(t, 4, member(1, "a"), member(2, "b"))
 	har.handle(gateway.PeerLost{Peer: 2})
--- a/quarantine/doubt.go
+++ b/quarantine/doubt.go
@@ -19,10 +19,10 @@
 	since       time.Time
 }
 
-// RecordUnconfirmedCrash records that the connection to an engine ended while it ran a request,
-// with the crash of the engine unconfirmed: the link may have failed or one answer may have
-// been invalid, and another run of the engine may have started before the host checked.
-// ApplyEngines resolves it by the registered engines.
+// RecordUnconfirmedCrash records that the connection to an engine ended while it ran a
+// request, with the crash of the engine unconfirmed: the link may have failed or one answer
+// may have been invalid, and another run of the engine may have started before the host
+// checked. ApplyEngines resolves it by the registered engines.
 func (reg *Registry) RecordUnconfirmedCrash(now time.Time, obs Observation) {
 	reg.prune(now)
 	if obs.Digest == (call.Digest{}) || len(reg.unconfirmed) >= maxCases {
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// IsEmpty reports whether the registry holds no evidence against any request or traffic source.
+// IsEmpty reports whether the registry holds no evidence against any request or traffic
+// source.
 func (reg *Registry) IsEmpty() bool {
 	return len(reg.cases) == 0 && len(reg.unconfirmed) == 0 && len(reg.sources) == 0
 }
--- a/quarantine/source.go
+++ b/quarantine/source.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TrafficSource is a traffic source: a client account's requests to a service by one route. The
-// account's other routes aren't restricted because of what it sends on this one.
+// TrafficSource is a traffic source: a client account's requests to a service by one route.
+// The account's other routes aren't restricted because of what it sends on this one.
 type TrafficSource struct {
 	Service string
 	Account string
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -10,7 +10,7 @@
 // Hold is a held request as kept in the store, so that it survives the loss of all hosts.
 type Hold struct {
 	Subject
-	// Crashes are the crashes of the engines that ran the request.
+	// Ends are the crashes of the engines that ran the request.
 	Ends []Crash
 	// Until is the wall-clock time at which the hold expires; zero means until an operator
 	// frees it.
--- a/reservation/fence.go
+++ b/reservation/fence.go
@@ -14,7 +14,8 @@
 
 // The states of a request in a ledger.
 const (
-	// FenceStatePromised means that the request wasn't granted and won't be under a lower ballot.
+	// FenceStatePromised means that the request wasn't granted and won't be under a lower
+	// ballot.
 	FenceStatePromised FenceState = iota + 1
 	// FenceStateGranted means that a slot of an engine was granted for the request.
 	FenceStateGranted
@@ -67,8 +68,8 @@
 type Record struct {
 	ID     request.ID
 	Ballot request.Ballot
-	// State is FenceStatePromised, FenceStateGranted, FenceStateClosed or, if the gateway doesn't
-	// know whether the request was closed, FenceStateForgotten.
+	// State is FenceStatePromised, FenceStateGranted, FenceStateClosed or, if the gateway
+	// doesn't know whether the request was closed, FenceStateForgotten.
 	State  FenceState
 	Engine string
 }
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -82,8 +82,8 @@
 	Digest call.Digest
 	// Regions are those in which the request may be served; empty for all.
 	Regions []string
-	// Requeued means that the request was granted before and not sent. It keeps its position in
-	// the queue, and is not counted against the retry budget a second time.
+	// Requeued means that the request was granted before and not sent. It keeps its
+	// position in the queue, and is not counted against the retry budget a second time.
 	Requeued bool
 }
 
@@ -114,8 +114,8 @@
 	GrantRateUnknown GrantRate = iota
 	// GrantRateLimited means that the grant is within the rate limit.
 	GrantRateLimited
-	// GrantRateUnlimited means that a response without a rate limit has come after all responses
-	// with one.
+	// GrantRateUnlimited means that a response without a rate limit has come after all
+	// responses with one.
 	GrantRateUnlimited
 )
 
--- a/resource/head.go
+++ b/resource/head.go
@@ -49,7 +49,8 @@
 	Revision uint64
 }
 
-// ChangeRevision returns the revision of the change with the id, and whether the head lists it.
+// ChangeRevision returns the revision of the change with the id, and whether the head lists
+// it.
 func (hea Head) ChangeRevision(changeID string) (uint64, bool) {
 	for _, chg := range hea.Changes {
 		if chg.ID == changeID {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -33,8 +33,8 @@
 	Now func() time.Time
 	// Dialed, if not nil, is called for each new connection.
 	Dialed func()
-	// HeadReceived, if not nil, is called with the head of each answer of an engine before any of
-	// the answer is passed on, including answers that belong to another request.
+	// HeadReceived, if not nil, is called with the head of each answer of an engine before
+	// any of the answer is passed on, including answers that belong to another request.
 	HeadReceived func(HeadReceived)
 }
 
--- a/upstreamtest/engine.go
+++ b/upstreamtest/engine.go
@@ -173,8 +173,8 @@
 	eng.faults = nil
 }
 
-// OnNextRequest sets a function that is called once, when the next request has been assigned its
-// fault.
+// OnNextRequest sets a function that is called once, when the next request has been
+// assigned its fault.
 func (eng *Engine) OnNextRequest(callback func()) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -188,7 +188,8 @@
 	return append([]Run(nil), eng.runs...)
 }
 
-// AbandonedRequests returns the number of requests whose client disconnected before the end of the answer.
+// AbandonedRequests returns the number of requests whose client disconnected before the end
+// of the answer.
 func (eng *Engine) AbandonedRequests() int {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
--- a/upstreamtest/switch.go
+++ b/upstreamtest/switch.go
@@ -14,7 +14,7 @@
 	PathRuns = "/standin/runs"
 	// PathArrivals answers GET with all values of Engine.Arrivals.
 	PathArrivals = "/standin/arrivals"
-	// PathSignals takes a Signals by POST.
+	// PathSignals takes the Signals by POST.
 	PathSignals = "/standin/word"
 	// PathCold takes a Cold by POST.
 	PathCold = "/standin/cold"
--- a/upstreamtest/word.go
+++ b/upstreamtest/word.go
@@ -18,7 +18,8 @@
 	At time.Time
 	// Draining is set if the answer reported that the engine is draining.
 	Draining bool `json:"Leaves"`
-	// Backoff is the requested backoff if the engine rejected the request with one; 0 otherwise.
+	// Backoff is the requested backoff if the engine rejected the request with one; 0
+	// otherwise.
 	Backoff time.Duration `json:"Pause"`
 	// Rate is the rate limit sent with the answer; nil means none.
 	Rate *float64
@@ -51,8 +52,8 @@
 	return append([]Arrival(nil), eng.arrivals...)
 }
 
-// SetRateLimit makes all answers send a rate limit in requests per second, for all hosts together.
-// The engine doesn't enforce it. ClearRateLimit removes the limit.
+// SetRateLimit makes all answers send a rate limit in requests per second, for all hosts
+// together. The engine doesn't enforce it. ClearRateLimit removes the limit.
 func (eng *Engine) SetRateLimit(perSecond float64) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -145,8 +146,8 @@
 	For       time.Duration
 }
 
-// MarkCold makes the engine cold: it crashes for good when it receives more requests within one
-// second than it survives.
+// MarkCold makes the engine cold: it crashes for good when it receives more requests within
+// one second than it survives.
 func (eng *Engine) MarkCold(col Cold) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
--- a/view/sessionpeers.go
+++ b/view/sessionpeers.go
@@ -16,10 +16,11 @@
 // keeps sessions in a larger view.
 const coordinatorsPerService = 2
 
-// SessionPeers returns the members with which the gateway with the given epoch keeps sessions. In
-// a view with at most 24 other members these are all of them. In a larger view they are two
-// coordinators of each service that are outside the gateway's failure domain, if possible
-// in different domains. The choice differs between gateways, which distributes the load.
+// SessionPeers returns the members with which the gateway with the given epoch keeps
+// sessions. In a view with at most 24 other members these are all of them. In a larger view
+// they are two coordinators of each service that are outside the gateway's failure domain,
+// if possible in different domains. The choice differs between gateways, which distributes
+// the load.
 func (vie View) SessionPeers(gateway request.Epoch, services map[string][]resource.EngineSlots) []Member {
 	var others []Member
 	for _, mem := range vie.Members {
@@ -57,8 +58,8 @@
 	return PickAcrossDomains(coordinators, coordinatorsPerService)
 }
 
-// PickAcrossDomains returns up to count members, one of each failure domain before any second one of
-// a domain, otherwise in the given order.
+// PickAcrossDomains returns up to count members, one of each failure domain before any
+// second one of a domain, otherwise in the given order.
 func PickAcrossDomains(members []Member, count int) []Member {
 	var first, rest []Member
 	for _, mem := range members {
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -106,7 +106,8 @@
 	Unsent bool
 }
 
-// GuaranteesNotRun reports whether the answer's status guarantees that the request has not run.
+// GuaranteesNotRun reports whether the answer's status guarantees that the request has not
+// run.
 func (att Attempt) GuaranteesNotRun() bool {
 	switch att.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
