--- a/cmd/loadcmd.go
+++ b/cmd/loadcmd.go
@@ -120,13 +120,13 @@
 	stop := time.Now().Add(opt.length)
 	for num := range opt.visitors {
 		random := rand.New(rand.NewPCG(opt.seed, uint64(num)))
-		vis := visitor.New(visitor.Config{
+		cli := visitor.New(visitor.Config{
 			Directories: directories, HostName: opt.hostName, Domain: opt.domain, Random: random, KeepAlive: num%2 == 0,
 			Prefix: fmt.Sprintf("load-%d-%d-%d", time.Now().UnixNano(), opt.seed, num),
 		})
 		go func() {
-			defer vis.Close()
-			ends <- sendUntil(ctx, vis, req, stop, func() time.Duration {
+			defer cli.Close()
+			ends <- sendUntil(ctx, cli, req, stop, func() time.Duration {
 				return time.Duration(random.ExpFloat64() * float64(opt.visitors) / opt.rate * float64(time.Second))
 			})
 		}()
@@ -138,7 +138,7 @@
 	return results
 }
 
-func sendUntil(ctx context.Context, vis *visitor.Client, req visitor.Request, stop time.Time, gap func() time.Duration) []visitor.Result {
+func sendUntil(ctx context.Context, cli *visitor.Client, req visitor.Request, stop time.Time, gap func() time.Duration) []visitor.Result {
 	var results []visitor.Result
 	next := time.Now().Add(gap())
 	for ctx.Err() == nil && next.Before(stop) {
@@ -147,7 +147,7 @@
 		case <-ctx.Done():
 			return results
 		}
-		results = append(results, vis.Send(ctx, req))
+		results = append(results, cli.Send(ctx, req))
 		next = next.Add(gap())
 	}
 	return results
--- a/credential/credential_test.go
+++ b/credential/credential_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Unix(5000, 0)
 
-func newRing(t testing.TB) credential.KeyRing {
+func newKeyRing(t testing.TB) credential.KeyRing {
 	t.Helper()
 	rin, err := credential.NewKeyRing(start)
 	assert.NilError(t, err)
@@ -61,7 +61,7 @@
 // Hosts must be able to connect in every step of a rotation, also to hosts that have
 // missed the last step. Hosts that are two steps apart can't connect.
 func TestHostsAuthenticateDuringRenewal(t *testing.T) {
-	first := newRing(t)
+	first := newKeyRing(t)
 	_, due, err := first.Renewal(start.Add(time.Minute), time.Hour)
 	assert.NilError(t, err)
 	assert.Assert(t, !due)
@@ -97,11 +97,11 @@
 // A peer without a secret of the key ring must be rejected whatever certificate it
 // presents, by servers and by clients, and each rejection must be reported.
 func TestUnauthenticatedPeersAreRejected(t *testing.T) {
-	ring := newRing(t)
+	ring := newKeyRing(t)
 	var rejected []error
 	aut := credential.NewAuthenticator(credential.Config{Refused: func(err error) { rejected = append(rejected, err) }})
 	assert.NilError(t, aut.SetKeyRing(ring))
-	other := newAuthenticator(t, newRing(t)).TLS()
+	other := newAuthenticator(t, newKeyRing(t)).TLS()
 	_, err := handshake(t, other, aut.TLS())
 	assert.Assert(t, err != nil)
 	noCertificate := other.Clone()
@@ -125,14 +125,14 @@
 // Before a key ring is loaded, every peer must be rejected.
 func TestHostWithoutSecretRejectsAllPeers(t *testing.T) {
 	empty := credential.NewAuthenticator(credential.Config{})
-	client, server := handshake(t, newAuthenticator(t, newRing(t)).TLS(), empty.TLS())
+	client, server := handshake(t, newAuthenticator(t, newKeyRing(t)).TLS(), empty.TLS())
 	assert.Assert(t, client != nil && server != nil)
 	_, found := empty.KeyRing()
 	assert.Assert(t, !found)
 }
 
 func TestInvalidKeyRingNamesField(t *testing.T) {
-	valid := newRing(t)
+	valid := newKeyRing(t)
 	data, err := json.Marshal(valid)
 	assert.NilError(t, err)
 	var read credential.KeyRing
@@ -162,7 +162,7 @@
 
 // BenchmarkHandshake measures both sides of a handshake together.
 func BenchmarkHandshake(b *testing.B) {
-	cfg := newAuthenticator(b, newRing(b)).TLS()
+	cfg := newAuthenticator(b, newKeyRing(b)).TLS()
 	for b.Loop() {
 		if client, server := handshake(b, cfg, cfg); client != nil || server != nil {
 			b.Fatal(client, server)
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -177,10 +177,10 @@
 	engines := twoOfEach()
 	sys := start(t, 2, engines)
 	num := 0
-	for _, trb := range []upstreamtest.Fault{upstreamtest.DropAnswer, upstreamtest.Truncate, upstreamtest.TruncateInEvent, upstreamtest.Error} {
+	for _, fau := range []upstreamtest.Fault{upstreamtest.DropAnswer, upstreamtest.Truncate, upstreamtest.TruncateInEvent, upstreamtest.Error} {
 		for range 4 {
 			for _, eng := range engines[:2] {
-				eng.Fault(trb, 1)
+				eng.Fault(fau, 1)
 			}
 			num++
 			sys.Send(t.Context(), sys.Hosts[num%2], entrytest.Request{ID: fmt.Sprintf("trouble-%d", num), Path: "/stream/x", Body: "the same", Header: map[string]string{"Token-Counts": "10,5"}})
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-func checkFault(t *testing.T, trb upstreamtest.Fault, kind string, status int) {
+func checkFault(t *testing.T, fau upstreamtest.Fault, kind string, status int) {
 	t.Helper()
 	one, two := plainEngine("p1"), plainEngine("p2")
 	want := upstreamtest.PlainBody("r1")
@@ -148,8 +148,8 @@
 		want = upstreamtest.StreamBody("r1", streamEvents)
 	}
 	sys := start(t, 1, []*upstreamtest.Engine{one, two})
-	one.Fault(trb, 1)
-	two.Fault(trb, 1)
+	one.Fault(fau, 1)
+	two.Fault(fau, 1)
 	// Only the engine that takes the request first has the fault.
 	ans := sendWithOneFault(t, sys, kind, one, two)
 	if status == 0 {
--- a/entry/secret_test.go
+++ b/entry/secret_test.go
@@ -65,14 +65,14 @@
 	sys := startWithStoredSecret(t, 2, settings.Bounds{})
 	other, err := credential.NewKeyRing(time.Now())
 	assert.NilError(t, err)
-	kee := credential.NewAuthenticator(credential.Config{})
-	assert.NilError(t, kee.SetKeyRing(other))
-	anonymous := kee.TLS()
+	aut := credential.NewAuthenticator(credential.Config{})
+	assert.NilError(t, aut.SetKeyRing(other))
+	anonymous := aut.TLS()
 	anonymous.GetClientCertificate, anonymous.VerifyConnection = nil, nil
-	unverified := kee.TLS()
+	unverified := aut.TLS()
 	unverified.VerifyConnection = nil
 	for name, sec := range map[string]peer.Security{
-		"the former built-in key": {Key: "lynxwell hosts of one deployment"}, "another secret": {TLS: kee.TLS()},
+		"the former built-in key": {Key: "lynxwell hosts of one deployment"}, "another secret": {TLS: aut.TLS()},
 		"another secret, without verification": {TLS: unverified}, "no certificate": {TLS: anonymous},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/entry/take.go
+++ b/entry/take.go
@@ -135,9 +135,9 @@
 			wat.host.checkLease()
 		}
 	case platform.KeyRolloutState:
-		wat.rollouts.set(name, func(std *rollout.StoredState) { std.State, std.StateVersion, std.StateRevision = 0, "", 0 })
+		wat.rollouts.set(name, func(sta *rollout.StoredState) { sta.State, sta.StateVersion, sta.StateRevision = 0, "", 0 })
 	case platform.KeyLedger:
-		wat.rollouts.set(name, func(std *rollout.StoredState) { std.Ledger, std.LedgerRevision = rollout.Ledger{}, 0 })
+		wat.rollouts.set(name, func(sta *rollout.StoredState) { sta.Ledger, sta.LedgerRevision = rollout.Ledger{}, 0 })
 	case platform.KeyRing:
 		wat.clearKeyRing()
 	case platform.KeyHolds:
@@ -145,7 +145,7 @@
 	case platform.KeyEvacuation:
 		wat.withdrawEvacuation(name, cha.Revision)
 	case platform.KeyEvacuationState:
-		wat.setEvacuation(name, func(std *evacuation.StoredState) { std.Published = evacuation.PublishedState{} })
+		wat.setEvacuation(name, func(sta *evacuation.StoredState) { sta.Published = evacuation.PublishedState{} })
 	case platform.KeyConfiguration, platform.KeyMeasurements, platform.KeyRolloutOrder, platform.KeyOther:
 	}
 }
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -121,7 +121,7 @@
 }
 
 // Hosts that joined after a view can't grant its ids. If only such hosts coordinate
-// the service, the client must be told to request a new prefix at once instead of
+// the service, the client must be asked to request a new prefix at once instead of
 // waiting until its deadline.
 func TestIDOfAnOldViewWithoutCoordinatorIsClosedAtOnce(t *testing.T) {
 	har := newHarness(t, 1, member(1, "a"), member(3, "b"))
@@ -261,7 +261,7 @@
 }
 
 // If every granter of an id of an old view has stopped cleanly, no host is left that
-// could close or grant the request. The client must be told to request a new prefix.
+// could close or grant the request. The client must be asked to request a new prefix.
 func TestIDWhoseGrantersAllStoppedIsRetired(t *testing.T) {
 	har := newHarness(t, 2, member(1, "a"), member(2, "b"), member(3, "c"))
 	har.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{
--- a/gateway/fence.go
+++ b/gateway/fence.go
@@ -215,7 +215,7 @@
 }
 
 // takeOver makes this gateway the holder of the request. If a granter has closed the
-// request, a client may have been told so and it must not run any more. One such
+// request, a client may have received that answer and it must not run any more. One such
 // answer isn't sufficient before all granters are settled: a granter closes expired
 // requests on its own, while their gateway may have a grant from another granter.
 func (gat *Core) takeOver(now time.Time, ent *entry) {
--- a/host/peerbackend.go
+++ b/host/peerbackend.go
@@ -62,18 +62,18 @@
 }
 
 // Vouch implements peer.Backend.
-func (hos *Host) Vouch(ctx context.Context, vou reservation.Attestation) error {
+func (hos *Host) Vouch(ctx context.Context, att reservation.Attestation) error {
 	_, err := callLoop(ctx, hos.loop, func(now time.Time) struct{} {
-		hos.loop.coordinator.Attest(now, vou)
+		hos.loop.coordinator.Attest(now, att)
 		return struct{}{}
 	})
 	return err
 }
 
 // Unvouch implements peer.Backend.
-func (hos *Host) Unvouch(ctx context.Context, unv reservation.Revocation) (reservation.RevocationAnswer, error) {
+func (hos *Host) Unvouch(ctx context.Context, rev reservation.Revocation) (reservation.RevocationAnswer, error) {
 	return callLoop(ctx, hos.loop, func(time.Time) reservation.RevocationAnswer {
-		return hos.loop.coordinator.RevokeAttestation(unv)
+		return hos.loop.coordinator.RevokeAttestation(rev)
 	})
 }
 
