--- a/tools/mutate/mutations.go
+++ b/tools/mutate/mutations.go
@@ -8,13 +8,13 @@
 var cores = []string{"./gateway", "./coordinator", "./modeltest", "-run", "Test[^M]"}
 
 // signals selects the tests of engine signals.
-var signals = []string{"./entry", "./scheduler", "./fleet", "-run", "Notice|Signal|Backoff|Pause|Draining|Blocked|Crashes"}
+var signals = []string{"./entry", "./scheduler", "./fleet", "-run", "Notice|Signal|Backoff|Draining|Blocked|Crashes|Published|Reported|EarlyAnswer|ClientDisconnect|Unrecognized"}
 
 // rates selects the tests of rate limits.
 var rates = []string{"./entry", "./scheduler", "./fleet", "-run", "Rate|SpendsNoToken|DeregisteredEngine"}
 
 // placement selects the tests of the evacuation of failure domains, of cold engines and of regions.
-var placement = []string{"./evacuation", "./entry", "./scheduler", "./fleet", "./route", "-run", "Evacuat|Emptied|Emptying|Order|Domain|Cold|Warm|Region|Told|Allowed|Enforce|Chill|HostKeeps|StartingHost|Outside|Addresses|Unreachable|Retry"}
+var placement = []string{"./evacuation", "./entry", "./scheduler", "./fleet", "./route", "-run", "Evacuat|Order|Domain|Cold|Warm|Region|Allowed|Enforce|StartingHost|Outside|Addresses|Unreachable|Retry|Poison|RejectedAtOnce|Reported|Unrecognized|NewSession|CrashesConfirmed|RepeatedBackoff|Blocked|Sorted"}
 
 var mutations = []mutation{
 	{
@@ -23,7 +23,7 @@
 	},
 	{
 		"Place: the state of an order is published once all hosts enforce it", "evacuation/board.go",
-		"len(brd.hosts) == 0 || len(brd.missing(ord)) > 0", "len(brd.hosts) == 0", placement,
+		"len(trk.hosts) == 0 || len(trk.missing(ord)) > 0", "len(trk.hosts) == 0", placement,
 	},
 	{
 		"Place: a host enforces an order once none of its requests to the domain is still to be written", "evacuation/gate.go",
@@ -31,11 +31,11 @@
 	},
 	{
 		"Place: the published state of an earlier order doesn't stand for the current one", "evacuation/board.go",
-		"std.Told.Revision > 0 && std.Told.Order == std.Order.Revision {\n		return", "std.Told.Revision > 0 {\n		return", placement,
+		"sta.Published.Revision > 0 && sta.Published.Order == sta.Order.Revision {\n		return", "sta.Published.Revision > 0 {\n		return", placement,
 	},
 	{
 		"Place: two publishers don't publish a state twice", "evacuation/board.go",
-		"Expect: std.Told.Revision}", "}", placement,
+		"Expect: sta.Published.Revision}", "}", placement,
 	},
 	{
 		"Place: an evacuated engine gets no grants", "fleet/engine.go",
@@ -63,7 +63,7 @@
 	},
 	{
 		"Place: a repeated read of an entry doesn't extend the warm-up of an engine", "fleet/directory.go",
-		"eng.Sequence != former.Sequence && told.After(until)", "told.After(until)", placement,
+		"eng.Sequence != prev.Sequence && reported.After(until)", "reported.After(until)", placement,
 	},
 	{
 		"Place: engines of a reopened domain are marked cold", "entry/evacuations.go",
@@ -79,7 +79,7 @@
 	},
 	{
 		"Place: the account's regions restrict the route's regions", "route/region.go",
-		"Regions: common(rou.Regions, acc.Regions)}", "Regions: rou.Regions}", placement,
+		"Regions: intersect(rou.Regions, acc.Regions)}", "Regions: rou.Regions}", placement,
 	},
 	{
 		"Place: clients get the addresses of regions that may hold their requests first", "entry/directory.go",
@@ -119,15 +119,15 @@
 	},
 	{
 		"Rate: a host returns a rate-limited grant that is too old", "entry/barred.go",
-		"GrantRatePaced && age < maxRateGrantAge", "GrantRatePaced && age < time.Hour", rates,
+		"GrantRateLimited && age < maxRateGrantAge", "GrantRateLimited && age < time.Hour", rates,
 	},
 	{
 		"Rate: grants report the end of the limit", "scheduler/rate.go",
-		"	case ene.rateEnded:\n		return reservation.GrantRateEnded\n", "", rates,
+		"	case ene.rateEnded:\n		return reservation.GrantRateUnlimited\n", "", rates,
 	},
 	{
 		"Rate: a host accepts the end of the limit only with a grant requested after the limit", "entry/barred.go",
-		" && grt.requestedAt.After(lim.At):", ":", rates,
+		" && grt.requestedAt.After(lim.ReceivedAt):", ":", rates,
 	},
 	{
 		"Rate: the answer to a different request doesn't end the limit", "entry/notices.go",
@@ -135,11 +135,11 @@
 	},
 	{
 		"Rate: the answer to a request sent before the limit doesn't end it", "fleet/notices.go",
-		"	return known && sent.After(lim.At)\n", "	return known && (true || sent.After(lim.At))\n", rates,
+		"	return known && sent.After(lim.ReceivedAt)\n", "	return known && (true || sent.After(lim.ReceivedAt))\n", rates,
 	},
 	{
 		"Rate: an invalid rate limit doesn't end the limit", "entry/notices.go",
-		"	case hrd.Head.UnreadRate != \"\":\n", "	case false:\n", rates,
+		"	case hrd.Head.InvalidRate != \"\":\n", "	case false:\n", rates,
 	},
 	{
 		"Rate: a rejection by the rate limit doesn't count as a failure", "entry/attempt.go",
@@ -175,7 +175,7 @@
 	},
 	{
 		"Word: a backoff request doesn't count as a failure", "scheduler/core.go",
-		"	case rel.BackedOff:\n		ene.health.recordUnknown()\n", "", signals,
+		"	case rel.Throttled:\n		ene.health.recordUnknown()\n", "", signals,
 	},
 	{
 		"Fence: a promise refuses lower ballots", "coordinator/ledger.go",
@@ -183,12 +183,12 @@
 	},
 	{
 		"Fence: an unreachable granter needs an attestation", "gateway/fence.go",
-		"		if !fes.vouched(reservation.VouchKey{Lost: granter, Holder: holder}) {\n			return false\n		}\n",
-		"		if false && !fes.vouched(reservation.VouchKey{Lost: granter, Holder: holder}) {\n			return false\n		}\n", model,
+		"		if !att.isAttested(reservation.AttestationKey{Lost: granter, Holder: holder}) {\n			return false\n		}\n",
+		"		if false && !att.isAttested(reservation.AttestationKey{Lost: granter, Holder: holder}) {\n			return false\n		}\n", model,
 	},
 	{
 		"Fence: a fence answer reports a recorded grant", "coordinator/ledger.go",
-		"	case rec != nil && rec.standing == reservation.StandingGranted:\n		ans.Standing, ans.Ballot, ans.Engine = rec.standing, rec.ballot, rec.engine\n", "", model,
+		"	case rec != nil && rec.state == reservation.FenceStateGranted:\n		ans.State, ans.Ballot, ans.Engine = rec.state, rec.ballot, rec.engine\n", "", model,
 	},
 	{
 		"Domain rule: grants come from outside the gateway's domain", "view/view.go",
@@ -207,12 +207,12 @@
 		"wanted := ent != nil && ent.phase == phaseWaiting && ent.coordinator == from &&", "wanted := ent != nil && ent.coordinator == from &&", cores,
 	},
 	{
-		"Vouching: an attestation contains the records of a lost epoch", "gateway/vouch.go",
+		"Vouching: an attestation contains the records of a lost epoch", "gateway/attestation.go",
 		"			records = append(records, rec)\n", "			_ = rec\n", model,
 	},
 	{
 		"Vouching: an attestation that a fence relied on isn't revoked", "coordinator/ledger.go",
-		"	case known.fenced:\n		ans.Released = false\n", "", cores,
+		"	case known.fenced:\n		ans.Revoked = false\n", "", cores,
 	},
 	{
 		"Close: NotRun is reported only on the answer of a granter", "gateway/close.go",
@@ -224,16 +224,16 @@
 	},
 	{
 		"Close: a fence that reads Closed waits for every granter", "gateway/fence.go",
-		"	case reservation.StandingOutbid:\n		gat.outbid(now, ent, ans)\n	case reservation.StandingClosed,",
-		"	case reservation.StandingOutbid:\n		gat.outbid(now, ent, ans)\n	case reservation.StandingClosed:\n		gat.finish(ent, Final{Outcome: request.NotRun})\n	case", cores,
+		"	case reservation.FenceStateSuperseded:\n		gat.superseded(now, ent, ans)\n	case reservation.FenceStateClosed,",
+		"	case reservation.FenceStateSuperseded:\n		gat.superseded(now, ent, ans)\n	case reservation.FenceStateClosed:\n		gat.finish(ent, Final{Outcome: request.NotRun})\n	case", cores,
 	},
 	{
 		"Floor: a queue that refused a rank accepts no new request below it", "coordinator/service.go",
 		"	if now.Before(svc.floorUntil) && res.Rank < svc.floorRank {\n		return false\n	}\n", "", cores,
 	},
 	{
-		"Shedding: the lowest tier is shed first", "coordinator/line.go",
-		"	for _, til := range slices.Backward(lin.tiers) {", "	for _, til := range lin.tiers {", cores,
+		"Shedding: the lowest tier is shed first", "coordinator/queue.go",
+		"	for _, tiq := range slices.Backward(que.tiers) {", "	for _, tiq := range que.tiers {", cores,
 	},
 	{
 		"Revisions: only a higher one is put in force", "host/configuration.go",
@@ -242,7 +242,7 @@
 	},
 	{
 		"Handover: a stopping ledger hands over all records", "coordinator/ledger.go",
-		"		han.Records = append(han.Records, reservation.Record{ID: id, Ballot: rec.ballot, Standing: rec.standing, Engine: rec.engine})\n",
+		"		han.Records = append(han.Records, reservation.Record{ID: id, Ballot: rec.ballot, State: rec.state, Engine: rec.engine})\n",
 		"		_ = id\n", model,
 	},
 	{
