--- a/entry/caller.go
+++ b/entry/caller.go
@@ -36,7 +36,7 @@
 	maxStaleRetry = 4 * time.Second
 )
 
-// cause says why a request ended. It appears in the log, in the counters and in the body of an
+// cause is why a request ended. It appears in the log, in the counters and in the body of an
 // error.
 type cause string
 
@@ -327,7 +327,7 @@
 	evt.Msg("request")
 }
 
-// timeliness says whether an answer was in time, as measured at this host.
+// timeliness states whether an answer was in time, as measured at this host.
 type timeliness string
 
 const (
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -12,7 +12,7 @@
 	"lynxwell.dev/lynxwell/upstream"
 )
 
-// crashState says whether an engine crashed while it ran a request.
+// crashState states whether an engine crashed while it ran a request.
 type crashState uint8
 
 const (
--- a/fleet/notices.go
+++ b/fleet/notices.go
@@ -13,8 +13,8 @@
 // Notices holds the signals that one host has received in engines' responses. A response comes
 // directly from the engine, even while the store is unavailable or hasn't stored the engine's
 // latest entry. Notices therefore take precedence over entries: a run that has signaled that it
-// drains is draining, whatever an entry of the same run says. Another run is another engine,
-// even under the same name or at the same address.
+// drains is draining, whatever an entry of the same run reports. Another run is another
+// engine, even under the same name or at the same address.
 //
 // Notices is not safe for concurrent use.
 type Notices struct {
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -255,20 +255,20 @@
 	Share float64
 }
 
-// Appoint tells a coordinator whether the gateway delegates scheduling to it from now on. A
+// Appoint notifies a coordinator whether the gateway delegates scheduling to it from now on. A
 // gateway also has sessions with hosts to which it doesn't delegate, and may be silent for long
 // while it has no requests, so neither a session nor silence shows this.
 type Appoint struct {
 	Delegated bool
 }
 
-// Leader tells a gateway which host, to the sender's knowledge, schedules for more than half of
-// all hosts; 0 if the sender knows of none.
+// Leader reports to a gateway which host, to the sender's knowledge, schedules for more
+// than half of all hosts; 0 if the sender knows of none.
 type Leader struct {
 	Host request.Epoch
 }
 
-// Absent tells a gateway the complete list of hosts that the coordinator can't reach. Clients
+// Absent sends a gateway the complete list of hosts that the coordinator can't reach. Clients
 // aren't directed to them, although their entries in the store haven't expired yet.
 type Absent struct {
 	Hosts []request.Epoch
--- a/scheduler/cold.go
+++ b/scheduler/cold.go
@@ -43,7 +43,7 @@
 }
 
 // markCrashedCold marks a crashed engine cold: the next answer from its address comes from another
-// run, whatever the entry says.
+// run, whatever the entry reports.
 func (cor *Core) markCrashedCold(now time.Time, ene *engine) {
 	_, dur := cor.coldSettings(ene.Service)
 	cor.markCold(now, ene, now.Add(crashHoldOff+dur))
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -154,7 +154,7 @@
 }
 
 // A service without a configured cold rate treats no engine as cold, whatever the entry or a
-// signal says.
+// signal reports.
 func TestServiceWithoutAColdRateHasNoColdEngines(t *testing.T) {
 	har := newHarness()
 	har.configure()
