--- a/tools/mutate/mutations.go
+++ b/tools/mutate/mutations.go
@@ -207,7 +207,7 @@
 		"wanted := ent != nil && ent.phase == phaseWaiting && ent.coordinator == from &&", "wanted := ent != nil && ent.coordinator == from &&", cores,
 	},
 	{
-		"Vouching: an attestation contains the records of a lost epoch", "gateway/attestation.go",
+		"Vouching: an attestation contains the records of a lost epoch", "gateway/vouch.go",
 		"			records = append(records, rec)\n", "			_ = rec\n", model,
 	},
 	{
