--- a/entry/barred.go
+++ b/entry/barred.go
@@ -52,8 +52,8 @@
 
 // grant is what a gateway keeps of a grant to check whether it may still be used.
 type grant struct {
-	// rate is what the scheduler knew of the engine's rate limit. It was asked at requestedAt,
-	// and its grant arrived at grantedAt.
+	// rate is what the scheduler knew of the engine's rate limit. The reservation was placed at
+	// requestedAt, and the grant arrived at grantedAt.
 	rate reservation.GrantRate
 	// cold is set if the scheduler knew that the engine was cold.
 	cold        bool
--- a/entry/barred_test.go
+++ b/entry/barred_test.go
@@ -61,7 +61,7 @@
 	return hos
 }
 
-// An engine asks for a backoff while a request still waits for its connection: the request
+// An engine sends a backoff request while a request still waits for its connection: the latter
 // isn't written to that engine.
 func TestRequestWaitingForConnectionIsNotSentToBlockedEngine(t *testing.T) {
 	hos := newTestHost(t, io.Discard)
@@ -148,8 +148,8 @@
 	assert.NilError(t, hos.checkEngine(fleet.Engine{ID: run}, grant{grantedAt: now}))
 }
 
-// An answer to another host has shown that the rate limit has ended. The scheduler knows, and
-// this host learns of it with the next grant that it asks for.
+// An answer to another host has shown that the rate limit has ended. The scheduler knows this, and
+// this host learns of it with its next grant.
 func TestRateLimitEndsWithGrantOfInformedScheduler(t *testing.T) {
 	hos := newTestHost(t, io.Discard)
 	run := fleet.EngineID{Name: "e1"}
--- a/entry/cold_test.go
+++ b/entry/cold_test.go
@@ -46,9 +46,9 @@
 	assert.Assert(t, errors.As(hos.checkEngine(eng, grant{grantedAt: now}), &exceeded), "by its own signal")
 }
 
-// After an evacuation order is cancelled the domain's engines count as cold, since they were
-// idle. An order applies whatever its value is, and a complete snapshot without it cancels it.
-func TestEnginesAreColdAfterEvacuationIsCancelled(t *testing.T) {
+// After an evacuation order is withdrawn the domain's engines count as cold, since they were idle.
+// An order applies whatever its value is, and a complete read of the store without it withdraws it.
+func TestEnginesAreColdAfterEvacuationIsWithdrawn(t *testing.T) {
 	wat, _ := newTestWatcher(t)
 	wat.apply(changeUpdate(11, "op/config", []byte(`{"version":1,"services":[{"name":"s","cold_s":3,"cold_per_s":8}]}`)))
 	wat.apply(changeUpdate(12, "op/evacuate/z", []byte("{}")))
--- a/entry/desk.go
+++ b/entry/desk.go
@@ -113,7 +113,7 @@
 
 // decision is a coordinator's answer to a reservation.
 type decision struct {
-	// grant is set unless refusal is.
+	// Exactly one of grant and refusal is set.
 	grant   *reservation.Grant
 	refusal *reservation.Refuse
 	// coordinator is the epoch of the host that decided.
@@ -304,8 +304,9 @@
 	}
 }
 
-// decisionSlack is how long after the time that a coordinator may keep a reservation the answer
-// may still arrive. It covers some round trips and a pause of the coordinator's processor.
+// decisionSlack is how long a gateway waits for a decision beyond the time for which the
+// coordinator may queue the reservation. It covers some round trips and a pause of the
+// coordinator's processor.
 const decisionSlack = 150 * time.Millisecond
 
 func decisionTimeout(res reservation.Reserve) time.Duration {
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -27,7 +27,7 @@
 	Engines []fleet.Engine
 	// Notices are the engine signals that this host received and that are in force.
 	Notices []NoticeDump `json:",omitempty"`
-	// Coordinator is the epoch of the host whose scheduler decides; Own is set if it is this host.
+	// Coordinator is the epoch of the coordinator; Own is set if it is this host.
 	Coordinator string
 	Own         bool
 	// Sessions are the coordinators that this host has sessions with, Gateways the hosts that this
@@ -50,7 +50,7 @@
 	Says   string
 	// Left is how much longer a requested backoff lasts.
 	Left string `json:",omitempty"`
-	// PerSecond is the rate limit that the engine named; nil if there is none.
+	// PerSecond is the rate limit that the engine signaled; nil if there is none.
 	PerSecond *float64 `json:",omitempty"`
 }
 
--- a/entry/elect.go
+++ b/entry/elect.go
@@ -104,12 +104,12 @@
 }
 
 // setAppointed records whether a gateway uses this host as its coordinator; the mutex is held.
-func (bro *broker) setAppointed(inb *inbound, decides bool) {
-	inb.appointed = decides
-	if decides && len(bro.publishedUnreachable) > 0 {
+func (bro *broker) setAppointed(inb *inbound, appointed bool) {
+	inb.appointed = appointed
+	if appointed && len(bro.publishedUnreachable) > 0 {
 		bro.sendUnreachable(inb)
 	}
-	if decides {
+	if appointed {
 		bro.sendCasesToGateway(inb)
 	}
 	bro.updateShare(bro.active)
@@ -125,7 +125,7 @@
 // total than the limits allow.
 func (bro *broker) updateShare(chosen request.Epoch) {
 	served := 1
-	byAnother := chosen != bro.host.epoch && bro.servedHosts() == 1
+	standby := chosen != bro.host.epoch && bro.servedHosts() == 1
 	if chosen == bro.host.epoch {
 		served = bro.servedHosts()
 	}
@@ -133,7 +133,7 @@
 	if bro.membership.unregistered && len(bro.membership.candidates) > 0 {
 		divisor = unregisteredDivisor
 	}
-	bro.handleLocked(scheduler.ShareChanged{Divisor: divisor, Hosts: len(bro.membership.members), Standby: byAnother})
+	bro.handleLocked(scheduler.ShareChanged{Divisor: divisor, Hosts: len(bro.membership.members), Standby: standby})
 }
 
 // limitDivisor returns the limit divisor of a scheduler that coordinates the given number of
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -11,7 +11,7 @@
 //
 // The store watcher keeps a snapshot of the configuration, engines and hosts in the store. The
 // broker obtains an engine for each request from the scheduler of one host, the coordinator, which
-// decides for all hosts. The host that received a request dispatches, streams and retries it.
+// schedules for all hosts. The host that received a request dispatches, streams and retries it.
 package entry
 
 import (
@@ -74,7 +74,7 @@
 	tasks       *task.Group
 	servers     []*http.Server
 
-	// snapshot holds the configuration, engines and hosts that requests are decided by.
+	// snapshot holds the known configuration, engines and hosts.
 	snapshot atomic.Pointer[snapshot]
 	// confirmed is when the store last showed that the snapshot is current, in nanoseconds after
 	// started by the host's clock.
@@ -172,7 +172,7 @@
 	if hos.hasPeerKey() {
 		return peer.Security{Key: hos.set.PeerKey}
 	}
-	return peer.Security{TLS: hos.secrets.keeper.TLS()}
+	return peer.Security{TLS: hos.secrets.authenticator.TLS()}
 }
 
 // member returns the host's own entry in the store.
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -251,7 +251,7 @@
 	sys.WaitUntil("the engine runs it", func() bool { return len(eng.Runs()) == 1 })
 	cancel()
 	assert.Assert(t, (<-answers).Err != nil)
-	sys.WaitUntil("the engine's request is cancelled", func() bool { return eng.AbandonedRequests() == 1 })
+	sys.WaitUntil("the engine's request is canceled", func() bool { return eng.AbandonedRequests() == 1 })
 }
 
 func TestDeadlineEndsRequest(t *testing.T) {
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -91,8 +91,8 @@
 	return eva.gate.Enforced()
 }
 
-// reportEnforcedOrders reports the orders that this host enforces to the schedulers that decide for
-// it, or would next.
+// reportEnforcedOrders reports the orders that this host enforces to the coordinator, its next
+// candidates and the host's own scheduler.
 func (bro *broker) reportEnforcedOrders() {
 	msg := reservation.EnforcedOrders{Orders: bro.host.evacuations.enforced()}
 	bro.mutex.Lock()
@@ -157,8 +157,8 @@
 // applyEvacuationState applies the published state of an order.
 func (wat *storeWatcher) applyEvacuationState(domain string, val store.Value) {
 	published, err := platform.DecodeEvacuationState(val)
-	// The revision of an invalid state is needed all the same: the next state is written in its
-	// place.
+	// The revision is needed even if the state is invalid: the next state is written on condition of
+	// it.
 	wat.invalidValues.checkValue(val, err, "stored evacuation state invalid, ignored")
 	wat.setEvacuation(domain, func(sst *evacuation.StoredState) { sst.Published = published })
 }
@@ -179,8 +179,8 @@
 	}
 }
 
-// publishEvacuations puts the orders in force, before anything else of an update: they are the last
-// check before a request is sent.
+// publishEvacuations puts the orders in force before the rest of an update is published, since
+// they are checked last, immediately before a request is sent.
 func (wat *storeWatcher) publishEvacuations(now time.Time, tab *route.Table) {
 	if !wat.evacuationsChanged {
 		return
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -43,7 +43,7 @@
 }
 
 // No host sends a request to a failure domain from the moment on at which operators read that
-// it is closed. When the order is cancelled, the domain is used again and its published state
+// it is closed. When the order is withdrawn, the domain is used again and its published state
 // is deleted.
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
 	remaining, evacuated := engineInDomain("d0", "stays"), engineInDomain(evacuatedDomain, "emptied")
@@ -146,7 +146,7 @@
 }
 
 // Orders with an invalid value or an unknown domain are logged, and apply by their key. An order
-// that is cancelled and given again is another order.
+// that is withdrawn and given again is another order.
 func TestUnusualEvacuationOrdersApply(t *testing.T) {
 	evacuated := engineInDomain(evacuatedDomain, "emptied")
 	sys := startWithLongRevocation(t, 2, []*upstreamtest.Engine{engineInDomain("d0", "stays"), evacuated})
--- a/entry/held.go
+++ b/entry/held.go
@@ -15,12 +15,12 @@
 )
 
 // Held requests are stored, so that they outlast the loss of all hosts: otherwise each such request
-// would crash three more engines after each loss. The coordinator writes them when a request is
-// newly held, so a calm day costs no calls. Until then, and while the store is unreachable, each
+// would crash three more engines after each loss. The coordinator writes them only when they have
+// changed, so a calm day costs no calls. Until then, and while the store is unreachable, each
 // host learns them from the reports of the others.
 
 const (
-	// PathFree is the path on the metrics address that frees a held request: POST with its digest.
+	// PathFree is the path on the metrics address that releases a held request: POST with its digest.
 	PathFree = "/held/free"
 	// queryDigest is the query parameter that holds the digest.
 	queryDigest = "digest"
@@ -115,8 +115,8 @@
 	return "no engine crash is known of a request with digest " + ude.Digest.String()
 }
 
-// Free frees a held request, here and at the hosts that decide, which pass it on to the other hosts
-// and to the store. It returns an *UnknownDigestError if the request is not held and has never
+// Free releases a held request, here and at the coordinator, which passes this on to the other hosts
+// and writes it to the store. It returns an *UnknownDigestError if the request is not held and has never
 // crashed an engine.
 func (hos *Host) Free(dig call.Digest) error {
 	hos.broker.mutex.Lock()
@@ -124,7 +124,7 @@
 	if !hos.broker.core.HasCase(dig) {
 		return &UnknownDigestError{Digest: dig}
 	}
-	hos.log.Info().Stringer("Digest", dig).Msg("operator freed a request")
+	hos.log.Info().Stringer("Digest", dig).Msg("operator released a held request")
 	hos.broker.handleLocked(scheduler.RequestReleased{Digest: dig})
 	return nil
 }
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// minRenew and maxRenew bound how often a lease is renewed. In a small fleet a lost host's entry
+	// minRenew and maxRenew bound the interval between renewals of a lease. In a small fleet a lost host's entry
 	// expires within seconds, in a large one within half a minute. The coordinator stops clients
 	// from being sent to the host earlier, when its session ends; what expires is the entry of a
 	// host that never comes back.
@@ -76,13 +76,14 @@
 	return nil
 }
 
-// renewInterval returns how often each host of a fleet of that size renews its lease.
+// renewInterval returns the interval at which each host renews its lease in a fleet of the given
+// number of hosts.
 func renewInterval(hosts int) time.Duration {
 	return min(maxRenew, max(minRenew, time.Second*time.Duration(hosts)/fleetRenewals))
 }
 
-// leaseDuration returns after what time without a renewal the entry of a host expires in a fleet of
-// that size. A host that knows no other host yet takes the longest: hundreds may be starting.
+// leaseDuration returns the duration of a lease in a fleet of the given number of hosts. A host that
+// knows no other host yet takes the longest: hundreds may be starting.
 func leaseDuration(hosts int) time.Duration {
 	if hosts <= 1 {
 		return renewalsToExpiry * maxRenew
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -153,8 +153,8 @@
 }
 
 // recordInvalid logs and counts an invalid signal. An invalid backoff has no effect, so the engine
-// is judged by its health alone; the rate limit that was named before an invalid rate stays in
-// force.
+// is judged by its health alone; the rate limit that was signaled before an invalid rate stays
+// in force.
 func (ntc *notices) recordInvalid(hrd upstream.HeadReceived) {
 	ntc.host.metrics.count("EngineNotices.Unread")
 	now := ntc.host.clock.Now()
@@ -193,20 +193,20 @@
 	return ntc.received.ColdFor(now, run)
 }
 
-// limit returns the rate limit that an engine has named to this host, and whether there is one.
+// limit returns the rate limit that an engine has signaled to this host, and whether there is one.
 func (ntc *notices) limit(run fleet.EngineID) (fleet.ReceivedLimit, bool) {
 	ntc.mutex.Lock()
 	defer ntc.mutex.Unlock()
 	return ntc.received.Limit(run)
 }
 
-// endLimit ends a rate limit that the scheduler reported to be over, learned from an answer to
-// another host, unless the engine has named it again since the scheduler was asked.
-func (ntc *notices) endLimit(run fleet.EngineID, asked time.Time) {
+// endLimit ends a rate limit that the scheduler reported to be over, as an answer to another host
+// has shown, unless the engine has signaled it again since the reservation was placed at requestedAt.
+func (ntc *notices) endLimit(run fleet.EngineID, requestedAt time.Time) {
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
 	defer ntc.mutex.Unlock()
-	if !ntc.received.EndsLimit(run, asked) {
+	if !ntc.received.EndsLimit(run, requestedAt) {
 		return
 	}
 	prev, _ := ntc.received.Limit(run)
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Guards against requests to an engine during its backoff: a backend server asked two hosts for
-// a backoff of three seconds, and got seven requests from the one and four from the other
+// Guards against requests to an engine during its backoff: a backend server requested a
+// backoff of three seconds from two hosts, and got seven requests from the one and four from the other
 // between half a second later and its end. Other servers of the service failed requests at the
 // same time, and the scheduler ejected them. With three of four engines ejected it uses all of
 // them again, and the server that rejects requests at once looks idle and is chosen first.
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// batchInterval is how long further changes are collected after some have arrived: each answer is
-	// a call, and a bound of seconds on their delay leaves room for it.
+	// batchInterval is how long further changes are collected after some have arrived: each read is a
+	// call, and changes may take seconds to apply.
 	batchInterval = 100 * time.Millisecond
 	// startupBatchInterval is the same shortly after the host's start, for startupPeriod: hosts that
-	// start together decide alone until they know one another, which costs more than the calls that a
-	// longer pause saves.
+	// start together schedule alone until they know one another, which costs more than the calls that
+	// a longer interval saves.
 	startupBatchInterval = 50 * time.Millisecond
 	startupPeriod        = 1500 * time.Millisecond
 	// minStoreRetry and maxStoreRetry bound the backoff before the store is called again: each call
 	// counts against its rate limit, and a configuration must be in force soon.
 	minStoreRetry = 50 * time.Millisecond
 	maxStoreRetry = 200 * time.Millisecond
-	// peerReadInterval is how often other hosts are asked meanwhile: draining engines must get no new
-	// requests after two seconds.
+	// peerReadInterval is how often other hosts are read from until that call: draining engines must
+	// get no new requests after two seconds.
 	peerReadInterval = 400 * time.Millisecond
 	// maxRateLimitRetry bounds the backoff where the store's rate limit is exhausted.
 	maxRateLimitRetry = 2 * time.Second
 	// expiryHold is how long after an outage of the store entries that expired in it are kept: their
 	// owners register again within about two seconds.
 	expiryHold = 2200 * time.Millisecond
-	// maxPeerReadGap is the longest gap between two successful reads from other hosts in which the
-	// store is taken to serve them: where nothing changes, their copies are as old as their watches.
+	// maxPeerReadGap is the longest gap between two successful reads from other hosts during which the
+	// store is assumed to serve them: without changes, their copies are as old as their last watch.
 	maxPeerReadGap = watchTimeout
 )
 
@@ -68,18 +68,19 @@
 	waitedForHosts bool
 	// relays chooses the host of the failure domain through which the store is read.
 	relays *relayChooser
-	// nextPeer is the index of the host that was last asked while the store is unreachable.
-	nextPeer int
-	// probedRelay is the epoch of the host of the own failure domain that answered a first call.
+	// peerIndex is the index, modulo the number of hosts, of the host that was last read from while
+	// the store was unreachable.
+	peerIndex int
+	// probedRelay is the epoch of the relay that has answered a short call; 0 for none.
 	probedRelay request.Epoch
-	// directUntil is until when the store is read directly.
+	// directUntil is the time until which the store is read directly.
 	directUntil time.Time
 	// nextProbe is when a host that reads through another one probes an unreachable store again.
 	nextProbe time.Time
-	// unreachableSince is since when the store has been unreachable; zero while it is reachable.
+	// unreachableSince is when the store became unreachable; zero while it is reachable.
 	unreachableSince time.Time
-	// peersCurrentSince is since when other hosts, asked in place of the store, have had its current
-	// content, and peerReadAt when one of them last passed it on.
+	// peersCurrentSince is the time since which other hosts have had the current content of the store,
+	// and peerReadAt when one of them last passed it on to this host.
 	peersCurrentSince time.Time
 	peerReadAt        time.Time
 	// lastError is the last error of a call to the store.
@@ -164,7 +165,7 @@
 	limit := maxStoreRetry
 	var rate *store.RateError
 	if errors.As(err, &rate) {
-		// The hosts that share the rate limit must come back later, and not all at once.
+		// The hosts that share the rate limit must retry later, and not all at once.
 		wat.backoff = max(wat.backoff, rate.RetryAfter)
 		limit = maxRateLimitRetry
 	}
@@ -205,9 +206,9 @@
 }
 
 // storeServesPeers reports whether the store certainly serves other hosts while this host can't
-// reach it. In an outage entries expire although their owners live, so expired entries are held.
-// Where only this host is cut off, a removed entry is of an engine or host that has stopped, which
-// must get no requests. Other hosts notice an outage within maxPeerCopyAge, which is less than
+// reach it. In an outage entries expire although their owners are running, so removals are
+// held. If only this host can't reach the store, a removed entry is that of an engine or host that
+// has stopped, which must get no requests. Other hosts notice an outage within maxPeerCopyAge, which is less than
 // expiryHold.
 func (wat *storeWatcher) storeServesPeers(now time.Time) bool {
 	return now.Sub(wat.peerReadAt) <= maxPeerReadGap && now.Sub(wat.peersCurrentSince) > expiryHold
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -25,7 +25,7 @@
 // rejected by the store.
 type relayChooser struct {
 	own request.Epoch
-	// skippedUntil is until when hosts that failed are skipped.
+	// skippedUntil is the time until which each host that failed is skipped.
 	skippedUntil map[request.Epoch]time.Time
 }
 
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -70,8 +70,8 @@
 // applyRolloutState applies the published state of a roll-out.
 func (wat *storeWatcher) applyRolloutState(name string, val store.Value) {
 	sta, version, err := platform.DecodeRolloutState(val)
-	// The revision of an invalid state is needed all the same: the next state is written in its
-	// place. So is a ledger's.
+	// The revision is needed even if the state is invalid: the next state is written on condition of
+	// it. The same holds for a ledger.
 	wat.invalidValues.checkValue(val, err, "stored roll-out state invalid, ignored")
 	wat.rollouts.set(name, func(sst *rollout.StoredState) {
 		sst.State, sst.StateVersion, sst.StateRevision = sta, version, uint64(val.Revision)
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// secretJitter is the jitter of hosts that find no secret before they make one: the other hosts
-	// read the first one within a tenth of a second, and each attempt is a call.
+	// secretJitter is the jitter with which hosts that find no secret generate one: the other hosts
+	// read the first one within a tenth of a second, and each attempt costs a call to the store.
 	secretJitter = 600 * time.Millisecond
 	// secretRetry is the average time after which a host without any secret tries again.
 	secretRetry = time.Second
@@ -33,7 +33,7 @@
 
 // secrets holds the deployment's secrets, unless the settings hold a key.
 type secrets struct {
-	keeper *credential.Authenticator
+	authenticator *credential.Authenticator
 	// known is closed once a secret is known.
 	known     chan struct{}
 	knownOnce sync.Once
@@ -51,7 +51,7 @@
 
 func newSecrets(hos *Host) *secrets {
 	sec := &secrets{known: make(chan struct{})}
-	sec.keeper = credential.NewAuthenticator(credential.Config{Refused: func(err error) { hos.recordRefusedPeer(time.Now(), err) }})
+	sec.authenticator = credential.NewAuthenticator(credential.Config{Refused: func(err error) { hos.recordRefusedPeer(time.Now(), err) }})
 	return sec
 }
 
@@ -78,7 +78,7 @@
 
 // serverErrorLog writes the error log of the HTTP server for peers to the host's log, except for
 // failed handshakes: any unauthenticated peer can cause as many of them as it likes, and a peer
-// that presents another secret is counted by the keeper of the secrets.
+// that presents another secret is reported by the authenticator.
 type serverErrorLog struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
@@ -94,7 +94,7 @@
 	if hos.hasPeerKey() {
 		return true
 	}
-	_, known := hos.secrets.keeper.KeyRing()
+	_, known := hos.secrets.authenticator.KeyRing()
 	return known
 }
 
@@ -103,7 +103,7 @@
 	sec := wat.host.secrets
 	rin, err := platform.DecodeRing(val)
 	if err == nil {
-		err = sec.keeper.SetKeyRing(rin)
+		err = sec.authenticator.SetKeyRing(rin)
 	}
 	sec.mutex.Lock()
 	sec.revision, sec.invalid = val.Revision, err != nil
@@ -124,7 +124,7 @@
 	sec.revision, sec.invalid = 0, false
 }
 
-// maintainSecrets makes the deployment's secrets if there are none, and renews them while this host
+// maintainSecrets generates the deployment's secrets if there are none, and renews them while this host
 // is the coordinator. A host that can't reach the store continues with the secrets that it has.
 func (hos *Host) maintainSecrets(ctx context.Context) error {
 	if hos.hasPeerKey() {
@@ -161,7 +161,7 @@
 	sec.mutex.Lock()
 	revision, missing := sec.revision, sec.revision == 0 || sec.invalid
 	sec.mutex.Unlock()
-	ring, known := sec.keeper.KeyRing()
+	ring, known := sec.authenticator.KeyRing()
 	var err error
 	due := false
 	switch {
@@ -174,7 +174,7 @@
 		ring, due, err = ring.Renewal(now, hos.bounds.Load().RenewSecret())
 	}
 	if err != nil {
-		hos.log.Error().Err(err).Msg("making new secrets failed")
+		hos.log.Error().Err(err).Msg("generating new secrets failed")
 		return
 	}
 	if due {
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -206,8 +206,8 @@
 			bro.setAppointed(inb, app.Delegated)
 			return
 		}
-		if evc, isEvacuating := rec.Message.(reservation.EnforcedOrders); isEvacuating {
-			bro.applyEnforcedOrders(inb.gateway, evc)
+		if enf, isEnforced := rec.Message.(reservation.EnforcedOrders); isEnforced {
+			bro.applyEnforcedOrders(inb.gateway, enf)
 			return
 		}
 		bro.handleLocked(scheduler.Received{From: inb.gateway, Message: rec.Message})
--- a/entry/source.go
+++ b/entry/source.go
@@ -28,7 +28,7 @@
 	relayAnswerSlack = 300 * time.Millisecond
 	// probeWait is the wait of calls that check whether an unreachable store responds again.
 	probeWait = time.Millisecond
-	// maxPeerReads bounds how many other hosts are asked each time the store fails.
+	// maxPeerReads bounds how many other hosts are tried at a time while the store is unreachable.
 	maxPeerReads = 3
 	// relayProbeTimeout bounds the first call to a host before reading through it. Entries outlive
 	// lost hosts by some seconds, and one without power would delay a starting host by a second. An
@@ -44,7 +44,7 @@
 	// recovered: the other host is seldom ready at that moment but soon is, and a whole fleet that
 	// reads directly meanwhile makes most of a day's calls.
 	startupDirectReadTime = 300 * time.Millisecond
-	// relayRetryInterval is the pause before a host that has nothing to pass on yet is asked again,
+	// relayRetryInterval is the pause before a host that has nothing to pass on yet is called again,
 	// and relayReadyTimeout bounds how long that is repeated: hosts that start together become ready
 	// within some tenths of a second, and a host that loses the one it reads through notices it within
 	// a few milliseconds of its domain peers.
@@ -61,11 +61,11 @@
 
 // update is the result of one read of the store, directly or through another host.
 type update struct {
-	// complete makes values replace all that was known before.
+	// complete is set if values holds all keys and replaces what was known before.
 	complete bool
 	values   []store.Value
 	changes  store.Changes
-	// confirmed is a time at which the store certainly had these values.
+	// confirmed is a time at which the store certainly had these values; zero if unknown.
 	confirmed time.Time
 	// relay is the name of the host that passed the update on; empty for the store itself.
 	relay string
@@ -247,8 +247,8 @@
 	members := wat.directory.Members()
 	unavailable := false
 	for range min(maxPeerReads, len(members)) {
-		wat.nextPeer++
-		mem := members[wat.nextPeer%len(members)]
+		wat.peerIndex++
+		mem := members[wat.peerIndex%len(members)]
 		if mem.Epoch == wat.host.epoch {
 			continue
 		}
--- a/entry/spending.go
+++ b/entry/spending.go
@@ -89,8 +89,8 @@
 			reports = append(reports, adb.message(acc.Name, cfg.Burst(acc)))
 		}
 	}
-	for _, spt := range largestDebts(reports) {
-		bro.send(bro.active, spt)
+	for _, deb := range largestDebts(reports) {
+		bro.send(bro.active, deb)
 	}
 }
 
@@ -122,8 +122,8 @@
 		adb.settle(now)
 		reports = append(reports, adb.message(acc.Name, cfg.Burst(acc)))
 	}
-	for _, spt := range largestDebts(reports) {
-		bro.send(chosen, spt)
+	for _, deb := range largestDebts(reports) {
+		bro.send(chosen, deb)
 	}
 }
 
--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -6,12 +6,12 @@
 )
 
 // A host that was suspended must not act on what expired meanwhile: revoked keys, deadlines,
-// leases, its place in the membership. All of these are checked against the host's clock, which
-// counts the time of the suspension. What stood still with the host is corrected here.
+// leases, its own entry. All of these are checked against the host's clock, which counts the time of
+// the suspension. The lease and the sessions, which the host couldn't maintain, are checked here.
 
 // recordSuspension records a suspension and wakes handleSuspensions. Sessions that were silent for
-// so long have ended at the other side: until they are open again this host decides alone, with its
-// own share of the limits.
+// so long have ended at the other side: until they are open again this host schedules alone, with
+// its own share of the limits.
 func (hos *Host) recordSuspension(dur time.Duration) {
 	hos.metrics.count("Suspensions")
 	hos.log.Warn().Dur("For", dur).Msg("host was suspended")
--- a/entry/take.go
+++ b/entry/take.go
@@ -60,14 +60,15 @@
 	}
 }
 
-// decodeEngine decodes an engine's entry. If it is invalid, the engine that was registered there is
-// dropped.
+// decodeEngine decodes an engine's entry, and reports whether it is valid. The caller drops the
+// engine if it isn't.
 func (wat *storeWatcher) decodeEngine(val store.Value) (fleet.Engine, bool) {
 	eng, err := platform.DecodeEngine(val)
 	return eng, wat.invalidValues.checkValue(val, err, "engine entry invalid, engine not used")
 }
 
-// decodeMember decodes a host's entry. If this host's own entry is invalid, it is written again.
+// decodeMember decodes a host's entry, and reports whether it is valid. If this host's own entry is
+// invalid, it is written again.
 func (wat *storeWatcher) decodeMember(val store.Value) (fleet.Member, bool) {
 	mem, err := platform.DecodeMember(val)
 	usable := wat.invalidValues.checkValue(val, err, "host entry invalid, host not used")
--- a/entry/unknown.go
+++ b/entry/unknown.go
@@ -35,7 +35,7 @@
 }
 
 // unrecognizedHeaders records the headers in engines' answers that are not recognized, so that
-// operators notice a new engine signal on the day on which it is first sent.
+// operators notice a new engine signal when it is first sent.
 type unrecognizedHeaders struct {
 	host   *Host
 	mutex  sync.Mutex
--- a/entry/unread.go
+++ b/entry/unread.go
@@ -9,7 +9,7 @@
 )
 
 // unrecognizedKeys records the keys of the store and the fields of configurations that are not
-// recognized, so that operators notice on the day on which they first write one.
+// recognized, so that operators notice when they first write one.
 type unrecognizedKeys struct {
 	host   *Host
 	names  boundedNames
--- a/evacuation/board.go
+++ b/evacuation/board.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// Pending reports whether the store holds an order, or the published state of a canceled one.
+// Pending reports whether the store holds an order, or the published state of a withdrawn one.
 func (trk *Tracker) Pending() bool {
 	return len(trk.states) > 0
 }
@@ -131,7 +131,7 @@
 // Dump is the state of one failure domain that is being evacuated.
 type Dump struct {
 	Domain string
-	// Order is the revision of the order; 0 if it was canceled and its published state hasn't
+	// Order is the revision of the order; 0 if it was withdrawn and its published state hasn't
 	// been deleted yet.
 	Order uint64
 	// State is the progress as this host sees it; Told is the state in the store.
--- a/evacuation/board_test.go
+++ b/evacuation/board_test.go
@@ -128,7 +128,7 @@
 	fst.state.Published = evacuation.PublishedState{Order: wri.Order, State: wri.State, Revision: fst.revision}
 }
 
-// Orders are given and canceled, hosts are late or fail, and two coordinators act at once on
+// Orders are given and withdrawn, hosts are late or fail, and two coordinators act at once on
 // different states of the store: no order may be published before all hosts enforce it, and
 // none twice.
 func TestOrderIsPublishedOnceAndNotTooEarly(t *testing.T) {
--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -19,11 +19,11 @@
 import "fmt"
 
 // Order is an operator's order to evacuate a failure domain: hosts send no requests to the
-// domain's engines until the order is canceled.
+// domain's engines until the order is withdrawn.
 type Order struct {
 	Domain string
 	// Revision is the revision of the store at which the order was given. An order that is
-	// canceled and given again is a different order.
+	// withdrawn and given again is a different order.
 	Revision uint64
 }
 
@@ -69,7 +69,7 @@
 // Write is a change to the published state of a failure domain.
 type Write struct {
 	Domain string
-	// Delete removes the published state of an order that was canceled.
+	// Delete removes the published state of an order that was withdrawn.
 	Delete bool
 	Order  uint64
 	State  State
--- a/fleet/engine.go
+++ b/fleet/engine.go
@@ -89,7 +89,7 @@
 	// Draining is set if the engine accepts no new requests.
 	Draining bool
 	// Emptied is set while operators have ordered the evacuation of the engine's failure
-	// domain; the engine gets no new requests until they cancel the order.
+	// domain; the engine gets no new requests until they withdraw the order.
 	Emptied bool
 	// ColdFor is how much longer the engine was going to be cold when it wrote its entry. A
 	// cold engine serves only a few requests per second, and crashes under many more.
--- a/fleet/notices.go
+++ b/fleet/notices.go
@@ -47,7 +47,7 @@
 
 // Record stores a notice received at now and reports whether it changes the state of the run:
 // the first signal that the run drains or is replaced, a backoff or warm-up while none was in
-// effect, a new or different rate limit, or the end of one. A shorter backoff doesn't end a
+// force, a new or different rate limit, or the end of one. A shorter backoff doesn't end a
 // longer one, and a draining run stays so after its backoff has expired.
 func (ntc *Notices) Record(now time.Time, not Notice) bool {
 	if not.Signal == nil {
@@ -101,7 +101,7 @@
 	return max(0, ntc.coldUntil[run].Sub(now))
 }
 
-// Limit returns the rate limit that the run last sent, and whether one is in effect.
+// Limit returns the rate limit that the run last sent, and whether one is in force.
 func (ntc *Notices) Limit(run EngineID) (ReceivedLimit, bool) {
 	lim, active := ntc.limits[run]
 	return lim, active
@@ -115,7 +115,7 @@
 	return known && sent.After(lim.ReceivedAt)
 }
 
-// Current returns the notices in effect, in no particular order.
+// Current returns the notices in force, in no particular order.
 func (ntc *Notices) Current(now time.Time) []Notice {
 	var current []Notice
 	for run := range ntc.lastRegistered {
--- a/fleet/notices_test.go
+++ b/fleet/notices_test.go
@@ -55,9 +55,9 @@
 	assert.Equal(t, len(ntc.Current(now.Add(110*time.Second))), 0)
 }
 
-// In whatever order notices arrive, a run is blocked exactly while one of them is in effect, and
+// In whatever order notices arrive, a run is blocked exactly while one of them is in force, and
 // Current returns one notice for each blocked run.
-func TestRunIsBlockedWhileANoticeIsInEffect(t *testing.T) {
+func TestRunIsBlockedWhileANoticeIsInForce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(100, 0)
 		ntc := fleet.NewNotices()
@@ -93,7 +93,7 @@
 				}
 			}
 			if got := len(ntc.Current(now)); got != blocked {
-				rt.Fatalf("%d notices in effect, want %d", got, blocked)
+				rt.Fatalf("%d notices in force, want %d", got, blocked)
 			}
 		}
 	})
--- a/scheduler/apart.go
+++ b/scheduler/apart.go
@@ -11,8 +11,8 @@
 // few other requests as possible. Crashed engines are granted nothing.
 
 const (
-	// isolationPeriod is how long an engine stays isolated after the last suspect request asked
-	// for it. Clients retry within a third of ten seconds, and the answers still in progress
+	// isolationPeriod is how long an engine stays isolated after it was last reserved for suspect
+	// requests. Clients retry within a third of ten seconds, and the answers still in progress
 	// take some seconds too.
 	isolationPeriod = 5 * time.Second
 	// minEnginesToIsolate is the minimum number of engines of a service for isolation: one of
--- a/scheduler/cold_sim_test.go
+++ b/scheduler/cold_sim_test.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// The hosts that know an engine to be cold together never send it more than its cold allowance
-// within a second: for any partition of the hosts and any coordinators, also when many engines go
-// cold at once and when engines send rate limits too.
+// All hosts together that know an engine to be cold never send it more than its cold allowance
+// within a second, for any partition of the hosts and any coordinators. This holds also when many
+// engines go cold at once and when engines send rate limits too.
 func TestColdRateHoldsForAnyPartition(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := rateSimConfig{
--- a/scheduler/crash_sim_test.go
+++ b/scheduler/crash_sim_test.go
@@ -56,7 +56,7 @@
 	// reached an engine.
 	crashed  int
 	arrivals int
-	// randomCrashRate counts the engines that crashed at random.
+	// randomCrashes counts the engines that crashed at random.
 	randomCrashes int
 	// sent, served and lost count the harmless requests; held counts those of them that were
 	// refused as poison requests.
@@ -191,8 +191,8 @@
 	})
 }
 
-// handleLostRun repeats a run that a crash took if it is repeatable; otherwise its client may retry
-// later.
+// handleLostRun retries a run that was lost in a crash if it is repeatable; otherwise its client may
+// retry later.
 func (sim *crashSim) handleLostRun(run *crashRun) {
 	switch {
 	case run.reserve.Repeatable && run.reserve.Attempt == 0:
--- a/scheduler/dump.go
+++ b/scheduler/dump.go
@@ -12,7 +12,7 @@
 
 // Dump is the state of a core, for operators.
 type Dump struct {
-	// The limits are divided by this number; it is 1 if this host's core schedules for all hosts.
+	// Parts is the limit divisor; it is 1 if this host's core schedules for all hosts.
 	Parts    float64
 	Services []ServiceDump
 	Accounts []AccountDump
@@ -27,7 +27,7 @@
 type ServiceDump struct {
 	Name    string
 	Waiting int
-	// Requests and Repeated count the requests and retries in the last window.
+	// Requests and Repeated count the requests and the retries in the last window.
 	Requests float64
 	Repeated float64
 	// Overhead, Token and Event are the reference times that engines are compared with.
@@ -46,7 +46,7 @@
 	Running  int
 	Slots    int
 	Draining bool
-	// The predicted time of the pending prefills.
+	// Unread is the predicted time of the pending prefills.
 	Unread string
 	// Read and Event are the engine's prefill and event times as multiples of the reference,
 	// Weight is the number of answers they are based on. Work is the estimated time of a request
@@ -55,7 +55,7 @@
 	Event  float64
 	Weight float64
 	Work   string
-	// The remaining time of the engine's ejection after failures; empty if it isn't ejected.
+	// AsideFor is the remaining time of the engine's ejection; empty if it isn't ejected.
 	AsideFor string
 	// Says is the state of the engine's signals; empty for none. PausedFor is the remaining
 	// backoff of all gateways, Asked the number of gateways that received a backoff request.
@@ -79,8 +79,8 @@
 	// it.
 	PerSecond float64
 	Own       float64
-	// Tokens is the number of requests that may be granted now. The map counts the grants of the
-	// last four seconds by gateway, up to the number that is kept.
+	// Tokens is the number of requests that may be granted now. Spent counts the grants of the last
+	// four seconds by gateway, up to the number that is kept.
 	Tokens float64
 	Spent  map[string]int
 }
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -63,9 +63,9 @@
 	assert.Equal(t, refusalReason(har.reserve(res), "next"), reservation.ReasonLimit, "the debt of the first request must be paid off first")
 }
 
-func TestRepeatsStayWithinBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	har := newHarness(plainEngine("e", 10000))
-	repeated := 0
+	retried := 0
 	for idx := range 200 {
 		name := fmt.Sprint("r", idx)
 		har.reserve(plainReservation(name))
@@ -73,9 +73,9 @@
 		res := plainReservation(name)
 		res.Attempt = 1
 		if grantedEngine(har.reserve(res), name) != "" {
-			repeated++
+			retried++
 			har.release(reservation.Release{ID: requestID(name), Dispatched: true, Total: time.Millisecond})
 		}
 	}
-	assert.Assert(t, repeated > 20 && repeated <= 50, "%d", repeated)
+	assert.Assert(t, retried > 20 && retried <= 50, "%d retries", retried)
 }
--- a/scheduler/notice_test.go
+++ b/scheduler/notice_test.go
@@ -217,8 +217,8 @@
 }
 
 // A request whose grant was returned unused keeps its position in the queue and spends nothing of
-// the repeat budget.
-func TestReturnedGrantKeepsPositionAndRepeatBudget(t *testing.T) {
+// the retry budget.
+func TestReturnedGrantKeepsPositionAndRetryBudget(t *testing.T) {
 	har := newHarness(plainEngine("a", 1), plainEngine("b", 1))
 	first := plainReservation("first")
 	assert.Equal(t, grantedEngine(har.reserve(first), "first"), "a")
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -68,7 +68,7 @@
 	// half a second after it received a backoff request and the end of the backoff.
 	maxDuringBackoff int
 	// idle is the total time that engines waited for their first request after they had stopped
-	// shedding, returns how many did.
+	// shedding; returns is the number of these engines.
 	idle    time.Duration
 	returns int
 }
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -223,43 +223,43 @@
 	svc := cor.service(crashed.Service)
 	otherEngines := 0
 	counts := make(map[quarantine.TrafficSource]int)
-	youngCounts := make(map[quarantine.TrafficSource]int)
+	newCounts := make(map[quarantine.TrafficSource]int)
 	for _, ene := range svc.engines {
 		if ene == crashed || ene.isDraining() || ene.crashedRecently(now) {
 			continue
 		}
 		otherEngines++
-		here, young := ene.sourcesAt(now)
-		for src := range here {
+		sources, newSources := ene.sourcesAt(now)
+		for src := range sources {
 			counts[src]++
 		}
-		for src := range young {
-			youngCounts[src]++
+		for src := range newSources {
+			newCounts[src]++
 		}
 	}
 	shareOf := func(count int) float64 { return (float64(count) + 0.5) / float64(otherEngines+1) }
-	here, young := crashed.sourcesAt(now)
+	sources, newSources := crashed.sourcesAt(now)
 	var present []quarantine.Presence
-	for src := range here {
-		present = append(present, quarantine.Presence{TrafficSource: src, HasRequest: true, HasNewRequest: young[src], RequestShare: shareOf(counts[src]), NewRequestShare: shareOf(youngCounts[src])})
+	for src := range sources {
+		present = append(present, quarantine.Presence{TrafficSource: src, HasRequest: true, HasNewRequest: newSources[src], RequestShare: shareOf(counts[src]), NewRequestShare: shareOf(newCounts[src])})
 	}
 	for _, src := range cor.quarantine.RecordUnexplainedCrash(now, present) {
 		cor.sourceChanges = append(cor.sourceChanges, SourceChange{Source: src, Restricted: true})
 	}
 }
 
-// sourcesAt returns the traffic sources with a request at the engine, and those with a young
-// request.
-func (ene *engine) sourcesAt(now time.Time) (here, young map[quarantine.TrafficSource]bool) {
-	here, young = make(map[quarantine.TrafficSource]bool), make(map[quarantine.TrafficSource]bool)
+// sourcesAt returns the traffic sources with a request at the engine, and those with a request that
+// the engine was granted within quarantine.NewRequestAge.
+func (ene *engine) sourcesAt(now time.Time) (sources, newSources map[quarantine.TrafficSource]bool) {
+	sources, newSources = make(map[quarantine.TrafficSource]bool), make(map[quarantine.TrafficSource]bool)
 	for _, rnn := range ene.running {
 		src := rnn.subject.TrafficSource()
-		here[src] = true
+		sources[src] = true
 		if now.Sub(rnn.grantedAt) <= quarantine.NewRequestAge {
-			young[src] = true
+			newSources[src] = true
 		}
 	}
-	return here, young
+	return sources, newSources
 }
 
 // settleUnconfirmed passes the known engines to the registry, to settle unconfirmed crashes.
@@ -339,8 +339,8 @@
 			Digest: cas.Digest, Level: cor.quarantine.LevelOf(now, cas).String(), Service: cas.Service, Account: cas.Account, Route: cas.Route,
 			Until: cas.Until, ForGood: cas.Held && cas.Until.IsZero(), Trials: cas.Trials,
 		}
-		for _, end := range cas.Crashes {
-			dum.Engines, dum.Alone = append(dum.Engines, end.Engine), end.Alone
+		for _, crs := range cas.Crashes {
+			dum.Engines, dum.Alone = append(dum.Engines, crs.Engine), crs.Alone
 		}
 		dumps = append(dumps, dum)
 	}
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -57,8 +57,8 @@
 	assert.Equal(t, dumpEngine(t, har).AsideFor, "")
 }
 
-// A repeat may run on the restarted engine although the earlier run is excluded.
-func TestRepeatMayRunOnRestartedEngine(t *testing.T) {
+// A retry may run on the restarted engine although the earlier run is excluded.
+func TestRetryMayRunOnRestartedEngine(t *testing.T) {
 	har := newHarness(engineRun(1000))
 	res := promptReservation("r", 100)
 	res.Attempt, res.Exclude = 1, []string{engineRun(1000).ID.String()}
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -54,7 +54,7 @@
 }
 
 // A version that isn't known to be healthy gets only the share of requests that the coordinator has
-// reserved for it: none before the reservation or after its expiry, and no repeats.
+// reserved for it: none before the reservation or after its expiry, and no retries.
 func TestNewVersionGetsOnlyReservedCanaryRequests(t *testing.T) {
 	har := newRolloutHarness(t)
 	for idx := range 4 {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -97,7 +97,7 @@
 type MeasurementsRead struct{ Measurements pace.Measurements }
 
 // DomainsClosed lists all failure domains to which a gateway sends no requests. It replaces the
-// gateway's former list.
+// gateway's previous list.
 type DomainsClosed struct {
 	Gateway request.Epoch
 	Domains []string
