--- a/entry/barred_test.go
+++ b/entry/barred_test.go
@@ -226,12 +226,12 @@
 		que.Take()
 	}
 	hos.broker.handle(scheduler.EnginesChanged{Engines: engines[2:]})
-	ends := 0
+	crashes := 0
 	for range que.Len() {
 		out, _ := que.Take()
 		if rep, isReport := out.Message.(reservation.CaseReport); isReport && rep.Digest == sub.Digest {
-			ends = max(ends, len(rep.Crashes))
+			crashes = max(crashes, len(rep.Crashes))
 		}
 	}
-	assert.Equal(t, ends, 2)
+	assert.Equal(t, crashes, 2)
 }
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -33,7 +33,7 @@
 		ans := sendPoison(t, sys, sys.Hosts[num%len(sys.Hosts)], fmt.Sprintf("again-%d", num))
 		assert.Assert(t, ans.Err != nil || ans.Status != http.StatusOK, "no engine can answer the request")
 	}
-	assert.Assert(t, len(cra.Arrivals()) <= 3, "%d arrivals, %d engines ended", len(cra.Arrivals()), len(cra.Crashes()))
+	assert.Assert(t, len(cra.Arrivals()) <= 3, "%d arrivals, %d engines crashed", len(cra.Arrivals()), len(cra.Crashes()))
 }
 
 // startWithCrashingEngines starts hosts with six engines that crash under a poison request.
@@ -112,7 +112,7 @@
 	assert.Equal(t, len(cra.Crashes()), 1)
 }
 
-// The record of a poison request reaches the next coordinator and hosts that join.
+// The record of a poison request reaches the next coordinator.
 func TestCrashRecordsSurviveLossOfCoordinator(t *testing.T) {
 	for lost := range 3 {
 		t.Run(fmt.Sprint("after ", lost+1), func(t *testing.T) {
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -91,8 +91,8 @@
 }
 
 // orderedRegions returns the regions whose hosts a client is to use, the best first: its own if it
-// may hold requests to the host name, then the others that may. If its own may not, it comes last,
-// since hosts in no other region hold what its hosts do.
+// may hold requests to the host name, then the others that may. If its own may not, it comes last:
+// unlike in a third region, requests are held there anyway, since the client itself is there.
 func orderedRegions(sco route.Scope, own string) [][]string {
 	if !sco.Bounded || slices.Contains(sco.Regions, own) {
 		return [][]string{{own}, sco.Regions}
--- a/entry/elect_test.go
+++ b/entry/elect_test.go
@@ -47,8 +47,8 @@
 	const hosts = 5
 	hos, sessions := newHostInFleet(t, hosts)
 	reportedLeader := func() request.Epoch { return hos.broker.publishedLeader }
-	appoint := func(idx int, decides bool) {
-		hos.broker.SessionMessage(sessions[idx], peer.Received{Message: reservation.Appoint{Delegated: decides}})
+	appoint := func(idx int, delegated bool) {
+		hos.broker.SessionMessage(sessions[idx], peer.Received{Message: reservation.Appoint{Delegated: delegated}})
 	}
 	appoint(0, true)
 	assert.Equal(t, reportedLeader(), request.Epoch(0), "two of five hosts are no majority")
@@ -69,7 +69,7 @@
 	assert.Equal(t, bro.chooseCoordinator(), bro.host.epoch)
 }
 
-// After the loss of all hosts the entries name their former epochs. A host that answers with
+// After the loss of all hosts the entries hold the hosts' former epochs. A host that answers with
 // a later epoch is recognized by it before its new entry is read.
 func TestRestartedHostIsRecognizedByItsAnswer(t *testing.T) {
 	bro := newElectionBroker(t)
--- a/entry/held.go
+++ b/entry/held.go
@@ -116,8 +116,8 @@
 }
 
 // Free releases a held request, here and at the coordinator, which passes this on to the other hosts
-// and writes it to the store. It returns an *UnknownDigestError if the request is not held and has never
-// crashed an engine.
+// and writes it to the store. It returns an *UnknownDigestError if the request is not held and has
+// never crashed an engine.
 func (hos *Host) Free(dig call.Digest) error {
 	hos.broker.mutex.Lock()
 	defer hos.broker.mutex.Unlock()
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// minRenew and maxRenew bound the interval between renewals of a lease. In a small fleet a lost host's entry
-	// expires within seconds, in a large one within half a minute. The coordinator stops clients
-	// from being sent to the host earlier, when its session ends; what expires is the entry of a
-	// host that never comes back.
+	// minRenew and maxRenew bound the interval between renewals of a lease. In a small fleet a lost
+	// host's entry expires within seconds, in a large one within half a minute. Clients are no longer
+	// sent to the host once its session with the coordinator has ended, which is earlier; what expires
+	// is the entry of a host that never comes back.
 	minRenew = time.Second
 	maxRenew = 10 * time.Second
 	// renewalsToExpiry is how many renewals must fail before the entry expires.
@@ -32,7 +32,7 @@
 	// watcher reports when the store is reachable again.
 	minLeaseRetry = 400 * time.Millisecond
 	maxLeaseRetry = 2 * time.Second
-	// registerJitter is the jitter of hosts that return to a store that is reachable again.
+	// registerJitter is the jitter with which hosts register when the store is reachable again.
 	registerJitter = 300 * time.Millisecond
 	// deregisterTimeout bounds the removal of the entry at a planned stop.
 	deregisterTimeout = 2 * time.Second
--- a/entry/mirror_test.go
+++ b/entry/mirror_test.go
@@ -34,15 +34,15 @@
 	for _, hos := range sys.Hosts {
 		assert.Equal(t, sys.Send(t.Context(), hos, entrytest.Request{ID: "r1", Path: "/safe/"}).Status, http.StatusUnauthorized)
 	}
-	// The reader stops. The others read the store themselves until one of them reads for all again.
+	// The relay stops. The others read the store themselves until one of them is the relay.
 	sys.Hosts[0].Stop()
 	sys.Hosts = sys.Hosts[1:]
 	sys.Configure(entrytest.Configuration{Version: 3})
 	sys.WaitForVersion(3)
 }
 
-// silentMirror never answers, like a host without power. It records how long each caller
-// wants to wait.
+// silentMirror never answers, like a host without power. It records the wait that each
+// call requests.
 type silentMirror struct {
 	waits chan time.Duration
 }
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -66,7 +66,7 @@
 	hostChanges memberChanges
 	// waitedForHosts is set once a host that found no other host has waited for some.
 	waitedForHosts bool
-	// relays chooses the host of the failure domain through which the store is read.
+	// relays chooses the relay, through which the store is read.
 	relays *relayChooser
 	// peerIndex is the index, modulo the number of hosts, of the host that was last read from while
 	// the store was unreachable.
@@ -208,8 +208,8 @@
 // storeServesPeers reports whether the store certainly serves other hosts while this host can't
 // reach it. In an outage entries expire although their owners are running, so removals are
 // held. If only this host can't reach the store, a removed entry is that of an engine or host that
-// has stopped, which must get no requests. Other hosts notice an outage within maxPeerCopyAge, which is less than
-// expiryHold.
+// has stopped, which must get no requests. Other hosts notice an outage within maxPeerCopyAge, which
+// is less than expiryHold.
 func (wat *storeWatcher) storeServesPeers(now time.Time) bool {
 	return now.Sub(wat.peerReadAt) <= maxPeerReadGap && now.Sub(wat.peersCurrentSince) > expiryHold
 }
--- a/entry/presence_test.go
+++ b/entry/presence_test.go
@@ -35,7 +35,7 @@
 	assert.Equal(t, len(hos.addresses(now, platform.AddressesQuery{})), hosts-1, "a session may be opened again")
 	hos.broker.publishUnreachable(now.Add(time.Second))
 	assert.Equal(t, len(hos.addresses(now, platform.AddressesQuery{})), hosts-1-lost)
-	// A host with another coordinator uses the unreachable hosts that this one reports.
+	// A host with another coordinator uses that coordinator's report of unreachable hosts.
 	hos.broker.links[1] = &link{queue: peer.NewQueue()}
 	hos.broker.applyMessage(1, reservation.Leader{Host: 1})
 	assert.Equal(t, len(hos.addresses(now, platform.AddressesQuery{})), hosts-1)
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// minRelayHosts is the least number of hosts in a failure domain for which one of them reads
-	// the store for all: with fewer hosts that saves too little.
+	// minRelayHosts is the minimum number of hosts in a failure domain for one of them to read the
+	// store for all: with fewer hosts that saves too little.
 	minRelayHosts = 3
-	// maxRelayCandidates is how many hosts of a failure domain are tried in turn as the one that reads
-	// for all, before each host reads by itself: the first may be lost, and the second rejected by the
+	// maxRelayCandidates is how many hosts of a failure domain are tried in turn as the relay, before
+	// each host reads the store by itself: the first may be lost, and the second rejected by the
 	// store, at the same time.
 	maxRelayCandidates = 3
 	// relaySkipTime is how long a host that failed is skipped: hosts come back within seconds, and a
@@ -20,8 +20,8 @@
 	relaySkipTime = 2 * time.Second
 )
 
-// relayChooser chooses the host of its failure domain through which a host reads the store. Without
-// a second choice, each host would read the store by itself while the first choice is lost, or is
+// relayChooser chooses the relay: the host of a failure domain that reads the store for all others
+// of that domain. Without a second choice, each host would read the store by itself while the first choice is lost, or is
 // rejected by the store.
 type relayChooser struct {
 	own request.Epoch
@@ -33,8 +33,8 @@
 	return &relayChooser{own: own, skippedUntil: make(map[request.Epoch]time.Time)}
 }
 
-// relay returns the host that reads the store for all, as far as this host knows. There is none if
-// the domain has too few hosts, or if all candidates have failed.
+// relay returns the relay of the failure domain, as far as this host knows. There is none if the
+// domain has too few hosts, or if all candidates have failed.
 func (rch *relayChooser) relay(now time.Time, peers []fleet.Member) (fleet.Member, bool) {
 	if len(peers) < minRelayHosts {
 		return fleet.Member{}, false
@@ -47,7 +47,7 @@
 	return fleet.Member{}, false
 }
 
-// choose returns the host to read through, unless that is this host itself.
+// choose returns the relay, unless that is this host itself.
 func (rch *relayChooser) choose(now time.Time, peers []fleet.Member) (fleet.Member, bool) {
 	mem, found := rch.relay(now, peers)
 	if !found || mem.Epoch == rch.own {
@@ -56,7 +56,7 @@
 	return mem, true
 }
 
-// isRelay reports whether this host is the one that reads for all.
+// isRelay reports whether this host is the relay.
 func (rch *relayChooser) isRelay(now time.Time, peers []fleet.Member) bool {
 	mem, found := rch.relay(now, peers)
 	return found && mem.Epoch == rch.own
--- a/entry/readers_test.go
+++ b/entry/readers_test.go
@@ -18,9 +18,9 @@
 	return peers
 }
 
-// In a failure domain of fifty hosts, the hosts that read the store fail one after the other.
-// Then one host reads for the rest, instead of each host for itself.
-func TestNextReaderTakesOverWhenFirstFails(t *testing.T) {
+// In a failure domain of fifty hosts, the relays fail one after the other. Each time the next host
+// reads the store for the rest, instead of each host for itself.
+func TestNextRelayTakesOverWhenFirstFails(t *testing.T) {
 	const hosts = 50
 	now := time.Unix(100, 0)
 	peers := testPeers(hosts)
@@ -43,7 +43,7 @@
 				reading++
 			}
 		}
-		assert.Equal(t, reading, 1, "the next one reads for all")
+		assert.Equal(t, reading, 1, "the next candidate is the relay")
 	}
 	last := all[hosts-1]
 	mem, _ := last.choose(now, peers)
@@ -52,7 +52,7 @@
 	assert.Assert(t, !found && !last.isRelay(now, peers), "all candidates have failed")
 	mem, found = last.choose(now.Add(relaySkipTime), peers)
 	assert.Assert(t, found)
-	assert.Equal(t, mem.Epoch, peers[0].Epoch, "the first reader is tried again")
+	assert.Equal(t, mem.Epoch, peers[0].Epoch, "the first candidate is tried again")
 }
 
 func TestHostsOfSmallDomainReadStoreThemselves(t *testing.T) {
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -95,8 +95,7 @@
 		hos.Stop()
 		sys.RemoveHost(hos.Settings.Name)
 	}
-	// No host of the region is left. The client's own host is the only other one that may hold its
-	// requests.
+	// No host of the allowed region is left. Clients get the hosts of their own region, or none.
 	sys.WaitUntil("the region's hosts are deregistered", func() bool {
 		got := sys.AddressesFor(sys.Hosts[0], "north")
 		return slices.Equal(got, address(0)) && len(sys.AddressesFor(sys.Hosts[0], "elsewhere")) == 0
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -124,8 +124,8 @@
 	sec.revision, sec.invalid = 0, false
 }
 
-// maintainSecrets generates the deployment's secrets if there are none, and renews them while this host
-// is the coordinator. A host that can't reach the store continues with the secrets that it has.
+// maintainSecrets generates the deployment's secrets if there are none, and renews them while this
+// host is the coordinator. A host that can't reach the store continues with the secrets that it has.
 func (hos *Host) maintainSecrets(ctx context.Context) error {
 	if hos.hasPeerKey() {
 		<-ctx.Done()
--- a/entry/source.go
+++ b/entry/source.go
@@ -19,10 +19,10 @@
 	// watchTimeout is how long a watch waits for a change. Each answer confirms the age of the
 	// configuration, and a missing answer shows that the store doesn't respond.
 	watchTimeout = 1400 * time.Millisecond
-	// relayWatchTimeout is the same on a host that other hosts read through: their copies are older
+	// relayWatchTimeout is the same on a relay: the copies of the hosts that read through it are older
 	// than its own by the time that they wait.
 	relayWatchTimeout = 800 * time.Millisecond
-	// relayedWatchTimeout is how long a host waits for another host to pass on changes.
+	// relayedWatchTimeout is how long a host waits for its relay to pass on changes.
 	relayedWatchTimeout = 700 * time.Millisecond
 	// relayAnswerSlack is how much longer than the requested wait the answer may take.
 	relayAnswerSlack = 300 * time.Millisecond
@@ -30,7 +30,7 @@
 	probeWait = time.Millisecond
 	// maxPeerReads bounds how many other hosts are tried at a time while the store is unreachable.
 	maxPeerReads = 3
-	// relayProbeTimeout bounds the first call to a host before reading through it. Entries outlive
+	// relayProbeTimeout bounds the first call to a relay. Entries outlive
 	// lost hosts by some seconds, and one without power would delay a starting host by a second. An
 	// answer takes some milliseconds, and tens of milliseconds from a busy processor.
 	relayProbeTimeout = 200 * time.Millisecond
@@ -71,8 +71,7 @@
 	relay string
 }
 
-// nextUpdate returns the next update, through the host of the own failure domain that reads the
-// store for its domain peers, or from the store.
+// nextUpdate returns the next update, through the relay of the own failure domain or from the store.
 func (wat *storeWatcher) nextUpdate(ctx context.Context) (update, error) {
 	if wat.needsFullRead && wat.revision == 0 {
 		return wat.listStale(ctx)
@@ -120,7 +119,7 @@
 }
 
 // readDirectly reads the store directly when reading through other hosts failed. Unless this host
-// is itself the one that reads for its domain peers, it continues to do so for directReadDuration.
+// is itself the relay, it continues to do so for directReadDuration.
 func (wat *storeWatcher) readDirectly(ctx context.Context, now time.Time, cause error) (update, error) {
 	if wat.defersStoreProbe(now) {
 		return update{}, cause
@@ -158,8 +157,8 @@
 	return directReadTime
 }
 
-// readThroughRelay reads through a host of the own failure domain. The host must have answered a
-// short call before a long wait is spent on it.
+// readThroughRelay reads through the relay, which must have answered a short call before this host
+// waits long for it.
 func (wat *storeWatcher) readThroughRelay(ctx context.Context, mem fleet.Member) (update, error) {
 	if wat.probedRelay == mem.Epoch {
 		return wat.readFromHost(ctx, mem, relayedWatchTimeout)
@@ -191,7 +190,7 @@
 	return true
 }
 
-// chooseRelay returns the host to read through, if there is one. A host that finds other hosts at
+// chooseRelay returns the relay to read through, if there is one. A host that finds other hosts at
 // its start also has clients, so it doesn't wait for one of them to become ready: that host may
 // have started just after it.
 func (wat *storeWatcher) chooseRelay(now time.Time) (fleet.Member, bool) {
@@ -303,7 +302,7 @@
 	return upd, nil
 }
 
-// listStale reads all keys from the store as of some seconds ago, at a start. Such a read counts
+// listStale reads all keys from the store at a start; their values may be some seconds old. Such a read counts
 // against no rate limit, however many hosts start at once, and confirms nothing. The watch or read
 // through another host that follows brings the changes since.
 func (wat *storeWatcher) listStale(ctx context.Context) (update, error) {
--- a/entry/steady_test.go
+++ b/entry/steady_test.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// sessionOpenJitter is the time over which hosts that start together open their sessions.
+	// sessionOpenJitter is the period within which hosts that start together open their sessions.
 	sessionOpenJitter = 80 * time.Millisecond
 	// maxMessageDelay bounds how long a message takes to a busy host.
 	maxMessageDelay = 8 * time.Millisecond
@@ -124,8 +124,8 @@
 
 // Hosts that start at once reach the first two candidates in any order, and the messages that
 // report the leader cross one another. Within a second all hosts must have the same coordinator
-// and not change it any more; until then each host may change it a few times. Without a
-// minimum time between two changes the reports keep one another changing without end: six
+// and not change it any more; until then each host may change it a few times. Without a minimum
+// term of coordinators, hosts keep changing them in response to one another without end: six
 // hosts made 14,000 changes a second, used all their processors for that, and rejected two
 // requests in three.
 func TestSimultaneousStartConvergesOnOneCoordinator(t *testing.T) {
--- a/scheduler/notice_test.go
+++ b/scheduler/notice_test.go
@@ -68,7 +68,7 @@
 
 // The gateway that received the backoff request is blocked for the whole backoff. The others probe
 // the engine with one request at a time, and an answer unblocks it for them.
-func TestBackoffBlocksItsReceiverWhileOthersProbe(t *testing.T) {
+func TestBackoffBlocksItsRecipientWhileOthersProbe(t *testing.T) {
 	har := newHarness(plainEngine("a", 4))
 	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: 6 * time.Second})
 	har.advance(4 * time.Second)
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -23,8 +23,8 @@
 	backoffIgnored backoffPolicy = iota
 	// backoffByHost has only the host that received it return grants; no other component learns of it.
 	backoffByHost
-	// backoffOfReceiver has the coordinator not grant the engine to the host that received it.
-	backoffOfReceiver
+	// backoffOfRecipient has the coordinator not grant the engine to the host that received it.
+	backoffOfRecipient
 	// backoffOfAll blocks the engine for all hosts for a while, then one request probes it.
 	backoffOfAll
 	// backoffProbing has the other hosts probe the engine at once, with one request at a time, and
@@ -103,7 +103,7 @@
 )
 
 func newBackoffSim(cfg backoffSimConfig) *backoffSim {
-	scope := map[backoffPolicy]scheduler.BackoffScope{backoffOfReceiver: scheduler.BackoffRecipient, backoffOfAll: scheduler.BackoffAll}[cfg.policy]
+	scope := map[backoffPolicy]scheduler.BackoffScope{backoffOfRecipient: scheduler.BackoffRecipient, backoffOfAll: scheduler.BackoffAll}[cfg.policy]
 	sim := &backoffSim{
 		cfg: cfg, random: rand.New(rand.NewPCG(cfg.seed, 11)), engines: make(map[string]*backoffEngine),
 		notices: make(map[request.Epoch]*fleet.Notices), waiting: make(map[request.ID]*backoffRun),
@@ -270,7 +270,7 @@
 }
 
 func (sim *backoffSim) reportNotice(host request.Epoch, ntc fleet.Notice) {
-	if sim.cfg.policy >= backoffOfReceiver {
+	if sim.cfg.policy >= backoffOfRecipient {
 		sim.apply(sim.har.handle(scheduler.Received{From: host, Message: reservation.EngineNotice{Notice: ntc}}))
 	}
 }
@@ -293,10 +293,10 @@
 
 // An engine gets no request from a host that it sent a backoff request, under any policy for the
 // other hosts, and gets requests again soon after it has stopped shedding.
-func TestEngineGetsNoRequestFromReceiverOfBackoff(t *testing.T) {
+func TestEngineGetsNoRequestFromRecipientOfBackoff(t *testing.T) {
 	for seed := range uint64(4) {
 		for _, share := range []float64{0.25, 1} {
-			for _, policy := range []backoffPolicy{backoffOfReceiver, backoffOfAll, backoffProbing} {
+			for _, policy := range []backoffPolicy{backoffOfRecipient, backoffOfAll, backoffProbing} {
 				res := newBackoffSim(backoffSimConfig{seed: seed, policy: policy, engines: 4, hosts: 7, shedShare: share, failureShare: 0.3, maxAttempts: 2, load: 0.3}).run()
 				assert.Equal(t, res.maxDuringBackoff, 0, "%+v", res)
 				assert.Assert(t, res.idle/time.Duration(max(1, res.returns)) < backoffPeriod+time.Second, "%+v", res)
