--- a/entry/belief.go
+++ b/entry/belief.go
@@ -66,8 +66,8 @@
 	return time.Duration(freshnessShare * float64(hos.bounds.Load().Revoke()))
 }
 
-// isFresh reports whether requests with keys may be decided by the snapshot. If revocation is
-// strict, the snapshot's age is limited. Otherwise it is enough that the snapshot was confirmed
+// isFresh reports whether the snapshot may be used for requests that need a key. If revocation is
+// strict, its age is limited. Otherwise it is enough that the snapshot was confirmed
 // once: during an outage of the store the newest known configuration serves clients better than
 // none, a request for an engine that no longer exists is rejected by its id, and the hosts
 // enforce limits among themselves.
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -152,7 +152,7 @@
 	assert.Equal(t, len(cra.Arrivals()), arrived)
 }
 
-// The store is down all the while: hosts learn of crashes from one another.
+// While the store is down, hosts learn of crashes from one another.
 func TestPoisonRequestIsHeldDuringStoreOutage(t *testing.T) {
 	sys, cra := startWithCrashingEngines(t, 3, entrytest.CrashConfig{SameName: true})
 	sys.Store.SetFaults(platformtest.Faults{Down: true})
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -218,7 +218,7 @@
 	}
 	wat.loggedOrders[ord] = true
 	wat.host.metrics.count("EvacuationsOfUnknownDomains")
-	wat.host.log.Warn().Str("Domain", ord.Domain).Uint64("Revision", ord.Revision).Msg("evacuation of a failure domain without engines and hosts")
+	wat.host.log.Warn().Str("Domain", ord.Domain).Uint64("Revision", ord.Revision).Msg("evacuation ordered for a failure domain without registered engines and hosts; the name may be wrong")
 }
 
 // markEvacuated marks the engines whose failure domain is being evacuated.
@@ -300,8 +300,8 @@
 }
 
 // writeEvacuationState publishes the state of an order, on condition that the previous state is
-// unchanged. A write without an answer may have been made; the state that is read from the store
-// next decides.
+// unchanged. If the answer is lost, the write may have been made; the next read of the store
+// shows its result.
 func (hos *Host) writeEvacuationState(ctx context.Context, wri evacuation.Write) {
 	ctx, cancel := context.WithTimeout(ctx, evacuationWriteTimeout)
 	defer cancel()
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -153,7 +153,7 @@
 	sys.Evacuate(evacuatedDomain, "\x00 no value")
 	sys.Evacuate("nowhere", "{}")
 	sys.WaitUntil("both states are published", func() bool { return isPublished(sys) && sys.EvacuationState("nowhere").State == "empty" })
-	for _, want := range []string{"evacuation order invalid", "evacuation of a failure domain without engines and hosts"} {
+	for _, want := range []string{"evacuation order invalid", "evacuation ordered for a failure domain without registered engines and hosts; the name may be wrong"} {
 		assert.Assert(t, strings.Contains(sys.Log(), want), want)
 	}
 	assert.Assert(t, strings.Contains(sys.Metrics(sys.Hosts[0]), "EvacuationsOfUnknownDomains 1\n"))
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -103,8 +103,8 @@
 }
 
 // rolloutWrites makes this host's scheduler decide on roll-outs if this host is the coordinator,
-// and returns what is to be written. Other hosts use no new versions. It also reports whether any
-// roll-out is unfinished.
+// and returns what is to be written. Other hosts send no requests to a new version until its roll-out
+// is completed. It also reports whether any roll-out is unfinished.
 func (bro *broker) rolloutWrites(now time.Time) ([]rollout.Write, bool) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
@@ -154,8 +154,8 @@
 	}
 }
 
-// writeRollout writes a ledger or a state on condition of its revision. A write without an answer
-// may have been made; what is read from the store next decides.
+// writeRollout writes a ledger or a state on condition of its revision. If the answer is
+// lost, the write may have been made; the next read of the store shows its result.
 func (hos *Host) writeRollout(ctx context.Context, wri rollout.Write) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
--- a/entry/suspension_test.go
+++ b/entry/suspension_test.go
@@ -22,8 +22,8 @@
 // Guards against a revoked key that is served after a suspension. A host may be suspended for
 // seconds, which the monotonic clock doesn't count. When it resumes, its snapshot of the store
 // looks fresh. A key that was revoked meanwhile would be served until the next answer of the
-// store, which may take arbitrarily long if the host is cut off. The age of a snapshot must therefore not be
-// measured by the monotonic clock alone.
+// store, which may take arbitrarily long if the host is cut off. The age of a snapshot must
+// therefore not be measured by the monotonic clock alone.
 func TestKeyRevokedDuringSuspensionIsRejected(t *testing.T) {
 	engines := twoOfEach()
 	sys := startSuspendable(t, 1, engines)
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -291,8 +291,8 @@
 	})
 }
 
-// An engine gets no request from a host that it sent a backoff request, under any policy for the
-// other hosts, and gets requests again soon after it has stopped shedding.
+// Under any policy for the other hosts, a host that received a backoff request sends the engine no
+// requests until the backoff ends. The engine gets requests again soon after it has stopped shedding.
 func TestEngineGetsNoRequestFromRecipientOfBackoff(t *testing.T) {
 	for seed := range uint64(4) {
 		for _, share := range []float64{0.25, 1} {
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// recordEnd removes the run from the counts.
+// recordEnd removes the run from the counts, and releases an isolated engine that no request needs.
 func (cor *Core) recordEnd(now time.Time, rnn *run) {
 	dig := rnn.subject.Digest
 	cor.runningByDigest[dig]--
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -96,7 +96,7 @@
 	return svc.rollout != nil && !svc.rollout.State().IsFinal()
 }
 
-// rolloutFleet returns the counts of engines and runs that the roll-out is decided by.
+// rolloutFleet returns the counts of slots and runs that decisions on the roll-out are based on.
 func (svc *service) rolloutFleet() rollout.Fleet {
 	var fle rollout.Fleet
 	for _, ene := range svc.engines {
