--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -91,8 +91,8 @@
 	return eva.gate.Enforced()
 }
 
-// reportEnforcedOrders reports the orders that this host enforces to the schedulers that decide for
-// it, or would next.
+// reportEnforcedOrders reports the orders that this host enforces to the coordinator, its next
+// candidates and the host's own scheduler.
 func (bro *broker) reportEnforcedOrders() {
 	msg := reservation.EnforcedOrders{Orders: bro.host.evacuations.enforced()}
 	bro.mutex.Lock()
@@ -157,8 +157,8 @@
 // applyEvacuationState applies the published state of an order.
 func (wat *storeWatcher) applyEvacuationState(domain string, val store.Value) {
 	published, err := platform.DecodeEvacuationState(val)
-	// The revision of an invalid state is needed all the same: the next state is written in its
-	// place.
+	// The revision is needed even if the state is invalid: the next state is written on condition of
+	// it.
 	wat.invalidValues.checkValue(val, err, "stored evacuation state invalid, ignored")
 	wat.setEvacuation(domain, func(sst *evacuation.StoredState) { sst.Published = published })
 }
@@ -179,8 +179,8 @@
 	}
 }
 
-// publishEvacuations puts the orders in force, before anything else of an update: they are the last
-// check before a request is sent.
+// publishEvacuations puts the orders in force before the rest of an update is published, since
+// they are checked last, immediately before a request is sent.
 func (wat *storeWatcher) publishEvacuations(now time.Time, tab *route.Table) {
 	if !wat.evacuationsChanged {
 		return
@@ -218,7 +218,7 @@
 	}
 	wat.loggedOrders[ord] = true
 	wat.host.metrics.count("EvacuationsOfUnknownDomains")
-	wat.host.log.Warn().Str("Domain", ord.Domain).Uint64("Revision", ord.Revision).Msg("evacuation of a failure domain without engines and hosts")
+	wat.host.log.Warn().Str("Domain", ord.Domain).Uint64("Revision", ord.Revision).Msg("evacuation ordered for a failure domain without registered engines and hosts; the name may be wrong")
 }
 
 // markEvacuated marks the engines whose failure domain is being evacuated.
@@ -300,8 +300,8 @@
 }
 
 // writeEvacuationState publishes the state of an order, on condition that the previous state is
-// unchanged. A write without an answer may have been made; the state that is read from the store
-// next decides.
+// unchanged. If the answer is lost, the write may have been made; the next read of the store
+// shows its result.
 func (hos *Host) writeEvacuationState(ctx context.Context, wri evacuation.Write) {
 	ctx, cancel := context.WithTimeout(ctx, evacuationWriteTimeout)
 	defer cancel()
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -43,7 +43,7 @@
 }
 
 // No host sends a request to a failure domain from the moment on at which operators read that
-// it is closed. When the order is cancelled, the domain is used again and its published state
+// it is closed. When the order is withdrawn, the domain is used again and its published state
 // is deleted.
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
 	remaining, evacuated := engineInDomain("d0", "stays"), engineInDomain(evacuatedDomain, "emptied")
@@ -146,14 +146,14 @@
 }
 
 // Orders with an invalid value or an unknown domain are logged, and apply by their key. An order
-// that is cancelled and given again is another order.
+// that is withdrawn and given again is another order.
 func TestUnusualEvacuationOrdersApply(t *testing.T) {
 	evacuated := engineInDomain(evacuatedDomain, "emptied")
 	sys := startWithLongRevocation(t, 2, []*upstreamtest.Engine{engineInDomain("d0", "stays"), evacuated})
 	sys.Evacuate(evacuatedDomain, "\x00 no value")
 	sys.Evacuate("nowhere", "{}")
 	sys.WaitUntil("both states are published", func() bool { return isPublished(sys) && sys.EvacuationState("nowhere").State == "empty" })
-	for _, want := range []string{"evacuation order invalid", "evacuation of a failure domain without engines and hosts"} {
+	for _, want := range []string{"evacuation order invalid", "evacuation ordered for a failure domain without registered engines and hosts; the name may be wrong"} {
 		assert.Assert(t, strings.Contains(sys.Log(), want), want)
 	}
 	assert.Assert(t, strings.Contains(sys.Metrics(sys.Hosts[0]), "EvacuationsOfUnknownDomains 1\n"))
--- a/scheduler/notice_test.go
+++ b/scheduler/notice_test.go
@@ -68,7 +68,7 @@
 
 // The gateway that received the backoff request is blocked for the whole backoff. The others probe
 // the engine with one request at a time, and an answer unblocks it for them.
-func TestBackoffBlocksItsReceiverWhileOthersProbe(t *testing.T) {
+func TestBackoffBlocksItsRecipientWhileOthersProbe(t *testing.T) {
 	har := newHarness(plainEngine("a", 4))
 	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: 6 * time.Second})
 	har.advance(4 * time.Second)
@@ -217,8 +217,8 @@
 }
 
 // A request whose grant was returned unused keeps its position in the queue and spends nothing of
-// the repeat budget.
-func TestReturnedGrantKeepsPositionAndRepeatBudget(t *testing.T) {
+// the retry budget.
+func TestReturnedGrantKeepsPositionAndRetryBudget(t *testing.T) {
 	har := newHarness(plainEngine("a", 1), plainEngine("b", 1))
 	first := plainReservation("first")
 	assert.Equal(t, grantedEngine(har.reserve(first), "first"), "a")
