--- a/gateway/arrive.go
+++ b/gateway/arrive.go
@@ -29,7 +29,7 @@
 		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseIDReused, Outcome: request.Unknown}})
 		return
 	}
-	ent.clients++
+	ent.callers++
 	ent.abandonedAt = time.Time{}
 	gat.emit(Attach{Caller: arr.Caller, ID: ent.id})
 	if ent.phase == phaseCloseUnconfirmed {
@@ -60,7 +60,7 @@
 	ent := &entry{
 		id: arr.ID, ballot: bal, spec: arr.Spec, phase: phaseWaiting,
 		arrived: now, deadline: now.Add(arr.Spec.Remaining), reserved: now,
-		clients: 1, refused: make(map[request.Epoch]time.Time),
+		callers: 1, refused: make(map[request.Epoch]time.Time),
 	}
 	gat.table.add(ent)
 	gat.emit(Attach{Caller: arr.Caller, ID: ent.id})
@@ -134,8 +134,8 @@
 	if ent == nil {
 		return
 	}
-	ent.clients--
-	if ent.clients == 0 {
+	ent.callers--
+	if ent.callers == 0 {
 		ent.abandonedAt = now
 	}
 }
--- a/gateway/close.go
+++ b/gateway/close.go
@@ -77,7 +77,7 @@
 		return
 	}
 	gat.table.enter(ent, phaseCloseUnconfirmed)
-	ent.clients = 0
+	ent.callers = 0
 	gat.emit(Forget{ID: ent.id})
 }
 
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -287,7 +287,7 @@
 }
 
 func (gat *Core) isAbandoned(now time.Time, ent *entry) bool {
-	return ent.clients == 0 && !ent.abandonedAt.IsZero() && now.Sub(ent.abandonedAt) >= gat.cfg.OrphanGrace
+	return ent.callers == 0 && !ent.abandonedAt.IsZero() && now.Sub(ent.abandonedAt) >= gat.cfg.OrphanGrace
 }
 
 // abandon ends a request that has had no client for Config.OrphanGrace.
--- a/gateway/dump.go
+++ b/gateway/dump.go
@@ -55,7 +55,7 @@
 		dum.InFlight = append(dum.InFlight, RequestDump{
 			ID: ent.id, Phase: ent.phase.String(), Service: ent.spec.Service, Tier: ent.spec.Tier, Account: ent.spec.Account,
 			Age: now.Sub(ent.arrived).String(), Remaining: ent.deadline.Sub(now).String(),
-			Callers: ent.clients, Coordinator: ent.coordinator, Engine: ent.engine, Cause: ent.final.Cause,
+			Callers: ent.callers, Coordinator: ent.coordinator, Engine: ent.engine, Cause: ent.final.Cause,
 		})
 	}
 	for _, epo := range slices.Sorted(maps.Keys(gat.lost)) {
--- a/gateway/entry.go
+++ b/gateway/entry.go
@@ -50,7 +50,7 @@
 	deadline time.Time
 	// clients counts the attached clients; abandonedAt is when the last one left. It is
 	// zero while a client is attached and after the request was canceled.
-	clients     int
+	callers     int
 	abandonedAt time.Time
 	// coordinator is the epoch to which the reservation, eviction or close was sent; 0
 	// if there is none. reserved is when the current step (reservation, eviction, close
