--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -100,19 +100,19 @@
 	if err != nil {
 		return latencies{}, errors.Wrap(err, "encode request")
 	}
-	ends := make(chan loopResult)
+	results := make(chan loopResult)
 	until := time.Now().Add(length)
 	for num := range inFlight {
-		go func() { ends <- sendUntil(ctx, cli, addresses[num%len(addresses)], body, until) }()
+		go func() { results <- sendUntil(ctx, cli, addresses[num%len(addresses)], body, until) }()
 	}
 	lat := latencies{histogram: hdrhistogram.New(1, maxMicros, 3)}
 	for range inFlight {
-		end := <-ends
-		if end.err != nil {
-			err = end.err
+		res := <-results
+		if res.err != nil {
+			err = res.err
 			continue
 		}
-		lat.histogram.Merge(end.histogram)
+		lat.histogram.Merge(res.histogram)
 	}
 	return lat, err
 }
@@ -123,16 +123,16 @@
 }
 
 func sendUntil(ctx context.Context, cli *http.Client, adr netip.AddrPort, body []byte, until time.Time) loopResult {
-	end := loopResult{histogram: hdrhistogram.New(1, maxMicros, 3)}
+	res := loopResult{histogram: hdrhistogram.New(1, maxMicros, 3)}
 	for time.Now().Before(until) {
 		begun := time.Now()
-		if end.err = sendOnce(ctx, cli, adr, body); end.err != nil {
-			return end
+		if res.err = sendOnce(ctx, cli, adr, body); res.err != nil {
+			return res
 		}
 		// Values beyond the range can only come from a defect of this tool.
-		_ = end.histogram.RecordValue(max(1, time.Since(begun).Microseconds()))
+		_ = res.histogram.RecordValue(max(1, time.Since(begun).Microseconds()))
 	}
-	return end
+	return res
 }
 
 func sendOnce(ctx context.Context, cli *http.Client, adr netip.AddrPort, body []byte) error {
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -38,7 +38,7 @@
 	HeaderOnce = "Lynxwell-Once"
 	// HeaderRequestID carries the request's id in every answer.
 	HeaderRequestID = "Lynxwell-Request-Id"
-	// HeaderOutcome tells, in an error answer, whether the request ran.
+	// HeaderOutcome carries, in an error answer, whether the request ran.
 	HeaderOutcome = "Lynxwell-Outcome"
 	// HeaderRelayed carries the name of the host that relayed the request.
 	HeaderRelayed = "Lynxwell-Relayed"
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -97,7 +97,7 @@
 	return true
 }
 
-// End implements backend.Sink: it ends the answer; complete reports whether it is complete.
+// End ends the answer; complete reports whether the answer is complete.
 func (exc *Exchange) End(complete bool) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
--- a/caller/problem.go
+++ b/caller/problem.go
@@ -86,7 +86,7 @@
 	gateway.CauseClientLeft:      {http.StatusServiceUnavailable, "the client disconnected before the request was started"},
 	gateway.CausePrefixRetired:   {http.StatusServiceUnavailable, "the id's prefix is no longer served; request GET /v1/addresses again and send the request with a new id"},
 	gateway.CauseTooOld:          {http.StatusGone, "the id is older than the ids that are still stored"},
-	gateway.CausePrefixNotIssued: {http.StatusBadRequest, "the id's prefix was never handed out; take one from GET /v1/addresses"},
+	gateway.CausePrefixNotIssued: {http.StatusBadRequest, "the id's prefix was never issued; request one with GET /v1/addresses"},
 	gateway.CauseIDReused:        {http.StatusUnprocessableEntity, "the id was used for another request"},
 	gateway.CauseUndecided:       {http.StatusServiceUnavailable, "it is currently unknown whether the request ran; retry with the same id"},
 	gateway.CauseEngineFailed:    {http.StatusBadGateway, "the engine aborted its answer"},
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -245,7 +245,7 @@
 	ens.deputy = sha.Deputy
 }
 
-// regroup rebuilds the services from the engines.
+// rebuildServices rebuilds the services from the engines.
 func (cor *Core) rebuildServices() {
 	for _, svc := range cor.services {
 		svc.engines = nil
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -348,8 +348,8 @@
 	cor.refuse(wai, reason, holder, svc)
 }
 
-// unattainable returns the reservations whose deadline can't be met any more, sorted by
-// arrival.
+// expiredReservations returns the reservations whose deadline can't be met any more, sorted
+// by arrival.
 func (svc *serviceState) expiredReservations(now time.Time) []*waiting {
 	var expired []*waiting
 	for _, wai := range svc.queue.byID {
--- a/engine/client.go
+++ b/engine/client.go
@@ -5,7 +5,7 @@
 //
 //	cli := engine.NewClient(engine.ClientConfig{})
 //	res := cli.Dispatch(ctx, engine.Dispatch{Address: adr, ID: id, Body: body}, sink)
-//	if !res.Dispatched { /* the request was not sent; it may be dispatched elsewhere */ }
+//	if !res.Dispatched { /* the request was not sent; it may be dispatched to another engine */ }
 //
 // A dispatch is sent at most once: this package never retries. Client.Resume reads the
 // rest of an aborted answer by the request's id and never runs the request again.
@@ -89,8 +89,8 @@
 }
 
 // Error returns the status.
-func (rer *StatusError) Error() string {
-	return fmt.Sprintf("engine responded with status %d, want 200", rer.Status)
+func (ser *StatusError) Error() string {
+	return fmt.Sprintf("engine responded with status %d, want 200", ser.Status)
 }
 
 // Result is the outcome of a dispatch or a resumption.
--- a/gateway/attestation.go
+++ b/gateway/attestation.go
@@ -123,8 +123,8 @@
 	gat.retryStranded(now)
 }
 
-// sendHeld opens a session with the list of the slots that the gateway holds from the
-// coordinator.
+// sendHeld reports to a coordinator, as the first message of a session, the slots that the
+// gateway holds on the coordinator's grants or on engines that it now coordinates.
 func (gat *Core) sendHeld(epo request.Epoch) {
 	hol := reservation.Hold{}
 	for _, ent := range sortedByID(gat.table.byID) {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -21,7 +21,7 @@
 const refusalFreshness = 700 * time.Millisecond
 
 // movedRetryDelay is how long the gateway skips a coordinator that has no engine
-// of the service.
+// of the service or may not grant the request.
 const movedRetryDelay = 200 * time.Millisecond
 
 // maxAttempts is the number of unreachable engines after which a request fails.
@@ -30,7 +30,7 @@
 // loadState is the load of one service that a coordinator last reported.
 type loadState struct {
 	load reservation.Load
-	// updatedAt is when the report arrived; sent counts the reservations sent since.
+	// updatedAt is when the report arrived; sent counts the reservations sent since then.
 	updatedAt time.Time
 	sent      int
 	// floorRank is the lowest rank that the coordinator queues until floorUntil.
@@ -249,8 +249,8 @@
 }
 
 // requestEviction asks the next coordinator that hasn't refused yet to drop a
-// reservation of a lower rank. These are the coordinators that may not grant to
-// this gateway. If none is left, the request is shed.
+// reservation of a lower rank. The coordinators that haven't refused are usually those
+// that may not grant to this gateway. If none is left, the request is shed.
 func (gat *Core) requestEviction(now time.Time, ent *entry) {
 	gat.table.enter(ent, phaseEvicting)
 	ent.reserved = now
--- a/gateway/close.go
+++ b/gateway/close.go
@@ -20,7 +20,8 @@
 }
 
 // askToClose asks the coordinator that holds the reservation, or another granter,
-// to close the request. If none is connected, a fence determines whether any is left.
+// to close the request. If none is connected, a fence determines whether any granter is
+// left.
 func (gat *Core) askToClose(now time.Time, ent *entry) {
 	to := gat.closingGranter(ent)
 	if to == 0 {
--- a/gateway/entry.go
+++ b/gateway/entry.go
@@ -48,7 +48,7 @@
 	phase    phase
 	arrived  time.Time
 	deadline time.Time
-	// clients counts the attached clients; abandonedAt is when the last one left. It is
+	// callers counts the attached clients. abandonedAt is when the last of them left; it is
 	// zero while a client is attached and after the request was canceled.
 	callers     int
 	abandonedAt time.Time
--- a/host/dispatch.go
+++ b/host/dispatch.go
@@ -46,7 +46,7 @@
 	start := time.Now()
 	dis := engine.Dispatch{Address: adr, ID: id, Priority: jb.priority, Body: work.Body}
 	res := hos.engines.Dispatch(ctx, dis, modelSink(jb.exchange))
-	if res.Dispatched && !res.Whole && !isRefusal(res.Err) {
+	if res.Dispatched && !res.Whole && !isStatusError(res.Err) {
 		res = hos.resumeInterrupted(ctx, id, adr, res, jb)
 	}
 	return hos.finishModel(ctx, id, adr, res, start, jb)
@@ -62,7 +62,7 @@
 	}
 	start := time.Now()
 	res := hos.engines.Resume(ctx, eng.Address, id, 0, modelSink(jb.exchange))
-	if res.Answered && !res.Whole && !isRefusal(res.Err) {
+	if res.Answered && !res.Whole && !isStatusError(res.Err) {
 		res = hos.resumeInterrupted(ctx, id, eng.Address, res, jb)
 	}
 	if res.NotKnown {
@@ -82,7 +82,7 @@
 		next.Dispatched = true
 		next.Answered = res.Answered || (next.Answered && !next.NotKnown)
 		next.FirstToken = interrupted.FirstToken
-		if next.Whole || isRefusal(next.Err) {
+		if next.Whole || isStatusError(next.Err) {
 			return next
 		}
 		res = next
@@ -93,14 +93,14 @@
 // finishModel completes the exchange, or cancels a request whose client disconnected,
 // and returns the result for the gateway.
 func (hos *Host) finishModel(ctx context.Context, id request.ID, adr netip.AddrPort, res engine.Result, start time.Time, jb *job) gateway.Result {
-	var rer *engine.StatusError
+	var ser *engine.StatusError
 	switch {
 	case res.Whole:
 		jb.exchange.Data([]byte("data: [DONE]\n\n"))
 		jb.exchange.End(true)
-	case errors.As(res.Err, &rer) && !res.NotKnown:
-		jb.exchange.Head(rer.Status, backend.EndToEnd(rer.Header))
-		jb.exchange.Data(rer.Body)
+	case errors.As(res.Err, &ser) && !res.NotKnown:
+		jb.exchange.Head(ser.Status, backend.EndToEnd(ser.Header))
+		jb.exchange.Data(ser.Body)
 		jb.exchange.End(true)
 	case ctx.Err() != nil && res.Dispatched:
 		hos.cancelOnEngine(id, adr)
@@ -111,15 +111,15 @@
 	}
 	return gateway.Result{
 		Dispatched: res.Dispatched, Answered: res.Answered,
-		Complete:      res.Whole || (rer != nil && !res.NotKnown),
+		Complete:      res.Whole || (ser != nil && !res.NotKnown),
 		PrefillTokens: max(0, res.Usage.PromptTokens-cached), DecodeTokens: res.Usage.CompletionTokens,
 		FirstToken: res.FirstToken, Total: time.Since(start),
 	}
 }
 
-func isRefusal(err error) bool {
-	var rer *engine.StatusError
-	return errors.As(err, &rer)
+func isStatusError(err error) bool {
+	var ser *engine.StatusError
+	return errors.As(err, &ser)
 }
 
 // cancelOnEngine cancels a request on its engine, best effort.
--- a/host/monitor.go
+++ b/host/monitor.go
@@ -39,7 +39,7 @@
 }
 
 // monitor polls engines and the platform's list of hosts. sequences holds the position in
-// each engine's cache events, draining the engines that the list reports as leaving.
+// each engine's cache events, draining the engines that the list reports as draining.
 type monitor struct {
 	host      *Host
 	sequences map[string]uint64
--- a/host/sessions.go
+++ b/host/sessions.go
@@ -21,20 +21,20 @@
 )
 
 // maintainSessions keeps a session open with each member that this gateway connects to,
-// until the context ends.
+// until the context ended.
 func (hos *Host) maintainSessions(ctx context.Context) error {
-	ends := make(chan request.Epoch)
+	ended := make(chan request.Epoch)
 	running := make(map[request.Epoch]context.CancelFunc)
 	for {
-		changed := hos.shared.nextView()
-		hos.reconcileSessions(ctx, running, ends)
+		changed := hos.shared.nextChange()
+		hos.reconcileSessions(ctx, running, ended)
 		select {
 		case <-changed:
-		case epo := <-ends:
+		case epo := <-ended:
 			delete(running, epo)
 		case <-ctx.Done():
 			for len(running) > 0 {
-				delete(running, <-ends)
+				delete(running, <-ended)
 			}
 			return ctx.Err()
 		}
@@ -43,7 +43,7 @@
 
 // reconcileSessions starts a goroutine for each missing session and cancels those of
 // members that are no longer in the view.
-func (hos *Host) reconcileSessions(ctx context.Context, running map[request.Epoch]context.CancelFunc, ends chan<- request.Epoch) {
+func (hos *Host) reconcileSessions(ctx context.Context, running map[request.Epoch]context.CancelFunc, ended chan<- request.Epoch) {
 	vie := hos.shared.view()
 	for epo, cancel := range running {
 		if _, member := vie.Member(epo); !member {
@@ -58,13 +58,13 @@
 		running[mem.Epoch] = cancel
 		go func() {
 			hos.maintainSession(sessionCtx, mem)
-			ends <- mem.Epoch
+			ended <- mem.Epoch
 		}()
 	}
 }
 
 // maintainSession opens a session with the member and reopens it with backoff and jitter
-// whenever it ends, until the context ends.
+// whenever it ended, until the context ended.
 func (hos *Host) maintainSession(ctx context.Context, mem view.Member) {
 	wait := minReconnectDelay
 	for ctx.Err() == nil {
--- a/host/shared.go
+++ b/host/shared.go
@@ -17,8 +17,8 @@
 	history view.History
 	// headers are the last headers reported by each peer epoch.
 	headers map[request.Epoch]peer.Header
-	// viewChanged is closed and replaced at each change of the view or configuration.
-	viewChanged chan struct{}
+	// changed is closed and replaced at each change of the view or configuration.
+	changed chan struct{}
 	// problem is why the host isn't ready, if its last configuration was rejected.
 	problem string
 }
@@ -34,7 +34,7 @@
 	sha := &shared{
 		history:     view.NewHistory(),
 		headers:     make(map[request.Epoch]peer.Header),
-		viewChanged: make(chan struct{}),
+		changed: make(chan struct{}),
 	}
 	sha.config.Store(newActiveConfig(resource.Head{}, resource.NewConfiguration(0, nil)))
 	return sha
@@ -76,15 +76,15 @@
 	return newest
 }
 
-// nextView returns a channel that is closed at the next change of the view or
+// nextChange returns a channel that is closed at the next change of the view or
 // configuration.
-func (sha *shared) nextView() <-chan struct{} {
+func (sha *shared) nextChange() <-chan struct{} {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
-	return sha.viewChanged
+	return sha.changed
 }
 
-// notify wakes the goroutines that wait on nextView.
+// notify wakes the goroutines that wait on nextChange.
 func (sha *shared) notify() {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
@@ -93,8 +93,8 @@
 
 // notifyLocked is notify with the mutex held by the caller.
 func (sha *shared) notifyLocked() {
-	close(sha.viewChanged)
-	sha.viewChanged = make(chan struct{})
+	close(sha.changed)
+	sha.changed = make(chan struct{})
 }
 
 // recordHeader records the header that a peer reported.
--- a/peer/client.go
+++ b/peer/client.go
@@ -37,7 +37,8 @@
 }
 
 // State is the answer to FetchState: views, oldest first, and a configuration's
-// head and parts in the encoding in which the platform stores them.
+// head and chunks in the encoding in which the platform stores them. Parts holds the
+// chunks by digest.
 type State struct {
 	Header Header
 	Views  [][]byte
--- a/peer/follow.go
+++ b/peer/follow.go
@@ -62,15 +62,15 @@
 	if err != nil {
 		return MirrorUpdate{}, err
 	}
-	fol := MirrorUpdate{Snapshot: res.Msg.GetWhole(), Confirmed: fromMicros(res.Msg.GetConfirmedUs())}
-	fol.Changes.Revision = store.Revision(res.Msg.GetRevision())
+	upd := MirrorUpdate{Snapshot: res.Msg.GetWhole(), Confirmed: fromMicros(res.Msg.GetConfirmedUs())}
+	upd.Changes.Revision = store.Revision(res.Msg.GetRevision())
 	for _, ent := range res.Msg.GetEntries() {
-		fol.Changes.Changes = append(fol.Changes.Changes, store.Change{
+		upd.Changes.Changes = append(upd.Changes.Changes, store.Change{
 			Value:   store.Value{Key: ent.GetKey(), Data: ent.GetData(), Revision: store.Revision(ent.GetRevision())},
 			Deleted: ent.GetDeleted(),
 		})
 	}
-	return fol, nil
+	return upd, nil
 }
 
 // Follow implements peerpbconnect.PeerServiceHandler.
@@ -78,7 +78,7 @@
 	if srv.cfg.Mirror == nil {
 		return nil, errNoMirror
 	}
-	fol, err := srv.cfg.Mirror.Follow(ctx, store.Revision(req.Msg.GetAfter()), fromMicros(req.Msg.GetWaitUs()))
+	upd, err := srv.cfg.Mirror.Follow(ctx, store.Revision(req.Msg.GetAfter()), fromMicros(req.Msg.GetWaitUs()))
 	var unready Unready
 	if errors.As(err, &unready) {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, err)
@@ -87,10 +87,10 @@
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
 	res := &peerpb.FollowResponse{
-		Header: headerToWire(srv.cfg.Sessions.Header()), Whole: fol.Snapshot,
-		Revision: uint64(fol.Changes.Revision), ConfirmedUs: fol.Confirmed.Microseconds(),
+		Header: headerToWire(srv.cfg.Sessions.Header()), Whole: upd.Snapshot,
+		Revision: uint64(upd.Changes.Revision), ConfirmedUs: upd.Confirmed.Microseconds(),
 	}
-	for _, cha := range fol.Changes.Changes {
+	for _, cha := range upd.Changes.Changes {
 		res.Entries = append(res.Entries, &peerpb.Entry{Key: cha.Key, Data: cha.Data, Revision: uint64(cha.Revision), Deleted: cha.Deleted})
 	}
 	return connect.NewResponse(res), nil
--- a/quarantine/doubt.go
+++ b/quarantine/doubt.go
@@ -12,17 +12,17 @@
 	engine string
 }
 
-// unconfirmedCrash is a request whose connection to its engine ended while it isn't known
-// whether the engine crashed.
+// unconfirmedCrash is a request whose connection to its engine ended and whose engine may
+// have crashed.
 type unconfirmedCrash struct {
 	observation Observation
 	since       time.Time
 }
 
-// RecordUnconfirmedCrash records that the connection to an engine ended while it ran a
-// request, with the crash of the engine unconfirmed: the link may have failed or one answer
-// may have been invalid, and another run of the engine may have started before the host
-// checked. ApplyEngines resolves it by the registered engines.
+// RecordUnconfirmedCrash records that the connection to an engine ended while the engine ran a
+// request, and that it isn't known whether the engine crashed: the link may have failed, one
+// answer may have been invalid, or another run of the engine may have started before the host
+// checked. ApplyEngines confirms or drops the crash by the registered engines.
 func (reg *Registry) RecordUnconfirmedCrash(now time.Time, obs Observation) {
 	reg.prune(now)
 	if obs.Digest == (call.Digest{}) || len(reg.unconfirmed) >= maxCases {
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -48,7 +48,7 @@
 }
 
 // ConcernsGateways reports whether the change is sent to gateways whose requests this host
-// schedules. They receive requests from the second crash on.
+// schedules. Gateways receive the changes of a request from its second crash on.
 func (cha Change) ConcernsGateways() bool {
 	switch cha.Kind {
 	case KindSuspected, KindHeld:
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -132,7 +132,7 @@
 	ReasonMoved
 	// ReasonExpired means that the deadline can no longer be met.
 	ReasonExpired
-	// ReasonClosed means that the request was closed at the gateway's demand.
+	// ReasonClosed means that the request was closed at the gateway's request.
 	ReasonClosed
 	// ReasonFenced means that another gateway holds the request.
 	ReasonFenced
@@ -255,20 +255,20 @@
 	Share float64
 }
 
-// Appoint tells a coordinator whether the gateway delegates scheduling to it from now on. A
+// Appoint notifies a coordinator whether the gateway delegates scheduling to it from now on. A
 // gateway also has sessions with hosts to which it doesn't delegate, and may be silent for long
 // while it has no requests, so neither a session nor silence shows this.
 type Appoint struct {
 	Delegated bool
 }
 
-// Leader tells a gateway which host, to the sender's knowledge, schedules for more than half of
-// all hosts; 0 if the sender knows of none.
+// Leader notifies a gateway of the host that, to the sender's knowledge, schedules for more than
+// half of all hosts; 0 if the sender knows of none.
 type Leader struct {
 	Host request.Epoch
 }
 
-// Absent tells a gateway the complete list of hosts that the coordinator can't reach. Clients
+// Absent sends a gateway the complete list of hosts that the coordinator can't reach. Clients
 // aren't directed to them, although their entries in the store haven't expired yet.
 type Absent struct {
 	Hosts []request.Epoch
@@ -290,8 +290,8 @@
 	quarantine.Report
 }
 
-// Hold lists all grants that the gateway holds from the coordinator. It opens a session. Grants
-// that it doesn't list were never dispatched and never will be.
+// Hold lists all grants that the gateway holds from the coordinator. It is the first message of a
+// session. Grants that it doesn't list were never dispatched and never will be.
 type Hold struct {
 	IDs []request.ID
 }
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -20,8 +20,8 @@
 
 const (
 	// exposureMargin is the part of the allowed share that is used before the version is known
-	// to be healthy. The rest covers what a version receives between becoming faulty late and
-	// being detected, and requests that are counted here but never reach an engine.
+	// to be healthy. The rest covers the requests that a version which becomes faulty late gets
+	// until this is detected, and requests that are counted here but never reach an engine.
 	exposureMargin = 0.6
 	// slackMargin is the corresponding part of the slack, which provides the first answers of a
 	// version before many requests have arrived.
@@ -157,7 +157,7 @@
 	return rol.stored.Ledger.Tally.plus(rol.writing).plus(rol.unwritten)
 }
 
-// Access returns to the engines of which versions a request may be sent. A host without a
+// Access returns the versions to whose engines a request may be sent. A host without a
 // reservation sends no request to the new version.
 func (rol *Rollout) Access(now time.Time, req Request) Access {
 	isLeader := now.Sub(rol.ledAt) < leaderTimeout
@@ -406,8 +406,8 @@
 	Began   time.Time
 	Period  string
 	// Reserved is the maximum number of requests that the version may have received, of
-	// Requests in all. Mine is this host's part of the reservation, and the last number counts
-	// the requests of that part that the host has granted.
+	// Requests in all. Mine is this host's part of the reservation, and Given the number of
+	// requests of that part that the host has granted.
 	Reserved int
 	Requests int
 	Mine     int
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -93,7 +93,7 @@
 	Began time.Time
 	// Reserved is the maximum number of requests that the new version may have received so far.
 	Reserved int
-	// Writer is the Self of the host that wrote the ledger.
+	// Writer is the Config.Self of the host that wrote the ledger.
 	Writer string
 	Tally  Tally
 }
@@ -118,7 +118,7 @@
 	Repeated bool
 }
 
-// Access reports to the engines of which versions a request may be sent.
+// Access holds the versions to whose engines a request may be sent.
 type Access struct {
 	Old bool
 	New bool
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -131,7 +131,7 @@
 }
 
 // Do sends the call and returns the answer as soon as its head has arrived; the body is
-// read from Answer.Body. Cancelling ctx also aborts the answer until it is closed. The error
+// read from Answer.Body. Until the answer is closed, cancelling ctx aborts it. The error
 // is a *NotSentError if no byte was sent, and a *BrokenError otherwise.
 func (cli *Client) Do(ctx context.Context, cal Call) (*Answer, error) {
 	con := cli.takeIdle(cal.Endpoint)
