--- a/caller/caller.go
+++ b/caller/caller.go
@@ -137,7 +137,7 @@
 	MaxRequests int
 }
 
-// Time-outs for slow clients.
+// Timeouts for slow clients.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readBodyTimeout   = 60 * time.Second
--- a/caller/server.go
+++ b/caller/server.go
@@ -43,7 +43,7 @@
 	srv.relayClient.CloseIdleConnections()
 }
 
-// HTTPServer returns an HTTP server with time-outs for slow clients.
+// HTTPServer returns an HTTP server with timeouts for slow clients.
 func (srv *Server) HTTPServer() *http.Server {
 	return &http.Server{Handler: srv.Handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 }
--- a/embedded/embedded.go
+++ b/embedded/embedded.go
@@ -53,7 +53,7 @@
 	// Engines and Backends configure the fakes to start.
 	Engines  []enginetest.Config
 	Backends []backendtest.Config
-	// Timing overrides the default intervals and time-outs of the hosts.
+	// Timing overrides the default intervals and timeouts of the hosts.
 	Timing settings.Timing
 	// HostsLag is the delay after which changes appear in the platform's list of hosts.
 	HostsLag    time.Duration
--- a/host/shared.go
+++ b/host/shared.go
@@ -32,8 +32,8 @@
 
 func newShared() *shared {
 	sha := &shared{
-		history:     view.NewHistory(),
-		headers:     make(map[request.Epoch]peer.Header),
+		history: view.NewHistory(),
+		headers: make(map[request.Epoch]peer.Header),
 		changed: make(chan struct{}),
 	}
 	sha.config.Store(newActiveConfig(resource.Head{}, resource.NewConfiguration(0, nil)))
--- a/load/client.go
+++ b/load/client.go
@@ -5,7 +5,7 @@
 //
 //	cli := load.NewClient(load.ClientConfig{Entries: addresses, Key: key})
 //	ans := cli.Send(ctx, req)            // one request, with the documented retries
-//	rep := load.Run(ctx, load.Config{Client: cli, Kinds: kinds, For: 10 * time.Second})
+//	results, err := load.Run(ctx, load.Config{Clients: clients, Kinds: kinds, For: 10 * time.Second})
 //
 // Arrivals are open-loop: they don't wait for answers, and latencies are measured
 // from the intended send time of a request.
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -10,8 +10,8 @@
 	"lynxwell.dev/lynxwell/format"
 )
 
-// Entry are the settings of a host that serves clients in the users' platform's
-// protocol. deploy/settings.json is the template that fills them in from the
+// Entry holds the settings of a host that serves clients in the protocol of the users'
+// platform. deploy/settings.json is the template that fills them in from the
 // platform's fields.
 type Entry struct {
 	// Name is the host's name, unique in the system.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -50,11 +50,11 @@
 	OperatorKeyFile string
 	// LogLevel is a zerolog level; empty means "info".
 	LogLevel string
-	// Timing holds the intervals and time-outs; each has a default.
+	// Timing holds the intervals and timeouts; each has a default.
 	Timing Timing
 }
 
-// Timing holds the intervals and time-outs of a host. Zero means the default.
+// Timing holds the intervals and timeouts of a host. Zero means the default.
 type Timing struct {
 	// Lease is the time to live of the host's lease, default 10 s.
 	Lease format.Duration
@@ -64,7 +64,7 @@
 	// PeerTimeout is how long a session may go without a received frame before it is
 	// considered lost, default 1.5 s.
 	PeerTimeout format.Duration
-	// Window is how long a prefix of request ids is handed out, default 5 m.
+	// Window is how long a prefix of request ids is issued, default 5 m.
 	Window format.Duration
 	// KeepAddresses is how long clients may cache the list of addresses, default 30 s.
 	KeepAddresses format.Duration
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -15,7 +15,7 @@
 
 const (
 	// maxCrashes bounds the engines that the poison request may crash in a run: three until it
-	// is identified, and three more where hosts are killed, frozen or partitioned before one of
+	// is identified, and three more if hosts are killed, frozen or partitioned before one of
 	// them has reported its findings to another host or to the store.
 	maxCrashes = 6
 	// poisonInterval is the time between two attempts with the poison request.
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -170,7 +170,7 @@
 }
 
 // wait waits for the duration, so that faults take effect, and polls the evacuation state
-// meanwhile. It bounds the duration.
+// meanwhile. It waits for at most four mean fault intervals and settleTime.
 func (sys *system) wait(dur time.Duration) {
 	end := time.After(min(dur, 4*meanFaultInterval+settleTime))
 	tick := time.NewTicker(statePollInterval)
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,5 +1,5 @@
 // Package transport contains what the HTTP clients of engines and backend servers
-// share: connection settings, detection of dead TCP connections, and time-outs for
+// share: connection settings, detection of dead TCP connections, and timeouts for
 // peers that send nothing.
 //
 // # Usage
--- a/upstreamtest/engine.go
+++ b/upstreamtest/engine.go
@@ -239,7 +239,7 @@
 	})
 }
 
-// acquire takes a slot or a place in the queue. It returns the request's fault, whether the
+// acquire takes a slot or a position in the queue. It returns the request's fault, whether the
 // request is admitted, and the function set by OnNextRequest, if any.
 func (eng *Engine) acquire() (Fault, bool, func()) {
 	eng.mutex.Lock()
