--- a/backendtest/backendtest.go
+++ b/backendtest/backendtest.go
@@ -89,10 +89,10 @@
 }
 
 // SetDraining sets whether the server reports that it is draining.
-func (srv *Server) SetDraining(leaving bool) {
+func (srv *Server) SetDraining(draining bool) {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
-	srv.draining = leaving
+	srv.draining = draining
 }
 
 // Handler returns the HTTP handler of the service, its load report and the control paths.
@@ -105,9 +105,9 @@
 		}
 	}).Methods(http.MethodPost)
 	rou.HandleFunc(PathDraining, func(wri http.ResponseWriter, req *http.Request) {
-		var leaving bool
-		if decode(wri, req, &leaving) {
-			srv.SetDraining(leaving)
+		var draining bool
+		if decode(wri, req, &draining) {
+			srv.SetDraining(draining)
 		}
 	}).Methods(http.MethodPost)
 	rou.HandleFunc(PathDispatches, func(wri http.ResponseWriter, _ *http.Request) {
--- a/enginetest/engine.go
+++ b/enginetest/engine.go
@@ -173,10 +173,10 @@
 }
 
 // SetDraining sets whether the engine reports that it is draining.
-func (eng *Engine) SetDraining(leaving bool) {
+func (eng *Engine) SetDraining(draining bool) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.draining = leaving
+	eng.draining = draining
 }
 
 // Dispatches returns all dispatches received, in order of arrival.
--- a/enginetest/handler.go
+++ b/enginetest/handler.go
@@ -31,7 +31,7 @@
 func (eng *Engine) Handler() http.Handler {
 	rou := mux.NewRouter()
 	rou.HandleFunc(PathFaults, eng.serveFaults).Methods(http.MethodPost)
-	rou.HandleFunc(PathDraining, eng.serveLeaving).Methods(http.MethodPost)
+	rou.HandleFunc(PathDraining, eng.serveDraining).Methods(http.MethodPost)
 	rou.HandleFunc(PathDispatches, eng.serveDispatches).Methods(http.MethodGet)
 	sub := rou.NewRoute().Subrouter()
 	sub.Use(eng.applyFaults)
@@ -315,13 +315,13 @@
 	wri.WriteHeader(http.StatusNoContent)
 }
 
-func (eng *Engine) serveLeaving(wri http.ResponseWriter, req *http.Request) {
-	var leaving bool
-	if err := json.NewDecoder(req.Body).Decode(&leaving); err != nil {
+func (eng *Engine) serveDraining(wri http.ResponseWriter, req *http.Request) {
+	var draining bool
+	if err := json.NewDecoder(req.Body).Decode(&draining); err != nil {
 		http.Error(wri, err.Error(), http.StatusBadRequest)
 		return
 	}
-	eng.SetDraining(leaving)
+	eng.SetDraining(draining)
 	wri.WriteHeader(http.StatusNoContent)
 }
 
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -126,7 +126,7 @@
 func TestIDOfAnOldViewWithoutCoordinatorIsClosedAtOnce(t *testing.T) {
 	har := newHarness(t, 1, member(1, "a"), member(3, "b"))
 	har.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{
-		member(1, "a"), leaving(member(3, "b")), member(4, "b"),
+		member(1, "a"), draining(member(3, "b")), member(4, "b"),
 	}}})
 	har.handle(gateway.PeerUp{Peer: 4})
 	to, wit, withdrawn := sent[reservation.Withdraw](har.arrive(har.idOf(self, "one")))
@@ -141,7 +141,7 @@
 	assert.Assert(t, fin.Final.Retry)
 }
 
-func leaving(mem view.Member) view.Member {
+func draining(mem view.Member) view.Member {
 	mem.Draining = true
 	return mem
 }
--- a/platformtest/server.go
+++ b/platformtest/server.go
@@ -317,6 +317,6 @@
 func reply(wri http.ResponseWriter, status int, body any) {
 	wri.Header().Set("Content-Type", "application/json")
 	wri.WriteHeader(status)
-	// The error is ignored because the client has disconnected.
+	// A write error means that the client has disconnected.
 	_ = json.NewEncoder(wri).Encode(body)
 }
--- a/soak/rates.go
+++ b/soak/rates.go
@@ -10,8 +10,8 @@
 
 // The users' bounds on rate limits: from rateGrace after an engine first sent a rate limit, it
 // receives in each rateWindow at most rateFactor times the limit plus rateSlack requests. Only
-// requests count that a host sent at least rateReportDelay after it had passed on an answer with
-// a rate limit; the counts of all such hosts are added up.
+// the requests that a host sent at least rateReportDelay after it had passed on an answer with a
+// rate limit are counted. The counts of all hosts are added up.
 const (
 	rateGrace       = 3 * time.Second
 	rateReportDelay = 500 * time.Millisecond
