--- a/caller/caller.go
+++ b/caller/caller.go
@@ -38,7 +38,7 @@
 	HeaderOnce = "Lynxwell-Once"
 	// HeaderRequestID carries the request's id in every answer.
 	HeaderRequestID = "Lynxwell-Request-Id"
-	// HeaderOutcome states, in an error answer, whether the request ran.
+	// HeaderOutcome carries, in an error answer, whether the request ran.
 	HeaderOutcome = "Lynxwell-Outcome"
 	// HeaderRelayed carries the name of the host that relayed the request.
 	HeaderRelayed = "Lynxwell-Relayed"
@@ -137,7 +137,7 @@
 	MaxRequests int
 }
 
-// Time-outs for slow clients.
+// Timeouts for slow clients.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readBodyTimeout   = 60 * time.Second
