--- a/caller/problem.go
+++ b/caller/problem.go
@@ -77,21 +77,21 @@
 	status  int
 	message string
 }{
-	gateway.CauseShed:            {http.StatusServiceUnavailable, "the service's queue is full and holds no request with a lower priority"},
-	gateway.CauseExpired:         {http.StatusGatewayTimeout, "the deadline can no longer be met"},
-	gateway.CauseAccountRate:     {http.StatusTooManyRequests, "the client account has exceeded its rate limit"},
+	gateway.CauseShed:            {http.StatusServiceUnavailable, "the service is full; nothing less urgent waits in it"},
+	gateway.CauseExpired:         {http.StatusGatewayTimeout, "the deadline can't be met any more"},
+	gateway.CauseAccountRate:     {http.StatusTooManyRequests, "the client account is over its rate"},
 	gateway.CauseAccountInFlight: {http.StatusTooManyRequests, "the client account has too many requests in flight"},
-	gateway.CauseNoCoordinator:   {http.StatusServiceUnavailable, "this host can't connect to any host that schedules engines of the service"},
-	gateway.CauseDraining:        {http.StatusServiceUnavailable, "this host is draining; request GET /v1/addresses again"},
-	gateway.CauseClientLeft:      {http.StatusServiceUnavailable, "the client disconnected before the request was started"},
-	gateway.CausePrefixRetired:   {http.StatusServiceUnavailable, "the id's prefix is no longer served; request GET /v1/addresses again and send the request with a new id"},
-	gateway.CauseTooOld:          {http.StatusGone, "the id is older than the ids that are still stored"},
-	gateway.CausePrefixNotIssued: {http.StatusBadRequest, "the id's prefix was never issued; request one with GET /v1/addresses"},
+	gateway.CauseNoCoordinator:   {http.StatusServiceUnavailable, "no host that this one reaches has engines of the service"},
+	gateway.CauseDraining:        {http.StatusServiceUnavailable, "this host is leaving; ask for the addresses again"},
+	gateway.CauseClientLeft:      {http.StatusServiceUnavailable, "the caller left before the request was started"},
+	gateway.CausePrefixRetired:   {http.StatusServiceUnavailable, "the id's prefix is no longer served; ask for the addresses again and send under a new id"},
+	gateway.CauseTooOld:          {http.StatusGone, "the id is older than what is remembered"},
+	gateway.CausePrefixNotIssued: {http.StatusBadRequest, "the id's prefix was never handed out; take one from GET /v1/addresses"},
 	gateway.CauseIDReused:        {http.StatusUnprocessableEntity, "the id was used for another request"},
-	gateway.CauseUndecided:       {http.StatusServiceUnavailable, "it is currently unknown whether the request ran; retry with the same id"},
-	gateway.CauseEngineFailed:    {http.StatusBadGateway, "the engine aborted its answer"},
-	gateway.CauseAnswerExpired:   {http.StatusGone, "the request ran, but its answer is no longer stored"},
-	gateway.CauseMoved:           {http.StatusServiceUnavailable, "another host has taken over the request; retry with the same id"},
+	gateway.CauseUndecided:       {http.StatusServiceUnavailable, "it can't be known now whether the request ran; repeat it under the same id"},
+	gateway.CauseEngineFailed:    {http.StatusBadGateway, "the engine broke off"},
+	gateway.CauseAnswerExpired:   {http.StatusGone, "the request ran, but its answer is no longer kept"},
+	gateway.CauseMoved:           {http.StatusServiceUnavailable, "another host has taken the request over; repeat it under the same id"},
 }
 
 func problemOf(fin gateway.Final) problem {
--- a/caller/read.go
+++ b/caller/read.go
@@ -46,7 +46,7 @@
 		return nil, pro
 	}
 	if int64(len(body)) > maxBodyOf(ser) {
-		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "BodyTooLarge", message: "body: larger than the maximum of the service"}
+		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "BodyTooLarge", message: "body: larger than the service takes"}
 	}
 	stream, err := engine.StreamBody(body)
 	if err != nil {
@@ -156,13 +156,13 @@
 		return request.ID{}, pro
 	}
 	if text == "" && once {
-		return request.ID{}, badRequest(HeaderID, "a request marked "+HeaderOnce+" must carry an id: a prefix from GET /v1/addresses, a hyphen and a part that the client chooses")
+		return request.ID{}, badRequest(HeaderID, "a request marked "+HeaderOnce+" must carry an id: a prefix from GET /v1/addresses, a hyphen and a part of your own")
 	}
 	if text == "" {
 		id := srv.cfg.Backend.NewID()
 		if id.View == 0 {
 			return id, &problem{
-				status: http.StatusServiceUnavailable, code: "NoView", message: "this host has no membership view yet",
+				status: http.StatusServiceUnavailable, code: "NoView", message: "this host knows no view yet",
 				outcome: request.NotRun, retry: true, retryAfter: time.Second,
 			}
 		}
@@ -200,7 +200,7 @@
 func serviceFor(conf resource.Configuration, acc resource.ClientAccount, name string, protocol resource.Protocol) (resource.Service, *problem) {
 	ser, known := conf.Service(name)
 	if !known || ser.Protocol != protocol {
-		return ser, &problem{status: http.StatusNotFound, code: "NoSuchService", message: fmt.Sprintf("there is no service %q with this protocol", name), outcome: request.NotRun}
+		return ser, &problem{status: http.StatusNotFound, code: "NoSuchService", message: fmt.Sprintf("there is no service %q of this kind", name), outcome: request.NotRun}
 	}
 	if len(acc.Services) > 0 && !slices.Contains(acc.Services, name) {
 		return ser, &problem{status: http.StatusForbidden, code: "ServiceNotAllowed", message: fmt.Sprintf("the account may not use service %q", name), outcome: request.NotRun}
--- a/caller/server.go
+++ b/caller/server.go
@@ -66,7 +66,7 @@
 		defer srv.serving.Add(-1)
 		if srv.serving.Add(1) > int64(srv.cfg.MaxRequests) {
 			sendProblem(wri, problem{
-				status: http.StatusServiceUnavailable, code: "HostBusy", message: "this host has reached its limit of concurrent requests",
+				status: http.StatusServiceUnavailable, code: "HostBusy", message: "this host serves as many requests as it may",
 				outcome: request.Unknown, retry: true, retryAfter: time.Second,
 			})
 			return
@@ -79,7 +79,7 @@
 	adr := srv.cfg.Backend.Addresses()
 	if len(adr.Addresses) == 0 {
 		sendProblem(wri, problem{
-			status: http.StatusServiceUnavailable, code: "NoView", message: "this host has no membership view yet",
+			status: http.StatusServiceUnavailable, code: "NoView", message: "this host knows no view yet",
 			retry: true, retryAfter: time.Second,
 		})
 		return
@@ -209,7 +209,7 @@
 	}
 	if srv.cfg.Backend.Configuration().Revision == 0 {
 		return resource.ClientAccount{}, &problem{
-			status: http.StatusServiceUnavailable, code: "NoConfiguration", message: "this host has no configuration yet",
+			status: http.StatusServiceUnavailable, code: "NoConfiguration", message: "this host knows no configuration yet",
 			outcome: request.Unknown, retry: true, retryAfter: time.Second,
 		}
 	}
@@ -228,7 +228,7 @@
 	_ = http.NewResponseController(wri).SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "BodyTooLarge", message: "body: larger than the maximum of the service"}
+		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "BodyTooLarge", message: "body: larger than the service takes"}
 	}
 	if err != nil {
 		return nil, &problem{status: http.StatusBadRequest, code: "BodyBroken", message: "body: " + err.Error()}
--- a/enginetest/handler.go
+++ b/enginetest/handler.go
@@ -132,7 +132,7 @@
 	}
 	offset, err := strconv.Atoi(req.URL.Query().Get("offset"))
 	if err != nil || offset < 0 {
-		http.Error(wri, "offset: want an integer of 0 or more", http.StatusBadRequest)
+		http.Error(wri, "offset: want a number of 0 or more", http.StatusBadRequest)
 		return
 	}
 	eng.send(wri, req, jb, offset)
@@ -296,7 +296,7 @@
 func (eng *Engine) serveEvents(wri http.ResponseWriter, req *http.Request) {
 	after, err := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		http.Error(wri, "after: want an integer of 0 or more", http.StatusBadRequest)
+		http.Error(wri, "after: want a number of 0 or more", http.StatusBadRequest)
 		return
 	}
 	eng.mutex.Lock()
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -79,9 +79,9 @@
 // heldProblem returns the final answer for a held request. Its status does not promise that the
 // request has not run, since it has, and retryAfter is 0 if retrying never helps.
 func heldProblem(ref reservation.Refuse) *problem {
-	detail := "the engines that ran this request crashed, so it isn't run again; a changed request counts as a different one"
+	detail := "the engines that ran this request ended, so it isn't run again; a changed request is another one"
 	if ref.RetryAfter > 0 {
-		detail = "the engines that ran this request crashed, so it isn't run before Retry-After; a changed request counts as a different one"
+		detail = "the engines that ran this request ended, so it isn't run before Retry-After; a changed request is another one"
 	}
 	return &problem{status: statusHeld, cause: causeHeld, retryAfter: ref.RetryAfter, detail: detail}
 }
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -44,7 +44,7 @@
 		hos.awaitConfigured(req.Context())
 		addresses := hos.addresses(hos.clock.Now(), platform.DecodeAddressesQuery(req))
 		if len(addresses) == 0 {
-			http.Error(wri, "no host accepts requests", http.StatusServiceUnavailable)
+			http.Error(wri, "no host takes requests", http.StatusServiceUnavailable)
 			return
 		}
 		data, err := platform.EncodeAddresses(addresses, addressesTTL)
--- a/entry/held.go
+++ b/entry/held.go
@@ -112,7 +112,7 @@
 
 // Error names the digest.
 func (ude *UnknownDigestError) Error() string {
-	return "no engine crash is known of a request with digest " + ude.Digest.String()
+	return "nothing is known against a request with digest " + ude.Digest.String()
 }
 
 // Free releases a held request, here and at the coordinator, which passes this on to the other hosts
@@ -131,12 +131,12 @@
 
 func (hos *Host) serveFree(wri http.ResponseWriter, req *http.Request) {
 	if req.Method != http.MethodPost {
-		http.Error(wri, "want method POST", http.StatusMethodNotAllowed)
+		http.Error(wri, "want POST", http.StatusMethodNotAllowed)
 		return
 	}
 	dig, err := call.ParseDigest(req.URL.Query().Get(queryDigest))
 	if err == nil && dig == (call.Digest{}) {
-		err = errors.New(queryDigest + ": want the digest of a request")
+		err = errors.New(queryDigest + ": want a digest")
 	}
 	if err != nil {
 		http.Error(wri, err.Error(), http.StatusBadRequest)
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -53,7 +53,7 @@
 			return eng, pro
 		}
 	}
-	return fleet.Engine{}, exc.notRunProblem(causeNoEngine, "the granted engines can't be used")
+	return fleet.Engine{}, exc.notRunProblem(causeNoEngine, "the engines granted can't be used")
 }
 
 // notRunProblem returns the final answer for a request that this attempt did not run.
@@ -153,15 +153,15 @@
 	eng, known := snp.engine(run)
 	switch {
 	case !exc.route.Public && !hos.isFresh(hos.clock.Now()):
-		pro = exc.notRunProblem(causeNotReady, "the configuration became too old")
+		pro = exc.notRunProblem(causeNotReady, "configuration became too old")
 	case !known || eng.Draining:
 		// The coordinator may have lost its connection to the store and not know of this yet.
-		pro = exc.notRunProblem(causeEngineUnavailable, "the engine is deregistered or draining")
+		pro = exc.notRunProblem(causeEngineUnavailable, "engine is gone or leaves")
 	case !exc.regionAllowed(eng):
-		pro = exc.notRunProblem(causeEngineUnavailable, "the engine is in a region where the request may not be served")
+		pro = exc.notRunProblem(causeEngineUnavailable, "engine is in a region where the request may not be served")
 	case exc.account.Name != "":
 		if _, valid := snp.table.Account(exc.request.Key); !valid {
-			pro = &problem{status: http.StatusUnauthorized, cause: causeUnknownKey, detail: "the key was revoked"}
+			pro = &problem{status: http.StatusUnauthorized, cause: causeUnknownKey, detail: "the key was taken away"}
 		}
 	}
 	if pro == nil {
@@ -184,18 +184,18 @@
 
 // refusalProblem returns the final answer for a coordinator's refusal.
 func (exc *exchange) refusalProblem(ref reservation.Refuse) *problem {
-	pro := &problem{status: http.StatusServiceUnavailable, cause: causeOverload, retryAfter: ref.RetryAfter, detail: "no engine has capacity in time"}
+	pro := &problem{status: http.StatusServiceUnavailable, cause: causeOverload, retryAfter: ref.RetryAfter, detail: "no engine has room in time"}
 	switch ref.Reason {
 	case reservation.ReasonLimit:
 		pro.status, pro.cause, pro.detail = http.StatusTooManyRequests, causeLimit, "the client account's limit is used up"
 	case reservation.ReasonBudget:
-		pro.cause, pro.detail = causeBudget, "the service's retry budget is used up"
+		pro.cause, pro.detail = causeBudget, "the service's budget of repeats is used up"
 	case reservation.ReasonNoEngine:
-		pro.cause, pro.detail = causeNoEngine, "no further engine to try"
+		pro.cause, pro.detail = causeNoEngine, "no engine is left to try"
 	case reservation.ReasonBackoff:
-		pro.cause, pro.detail = causeBlocked, "all remaining engines are in backoff or draining"
+		pro.cause, pro.detail = causeBlocked, "all engines that are left have asked for a pause, or leave"
 	case reservation.ReasonRate:
-		pro.cause, pro.detail = causeRateLimit, "the rate limits of all remaining engines are used up by earlier requests"
+		pro.cause, pro.detail = causeRateLimit, "all engines that are left have named the rate that they take, and others were before"
 	case reservation.ReasonRegion:
 		pro.cause, pro.detail = causeNoRegion, "no engine is in the regions that the route and the client account allow"
 	case reservation.ReasonHeld:
--- a/host/callerbackend.go
+++ b/host/callerbackend.go
@@ -143,11 +143,11 @@
 	case hos.shared.currentProblem() != "":
 		return false, hos.shared.currentProblem()
 	case hos.draining.Load():
-		return false, "the host is draining"
+		return false, "the host is leaving"
 	case hos.shared.view().Number == 0:
-		return false, "the host has not received a view yet"
+		return false, "the host knows no view yet"
 	case hos.Configuration().Revision == 0:
-		return false, "the host has not received a configuration yet"
+		return false, "the host knows no configuration yet"
 	default:
 		return true, ""
 	}
--- a/peer/server.go
+++ b/peer/server.go
@@ -76,7 +76,7 @@
 	_, handler := peerpbconnect.NewPeerServiceHandler(srv, connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressMinBytes))
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		if !srv.cfg.Security.isAuthorized(req.Header) {
-			http.Error(wri, "Authorization: missing or unknown peer key", http.StatusUnauthorized)
+			http.Error(wri, "peer key missing or wrong", http.StatusUnauthorized)
 			return
 		}
 		controller := http.NewResponseController(wri)
@@ -150,13 +150,13 @@
 }
 
 // errSessionsOnly is the answer to RPCs that need a Backend.
-var errSessionsOnly = connect.NewError(connect.CodeUnimplemented, errors.New("this host serves no RPC other than Session, Probe and Follow"))
+var errSessionsOnly = connect.NewError(connect.CodeUnimplemented, errors.New("this host serves sessions only"))
 
 // errNoSessions is the answer to Session on a host without a session handler.
-var errNoSessions = connect.NewError(connect.CodeUnimplemented, errors.New("this host accepts no sessions"))
+var errNoSessions = connect.NewError(connect.CodeUnimplemented, errors.New("this host serves no sessions"))
 
 // errNoMirror is the answer to Follow on a host without a mirror of the store.
-var errNoMirror = connect.NewError(connect.CodeUnimplemented, errors.New("this host has no mirror of the store"))
+var errNoMirror = connect.NewError(connect.CodeUnimplemented, errors.New("this host passes nothing on"))
 
 // Fence implements peerpbconnect.PeerServiceHandler.
 func (srv *Server) Fence(ctx context.Context, req *connect.Request[peerpb.FenceRequest]) (*connect.Response[peerpb.FenceResponse], error) {
