--- a/host/sessions.go
+++ b/host/sessions.go
@@ -21,7 +21,7 @@
 )
 
 // maintainSessions keeps a session open with each member that this gateway connects to,
-// until the context ended.
+// until the context ends.
 func (hos *Host) maintainSessions(ctx context.Context) error {
 	ended := make(chan request.Epoch)
 	running := make(map[request.Epoch]context.CancelFunc)
@@ -64,7 +64,7 @@
 }
 
 // maintainSession opens a session with the member and reopens it with backoff and jitter
-// whenever it ended, until the context ended.
+// whenever it ends, until the context ends.
 func (hos *Host) maintainSession(ctx context.Context, mem view.Member) {
 	wait := minReconnectDelay
 	for ctx.Err() == nil {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -67,9 +67,9 @@
 	HoldExclusiveAt int
 }
 
-// The defaults of Config. Six of eighteen engines may run the same request for a second time
-// within a minute by coincidence, so two crashes in a row prove nothing, and three are the most
-// that users allow. If the request ran exclusively on its engine, the second crash is proof. The
+// The defaults of Config. Six of eighteen engines may by coincidence run a request for a second
+// time within a minute, so two crashes in a row prove nothing, and three are the most that users
+// allow. If the request ran exclusively on its engine, the second crash is proof. The
 // scheduler's benchmark of quarantine policies compares these values by the engines and
 // innocent requests that they cost.
 const (
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -132,7 +132,7 @@
 	ReasonMoved
 	// ReasonExpired means that the deadline can no longer be met.
 	ReasonExpired
-	// ReasonClosed means that the request was closed at the gateway's request.
+	// ReasonClosed means that the gateway has had the request closed.
 	ReasonClosed
 	// ReasonFenced means that another gateway holds the request.
 	ReasonFenced
