--- a/embedded/caller_test.go
+++ b/embedded/caller_test.go
@@ -101,7 +101,7 @@
 		"BadTier":      {post(chatPath, chat, caller.HeaderTier, "Other"), 403, "TierNotAllowed", `"Other"`},
 		"BadDeadline":  {post(chatPath, chat, caller.HeaderDeadline, "soon"), 400, "BadRequest", caller.HeaderDeadline},
 		"BadID":        {post(chatPath, chat, caller.HeaderID, "mine"), 400, "BadRequest", "GET /v1/addresses"},
-		"InventedID":   {post(chatPath, chat, caller.HeaderID, "1-00000000000000ff-1-a"), 400, "PrefixNotHandedOut", "never issued"},
+		"InventedID":   {post(chatPath, chat, caller.HeaderID, "1-00000000000000ff-1-a"), 400, "PrefixNotHandedOut", "never handed out"},
 		"OnceNoID":     {post("/services/labels/x", "b", caller.HeaderOnce, "true"), 400, "BadRequest", caller.HeaderID},
 		"BadOnce":      {post("/services/labels/x", "b", caller.HeaderOnce, "yes"), 400, "BadRequest", caller.HeaderOnce},
 		"TooLarge":     {post("/services/labels/x", strings.Repeat("b", 101)), 413, "BodyTooLarge", "body"},
