--- a/quarantine/doubt.go
+++ b/quarantine/doubt.go
@@ -13,7 +13,7 @@
 }
 
 // unconfirmedCrash is a request whose connection to its engine ended and whose engine may
-// have crashed.
+// have crashed. The connection ended at the time since.
 type unconfirmedCrash struct {
 	observation Observation
 	since       time.Time
@@ -22,7 +22,8 @@
 // RecordUnconfirmedCrash records that the connection to an engine ended while the engine ran a
 // request, and that it isn't known whether the engine crashed: the link may have failed, one
 // answer may have been invalid, or another run of the engine may have started before the host
-// checked. ApplyEngines confirms or drops the crash by the registered engines.
+// probed its address. ApplyEngines confirms or drops the crash. A request without a digest, and
+// any request beyond maxCases, is ignored.
 func (reg *Registry) RecordUnconfirmedCrash(now time.Time, obs Observation) {
 	reg.prune(now)
 	if obs.Digest == (call.Digest{}) || len(reg.unconfirmed) >= maxCases {
@@ -43,9 +44,9 @@
 	Draining bool
 }
 
-// ApplyEngines applies the list of registered engines. It returns the unconfirmed crashes
-// that this list confirms: those whose engine run isn't registered any more and was never seen
-// draining.
+// ApplyEngines applies the list of registered engines and returns the unconfirmed crashes that it
+// confirms: those whose engine run is no longer registered. It drops those that are older than
+// unconfirmedTTL, and those of a draining engine, whose exit is planned.
 func (reg *Registry) ApplyEngines(now time.Time, engines []Engine) []Observation {
 	if len(reg.unconfirmed) == 0 {
 		return nil
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -12,16 +12,16 @@
 //	}
 //	for _, cha := range reg.Changes() { ... } // log the changes and send them to other hosts
 //
-// A Registry does no I/O and reads no clock: its methods take events and the time. It learns
-// which requests an engine ran when it crashed, but not the cause. After one crash, all
-// requests on that engine are equally likely to be the cause. A request that is part of a
-// second crash is suspected, and a suspected request that crashes an engine on which it runs
-// exclusively is the cause. Each answer clears a request, since a poison request is never
-// answered.
+// A Registry does no I/O and reads no clock: its methods take events and the time. The events
+// name the requests that an engine was running when it crashed, but not the request that caused
+// the crash. After one crash, all requests on that engine are equally likely to be the cause. A
+// request that is part of a second crash is suspected, and a suspected request that crashes an
+// engine on which it runs exclusively is the cause. An answer clears its request, since a poison
+// request is never answered.
 //
-// The registry keeps only digests, and its size is bounded: it keeps requests that were part of
-// one crash for ten minutes and suspected requests for an hour, at most 4,096 in all, and
-// evicts those with the least evidence first.
+// The registry holds digests, not the requests themselves, and its size is bounded: it keeps the
+// cases of requests that were part of one crash for ten minutes and of suspected requests for an
+// hour, at most 4,096 in all, and evicts those with the least evidence first.
 package quarantine
 
 import (
@@ -38,8 +38,8 @@
 	// LevelClear is the level of a request without a recorded crash.
 	LevelClear Level = iota
 	// LevelWatched is the level of a request that ran on an engine that crashed. All requests
-	// that ran there at the time are watched, and nearly all of them are innocent: a watched
-	// request is scheduled like any other, except that it doesn't run twice at the same time.
+	// that ran there at the time are watched, and nearly all of them are harmless: a watched
+	// request is scheduled like any other, except that it isn't run twice at the same time.
 	LevelWatched
 	// LevelSuspected is the level of a request that ran on several engines that crashed. It
 	// runs exclusively on its engine.
@@ -67,11 +67,11 @@
 	HoldExclusiveAt int
 }
 
-// The defaults of Config. Six of eighteen engines may by coincidence run a request for a second
-// time within a minute, so two crashes in a row prove nothing, and three are the most that users
-// allow. If the request ran exclusively on its engine, the second crash is proof. The
-// scheduler's benchmark of quarantine policies compares these values by the engines and
-// innocent requests that they cost.
+// The defaults of Config. By coincidence, six of eighteen engines may run a request for the
+// second time within a minute, so two crashes in a row prove nothing against a request. Users
+// allow a poison request to crash three engines. If the request ran exclusively in the second
+// crash, two are proof. The scheduler's benchmark of quarantine policies compares these values by
+// the engines that crash and the harmless requests that are held.
 const (
 	defaultSuspectAt       = 2
 	defaultHoldAt          = 3
@@ -79,23 +79,23 @@
 )
 
 const (
-	// watchedTTL and suspectedTTL bound how long a request that isn't held is remembered:
-	// clients retry within seconds, or within minutes if a person does.
+	// watchedTTL and suspectedTTL bound how long the case of a request that isn't held is kept:
+	// clients retry within seconds, people within minutes.
 	watchedTTL   = 10 * time.Minute
 	suspectedTTL = time.Hour
 	// firstHoldTime is how long a request is held at first, and laterHoldTime how long it is
-	// held after each trial (a run after a hold) that crashed another engine. After maxTrials
-	// of these it is held until an operator frees it: each trial costs an engine, and users
-	// allow three.
+	// held after a trial (a run after a hold expired) that crashed another engine. After
+	// maxTrials such trials it is held until an operator releases it: each trial costs an
+	// engine, and users allow three.
 	firstHoldTime = time.Hour
 	laterHoldTime = 24 * time.Hour
 	maxTrials     = 2
-	// maxCases bounds the remembered requests, at about 300 bytes each. MaxHeld bounds the held
-	// requests among them, which must fit into one value of the store.
+	// maxCases bounds the cases, at about 300 bytes each. MaxHeld bounds the held requests among
+	// them, which must fit into one value of the store.
 	maxCases = 4096
-	// casesAfterPrune is the number of cases that are left when there are too many, and
-	// pruneInterval the time between two searches for expired cases: doing either at each crash
-	// would be too expensive.
+	// casesAfterPrune is the number of cases to which the registry is cut once it holds maxCases,
+	// and pruneInterval the minimum time between two searches for expired cases: doing either at
+	// each crash would be too expensive.
 	casesAfterPrune = 3072
 	pruneInterval   = time.Second
 	// MaxHeld is the maximum number of held requests.
@@ -104,12 +104,11 @@
 	maxCrashes = 8
 	// unconfirmedTTL bounds how long an unconfirmed crash, which may have been only a broken
 	// connection, is checked against the registered engines. The entry of a crashed engine
-	// expires after three heartbeats, less than four seconds, plus some seconds if the store is
-	// unavailable.
+	// expires after three heartbeats, which is less than four seconds, or some seconds later if
+	// the store is unavailable.
 	unconfirmedTTL = 10 * time.Second
-	// clearedTTL is how long reports of other hosts about a request that this host has cleared
-	// are ignored, since they may have been sent before the other host learned that it was
-	// cleared.
+	// clearedTTL is how long this host ignores other hosts' reports about a request that it has
+	// cleared: they may have been sent before the other host received the clearing.
 	clearedTTL = 10 * time.Second
 )
 
@@ -139,13 +138,14 @@
 
 // Crash is the crash of an engine while it ran the request of a case.
 type Crash struct {
-	// Engine is the engine run that crashed, as far as it is known: an engine may restart and
-	// crash once more before the store reports the new run. Again numbers the crashes of the
-	// same run, from 0.
+	// Engine is the most recent known run of the engine that crashed: the engine may restart and
+	// crash once more before the store reports the new run. Again numbers the crashes that are
+	// recorded under the same run, from 0.
 	Engine string
 	Again  int
-	Alone  bool
-	// seenAt is when this host learned of the crash.
+	// Alone reports whether the engine ran nothing else.
+	Alone bool
+	// seenAt is when this host detected the crash or received a report of it.
 	seenAt time.Time
 }
 
@@ -154,10 +154,10 @@
 	Subject
 	Crashes []Crash
 	// Held reports whether the request was ever held. The hold lasts until the time Until, or
-	// until an operator frees the request if Until is zero.
+	// until an operator releases the request if Until is zero.
 	Held  bool
 	Until time.Time
-	// Trials is how often the request ran after a hold had expired and crashed another engine.
+	// Trials is how often the request ran after its hold had expired and crashed an engine.
 	Trials int
 	// Seen is when the request was last part of a crash.
 	Seen time.Time
@@ -180,9 +180,9 @@
 	}
 }
 
-// addCrash records a crash and reports whether it changes the case. Several hosts may report
-// the same crash of an engine run, for requests that ran there at the same time. A run of the
-// request that began after the recorded crash was seen belongs to another crash.
+// addCrash records a crash and reports whether it changes the case. The same crash of an engine
+// run may be reported by several hosts, each of which had a request with this digest there.
+// If the request began to run after the known crash was seen, this is another crash.
 func (cas *Case) addCrash(now time.Time, obs Observation) bool {
 	cra := Crash{Engine: obs.Engine, Alone: obs.Exclusive, seenAt: now}
 	for idx, known := range cas.Crashes {
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -24,7 +24,7 @@
 	sources   map[TrafficSource]*sourceState
 	changes   []Change
 	nextPrune time.Time
-	// version counts the changes that may raise a request's level or restrict a traffic source.
+	// version counts the recorded crashes, merged reports and restrictions of traffic sources.
 	version uint64
 	// stored is the content of the store's list of held requests as last read.
 	stored map[call.Digest]storedHold
@@ -47,8 +47,9 @@
 	return len(reg.cases) == 0 && len(reg.unconfirmed) == 0 && len(reg.sources) == 0
 }
 
-// Version changes whenever a request at LevelClear may have reached another level. While it
-// stays the same, the result of an earlier check of such a request remains valid.
+// Version changes with each recorded crash, merged report and restriction of a traffic source,
+// but not with an unconfirmed crash. While it stays the same, no request's level rises above
+// LevelWatched, and no further traffic source is restricted.
 func (reg *Registry) Version() uint64 { return reg.version }
 
 // Level returns the quarantine level of a request.
@@ -63,7 +64,7 @@
 }
 
 // HeldFor returns how much longer a held request is held, or 0 if it is held until an operator
-// frees it.
+// releases it.
 func (reg *Registry) HeldFor(now time.Time, dig call.Digest) time.Duration {
 	cas := reg.cases[dig]
 	if cas == nil || cas.Until.IsZero() {
@@ -95,8 +96,8 @@
 	reg.recordLevel(now, cas, before, known)
 }
 
-// updateHold holds a request with sufficient crashes, and holds a request once more that has
-// crashed an engine after its hold expired.
+// updateHold holds a request with sufficient crashes, and holds a request again that has crashed
+// an engine after its hold expired.
 func (reg *Registry) updateHold(now time.Time, cas *Case) {
 	switch {
 	case cas.isHeld(now):
@@ -120,7 +121,7 @@
 	}
 }
 
-// Free clears a request by order of an operator, and reports whether it was known.
+// Free clears a request because an operator released it, and reports whether it was known.
 func (reg *Registry) Free(now time.Time, dig call.Digest) bool {
 	return reg.clear(now, dig, KindFreed)
 }
@@ -136,15 +137,15 @@
 	return true
 }
 
-// clearFromPeer clears a case because another host has cleared it.
+// clearFromPeer clears a request because another host has cleared it.
 func (reg *Registry) clearFromPeer(now time.Time, dig call.Digest, kin Kind) {
 	if reg.clear(now, dig, kin) {
 		reg.changes[len(reg.changes)-1].FromPeer = true
 	}
 }
 
-// RecordAlive records that an engine run that was recorded as crashed has answered since, so
-// that only its connections had failed. The crash is removed from all cases that aren't held.
+// RecordAlive records that an engine run that was recorded as crashed has answered since: only
+// its connections had failed. Its crashes are removed from all cases that were never held.
 func (reg *Registry) RecordAlive(now time.Time, engine string) {
 	for dig, cas := range reg.cases {
 		remaining := slices.DeleteFunc(slices.Clone(cas.Crashes), func(cra Crash) bool { return cra.Engine == engine })
@@ -190,7 +191,8 @@
 }
 
 // prune removes expired cases and, if there are too many, those of the lowest level, the oldest
-// first. A poison request that is removed is detected anew at the cost of as many engines.
+// first. A poison request whose case is removed crashes as many engines as at first until it is
+// held again.
 func (reg *Registry) prune(now time.Time) {
 	if now.Before(reg.nextPrune) && len(reg.cases) < maxCases {
 		return
@@ -212,7 +214,8 @@
 	}
 }
 
-// limitHeld removes the oldest held requests beyond MaxHeld.
+// limitHeld removes the held requests beyond MaxHeld: first those whose hold has expired, then
+// the oldest.
 func (reg *Registry) limitHeld(now time.Time) {
 	held := 0
 	for _, cas := range reg.Cases(now) {
@@ -231,7 +234,8 @@
 	case cas.isHeld(now):
 		return false
 	case cas.Held:
-		// The request may still be sent again, and would crash as many engines as at first.
+		// The request may be sent again, and without its case would crash as many engines as at
+		// first.
 		return now.Sub(cas.Until) > laterHoldTime
 	case len(cas.Crashes) >= cfg.SuspectAt:
 		return now.Sub(cas.Seen) > suspectedTTL
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -72,8 +72,8 @@
 	assert.Assert(t, reg.IsEmpty())
 }
 
-// A held request runs once more, exclusively, after an hour and after a further day, and never
-// again after that: each trial costs an engine, and users allow three.
+// A held request must run only twice more, exclusively, after an hour and after a further day:
+// each trial costs an engine, and users allow three.
 func TestHeldRequestHasAtMostTwoTrials(t *testing.T) {
 	reg := heldRegistry(t)
 	now := startTime
@@ -89,7 +89,7 @@
 		assert.Equal(t, reg.Level(now, digest(1)), quarantine.LevelHeld)
 	}
 	assert.Equal(t, trials, 2)
-	assert.Equal(t, reg.HeldFor(now, digest(1)), time.Duration(0), "held until freed")
+	assert.Equal(t, reg.HeldFor(now, digest(1)), time.Duration(0), "held until released")
 	assert.Assert(t, reg.Free(now, digest(1)))
 	assert.Equal(t, reg.Level(now, digest(1)), quarantine.LevelClear)
 }
@@ -148,14 +148,14 @@
 	assert.Assert(t, len(reg.Cases(later)) <= quarantine.MaxHeld+1, len(reg.Cases(later)))
 }
 
-// The merged reports of several hosts give each host the same levels as if it had seen all
-// crashes itself, in whatever order and however often they arrive.
+// Merging the reports of several hosts must give each host the levels that it would have if it
+// had recorded all crashes itself, in whatever order and however often the reports arrive.
 func TestReportsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := []*quarantine.Registry{quarantine.New(quarantine.Config{}), quarantine.New(quarantine.Config{}), quarantine.New(quarantine.Config{})}
 		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Observation {
 			return crash(rapid.IntRange(1, 3).Draw(t, "request"), rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "engine"), false)
-		}), 1, 12).Draw(t, "ends")
+		}), 1, 12).Draw(t, "crashes")
 		for _, obs := range crashes {
 			hosts[rapid.IntRange(0, 2).Draw(t, "host")].RecordCrash(startTime, obs)
 		}
@@ -208,11 +208,11 @@
 	remaining, differ := other.HoldsToStore()
 	assert.Assert(t, differ && len(remaining) == 0)
 	reg.ApplyStored(startTime.Add(time.Minute), remaining)
-	assert.Equal(t, reg.Level(startTime.Add(time.Minute), digest(1)), quarantine.LevelClear, "freed by another host")
+	assert.Equal(t, reg.Level(startTime.Add(time.Minute), digest(1)), quarantine.LevelClear, "released by another host")
 }
 
-// A report that another host sent before it learned that the request was cleared must not
-// restore the case.
+// A report that another host sent before the clearing of the request reached it must not restore
+// the case.
 func TestClearedRequestIgnoresEarlierReports(t *testing.T) {
 	reg := heldRegistry(t)
 	reports := reg.Reports(startTime, quarantine.LevelHeld, 1)
@@ -221,14 +221,15 @@
 	assert.Equal(t, reg.Level(startTime.Add(time.Second), digest(1)), quarantine.LevelClear)
 }
 
-// A client that changes its request each time is detected by the engines that its requests run
-// on: within three crashes if it sends a twentieth of the work, and within twelve if it sends
-// nearly half of it. Crashes by coincidence restrict at most one source in a thousand.
+// A client that changes its request each time is detected by its presence on the engines that
+// crash: within three crashes if a twentieth of the other engines run a new request of it, and
+// within twelve if nearly half do. The threshold of the score lets crashes by coincidence restrict
+// at most one source in a thousand.
 func TestSourceOfChangingRequestsIsRestricted(t *testing.T) {
 	source := quarantine.TrafficSource{Service: "model", Account: "kitchen", Route: "stream"}
 	cases := map[string]struct {
-		usual, young float64
-		within       int
+		requestShare, newRequestShare float64
+		within                        int
 	}{
 		"a twentieth": {0.15, 0.05, 3},
 		"nearly half": {0.8, 0.4, 12},
@@ -239,7 +240,7 @@
 			crashes := 0
 			for restricted := false; !restricted; crashes++ {
 				assert.Assert(t, crashes < 50)
-				reg.RecordUnexplainedCrash(startTime, []quarantine.Presence{{TrafficSource: source, HasRequest: true, HasNewRequest: true, RequestShare: tst.usual, NewRequestShare: tst.young}})
+				reg.RecordUnexplainedCrash(startTime, []quarantine.Presence{{TrafficSource: source, HasRequest: true, HasNewRequest: true, RequestShare: tst.requestShare, NewRequestShare: tst.newRequestShare}})
 				restricted, _ = reg.Restriction(startTime, source)
 			}
 			assert.Assert(t, crashes <= tst.within, crashes)
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -12,17 +12,19 @@
 
 // The kinds of changes.
 const (
-	// KindWatched is the first crash that a request was part of.
+	// KindWatched means that the request was part of its first crash.
 	KindWatched Kind = iota
-	// KindSuspected is a request that runs exclusively from now on.
+	// KindSuspected means that the request runs exclusively from now on.
 	KindSuspected
-	// KindHeld is a request that isn't run from now on.
+	// KindHeld means that the request isn't run from now on.
 	KindHeld
-	// KindCleared is a request that was cleared by an answer.
+	// KindCleared means that the request was answered, that no engine of its recorded crashes had
+	// in fact crashed, or that another host reported it as cleared.
 	KindCleared
-	// KindFreed is a request that an operator freed.
+	// KindFreed means that an operator released the request, or that another host removed its
+	// hold from the store.
 	KindFreed
-	// KindForgotten is a request that was pruned from the registry.
+	// KindForgotten means that the case was removed because it expired or there were too many.
 	KindForgotten
 )
 
@@ -38,8 +40,7 @@
 // Change is a change of a case, for the log and for other hosts.
 type Change struct {
 	Kind Kind
-	// Case is the case after the change; for a request that was cleared or pruned, the case
-	// before it.
+	// Case is the case after the change or, if the change removed it, before the change.
 	Case Case
 	// Report is sent to other hosts.
 	Report Report
@@ -62,18 +63,18 @@
 	}
 }
 
-// Report is the message in which hosts exchange a case. It has remaining times in place of
+// Report is the message in which hosts exchange a case. It holds remaining times instead of
 // points in time, since the clocks of hosts differ.
 type Report struct {
 	Subject
 	Crashes []Crash
 	Held    bool
-	// Indefinite reports whether the request is held until an operator frees it. If not,
+	// Indefinite reports whether the request is held until an operator releases it. If not,
 	// Remaining is how much longer it is held.
 	Indefinite bool
 	Remaining  time.Duration
 	Trials     int
-	// Cleared reports whether the request was answered or freed, which voids all evidence
+	// Cleared reports whether the request was cleared or released, which voids all evidence
 	// against it.
 	Cleared bool
 }
@@ -96,7 +97,8 @@
 	reg.changes = append(reg.changes, cha)
 }
 
-// recordLevel records a change if the case has reached another level or is held for longer.
+// recordLevel records a change if the case has reached a higher level, is new, or is updated
+// while the request is suspected after a hold.
 func (reg *Registry) recordLevel(now time.Time, cas *Case, before Level, known bool) {
 	level := cas.level(now, reg.cfg)
 	switch {
@@ -116,8 +118,8 @@
 	return all
 }
 
-// Reports returns at most the given number of reports, of the cases at a level or above, those
-// of the highest level first.
+// Reports returns reports of the cases at the lowest level or above, those of the highest level
+// first, limit at most.
 func (reg *Registry) Reports(now time.Time, lowest Level, limit int) []Report {
 	if len(reg.cases) == 0 {
 		return nil
@@ -132,9 +134,9 @@
 	return reports
 }
 
-// Merge applies the report of another host. Crashes add up, the longer hold applies, and a
-// request that was cleared there is cleared here. The result depends neither on the order of
-// the reports nor on repetitions.
+// Merge applies the report of another host. The crashes of both hosts are combined, the longer
+// hold applies, and a request that was cleared there is cleared here. The result depends neither
+// on the order of the reports nor on repetitions.
 func (reg *Registry) Merge(now time.Time, rep Report) {
 	if rep.Digest == (call.Digest{}) {
 		return
--- a/quarantine/source.go
+++ b/quarantine/source.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TrafficSource is a traffic source: a client account's requests to a service by one route.
-// The account's other routes aren't restricted because of what it sends on this one.
+// TrafficSource identifies a client account's requests to a service by one route. The account's
+// other routes aren't restricted because of the requests on this one.
 type TrafficSource struct {
 	Service string
 	Account string
@@ -24,21 +24,21 @@
 	// whether it had one that was new.
 	HasRequest    bool
 	HasNewRequest bool
-	// RequestShare and NewRequestShare are the shares of the service's other engines on which
-	// the source had any request and a new one at that moment.
+	// RequestShare and NewRequestShare are the shares, from 0 to 1, of the service's other engines
+	// on which the source had any request and a new one at the time of the crash.
 	RequestShare    float64
 	NewRequestShare float64
 }
 
-// sourceState is the evidence against a traffic source that changes its requests each time, so
-// that no digest is seen twice.
+// sourceState is the evidence against a traffic source. It detects a source that changes its
+// request each time, so that no digest is part of two crashes.
 type sourceState struct {
-	// score is the logarithm of how much likelier the crashes are if the source caused them
-	// than by coincidence.
+	// score is the log-likelihood ratio of the hypotheses that the source caused the crashes and
+	// that it was present by coincidence.
 	score     float64
 	lastCrash time.Time
-	// restricted reports whether the source's requests run only on isolated engines. After a
-	// crash none of them is run until pausedUntil.
+	// restricted reports whether the source's requests run only on isolated engines. None of
+	// them is run until pausedUntil.
 	restricted  bool
 	pausedUntil time.Time
 	// consecutiveAnswers counts the requests answered in a row while the source is restricted.
@@ -53,35 +53,36 @@
 	// NewRequestAge.
 	newRequestCrashShare = 0.7
 	// restrictScore is the score from which a source is restricted: the crashes are then a
-	// thousand times likelier if the source caused them.
+	// thousand times likelier if the source caused them than by coincidence.
 	restrictScore = 6.9
-	// absenceStep is subtracted from a source's score for a crash at which it had no request on
-	// the engine. The score isn't reset, because the request may have been released before the
-	// crash was reported.
+	// absenceStep is subtracted from a source's score for a crash of an engine on which it had
+	// no request. The score isn't reset, because the source's request may have been released
+	// from the engine before the crash was reported.
 	absenceStep = 3.0
-	// sourceTTL is how long crashes count against a source.
+	// sourceTTL is how long after its last crash the evidence against a source is kept.
 	sourceTTL = 10 * time.Minute
 	// crashDowntime is how long a crashed engine is unavailable, and maxDowntimeShare the share
-	// of the engines' time that a restricted source may cost. After each crash the source's
-	// requests pause for as long as this share requires, some seconds with few engines and a
-	// moment with hundreds. A larger share crashes more engines and serves no client better.
+	// of the engines' time that the crashes of a restricted source may cost. After each crash
+	// the source's requests pause for as long as this share requires, some seconds with few
+	// engines and a fraction of a second with hundreds. With a larger share more engines would
+	// crash, and no client would be served better.
 	crashDowntime    = 3 * time.Second
 	maxDowntimeShare = 0.02
 	// answersToLift is the number of a restricted source's requests that must be answered in a
-	// row before the restriction is lifted. Its score is then set to scoreAfterLift, so that
-	// fewer crashes restrict it than the first time.
+	// row before the restriction is lifted. The score is then set to scoreAfterLift, so that
+	// fewer crashes restrict the source than the first time.
 	answersToLift  = 100
 	scoreAfterLift = restrictScore / 2
 	// maxSourcePause bounds the pause after a crash.
 	maxSourcePause = 30 * time.Second
-	// maxSources bounds the remembered sources.
+	// maxSources bounds the sources with recorded evidence.
 	maxSources = 1024
 )
 
 // RecordUnexplainedCrash records the crash of an engine whose requests were part of no earlier
-// crash, and returns the sources that it restricts. A source that changes its request each time
-// is detected because it is present at each crash more often than its share of the work
-// explains.
+// crash, and returns the sources that are restricted from now on. A source that changes its
+// request each time is detected because it is present at more crashes than its share of the
+// engines explains.
 func (reg *Registry) RecordUnexplainedCrash(now time.Time, present []Presence) []TrafficSource {
 	seen := make(map[TrafficSource]bool, len(present))
 	var restricted []TrafficSource
@@ -111,7 +112,7 @@
 	return restricted
 }
 
-// scoreStep returns the change of the source's score by one crash.
+// scoreStep returns by how much the crash changes the source's score.
 func (pre Presence) scoreStep() float64 {
 	likely := 0.0
 	if pre.HasNewRequest {
@@ -136,8 +137,8 @@
 	return true, max(0, sta.pausedUntil.Sub(now))
 }
 
-// RecordExclusiveCrash records that a restricted source's request crashed one of a service's
-// engines, whose number is given. The source's other requests pause.
+// RecordExclusiveCrash records that a restricted source's request crashed an engine of a service
+// that has the given number of engines. The source's other requests pause.
 func (reg *Registry) RecordExclusiveCrash(now time.Time, src TrafficSource, engines int) {
 	sta := reg.sources[src]
 	if sta == nil || !sta.restricted {
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -7,25 +7,25 @@
 	"lynxwell.dev/lynxwell/call"
 )
 
-// Hold is a held request as kept in the store, so that it survives the loss of all hosts.
+// Hold is a held request as stored, which outlasts the loss of all hosts.
 type Hold struct {
 	Subject
 	// Ends are the crashes of the engines that ran the request.
 	Ends []Crash
-	// Until is the wall-clock time at which the hold expires; zero means until an operator
-	// frees it.
+	// Until is the wall-clock time at which the hold expires; zero means that it lasts until an
+	// operator releases the request.
 	Until  time.Time
 	Trials int
 }
 
-// storedHold holds the fields of a stored hold that decide whether it must be rewritten.
+// storedHold holds the fields of a stored hold whose changes require a new write.
 type storedHold struct {
 	trials     int
 	indefinite bool
 }
 
 // ApplyStored applies the held requests read from the store. A request that was there at the
-// last read and is missing now was freed by another host.
+// last read and is missing now was released or cleared by another host.
 func (reg *Registry) ApplyStored(now time.Time, holds []Hold) {
 	previous := reg.stored
 	reg.stored = make(map[call.Digest]storedHold, len(holds))
@@ -40,8 +40,8 @@
 	}
 }
 
-// HoldsToStore returns the held requests that the store should hold, sorted by digest, and
-// whether they differ from what was last read from the store.
+// HoldsToStore returns the holds to be stored, sorted by digest, and whether they differ from
+// those last read from the store.
 func (reg *Registry) HoldsToStore() ([]Hold, bool) {
 	var holds []Hold
 	differs := false
