--- a/rollout/compare_test.go
+++ b/rollout/compare_test.go
@@ -8,10 +8,10 @@
 )
 
 // BenchmarkPolicies compares two policies of distributing canary requests, over few engines or
-// all, and two tests, sequential and fixed, on the same seeds. Its metrics are, on average per
-// run, the seconds until the end, the requests sent to the new version, the harmed clients
-// (whose request failed and can't be repeated) and the bad answers, and the percentage of runs
-// with the wrong result.
+// all, and two tests, sequential and fixed, on the same seeds. Its metrics are the averages per
+// run of the seconds until the end, the requests sent to the new version, the harmed clients
+// (those with a failed request that can't be repeated) and the answers affected by the fault, and
+// the percentage of runs with the wrong result.
 func BenchmarkPolicies(b *testing.B) {
 	const runs = 100
 	for _, policy := range []struct {
@@ -31,7 +31,7 @@
 				fault   fault
 				healthy bool
 			}{
-				{"good", fault{}, true},
+				{"healthy", fault{}, true},
 				{"fails", fault{share: 0.4}, false},
 				{"slow", fault{share: 0.4, slow: true}, false},
 				{"late", fault{share: 0.4, from: 5 * time.Second}, false},
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Counts are the good and bad answers of both versions on one route. An answer is bad if it
-// failed or took several times as long as usual.
+// Counts holds the numbers of good and bad answers of both versions on one route. An answer is
+// bad if it failed or took several times as long as usual.
 type Counts struct {
 	FormerGood int
 	FormerBad  int
 	NewGood    int
 	NewBad     int
-	// Loaded is the number of the new version's answers that were given under the load that it
-	// will have after the roll-out.
+	// Loaded is the number of the new version's answers under the load that it will have after
+	// the roll-out.
 	Loaded int
 }
 
@@ -70,11 +70,11 @@
 	// the test must detect.
 	badRateIncrease = 0.2
 	// minBadRate is the lowest assumed share of bad answers of a healthy version: one or two
-	// lost answers by coincidence must not roll a version back.
+	// answers that were lost by coincidence must not roll a version back.
 	minBadRate = 0.02
-	// priorBadRate is the assumed share of bad answers before any answer was seen, and
-	// priorAnswers its weight as a number of answers: canary requests begin at once, when
-	// little is known of the old version.
+	// priorBadRate is the assumed share of bad answers before any answer was received, and
+	// priorAnswers its weight as a number of answers: canary requests begin at once, when there
+	// are few answers of the old version.
 	priorBadRate = 0.05
 	priorAnswers = 20
 	// falseRejectRate and falseAcceptRate are the allowed error rates on each route.
@@ -110,23 +110,23 @@
 	return math.Log(bad / expectedRate), math.Log((1 - bad) / (1 - expectedRate))
 }
 
-// logRatio returns the log-likelihood ratio of the new version's answers: positive if they are
-// likelier to come from a faulty version than from a healthy one.
+// logRatio returns the log-likelihood ratio of the new version's answers: it is positive if they
+// are likelier to come from a faulty version than from a healthy one.
 func (cou Counts) logRatio() float64 {
 	ofBad, ofGood := cou.logSteps()
 	return float64(cou.NewBad)*ofBad + float64(cou.NewGood)*ofGood
 }
 
-// changeThreshold is the bound of the cumulative sum of a route, which restarts at zero
+// changeThreshold is the bound of a route's cumulative sum (CUSUM), which restarts at zero
 // whenever it would become negative. The sum detects versions that become faulty after
-// thousands of good answers, to which the ratio over all answers reacts too slowly, the more so
-// the more engines there are (BenchmarkPolicies). The bound is higher than Wald's because it is
-// checked thousands of times.
+// thousands of good answers: the ratio over all answers reacts too slowly to them, and more
+// slowly the more engines there are (BenchmarkPolicies). The bound is higher than Wald's because
+// it is checked thousands of times.
 const changeThreshold = 11.0
 
-// recentDecay is the time constant over which the old version's answers count as given at the
-// same time as the new version's. A failure of the whole service, or of the hosts, isn't the
-// new version's fault, and must show in the old version's answers within a few bad ones.
+// recentDecay is the time constant of the decaying weights of the old version's recent answers.
+// It is short so that a failure of the whole service or of the hosts, which isn't the new
+// version's fault, raises the old version's share of bad answers after a few of them.
 const recentDecay = 150 * time.Millisecond
 
 // cusum is the cumulative sum of a route's log-likelihood steps, with the old version's recent
@@ -137,8 +137,8 @@
 	updatedAt       time.Time
 }
 
-// observe applies an answer of either version, given the counts of the route so far, and
-// reports whether the new version has become faulty on the route.
+// observe applies an answer of either version and reports whether the new version has become
+// faulty on the route; cou holds the route's counts.
 func (csm *cusum) observe(now time.Time, cou Counts, isNew, bad bool) bool {
 	decay := math.Exp(-float64(now.Sub(csm.updatedAt)) / float64(recentDecay))
 	csm.oldGood, csm.oldBad, csm.updatedAt = csm.oldGood*decay, csm.oldBad*decay, now
@@ -169,8 +169,8 @@
 	return cou.logRatio() <= acceptThreshold
 }
 
-// faultyRoute returns the first route, by name, on which the test finds the new version faulty;
-// "*" stands for all routes together.
+// faultyRoute returns the first route, by name, on which the test finds the new version faulty, and
+// whether there is one; "*" stands for all routes together.
 func (tal Tally) faultyRoute(isFaulty func(Counts) bool) (string, bool) {
 	for _, name := range slices.Sorted(maps.Keys(tal.Routes)) {
 		if isFaulty(tal.Routes[name]) {
@@ -186,16 +186,15 @@
 	// slower.
 	slowFactor = 4.0
 	// minSlowExcess is the minimum excess over the usual duration for an answer to count as
-	// bad. A smaller excess goes unnoticed by users, whatever its factor, and a busy host adds
-	// some milliseconds to any answer.
+	// bad. Users don't notice a smaller excess, whatever the factor, and a busy host adds some
+	// milliseconds to any answer.
 	minSlowExcess = 30 * time.Millisecond
-	// baselineGain is the weight of a new answer in the average logarithm of the ratio of
-	// actual to expected duration.
+	// baselineGain is the weight of a new answer in latencyBaseline.
 	baselineGain = 0.05
 )
 
-// latencyBaseline holds, by route, the average logarithm of the ratio of actual to expected
-// duration on engines of the old version.
+// latencyBaseline holds, by route, the moving average of the logarithm of the ratio of actual to
+// expected duration on engines of the old version.
 type latencyBaseline struct {
 	logRatios map[string]float64
 }
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -10,7 +10,7 @@
 const (
 	// phaseCanary sends a bounded share of the requests to the new version.
 	phaseCanary phase = iota
-	// phaseMoving sends requests that can't be repeated to the new version, while the engines
+	// phaseMoving sends new requests that can't be repeated to the new version, while the engines
 	// of the old version finish those that they run.
 	phaseMoving
 	// phaseCutover sends all new requests to the new version, just before the engines of the
@@ -19,48 +19,48 @@
 )
 
 const (
-	// exposureMargin is the part of the allowed share that is used before the version is known
-	// to be healthy. The rest covers the requests that a version which becomes faulty late gets
-	// until this is detected, and requests that are counted here but never reach an engine.
+	// exposureMargin is the part of Config.Share that is used before the version is known to be
+	// healthy. The rest covers the requests that a version which becomes faulty late gets until
+	// this is detected, and requests that are counted here but never reach an engine.
 	exposureMargin = 0.6
-	// slackMargin is the corresponding part of the slack, which provides the first answers of a
-	// version before many requests have arrived.
+	// slackMargin is the part of Config.Slack that is used. The slack provides the first answers
+	// of a version before many requests have arrived.
 	slackMargin = 0.5
-	// moveAfter is the part of the period after which a version that is known to be healthy
-	// gets more requests: some versions become faulty only after a while, and streams need
-	// seconds to end. A version that becomes faulty even later may get more requests than users
-	// allow.
+	// moveAfter is the part of the period after which requests move to a version that is known to
+	// be healthy: some versions become faulty only after a while, and streams need seconds to
+	// end. A version that becomes faulty later than that may get more requests than users allow.
 	moveAfter = 0.7
-	// decideAfter is the part of the period after which a version with too few requests for the
-	// test is judged by the evidence there is.
+	// decideAfter is the part of the period after which a version with too few answers for the
+	// test is accepted or rolled back by the evidence gathered so far.
 	decideAfter = 0.85
 	// cutoverTime is how long the engines of the old version continue to run repeatable
 	// requests after the cutover began.
 	cutoverTime = 700 * time.Millisecond
-	// minAnswers is the minimum number of the new version's answers for the judgement after
+	// minAnswers is the minimum number of the new version's answers for accepting it after
 	// decideAfter.
 	minAnswers = 10
-	// minLoadedAnswers is the number of answers that a version must have given under load.
+	// minLoadedAnswers is the number of answers under load that a version needs to be accepted
+	// before decideAfter.
 	minLoadedAnswers = 20
-	// minRouteAnswers is the number of answers from which a route is tested by itself. With
-	// fewer, nothing can be known of the route, and the other routes must suffice.
+	// minRouteAnswers is the number of answers, of both versions, from which a version must be
+	// known to be healthy on the route. Fewer answers prove nothing about the route.
 	minRouteAnswers = 30
 	// minSlotRatio is the number of slots that the new version needs for each slot of the old
 	// version.
 	minSlotRatio = 0.8
-	// requestsPerCanary is the number of requests to the old version for each canary request.
-	// Their answers at the same time distinguish a failure of the whole service from a fault of
-	// the new version.
+	// requestsPerCanary is the number of requests granted between two canary requests. Answers of
+	// the old version at the same time distinguish a failure of the whole service from a fault
+	// of the new version.
 	requestsPerCanary = 4
 	// minWriteInterval is the minimum time between two writes of a ledger: each is a call to
 	// the store and a change that all hosts read.
 	minWriteInterval = 500 * time.Millisecond
-	// minReservation is the minimum number of additional requests for which a ledger is
-	// written.
+	// minReservation is the minimum number of additional requests that a ledger reserves after
+	// the first one.
 	minReservation = 10
-	// writeRetryInterval is the time after which a write is repeated if the store hasn't
-	// answered it or its change hasn't been read: the store answers in milliseconds, and hosts
-	// read changes within half a second.
+	// writeRetryInterval is the time after which a write is repeated if it was neither confirmed
+	// nor its change read: the store answers in milliseconds, and hosts read changes within half
+	// a second.
 	writeRetryInterval = time.Second
 	// leaderTimeout is the time after which a host that hasn't called Advance no longer counts
 	// as the leader: five times the interval between two calls.
@@ -70,7 +70,7 @@
 // Rollout is the roll-out of one service to a version. It isn't safe for concurrent use.
 type Rollout struct {
 	cfg Config
-	// isFaulty is the test that finds a version faulty.
+	// isFaulty reports whether the counts show that the new version is faulty.
 	isFaulty func(Counts) bool
 	stored   StoredState
 	state    State
@@ -92,10 +92,10 @@
 	baseline     latencyBaseline
 	// cusums holds the cumulative sums by route.
 	cusums map[string]*cusum
-	// ledgerRequestedAt and stateRequestedAt are when the last write of each was requested.
+	// ledgerRequestedAt and stateRequestedAt are when Advance last returned a write of each.
 	ledgerRequestedAt time.Time
 	stateRequestedAt  time.Time
-	// requestedState is the state in the last requested write.
+	// requestedState is the state in the most recent of these writes of the state.
 	requestedState State
 	// cutoverAt is when phaseCutover began.
 	cutoverAt time.Time
@@ -103,7 +103,7 @@
 	ledAt time.Time
 }
 
-// New returns the roll-out of an order in the state that the store holds.
+// New returns the roll-out of the order in sto, continued from the ledger and state in sto.
 func New(cfg Config, sto StoredState) *Rollout {
 	rol := &Rollout{sinceCanary: requestsPerCanary, cfg: cfg, isFaulty: Counts.isFaulty, cusums: make(map[string]*cusum), state: StateRunning, reason: "ordered"}
 	rol.ApplyStored(sto)
@@ -135,8 +135,8 @@
 		sto.Ledger, sto.LedgerRevision = rol.stored.Ledger, rol.stored.LedgerRevision
 	}
 	if sto.LedgerRevision > rol.stored.LedgerRevision && sto.Ledger.Writer == rol.cfg.Self && rol.hasPendingWrite() {
-		// The write's confirmation was lost or is still to come; the added reservation belongs
-		// to this host.
+		// This host wrote the ledger, and the write isn't confirmed yet or its confirmation was
+		// lost. The added reservation belongs to this host.
 		rol.ownReserved += sto.Ledger.Reserved - rol.stored.Ledger.Reserved
 		rol.writing, rol.writePending = Tally{}, false
 	}
@@ -157,8 +157,9 @@
 	return rol.stored.Ledger.Tally.plus(rol.writing).plus(rol.unwritten)
 }
 
-// Access returns the versions to whose engines a request may be sent. A host without a
-// reservation sends no request to the new version.
+// Access returns the versions to whose engines a request may be sent. Until the roll-out is
+// completed, only the leader sends requests to the new version, and in the canary phase only
+// within its own reservation.
 func (rol *Rollout) Access(now time.Time, req Request) Access {
 	isLeader := now.Sub(rol.ledAt) < leaderTimeout
 	switch {
@@ -226,8 +227,8 @@
 	rol.evaluate(now, ans, bad)
 }
 
-// evaluate rolls back if the new version's answers are worse than the old version's or have
-// become so.
+// evaluate rolls the new version back if its answers are worse than the old version's or have
+// become worse.
 func (rol *Rollout) evaluate(now time.Time, ans Answer, bad bool) {
 	tal := rol.totals()
 	csm := rol.cusums[ans.Route]
@@ -291,7 +292,8 @@
 	}
 }
 
-// isProven reports whether the version is known to be healthy on each route and under load.
+// isProven reports whether the version is known to be healthy over all routes, on each route with
+// at least minRouteAnswers, and under load.
 func (rol *Rollout) isProven() bool {
 	tal := rol.totals()
 	for _, cou := range tal.Routes {
@@ -318,7 +320,7 @@
 	return true
 }
 
-// allowance returns the maximum number of requests that the version may have received by now.
+// allowance returns the maximum number of canary requests that may have been reserved by now.
 func (rol *Rollout) allowance() int {
 	return int(exposureMargin*rol.cfg.Share*float64(rol.totals().Requests) + slackMargin*rol.cfg.Slack)
 }
@@ -328,7 +330,7 @@
 	Service string
 	// Expect is the revision that the key must have; 0 means that the key must not exist.
 	Expect uint64
-	// Ledger is set for the write of a ledger. If it is nil, State and Version are to be
+	// Ledger is set for the write of a ledger. If it is nil, State, Version and Reason are
 	// published.
 	Ledger  *Ledger
 	State   State
@@ -353,8 +355,8 @@
 	return writes
 }
 
-// nextLedgerWrite returns the write of a ledger that reserves more requests, if enough requests
-// and time have passed.
+// nextLedgerWrite returns the write of a ledger that reserves more requests, and whether one is
+// due.
 func (rol *Rollout) nextLedgerWrite(now time.Time) (Write, bool) {
 	old := rol.stored.Ledger
 	allowed := rol.allowance()
--- a/rollout/policy_test.go
+++ b/rollout/policy_test.go
@@ -58,8 +58,8 @@
 // fault describes the fault of a version.
 type fault struct {
 	// share is the share of the version's answers that fail or, if slow is set, take several
-	// times as long. The fault begins at the time from, and is limited to one route if route is
-	// set, and to engines under load if loaded is set.
+	// times as long. The fault begins at the time from after the order, and is limited to one
+	// route if route is set, and to engines under load if loaded is set.
 	share  float64
 	slow   bool
 	from   time.Duration
@@ -168,17 +168,17 @@
 	return int(mean) + map[bool]int{true: 1}[sim.random.Float64() < mean-float64(int(mean))]
 }
 
-// Healthy versions are completed within their period and faulty ones rolled back, whatever
-// their fault. A faulty version gets no more requests than users allow, and none after its
-// fiftieth bad answer.
+// Within the period, healthy versions must be completed and faulty ones rolled back, whatever
+// their fault. A faulty version must get no more requests than users allow, and give no bad answer
+// after its fiftieth.
 func TestRolloutFinishesWithinPeriod(t *testing.T) {
 	for name, tst := range map[string]struct {
 		change func(*simulation)
 		want   rollout.State
 	}{
-		"good":                               {func(*simulation) {}, rollout.StateCompleted},
-		"good, one answer in seven fails":    {func(sim *simulation) { sim.badRate = 1. / 7 }, rollout.StateCompleted},
-		"good, few requests":                 {func(sim *simulation) { sim.rate = 10 }, rollout.StateCompleted},
+		"healthy":                            {func(*simulation) {}, rollout.StateCompleted},
+		"healthy, one answer in seven fails": {func(sim *simulation) { sim.badRate = 1. / 7 }, rollout.StateCompleted},
+		"healthy, few requests":              {func(sim *simulation) { sim.rate = 10 }, rollout.StateCompleted},
 		"fails at once":                      {func(sim *simulation) { sim.fault = fault{share: 0.4} }, rollout.StateRolledBack},
 		"fails always":                       {func(sim *simulation) { sim.fault = fault{share: 1} }, rollout.StateRolledBack},
 		"fails while the service is failing": {func(sim *simulation) { sim.badRate, sim.fault = 1./7, fault{share: 0.4} }, rollout.StateRolledBack},
@@ -213,9 +213,9 @@
 	}
 }
 
-// Simulates the error rates of the whole procedure: at most one in a hundred healthy versions
-// is rolled back, no version that fails a third of its answers is completed, and at most one in
-// twenty of these gives more than ten bad answers.
+// Simulates the error rates of whole roll-outs: at most one in a hundred healthy versions may be
+// rolled back, no version that fails a third of its answers may be completed, and at most one in
+// twenty of these may give more than ten bad answers.
 func TestErrorRatesOfSequentialTest(t *testing.T) {
 	const runs = 400
 	wrong, harmful := 0, 0
@@ -238,8 +238,8 @@
 	assert.Assert(t, harmful <= runs/20, "%d of %d faulty versions gave more than ten bad answers", harmful, runs)
 }
 
-// A version that becomes faulty after thousands of good answers is rolled back after a few bad
-// ones.
+// A version that becomes faulty after thousands of good answers must be rolled back after a few
+// bad ones.
 func TestVersionThatTurnsFaultyIsRolledBackSoon(t *testing.T) {
 	for seed := range uint64(20) {
 		sim := newSimulation(seed)
@@ -250,9 +250,8 @@
 	}
 }
 
-// A failure of the whole service, or of the hosts, must not roll the new version back: answers
-// of both versions that fail for a while, and short answers that take a few milliseconds
-// longer.
+// A failure of the whole service or of the hosts must not roll the new version back. It makes
+// answers of both versions fail for a while, or short answers take some milliseconds longer.
 func TestServiceWideFailureDoesNotRollBack(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulation(seed)
@@ -272,8 +271,8 @@
 	assert.Equal(t, sim.rol.State(), rollout.StateRunning)
 }
 
-// A roll-out isn't completed while requests on engines of the old version would be lost, and
-// these requests continue.
+// A roll-out must not be completed while requests run on engines of the old version that would be
+// lost with them.
 func TestPinnedRequestsDelayCompletion(t *testing.T) {
 	sim := newSimulation(1)
 	sim.fleet.Pinned = 3
@@ -289,9 +288,9 @@
 	assert.Equal(t, sim.store.stored.State, rollout.StateCompleted)
 }
 
-// While the store is unavailable, no more requests are reserved. Those already reserved are
-// granted, and the final state is published once the store is back. A final state that another
-// host has published is never replaced.
+// While the store is unavailable, no more requests may be reserved, and the final state must be
+// published once the store is back. A final state that another host has published must never be
+// replaced.
 func TestStoreOutage(t *testing.T) {
 	sim := newSimulation(2)
 	sim.run(2 * time.Second)
@@ -313,8 +312,8 @@
 	assert.Equal(t, other.rol.Access(other.now, rollout.Request{Route: "safe", Repeatable: true}), rollout.Access{Old: true})
 }
 
-// The next leader continues from what the store holds: the count of requests sent to the new
-// version isn't reset, and little of the evidence is lost.
+// The next leader must continue from the stored ledger: the number of reserved requests isn't
+// reset, and little of the evidence is lost.
 func TestNextLeaderContinuesFromLedger(t *testing.T) {
 	sim := newSimulation(4)
 	sim.run(6 * time.Second)
@@ -329,7 +328,7 @@
 	assert.Assert(t, float64(sim.store.stored.Ledger.Reserved) <= share*float64(sim.requests)+slack)
 }
 
-// A host that is no longer the leader sends no request to the new version, neither in the
+// A host that is no longer the leader must send no request to the new version, neither in the
 // canary phase nor while requests move.
 func TestFormerLeaderGrantsNothingToNewVersion(t *testing.T) {
 	for _, tst := range []struct {
@@ -345,8 +344,8 @@
 	}
 }
 
-// A second order starts afresh, also for the same version: the final state of the first order
-// doesn't count for it.
+// A second order must start a new roll-out, even for the same version: the final state of the
+// first order doesn't apply to it.
 func TestSecondOrderStartsAfresh(t *testing.T) {
 	sim := newSimulation(6)
 	sim.fault = fault{share: 1}
@@ -360,8 +359,8 @@
 	assert.Equal(t, sim.store.stored.State, rollout.StateCompleted)
 }
 
-// An order for the version that already serves changes nothing for clients: it is completed at
-// once, whether an earlier order introduced the version or it served from the start.
+// An order for the version that already serves all requests must be completed at once, whether an
+// earlier order introduced the version or it served from the start.
 func TestOrderForServingVersionCompletesAtOnce(t *testing.T) {
 	sim := newSimulation(7)
 	sim.run(period)
@@ -379,9 +378,9 @@
 	assert.Equal(t, first.store.stored.State, rollout.StateCompleted)
 }
 
-// Until it is known to be healthy, the new version never gets more requests than users allow,
-// whichever hosts schedule, take over, schedule at the same time, restart or lose answers of
-// the store.
+// Until the new version is known to be healthy, it must never get more requests than users allow,
+// whichever hosts schedule, take over, schedule at the same time, restart or lose answers of the
+// store.
 func TestExposureStaysWithinAllowedShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sto := newFakeStore("v2")
@@ -400,7 +399,7 @@
 			idx := rapid.IntRange(0, len(hosts)-1).Draw(rt, "host")
 			rol := hosts[idx]
 			now = now.Add(time.Duration(rapid.IntRange(10, 1200).Draw(rt, "wait")) * time.Millisecond)
-			switch rapid.IntRange(0, 9).Draw(rt, "what") {
+			switch rapid.IntRange(0, 9).Draw(rt, "event") {
 			case 0:
 				start(idx)
 			case 1:
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,5 +1,5 @@
-// Package rollout controls how a service moves to a new version of its engines: how many canary
-// requests the version gets before it is known to be healthy, when it is found healthy or
+// Package rollout moves a service to a new version of its engines. It decides how many canary
+// requests the version gets before it is known to be healthy, whether the version is healthy or
 // faulty, and when the roll-out ends.
 //
 // # Usage
@@ -11,10 +11,10 @@
 //	for _, wri := range rol.Advance(now, fleet) { ... } // write each under the condition of its revision
 //	rol.ConfirmWrite(wri, revision)
 //
-// A Rollout does no I/O and reads no clock: its methods take events and the time. It returns
+// A Rollout does no I/O and reads no clock: its methods take events and the time. Advance returns
 // what must be written to the store to survive the loss of the leader: a ledger and the state.
-// Requests go to the new version only within the reservation of the ledger in the store, so
-// that hosts that take over or schedule at the same time never grant too many together.
+// Canary requests go to the new version only within the reservation of the ledger in the store,
+// so that hosts that take over or schedule at the same time never grant too many together.
 package rollout
 
 import (
@@ -28,12 +28,12 @@
 const (
 	// StateNone means that no state was published yet.
 	StateNone State = iota
-	// StateRunning means that the new version isn't known to be healthy yet.
+	// StateRunning means that the new version is being tested, or that requests are moving to it.
 	StateRunning
 	// StateCompleted means that the new version serves all requests. The engines of the old
 	// version stop at once.
 	StateCompleted
-	// StateRolledBack means that the new version gets no more requests. Its engines drain.
+	// StateRolledBack means that the new version gets no more requests and its engines drain.
 	StateRolledBack
 )
 
@@ -68,8 +68,8 @@
 	// was written.
 	Ledger         Ledger
 	LedgerRevision uint64
-	// State is the last published state, with its version and revision. It may belong to an
-	// earlier order.
+	// State is the most recently published state, with its version and revision. It may belong to
+	// an earlier order.
 	State         State
 	StateVersion  string
 	StateRevision uint64
@@ -102,9 +102,9 @@
 type Config struct {
 	// Self identifies this run of the host in the ledgers that it writes.
 	Self string
-	// Share is the maximum share, from 0 to 1, of a service's requests that a possibly faulty
-	// version gets over the period of the order. Slack is the number of requests that it may
-	// get in addition.
+	// Share is the maximum share, from 0 to 1, of a service's requests that the new version gets
+	// before it is known to be healthy. Slack is the number of requests that it may get in
+	// addition.
 	Share float64
 	Slack float64
 }
@@ -132,10 +132,10 @@
 	// Failed reports whether the engine failed or gave no answer.
 	Failed bool
 	// Canceled reports whether the client disconnected before the end of the answer. Such an
-	// answer counts only if it was already slow.
+	// answer counts only if it had failed or was already slow.
 	Canceled bool
-	// Elapsed is the duration of the answer, and Expected the duration on an engine of usual
-	// speed. If either is zero, the duration isn't judged.
+	// Elapsed is the duration of the answer, and Expected the duration on an engine of reference
+	// speed. If either is zero, the duration isn't tested.
 	Elapsed  time.Duration
 	Expected time.Duration
 	// Loaded reports whether the engine had as many requests to run as the engines of the old
