--- a/evacuation/board.go
+++ b/evacuation/board.go
@@ -9,15 +9,15 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// rewriteInterval is the time after which a write is repeated if the store hasn't shown its
-// outcome. A change is usually known within a tenth of that time.
+// rewriteInterval is the time after which a write is repeated if no change of its domain has been
+// read from the store. A change is usually read within a tenth of that time.
 const rewriteInterval = time.Second
 
 // Tracker holds one host's view of the failure domains that are being evacuated.
 type Tracker struct {
 	states map[string]StoredState
-	// hosts are those that may send requests; enforced holds the revisions of the orders that
-	// each has reported to enforce, by domain.
+	// hosts are those that may send requests; enforced holds, by host and domain, the revisions
+	// of the orders that the host has reported as enforced.
 	hosts    map[request.Epoch]bool
 	enforced map[request.Epoch]map[string]uint64
 	// writtenAt holds the time of the last write for each domain.
@@ -53,7 +53,7 @@
 	maps.DeleteFunc(trk.enforced, func(epo request.Epoch, _ map[string]uint64) bool { return !trk.hosts[epo] })
 }
 
-// SetEnforced replaces the orders that a host has reported to enforce.
+// SetEnforced replaces the orders that a host has reported as enforced.
 func (trk *Tracker) SetEnforced(host request.Epoch, orders []Order) {
 	enforced := make(map[string]uint64, len(orders))
 	for _, ord := range orders {
@@ -68,7 +68,7 @@
 	delete(trk.enforced, host)
 }
 
-// missing returns the hosts that haven't reported to enforce the order, sorted by epoch.
+// missing returns the hosts that haven't reported the order as enforced, sorted by epoch.
 func (trk *Tracker) missing(ord Order) []request.Epoch {
 	var missing []request.Epoch
 	for epo := range trk.hosts {
@@ -98,8 +98,8 @@
 }
 
 // Writes returns the changes to publish now; running returns the number of requests that run in
-// a failure domain. The published state of an order never goes back: a host that starts later
-// enforces the order before it sends any request.
+// a failure domain. The published state of an order never reverts to an earlier one: a host that
+// starts later enforces the order before it sends any request.
 func (trk *Tracker) Writes(now time.Time, running func(domain string) int) []Write {
 	var writes []Write
 	for _, domain := range slices.Sorted(maps.Keys(trk.states)) {
@@ -134,11 +134,11 @@
 	// Order is the revision of the order; 0 if it was withdrawn and its published state hasn't
 	// been deleted yet.
 	Order uint64
-	// State is the progress as this host sees it; Told is the state in the store.
+	// State is the progress according to this host; Told is the published state.
 	State string
 	Told  string `json:",omitempty"`
 	// Running is the number of requests that run in the domain. Missing names the hosts that
-	// haven't reported to enforce the order.
+	// haven't reported the order as enforced.
 	Running int
 	Missing []string `json:",omitempty"`
 }
--- a/evacuation/board_test.go
+++ b/evacuation/board_test.go
@@ -34,8 +34,8 @@
 	runs := 3
 	running := func(string) int { return runs }
 	assert.DeepEqual(t, trk.Writes(now, running), []evacuation.Write{{Domain: domain, Order: 7, State: evacuation.StateClosed}})
-	assert.Equal(t, len(trk.Writes(now, running)), 0, "the outcome of the write isn't known yet")
-	assert.Equal(t, len(trk.Writes(now.Add(time.Second), running)), 1, "the store hasn't shown the write")
+	assert.Equal(t, len(trk.Writes(now, running)), 0, "the write was returned less than 1 s ago")
+	assert.Equal(t, len(trk.Writes(now.Add(time.Second), running)), 1, "the change hasn't been read from the store")
 	sta := ordered(7)
 	sta.Published = evacuation.PublishedState{Order: 7, State: evacuation.StateClosed, Revision: 9}
 	trk.SetStates([]evacuation.StoredState{sta})
@@ -44,8 +44,8 @@
 	assert.DeepEqual(t, trk.Writes(now.Add(time.Minute), running), []evacuation.Write{{Domain: domain, Order: 7, State: evacuation.StateEmpty, Expect: 9}})
 }
 
-// The published state of an order must stay while the order is in force, even if a host starts
-// later, and must be deleted with the order.
+// The published state of an order must not change while the order is in force, even if a host
+// starts later, and must be deleted when the order is withdrawn.
 func TestPublishedStateStaysWithItsOrder(t *testing.T) {
 	now := time.Unix(100, 0)
 	trk := evacuation.New()
@@ -64,8 +64,8 @@
 	assert.DeepEqual(t, trk.Writes(now, noneRunning), []evacuation.Write{{Domain: domain, Order: 12, State: evacuation.StateEmpty, Expect: 9}})
 }
 
-// An order must not wait for a host without an entry and a session, and the report of such a
-// host must not count when the host is back.
+// An order must not wait for a host that has neither an entry nor a session, and the earlier
+// report of such a host must not count when the host is back.
 func TestOrderDoesNotWaitForAStoppedHost(t *testing.T) {
 	now := time.Unix(100, 0)
 	trk := evacuation.New()
@@ -129,8 +129,8 @@
 }
 
 // Orders are given and withdrawn, hosts are late or fail, and two coordinators act at once on
-// different states of the store: no order may be published before all hosts enforce it, and
-// none twice.
+// different reads of the store. No order may be published before all hosts enforce it, and none
+// twice.
 func TestOrderIsPublishedOnceAndNotTooEarly(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(100, 0)
@@ -154,14 +154,14 @@
 		}
 		for range rapid.IntRange(5, 120).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(rt, "pause")) * time.Millisecond)
-			trk := trackers[rapid.IntRange(0, 1).Draw(rt, "board")]
+			trk := trackers[rapid.IntRange(0, 1).Draw(rt, "tracker")]
 			num := rapid.IntRange(0, hosts-1).Draw(rt, "host")
 			switch rapid.IntRange(0, 6).Draw(rt, "event") {
 			case 0:
 				if fst.state.Order.Revision == 0 {
 					fst.revision++
 					fst.state.Order.Revision = fst.revision
-				} else if rapid.IntRange(0, 3).Draw(rt, "end") == 0 {
+				} else if rapid.IntRange(0, 3).Draw(rt, "withdraw") == 0 {
 					fst.state.Order.Revision = 0
 				}
 			case 1:
--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -1,6 +1,6 @@
-// Package evacuation determines how far the evacuation of a failure domain has progressed. An
-// operator orders an evacuation; the domain is closed once every host enforces the order, so
-// that no host sends requests to the domain's engines, and empty once no request runs there.
+// Package evacuation tracks the progress of the evacuation of a failure domain, which an operator
+// orders. The domain is closed once every host enforces the order, so that no host sends requests
+// to the domain's engines, and empty once no request runs there.
 //
 // # Usage
 //
@@ -32,7 +32,7 @@
 
 // The states of an evacuation, in the order in which they are reached.
 const (
-	// StateOrdered means that some host may not enforce the order yet.
+	// StateOrdered means that some hosts haven't reported yet that they enforce the order.
 	StateOrdered State = iota
 	// StateClosed means that no host sends requests to the domain's engines.
 	StateClosed
@@ -56,8 +56,7 @@
 	Published PublishedState
 }
 
-// PublishedState is the state of an evacuation that was last written to the store, where
-// operators read it.
+// PublishedState is the state of an evacuation in the store, where operators read it.
 type PublishedState struct {
 	// Order is the revision of the order that the state belongs to.
 	Order uint64
@@ -73,8 +72,8 @@
 	Delete bool
 	Order  uint64
 	State  State
-	// Expect is the revision that the published state must have when it is written, 0 for
-	// none. It keeps two hosts that both act as the coordinator from publishing different
-	// states.
+	// Expect is the revision that the published state must have when the change is written; 0
+	// means that there must be none. It keeps two hosts that both act as the coordinator from
+	// publishing different states.
 	Expect uint64
 }
--- a/evacuation/gate.go
+++ b/evacuation/gate.go
@@ -6,8 +6,8 @@
 )
 
 // Gate blocks one host's requests to failure domains that are being evacuated. A request enters
-// the gate before it is written to an engine and leaves it afterwards, so that the host knows
-// when none of its requests to the domain is in transit.
+// the gate before it is written to an engine and leaves it afterwards: the host enforces an order
+// once none of its requests is still being written to the domain.
 //
 // A Gate is not safe for concurrent use.
 type Gate struct {
@@ -40,7 +40,7 @@
 }
 
 // Enter reports whether a request to an engine of the domain may be written. If so, the caller
-// calls Leave once the request is written or abandoned.
+// must call Leave once the request is written or abandoned.
 func (gat *Gate) Enter(domain string) bool {
 	if _, closed := gat.orders[domain]; closed {
 		return false
@@ -49,8 +49,8 @@
 	return true
 }
 
-// Leave records that a request that had entered was written, or never will be. It reports
-// whether the host enforces an order for the domain from now on.
+// Leave records that a request that had entered was written or abandoned, and reports whether the
+// host enforces an order for the domain from now on.
 func (gat *Gate) Leave(domain string) bool {
 	gat.writing[domain]--
 	if gat.writing[domain] > 0 {
--- a/pace/line.go
+++ b/pace/line.go
@@ -4,18 +4,19 @@
 
 const (
 	// forgetShare is the fraction by which each new observation reduces the weight of all earlier
-	// ones: about the last hundred of a service's engines count.
+	// ones: the fit follows about the hundred most recent answers of a service's engines.
 	forgetShare = 0.01
 	// priorWeight is the weight of each of the two points that a fit starts with, relative to
 	// one observation.
 	priorWeight = 3.0
 	// priorTokens is the prompt length of the second of these points, that of a medium prompt.
 	priorTokens = 4000
-	// errorFloor is added to a time before it scales the relative error, so that short prompts
-	// don't count more than their noise allows: the network round trip alone varies by some
-	// milliseconds.
+	// errorFloor is added to the measured time that an error is divided by, so that the noise in
+	// the times of short prompts doesn't dominate the fit: the network round trip alone varies by
+	// some milliseconds.
 	errorFloor = 30 * time.Millisecond
-	// minToken bounds the learned time per token, minOverhead the learned fixed time.
+	// minToken is the lower bound of the learned time per token, minOverhead that of the learned
+	// fixed part.
 	minToken    = time.Microsecond
 	minOverhead = time.Millisecond
 )
@@ -32,7 +33,7 @@
 	sumXY     float64
 }
 
-// newLinearFit returns a fit with initial values for both parts.
+// newLinearFit returns a fit that starts with the given fixed part and part per token.
 func newLinearFit(overhead, token time.Duration) linearFit {
 	fit := linearFit{overhead: max(minOverhead, overhead), token: max(minToken, token)}
 	fit.add(0, fit.overhead, priorWeight)
@@ -63,7 +64,7 @@
 	fit.sumXY += weight * tokens * millis
 }
 
-// solve solves for both parts. They stay unchanged if all observations have the same length.
+// solve updates both parts. They stay unchanged if all observations have the same prompt length.
 func (fit *linearFit) solve() {
 	det := fit.sumWeight*fit.sumXX - fit.sumX*fit.sumX
 	if det <= 0 {
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,5 +1,5 @@
 // Package pace learns from live traffic how fast the model engines of a service prefill prompts
-// and generate answers. The speeds of engines may differ several times.
+// and generate answers. The speeds of the engines may differ by several times.
 //
 // # Usage
 //
@@ -10,9 +10,10 @@
 //	first := eng.Overhead() + eng.PrefillTime(2000)
 //	other := svc.NewEngine(eng.Profile())        // on another host
 //
-// How the prefill time grows with the length of a prompt is learned from all engines of a
-// service. Each engine differs from this reference by two factors, one for prefill and one for
-// events, which are learned from its first few answers. The package reads no clock.
+// The reference of a service, in particular how the prefill time grows with the length of a prompt,
+// is learned from all of its engines. Each engine differs from the reference by two factors, one
+// for prefill and one for events, which are learned within its first few answers. The package
+// reads no clock.
 package pace
 
 import (
@@ -39,29 +40,30 @@
 	// times; 0 if unknown.
 	Read  float64
 	Event float64
-	// Weight is the number of answers they are based on, up to maxWeight.
+	// Weight is the number of answers that Read and Event are based on, up to maxWeight.
 	Weight float64
 }
 
 const (
-	// quadraticTokens is the prompt length at which attention takes as much time as the rest of
-	// the prefill. Models with about ten billion parameters lie between 50,000 and 150,000.
+	// quadraticTokens is the prompt length, in tokens, at which attention takes as much time as
+	// the rest of the prefill: between 50,000 and 150,000 for models with about ten billion
+	// parameters.
 	quadraticTokens = 120_000
 	// factorGain is the minimum weight of a new measurement in an engine's factors.
 	factorGain = 0.15
 	// referenceGain is the weight of a new measurement in the reference's event time.
 	referenceGain = 0.05
-	// minEvents is the minimum number of events of an answer to be measured.
+	// minEvents is the number of events from which an answer is used as a measurement.
 	minEvents = 8
 	// maxWeight bounds the weight of an engine's profile, including those of other hosts.
 	maxWeight = 10
 	// maxStep is the maximum factor between a measurement and the prediction; larger deviations
 	// have causes other than the engine's speed and are clamped.
 	maxStep = 8
-	// maxFactor bounds the factors of an engine.
+	// maxFactor bounds the factors of an engine; their lower bound is 1/maxFactor.
 	maxFactor = 50
-	// minAnswers is the number of answers after which an engine's measurements update the
-	// reference.
+	// minAnswers is the number of answers from which an engine's measurements update the
+	// reference, and from which a service no longer adopts the reference of another host.
 	minAnswers = 3
 )
 
@@ -88,12 +90,14 @@
 	service *Service
 	prefill factor
 	event   factor
-	// prefillFactor and eventFactor are the blended factors that predictions use.
+	// prefillFactor and eventFactor are the factors that predictions use, each blended from both
+	// measured ones.
 	prefillFactor float64
 	eventFactor   float64
 }
 
-// factor is the logarithm of a time as a multiple of the reference time.
+// factor is the logarithm of the ratio of an engine's time to the reference time, with the number
+// of answers that it is based on, up to maxWeight.
 type factor struct {
 	log    float64
 	weight float64
@@ -106,7 +110,7 @@
 	return factor{log: math.Log(min(maxFactor, max(1/float64(maxFactor), value))), weight: min(maxWeight, weight)}
 }
 
-// observe adds the logarithm of a measured ratio.
+// observe adds the logarithm of the ratio of a measured time to the reference time.
 func (fac *factor) observe(log float64) {
 	bound := math.Log(maxStep)
 	if fac.weight > 0 {
@@ -117,7 +121,7 @@
 	fac.weight = min(maxWeight, fac.weight+1)
 }
 
-// NewEngine returns an engine with an initial profile; the zero profile is unknown.
+// NewEngine returns an engine with an initial profile; the zero profile means that none is known.
 func (svc *Service) NewEngine(pro Profile) *Engine {
 	eng := &Engine{service: svc, prefill: newFactor(pro.Read, pro.Weight), event: newFactor(pro.Event, pro.Weight)}
 	eng.updateBlend()
@@ -146,7 +150,8 @@
 	return (own.weight*own.log + otherWeight*other.weight*other.log) / weight
 }
 
-// effectiveTokens returns the number of tokens with the same prefill time in a short prompt.
+// effectiveTokens converts the length of a prompt to the number of tokens that would take the same
+// prefill time at the rate of a short prompt.
 func effectiveTokens(tokens int) float64 {
 	length := float64(max(0, tokens))
 	return length + length*length/quadraticTokens
@@ -162,7 +167,7 @@
 	return time.Duration(float64(eng.service.prefill.overhead) * eng.prefillFactor)
 }
 
-// Event predicts the time between two events.
+// Event predicts the time between two events of an answer.
 func (eng *Engine) Event() time.Duration {
 	return time.Duration(eng.service.event * eng.eventFactor)
 }
@@ -198,7 +203,7 @@
 	}
 }
 
-// Profile returns the engine's profile; the zero profile if unknown.
+// Profile returns the engine's profile, or the zero profile without measurements.
 func (eng *Engine) Profile() Profile {
 	if !eng.Known() {
 		return Profile{}
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -11,7 +11,7 @@
 	"lynxwell.dev/lynxwell/pace"
 )
 
-// trueEngine returns the actual times of an engine: slow is its factor to the reference.
+// trueEngine simulates an engine; slow is the factor of its actual times to those of the reference.
 type trueEngine struct{ slow float64 }
 
 func (eng trueEngine) first(tokens int) time.Duration {
@@ -46,7 +46,8 @@
 		assertWithin(t, slow.Overhead()+slow.PrefillTime(tokens), trueEngine{3}.first(tokens), 0.3)
 	}
 	assertWithin(t, fast.Event(), 11*time.Millisecond, 0.15)
-	// The slow engine had no measured events; they are predicted from its prefill factor.
+	// The time between the slow engine's events wasn't measured; it is predicted from the engine's
+	// prefill factor.
 	assertWithin(t, slow.Event(), 48*time.Millisecond, 0.4)
 }
 
--- a/pace/survey.go
+++ b/pace/survey.go
@@ -9,7 +9,8 @@
 )
 
 // Measurements holds the measured speeds of all engines. It is stored for hosts that start without
-// measurements: a third of the engines may be several times slower than the others.
+// their own measurements, since a third of the engines may be several times slower than the
+// others.
 type Measurements struct {
 	Services []ServiceMeasurements
 }
@@ -21,19 +22,19 @@
 	Engines   []Record
 }
 
-// Record is the profile of one engine. It is identified by its address, since after a restart it
-// runs on the same processor under another id.
+// Record is the profile of one engine. It is keyed by the engine's address, since a restarted
+// engine runs on the same processor under another id.
 type Record struct {
 	Address netip.AddrPort
 	Profile
 }
 
-// changeFactor is the factor by which a profile must differ from the recorded one to be recorded
-// again. Predictions are off by a fifth anyway.
+// changeFactor is the factor by which a profile must differ from the stored one to be stored
+// again. Predictions are off by a fifth even without a change.
 const changeFactor = 1.3
 
-// Differs reports whether newer has an engine that isn't in this one, or whose
-// profile has changed. Engines that are missing from newer are ignored.
+// Differs reports whether newer has an engine that mea lacks, or one whose profile has changed by
+// more than changeFactor. Engines that newer lacks are ignored.
 func (mea Measurements) Differs(newer Measurements) bool {
 	known := mea.Profiles()
 	for _, svc := range newer.Services {
@@ -77,7 +78,8 @@
 	return mea
 }
 
-// Adopt replaces the engine's profile by that of another host if it is based on more answers.
+// Adopt replaces the engine's profile by pro, which another host has measured, if pro is based on
+// more answers.
 func (eng *Engine) Adopt(pro Profile) {
 	if pro.Weight <= max(eng.prefill.weight, eng.event.weight) {
 		return
@@ -86,8 +88,8 @@
 	eng.updateBlend()
 }
 
-// Adopt replaces the reference by that of another host, unless this service has learned its own
-// or the given one is invalid.
+// Adopt replaces the reference by ref, which another host has learned, unless this service has
+// at least minAnswers answers of its own or ref is invalid.
 func (svc *Service) Adopt(ref Reference) {
 	if svc.answers >= minAnswers || ref.Overhead <= 0 || ref.Token <= 0 || ref.Event <= 0 {
 		return
