--- a/fleet/directory.go
+++ b/fleet/directory.go
@@ -13,7 +13,8 @@
 // entry that disappears from the store stays in the directory until the hold ends: entries
 // expire during an outage of the store although their owners are running.
 type Directory struct {
-	// engines and missingEngines are keyed by engine name; one run of each engine is known.
+	// engines and missingEngines are keyed by engine name; the directory holds one run of each
+	// engine.
 	engines map[string]Engine
 	members map[string]Member
 	// missingEngines and missingMembers name the entries that have disappeared from the store
@@ -38,7 +39,7 @@
 	dir.holdUntil = until
 }
 
-// Replace applies a complete reading of the store; entries that it lacks are removed.
+// Replace applies a complete reading of the store, and removes the entries that the reading lacks.
 func (dir *Directory) Replace(now time.Time, engines []Engine, members []Member) {
 	for name := range dir.engines {
 		if !slices.ContainsFunc(engines, func(eng Engine) bool { return eng.ID.Name == name }) {
@@ -58,10 +59,10 @@
 	}
 }
 
-// SetEngine applies an engine's entry and reports whether it was at least as new as the known
-// one. An entry without a start time, of an engine whose start time is known, was written by
-// another process; it has overwritten the engine's entry, so the engine is dropped. If the
-// engine's entry is missing, every entry of the same run is applied.
+// SetEngine applies an engine's entry if it is at least as new as the known one, and reports
+// whether it did. An entry without a start time, of an engine whose start time is known, was
+// written by another process and has overwritten the engine's entry, so the engine is dropped. If
+// the known entry is missing from the store, every entry of the same run is applied.
 func (dir *Directory) SetEngine(now time.Time, eng Engine) bool {
 	name := eng.ID.Name
 	prev, known := dir.engines[name]
@@ -79,8 +80,8 @@
 }
 
 // coldUntil returns the time until which an engine is cold according to its newest entry. An
-// entry that is read a second time doesn't extend it: otherwise repeated readings would keep
-// the engine cold indefinitely.
+// entry that is read a second time doesn't extend that time: otherwise repeated readings would
+// keep the engine cold indefinitely.
 func coldUntil(now time.Time, eng, prev Engine) time.Time {
 	if eng.ID != prev.ID {
 		return coldFrom(now, eng.ColdFor)
@@ -101,7 +102,7 @@
 
 // MarkCold marks the engines of a failure domain as cold for at least the duration that
 // coldFor returns for their service; 0 marks none. Engines may have become cold while they
-// were idle, and receive requests again before their entries report it.
+// were idle, and may receive requests again before their entries report that they are cold.
 func (dir *Directory) MarkCold(now time.Time, domain string, coldFor func(service string) time.Duration) {
 	for name, eng := range dir.engines {
 		if eng.Domain != domain {
@@ -123,8 +124,8 @@
 	delete(dir.engines, name)
 }
 
-// DropEngine removes an engine immediately, even during a hold. It is for engines whose key in
-// the store holds no valid entry.
+// DropEngine removes an engine immediately, even during a hold. Use DropEngine for an engine whose
+// key in the store holds no valid entry.
 func (dir *Directory) DropEngine(name string) {
 	delete(dir.engines, name)
 	delete(dir.missingEngines, name)
@@ -169,7 +170,7 @@
 
 // Members returns the hosts by descending capacity, and by name among equals. The order doesn't
 // depend on epochs: after all hosts have failed at once, the same hosts come first as before,
-// and each restarting host knows them from the entries that haven't expired.
+// and each restarting host reads them from the entries that haven't expired.
 func (dir *Directory) Members() []Member {
 	return slices.SortedFunc(maps.Values(dir.members), func(one, two Member) int {
 		return cmp.Or(cmp.Compare(two.Capacity, one.Capacity), cmp.Compare(one.Name, two.Name))
@@ -186,7 +187,7 @@
 	return dir.missingMembers[name]
 }
 
-// Member returns the host with the epoch.
+// Member returns the host with the epoch, and whether there is one.
 func (dir *Directory) Member(epo request.Epoch) (Member, bool) {
 	for _, mem := range dir.members {
 		if mem.Epoch == epo {
--- a/fleet/engine.go
+++ b/fleet/engine.go
@@ -8,8 +8,8 @@
 )
 
 // EngineID identifies one run of an engine or backend server. An engine may restart under
-// the same name; the new run has no state of the previous one. Values are comparable and are
-// made with NewEngineID.
+// the same name; the new run has no state of the previous one. Values that NewEngineID returns can
+// be compared with ==.
 type EngineID struct {
 	Name string
 	// StartTime is the start time of the run by the engine's own clock, in whole milliseconds;
@@ -88,11 +88,11 @@
 	Slots int
 	// Draining is set if the engine accepts no new requests.
 	Draining bool
-	// Emptied is set while operators have ordered the evacuation of the engine's failure
-	// domain; the engine gets no new requests until they withdraw the order.
+	// Emptied is set while an order to evacuate the engine's failure domain is in force; the
+	// engine gets no new requests until operators withdraw the order.
 	Emptied bool
-	// ColdFor is how much longer the engine was going to be cold when it wrote its entry. A
-	// cold engine serves only a few requests per second, and crashes under many more.
+	// ColdFor is how much longer the engine expected to be cold when it wrote its entry. A cold
+	// engine serves only a few requests per second, and crashes under many more.
 	ColdFor time.Duration
 	// ColdUntil is the time until which the engine counts as cold, by this host's clock.
 	ColdUntil time.Time
--- a/fleet/engine_test.go
+++ b/fleet/engine_test.go
@@ -24,7 +24,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		name := rapid.StringMatching(`[a-z@0-9-]{1,8}`).Draw(rt, "name")
 		startTime := time.Time{}
-		if millis := rapid.Int64Range(0, 1<<42).Draw(rt, "born"); millis > 0 {
+		if millis := rapid.Int64Range(0, 1<<42).Draw(rt, "start"); millis > 0 {
 			startTime = time.UnixMilli(millis)
 		}
 		eid := fleet.NewEngineID(name, startTime)
@@ -76,8 +76,8 @@
 	assert.Equal(t, len(dir.Engines()), 2)
 }
 
-// A late entry of an earlier run must not keep an engine in the directory whose entry expired
-// during an outage of the store.
+// If an engine's entry expired during an outage of the store, a late entry of an earlier run must
+// not keep the engine in the directory.
 func TestStaleEntryDoesNotRestoreAnExpiredOne(t *testing.T) {
 	now := time.Unix(100, 0)
 	dir := fleet.NewDirectory()
@@ -93,13 +93,14 @@
 	assert.Assert(t, dir.SetEngine(time.Unix(100, 0), engineAt(3000, 1)))
 }
 
-// In whatever order entries arrive, the directory ends with the newest entry of the latest run.
+// In whatever order entries arrive, the directory must end with the newest entry of the latest
+// run.
 func TestNewestEntryIsKeptInAnyOrderOfArrival(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir := fleet.NewDirectory()
 		var newest fleet.Engine
 		for idx := range rapid.IntRange(1, 20).Draw(rt, "entries") {
-			eng := engineAt(rapid.Int64Range(1, 4).Draw(rt, "born"), rapid.Uint64Range(1, 5).Draw(rt, "sequence"))
+			eng := engineAt(rapid.Int64Range(1, 4).Draw(rt, "start"), rapid.Uint64Range(1, 5).Draw(rt, "sequence"))
 			if idx == 0 || eng.Supersedes(newest) {
 				newest = eng
 			}
@@ -111,7 +112,7 @@
 	})
 }
 
-// An entry holds how much longer the engine was going to be cold when it was written. Reading
+// An entry holds how much longer the engine expected to be cold when it wrote the entry. Reading
 // the same entry again must not extend that time, and a later entry of the same run must not
 // shorten it.
 func TestRepeatedEntryDoesNotExtendColdTime(t *testing.T) {
@@ -134,6 +135,6 @@
 	assert.Assert(t, dir.Engines()[0].ColdUntil.IsZero(), "a later run, which is warm")
 	dir.MarkCold(later, "", func(string) time.Duration { return time.Minute })
 	assert.Equal(t, dir.Engines()[0].ColdUntil, later.Add(time.Minute))
-	dir.MarkCold(later, "elsewhere", func(string) time.Duration { return time.Hour })
+	dir.MarkCold(later, "other", func(string) time.Duration { return time.Hour })
 	assert.Equal(t, dir.Engines()[0].ColdUntil, later.Add(time.Minute))
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet holds a host's view of the other processes of the system: the engines and
-// backend servers that it may send requests to, and the hosts that share the load.
+// backend servers that the host may send requests to, and the hosts that share the load.
 //
 // # Usage
 //
@@ -7,10 +7,10 @@
 //	dir.SetEngine(now, eng)
 //	dir.RemoveEngine(now, name)
 //	for _, eng := range dir.Engines() { ... }
-//	mem, found := dir.Coordinator(reachable)
+//	mem, found := dir.Member(epoch)
 //
-// A Directory does no I/O: its user passes in the entries of the store and the time. It is
-// not safe for concurrent use.
+// A Directory does no I/O: its user passes in the entries of the store and the time. A Directory
+// is not safe for concurrent use.
 package fleet
 
 import (
@@ -22,7 +22,7 @@
 // Member is a host's entry in the store.
 type Member struct {
 	Name string
-	// Epoch identifies the process start; later starts have higher values.
+	// Epoch identifies the start of the host's process; later starts have higher values.
 	Epoch  request.Epoch
 	Domain string
 	// CallerAddress is where clients connect.
--- a/fleet/notices.go
+++ b/fleet/notices.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// unregisteredRetention is how long the notices of an unregistered run are kept. An entry that
-// expired in an outage of the store is registered again within about two seconds of the end of
-// the outage; a delayed one may take as long as the longest outage, half a minute.
+// unregisteredRetention is how long the notices of an unregistered run are kept. A run whose entry
+// expired in an outage of the store usually registers again within two seconds after the outage,
+// and in the worst case only after as long as the longest outage, half a minute.
 const unregisteredRetention = time.Minute
 
 // Notices holds the signals that one host has received in engines' responses. A response comes
-// directly from the engine, even while the store is unavailable or hasn't stored the engine's
-// latest entry. Notices therefore take precedence over entries: a run that has signaled that it
-// drains is draining, whatever an entry of the same run reports. Another run is another
-// engine, even under the same name or at the same address.
+// directly from the engine, even while the store is unavailable or lacks the engine's latest
+// entry. Notices therefore take precedence over entries: a run that has signaled Draining is
+// draining, whatever its entry reports. A notice never applies to another run, even of the same
+// name or at the same address.
 //
 // Notices is not safe for concurrent use.
 type Notices struct {
@@ -26,8 +26,8 @@
 	limits map[EngineID]ReceivedLimit
 	// coldUntil holds the end of each run's warm-up.
 	coldUntil map[EngineID]time.Time
-	// lastRegistered holds the time at which each run with a notice was last known to be
-	// registered, or sent its latest notice.
+	// lastRegistered holds, for each run with a notice, the later of the time at which it was last
+	// found registered and the time of its latest notice.
 	lastRegistered map[EngineID]time.Time
 }
 
@@ -45,10 +45,10 @@
 	}
 }
 
-// Record stores a notice received at now and reports whether it changes the state of the run:
-// the first signal that the run drains or is replaced, a backoff or warm-up while none was in
-// force, a new or different rate limit, or the end of one. A shorter backoff doesn't end a
-// longer one, and a draining run stays so after its backoff has expired.
+// Record stores a notice received at now and reports whether the notice changes the state of the
+// run: the first signal that the run drains or is replaced, a backoff or warm-up while none was in
+// force, a new or different rate limit, or the end of one. A shorter backoff doesn't replace a
+// longer one, and a draining run remains draining after its backoff has expired.
 func (ntc *Notices) Record(now time.Time, not Notice) bool {
 	if not.Signal == nil {
 		return false
@@ -108,8 +108,8 @@
 }
 
 // EndsLimit reports whether a response without a rate limit, to a request sent at the given
-// time, removes the run's rate limit. The response to a request that was sent before the limit
-// was received may be older than the limit.
+// time, removes the run's rate limit. It doesn't if the request was sent before the limit was
+// last received, since the engine may have set the limit after the response.
 func (ntc *Notices) EndsLimit(run EngineID, sent time.Time) bool {
 	lim, known := ntc.limits[run]
 	return known && sent.After(lim.ReceivedAt)
--- a/fleet/notices_test.go
+++ b/fleet/notices_test.go
@@ -36,8 +36,8 @@
 	assert.Assert(t, ntc.Record(now.Add(3*time.Second), fleet.Notice{Run: eng, Signal: fleet.Backoff{Remaining: time.Second}}), "another backoff")
 }
 
-// The notices of a run are dropped after it has been unregistered for a minute, and not while
-// its entry has expired for a shorter time.
+// The notices of a run must be dropped once the run has been unregistered for a minute, and not
+// while its entry has been missing for a shorter time.
 func TestNoticesAreDroppedWithTheRun(t *testing.T) {
 	now := time.Unix(100, 0)
 	eng := run("e", 1)
@@ -55,8 +55,8 @@
 	assert.Equal(t, len(ntc.Current(now.Add(110*time.Second))), 0)
 }
 
-// In whatever order notices arrive, a run is blocked exactly while one of them is in force, and
-// Current returns one notice for each blocked run.
+// In whatever order notices arrive, a run must be blocked exactly while one of them is in force,
+// and Current must return one notice for each blocked run.
 func TestRunIsBlockedWhileANoticeIsInForce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(100, 0)
@@ -67,13 +67,13 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(rt, "pause")) * time.Millisecond)
 			eng := run("e", rapid.Int64Range(1, 4).Draw(rt, "run"))
 			not := fleet.Notice{Run: eng}
-			switch rapid.IntRange(0, 3).Draw(rt, "word") {
+			switch rapid.IntRange(0, 3).Draw(rt, "signal") {
 			case 1:
 				not.Signal, final[eng] = fleet.Draining{}, true
 			case 2:
 				not.Signal, final[eng] = fleet.Replaced{}, true
 			case 3:
-				remaining := time.Duration(rapid.IntRange(1, 5000).Draw(rt, "left")) * time.Millisecond
+				remaining := time.Duration(rapid.IntRange(1, 5000).Draw(rt, "remaining")) * time.Millisecond
 				not.Signal = fleet.Backoff{Remaining: remaining}
 				if end := now.Add(remaining); end.After(until[eng]) {
 					until[eng] = end
--- a/fleet/presence.go
+++ b/fleet/presence.go
@@ -9,34 +9,35 @@
 
 const (
 	// reconnectGrace is how long a host may be without a session, after it had one, before it
-	// counts as unreachable. A session that was cut is opened again within 75 ms, and within
-	// twice that time if the first attempt fails too.
+	// counts as unreachable. A host reopens a broken session within 75 ms, and within twice that
+	// time if the first attempt fails.
 	reconnectGrace = 300 * time.Millisecond
-	// joinGrace is the same for a host that never had a session. A starting host has its entry
-	// some tenths of a second before its session, a slow one a second before.
+	// joinGrace is the same for a host that never had a session. A starting host registers its
+	// entry some tenths of a second before it opens its session, a slow host a second before.
 	joinGrace = 3 * time.Second
-	// maxUnreachableShare is the largest share of the other hosts that may be unreachable. A
-	// host that reaches fewer than the rest is itself assumed to be partitioned, and knows
-	// nothing about the others. A power failure may take out half of all hosts at once.
+	// maxUnreachableShare is the largest share of the other hosts that may be unreachable. If
+	// more are, this host is itself assumed to be partitioned, and reports none of the others as
+	// unreachable. The limit is above one half, since a power failure may stop half of all hosts
+	// at once.
 	maxUnreachableShare = 0.75
 )
 
-// Presence tracks which of the registered hosts are reachable, from the sessions that they
-// keep with their coordinator. With it, entries may outlive failed hosts by half a minute, so
-// that hundreds of hosts needn't renew them every second: a killed host counts as unreachable
-// after 0.3 s, one without power as soon as its session has timed out.
+// Presence tracks which of the registered hosts are reachable, by the sessions that they hold
+// with their coordinator. Entries may therefore outlive failed hosts by half a minute, so that
+// hundreds of hosts needn't renew them every second: a killed host counts as unreachable after
+// 0.3 s, and a host without power 0.3 s after its session has timed out.
 //
 // Presence is not safe for concurrent use.
 type Presence struct {
 	self request.Epoch
-	// reachable holds the hosts with a session, unreachableAt the time at which each of the
-	// others becomes unreachable.
+	// reachable holds the hosts with a session, and unreachableAt the time at which each of the
+	// other hosts becomes unreachable.
 	reachable     map[request.Epoch]bool
 	unreachableAt map[request.Epoch]time.Time
 	members       []Member
 }
 
-// NewPresence returns the presence of a fleet of which only the host itself is known.
+// NewPresence returns a Presence without members or sessions for the host with the epoch self.
 func NewPresence(self request.Epoch) *Presence {
 	return &Presence{self: self, reachable: make(map[request.Epoch]bool), unreachableAt: make(map[request.Epoch]time.Time)}
 }
@@ -71,8 +72,8 @@
 	pre.unreachableAt[epo] = now.Add(reconnectGrace)
 }
 
-// Unreachable returns the registered hosts that are unreachable, in the order of the
-// members; none if the host itself is assumed to be partitioned.
+// Unreachable returns the registered hosts that are unreachable, in the order of SetMembers;
+// none if this host itself is assumed to be partitioned.
 func (pre *Presence) Unreachable(now time.Time) []request.Epoch {
 	var unreachable []request.Epoch
 	for _, mem := range pre.members {
--- a/fleet/presence_test.go
+++ b/fleet/presence_test.go
@@ -57,13 +57,13 @@
 	assert.Equal(t, len(pre.Unreachable(now.Add(time.Second))), 6, "six of the eight other hosts may have failed at once")
 	pre.SessionEnded(now, 8)
 	assert.Equal(t, len(pre.Unreachable(now.Add(time.Second))), 0)
-	// Of two hosts without a session between them, neither knows which one is partitioned.
+	// Of two hosts without a session between them, neither can detect which one is partitioned.
 	pair := fleet.NewPresence(1)
 	pair.SetMembers(now, membersUpTo(2))
 	assert.Equal(t, len(pair.Unreachable(now.Add(time.Minute))), 0)
 }
 
-// In any order of events, a host that has a session or is not registered is never reported.
+// In any order of events, a host that has a session or is not registered must never be reported.
 func TestHostWithASessionIsNeverUnreachable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
@@ -74,7 +74,7 @@
 			epo := request.Epoch(rapid.IntRange(1, 9).Draw(t, "host"))
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				registered = rapid.IntRange(0, 9).Draw(t, "listed")
+				registered = rapid.IntRange(0, 9).Draw(t, "registered")
 				pre.SetMembers(now, membersUpTo(registered))
 			case 1:
 				pre.SessionOpened(epo)
--- a/fleet/word.go
+++ b/fleet/word.go
@@ -14,7 +14,7 @@
 // Draining is sent by an engine that accepts no new requests and is about to stop.
 type Draining struct{}
 
-// Replaced reports that another engine responds at the engine's address.
+// Replaced means that another engine responds at the engine's address.
 type Replaced struct{}
 
 // Backoff asks the receiving host to send the engine no requests for some time.
@@ -30,12 +30,12 @@
 	PerSecond float64
 }
 
-// Unlimited removes the rate limit of an engine. It stands for a response without a rate
-// limit after one that carried it.
+// Unlimited removes the rate limit of an engine. It represents a response without a rate limit
+// after a response that had one.
 type Unlimited struct{}
 
-// Cold reports that an engine needs to warm up, after its start or after an idle period. A host
-// that knows this from the engine's entry also sends it to a coordinator that grants the engine
+// Cold means that an engine needs to warm up, after its start or after an idle period. A host that
+// read this from the engine's entry also sends the signal to a coordinator that grants the engine
 // as if it were warm.
 type Cold struct {
 	// Remaining is the time until the engine is warm.
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -53,13 +53,13 @@
 	return &Client{cfg: cfg, idle: make(map[Endpoint][]*connection), busy: make(map[*connection]struct{})}
 }
 
-// Close closes the idle connections.
+// Close closes the idle connections. Calls in progress continue.
 func (cli *Client) Close() {
 	cli.Retire(func(Endpoint) bool { return false })
 }
 
-// Retire closes the idle connections past their idle limit and those to endpoints for
-// which keep returns false.
+// Retire closes the idle connections that have passed their idle limit, and those to endpoints
+// for which keep returns false.
 func (cli *Client) Retire(keep func(Endpoint) bool) {
 	now := cli.cfg.Now()
 	cli.mutex.Lock()
@@ -131,7 +131,7 @@
 }
 
 // Do sends the call and returns the answer as soon as its head has arrived; the body is
-// read from Answer.Body. Until the answer is closed, cancelling ctx aborts it. The error
+// read from Answer.Body. Cancelling ctx aborts the call until the answer is closed. The error
 // is a *NotSentError if no byte was sent, and a *BrokenError otherwise.
 func (cli *Client) Do(ctx context.Context, cal Call) (*Answer, error) {
 	con := cli.takeIdle(cal.Endpoint)
@@ -168,15 +168,16 @@
 const (
 	// ProbeUnknown means that the probe timed out or failed for another reason.
 	ProbeUnknown Probe = iota
-	// ProbeListens means that the address accepts connections, from this run of the engine
-	// or a later one.
+	// ProbeListens means that the address accepts connections: this run of the engine is alive,
+	// or a later one has started.
 	ProbeListens
 	// ProbeRefused means that the connection was refused: the engine's process is dead.
 	ProbeRefused
 )
 
 // Probe reports whether the endpoint accepts connections. Concurrent probes of one address
-// share one connection attempt: when an engine crashes, all its requests probe it at once.
+// share one connection attempt: when an engine crashes, all its requests probe the address at
+// once.
 func (cli *Client) Probe(ctx context.Context, end Endpoint) Probe {
 	found, _, _ := cli.probes.Do(end.Address.String(), func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
@@ -204,7 +205,7 @@
 		errors.Is(err, syscall.EPIPE) || errors.As(err, &ree)
 }
 
-// allowed returns the error of Check, which forbids the call, or nil.
+// allowed returns the error of Check, or nil if the call may be sent.
 func (cal Call) allowed() error {
 	if cal.Check == nil {
 		return nil
@@ -224,7 +225,7 @@
 
 // AbortEarlierRuns aborts the calls to earlier runs of the engine. Bytes of their answers that
 // have already arrived are still read. A connection that received data after the later run
-// started, or up to maxClockSkew before, stays open, since it may lead to the later run.
+// started, or up to maxClockSkew before, stays open, since its peer may be the later run.
 func (cli *Client) AbortEarlierRuns(later fleet.EngineID) {
 	limit := later.StartTime.Add(-maxClockSkew)
 	cli.mutex.Lock()
@@ -291,8 +292,8 @@
 	return exc.read(cal, req, sent)
 }
 
-// read reads answers until one carries the call's id. A success must carry an id; an error
-// status without one is accepted, since an engine that couldn't parse the request doesn't
+// read reads answers until one carries the call's id. A successful answer must carry an id; an
+// error status without an id is accepted, since an engine that couldn't parse the request doesn't
 // know its id.
 func (exc *exchange) read(cal Call, req *http.Request, sent time.Time) (*Answer, error) {
 	var stray string
@@ -327,7 +328,7 @@
 	Status int
 	Header http.Header
 	Head   call.AnswerHead
-	// Body ends with io.EOF only if the answer is complete.
+	// Body returns io.EOF only if the answer is complete.
 	Body io.Reader
 
 	response   *http.Response
@@ -337,7 +338,7 @@
 }
 
 // ReadAll reads the body to its end. It returns an *AnswerTooLargeError if the body is
-// larger than limit bytes; nothing of such a body may be passed on as a complete answer.
+// larger than limit bytes, and no part of such a body.
 func (ans *Answer) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(ans.Body, limit+1))
 	if err != nil {
@@ -356,8 +357,8 @@
 	ans.complete = true
 }
 
-// Close releases the answer's connection. If the answer wasn't read to its end, the
-// connection is closed, which makes most engines stop working on the request.
+// Close returns the connection to the idle ones if it can be reused, and closes it otherwise. If
+// the answer wasn't read to its end, closing makes most engines stop working on the request.
 func (ans *Answer) Close() {
 	exc := ans.exchange
 	detached := exc.stopAbort()
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -56,7 +56,8 @@
 	assert.Equal(t, dialed, 2)
 }
 
-// rawEngine writes the same bytes to each connection and closes its sending side.
+// rawEngine starts an engine that writes the same bytes to each connection and then closes its
+// sending side.
 func rawEngine(t *testing.T, answer string) netip.AddrPort {
 	t.Helper()
 	var cfg net.ListenConfig
--- a/upstream/connection.go
+++ b/upstream/connection.go
@@ -15,7 +15,7 @@
 // their clocks synchronized, and an engine takes longer than this to restart.
 const maxClockSkew = 250 * time.Millisecond
 
-// past is a deadline that makes pending reads and writes return at once.
+// past is a deadline that makes pending and later reads and writes fail at once.
 var past = time.Unix(1, 0)
 
 // connection is a TCP connection with its read buffer.
@@ -23,7 +23,7 @@
 	net.Conn
 	reader   *bufio.Reader
 	endpoint Endpoint
-	// retireAt is when the idle connection must no longer be used.
+	// retireAt is the time from which the idle connection must not be reused.
 	retireAt time.Time
 	reused   bool
 	// lastReceived is when the peer last sent data, in nanoseconds since 1970.
@@ -43,7 +43,7 @@
 	return time.Unix(0, con.lastReceived.Load())
 }
 
-// endRun limits further reads to the bytes that have already arrived.
+// endRun aborts pending writes and limits further reads to the bytes that have already arrived.
 func (con *connection) endRun() {
 	con.runEnded.Store(true)
 	// SetDeadline fails only on a closed connection.
--- a/upstream/connection_test.go
+++ b/upstream/connection_test.go
@@ -75,7 +75,7 @@
 	cli.AbortEarlierRuns(fleet.NewEngineID("e", time.Now().Add(-time.Minute)))
 	select {
 	case err := <-result:
-		t.Fatalf("the call was aborted without a later run of its engine: %v", err)
+		t.Fatalf("the call was aborted, but no later run has started since its connection received data: %v", err)
 	default:
 	}
 	cli.AbortEarlierRuns(fleet.NewEngineID("e", time.Now().Add(time.Minute)))
@@ -88,7 +88,7 @@
 // Guards against dropping bytes of an answer that arrived before its run was known to have
 // ended.
 func TestArrivedBytesAreReadAfterRunEnded(t *testing.T) {
-	const body = "whole answer"
+	const body = "complete answer"
 	for _, tst := range []struct {
 		name     string
 		length   int
@@ -130,10 +130,10 @@
 	t.Cleanup(cli.Close)
 	address := netip.MustParseAddrPort(lis.Addr().String())
 	for idx, tst := range []struct {
-		born   int64
-		dialed int
+		startMillis int64
+		dialed      int
 	}{{1000, 1}, {1000, 1}, {2000, 2}, {2000, 2}, {1000, 2}} {
-		ans, err := cli.Do(t.Context(), newCall(upstream.Endpoint{Address: address, Engine: fleet.NewEngineID("e", time.UnixMilli(tst.born))}))
+		ans, err := cli.Do(t.Context(), newCall(upstream.Endpoint{Address: address, Engine: fleet.NewEngineID("e", time.UnixMilli(tst.startMillis))}))
 		assert.NilError(t, err)
 		_, err = ans.ReadAll(10)
 		assert.NilError(t, err)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,6 +1,7 @@
 // Package upstream is the HTTP/1.1 client for engines and backend servers. It
-// reuses a connection only if every byte received on it belongs to a request:
-// an answer to another request, or an unsolicited one, never reaches a client.
+// reuses a connection only if every byte received on the connection belongs to
+// a request: an answer to another request, or an unsolicited one, never reaches
+// a client.
 //
 // # Usage
 //
@@ -39,22 +40,23 @@
 }
 
 const (
-	// defaultDialTimeout ends before TCP retransmits a lost SYN, which takes one second or
-	// more; a retry on another engine is faster.
+	// defaultDialTimeout doesn't wait for TCP to retransmit a lost SYN, which takes one second
+	// or more; a retry on another engine is faster.
 	defaultDialTimeout = time.Second
 	// defaultIdleLimit is how long an idle connection is kept if the peer sends no limit.
 	defaultIdleLimit = 4 * time.Second
-	// idleMargin is how long before the peer's idle limit a connection is retired: the
+	// idleMargin is how long before the peer's idle limit a connection is no longer reused: the
 	// limit is sent in whole seconds, and a request takes some milliseconds to arrive.
 	idleMargin = 1200 * time.Millisecond
 	// bufferBytes is enough for an answer's head and a few events.
 	bufferBytes = 4 << 10
-	// maxStrayAnswers bounds the answers to other requests that are skipped.
+	// maxStrayAnswers bounds the number of answers read for a call, including skipped answers
+	// to other requests and informational ones.
 	maxStrayAnswers = 4
 	// maxStrayBytes bounds the body of a skipped answer.
 	maxStrayBytes = 1 << 20
 	// smallBodyBytes is the largest body that is written before the answer is read. A larger
-	// one is written concurrently: it might fill the TCP windows and block while the engine
+	// one is written concurrently, since it might fill the TCP windows and block while the engine
 	// already sends its answer.
 	smallBodyBytes = 2 << 10
 )
@@ -70,7 +72,7 @@
 type HeadReceived struct {
 	Endpoint
 	Head call.AnswerHead
-	// Sent is when writing of the pending request began.
+	// Sent is when the client began to write the pending request.
 	Sent time.Time
 	// Stray is set if the answer belongs to a request other than the pending one.
 	Stray bool
@@ -88,11 +90,11 @@
 	Header http.Header
 	Body   []byte
 	// Check, if not nil, is called right before anything is written, since the permission for
-	// the call may have expired while the connection was established. An error that it
-	// returns cancels the call.
+	// the call may have expired while the connection was established. If Check returns an
+	// error, the call fails with a *NotSentError.
 	Check func() error
-	// Written, if not nil, is called once after Check allowed the call, when the request has
-	// been written or writing has failed.
+	// Written, if not nil, is called once if Check allowed the call, when the request has been
+	// written or writing has failed.
 	Written func()
 }
 
@@ -135,10 +137,10 @@
 	return "engine run " + ree.Endpoint.Engine.String() + " ended: the engine was restarted"
 }
 
-// StrayError reports that all answers read belong to other requests, or that a success
-// carries no id.
+// StrayError reports that all answers read belong to other requests, or that a successful
+// answer has no request id.
 type StrayError struct {
-	// ID is the request id of the last answer; empty for a success without one.
+	// ID is the request id of the last answer read; empty for a successful answer without one.
 	ID string
 }
 
