--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,5 +1,5 @@
 // Package pace learns from live traffic how fast the model engines of a service prefill prompts
-// and generate answers. The speeds of the engines may differ by several times.
+// and generate answers. Some engines are several times slower than others.
 //
 // # Usage
 //
