--- a/host/actions.go
+++ b/host/actions.go
@@ -16,7 +16,7 @@
 // peerCallTimeout bounds a call to another host.
 const peerCallTimeout = time.Second
 
-// maxRetainedBytes bounds the memory for finished answers, which are retained for
+// maxRetainedBytes bounds the total size of the finished answers that are retained for
 // repeated requests.
 const maxRetainedBytes = 16 << 20
 
@@ -90,7 +90,7 @@
 	arr.decision <- dec
 }
 
-// jobOf returns the request's job. The first client request with the id creates the
+// jobOf returns the job of a request id. The first client request with the id creates the
 // job and supplies its work.
 func (lop *loop) jobOf(id request.ID, num gateway.CallerID) *job {
 	jb := lop.jobs[id]
@@ -104,10 +104,11 @@
 	return jb
 }
 
-// runner dispatches a request to an engine, or resumes its answer there, and returns
-// the result.
+// runner dispatches a request to an engine, or resumes reading its answer from the engine,
+// and returns the result.
 type runner func(ctx context.Context, id request.ID, engine string, jb *job) gateway.Result
 
+// runJob starts a runner for the request and reports its result to the gateway.
 func (lop *loop) runJob(id request.ID, engine string, run runner) {
 	jb := lop.jobs[id]
 	if jb == nil {
@@ -125,8 +126,9 @@
 	})
 }
 
-// retainAnswer retains a finished answer for repeated requests. It drops the oldest
-// answers while the total exceeds maxRetainedBytes.
+// retainAnswer retains a finished answer for repeated requests. It drops the oldest answers
+// while their total size exceeds maxRetainedBytes, and removes the ids of forgotten requests
+// from the front of retainedOrder.
 func (lop *loop) retainAnswer(id request.ID, jb *job) {
 	lop.retainedBytes += jb.exchange.Size() - jb.retained
 	jb.retained = jb.exchange.Size()
@@ -141,7 +143,7 @@
 	}
 }
 
-// dropAnswer drops the retained answer of a request, if there is one.
+// dropAnswer drops the retained answer of a request, if the request still has a job.
 func (lop *loop) dropAnswer(id request.ID) {
 	jb := lop.jobs[id]
 	if jb == nil {
@@ -157,7 +159,7 @@
 	if act.To.Epoch == lop.host.epoch {
 		ans, actions := lop.coordinator.Fence(now, act.Fence)
 		lop.coordinatorActions(now, actions)
-		// Not synchronously: the gateway may still be sending fences to other hosts.
+		// The answer is posted, because the gateway may still be sending fences to other hosts.
 		lop.host.spawn(func() {
 			lop.post(func(now time.Time) {
 				lop.gatewayEvent(now, gateway.FenceAnswered{Ballot: act.Fence.Ballot, Answer: ans})
@@ -216,7 +218,7 @@
 	})
 }
 
-// drainCores makes both cores reject new work.
+// drainCores passes a Drain event to both cores, which then reject new work.
 func (lop *loop) drainCores(now time.Time) {
 	lop.gatewayEvent(now, gateway.Drain{})
 	lop.coordinatorEvent(now, coordinator.Drain{})
--- a/host/callerbackend.go
+++ b/host/callerbackend.go
@@ -30,8 +30,9 @@
 	return ans
 }
 
-// prefixOf returns the request id prefix of a member's gateway. It is known once the
-// member has reported a view that contains it, and its window.
+// prefixOf returns the prefix of the request ids that a member's gateway issues. The prefix
+// of another member is known once that member has reported its window and a view that
+// contains it. This host's own prefix is withheld while the host drains.
 func (hos *Host) prefixOf(mem view.Member) (request.Prefix, bool) {
 	if mem.Epoch == hos.epoch {
 		return hos.prefix(), !hos.draining.Load()
@@ -47,6 +48,8 @@
 	return request.Prefix{View: number, Epoch: mem.Epoch, Window: hea.Window}, true
 }
 
+// wasMember reports whether the epoch is a member of the view with the number, if the history
+// still has that view.
 func (hos *Host) wasMember(number uint64, epo request.Epoch) bool {
 	hos.shared.mutex.Lock()
 	defer hos.shared.mutex.Unlock()
@@ -62,10 +65,11 @@
 // generates.
 const uniqueLen = 9
 
-// NewID implements caller.Backend.
+// NewID implements caller.Backend. The id's view is 0 if the host isn't a member of its
+// current view.
 func (hos *Host) NewID() request.ID {
 	var raw [uniqueLen]byte
-	// crypto/rand's Read never fails.
+	// rand.Read never returns an error.
 	_, _ = rand.Read(raw[:])
 	pre := hos.prefix()
 	if !hos.wasMember(pre.View, hos.epoch) {
@@ -84,8 +88,8 @@
 	return hos.awaitDecision(ctx, arr, gateway.RelayFailed{Arrived: arr, To: to.Epoch}, work)
 }
 
-// awaitDecision passes an event about a client's request to the gateway and waits for
-// its decision.
+// awaitDecision passes an event about a client's request to the gateway and waits for the
+// gateway's decision.
 func (hos *Host) awaitDecision(ctx context.Context, arr gateway.Arrived, evt gateway.Event, work caller.Work) (caller.Decision, error) {
 	waiting := &arrival{work: work, rank: arr.Spec.Rank, decision: make(chan caller.Decision, 1)}
 	hos.loop.post(func(now time.Time) {
@@ -103,8 +107,9 @@
 	}
 }
 
-// dropArrival detaches a client that disconnected before it received its decision. The
-// loop handles the arrival before this call, so a decision is already in the channel.
+// dropArrival detaches a client that disconnected before the decision on its request was
+// read. The loop has already handled the arrival, so a decision that the gateway made is in
+// the channel.
 func (lop *loop) dropArrival(now time.Time, arr gateway.Arrived, waiting *arrival) {
 	delete(lop.pending, arr.Caller)
 	select {
@@ -153,8 +158,8 @@
 	}
 }
 
-// Connected reports whether the host's view has exactly the given number of members
-// and a session is open with each peer that the gateway connects to.
+// Connected reports whether the host's view has exactly the given number of members and the
+// host has received a header from each peer that its gateway connects to.
 func (hos *Host) Connected(members int) bool {
 	vie := hos.shared.view()
 	if len(vie.Members) != members {
--- a/host/catchup.go
+++ b/host/catchup.go
@@ -14,8 +14,8 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// recordHeader records the header that a peer reported. If the peer has a newer view or
-// configuration, it triggers a fetch from that peer.
+// recordHeader records the header that a peer reported, and triggers a fetch from the peer if
+// the header names a newer view or configuration.
 func (hos *Host) recordHeader(hea peer.Header, mem view.Member) {
 	hos.shared.recordHeader(hea)
 	if hea.View <= hos.shared.view().Number && hea.Revision <= hos.Configuration().Revision {
@@ -28,7 +28,7 @@
 	}
 }
 
-// catchUp fetches views and configuration from peers that have newer ones, until the
+// catchUp fetches views and the configuration from peers that have newer ones, until the
 // context ends.
 func (hos *Host) catchUp(ctx context.Context) error {
 	for {
@@ -46,8 +46,8 @@
 	}
 }
 
-// fetchFrom fetches and applies the views and configuration of the peer that are newer
-// than those of this host.
+// fetchFrom fetches and applies the peer's views and configuration that are newer than those
+// of this host.
 func (hos *Host) fetchFrom(ctx context.Context, adr netip.AddrPort) error {
 	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -93,8 +93,9 @@
 	return err
 }
 
-// fetchFromSeeds fetches views and configuration from the peers listed in the settings,
-// so that a host can start while the platform is unavailable.
+// fetchFromSeeds fetches views and the configuration from the peers listed in the settings,
+// so that a host can start while the platform is unavailable. It does nothing once the host
+// has both.
 func (hos *Host) fetchFromSeeds(ctx context.Context) {
 	if hos.shared.view().Number > 0 && hos.Configuration().Revision > 0 {
 		return
@@ -109,9 +110,9 @@
 	}
 }
 
-// fetchPastViews fetches the views from before this host's start from a peer, since
-// requests with ids of those views may still arrive. It returns true when no further
-// fetch is needed.
+// fetchPastViews fetches the views that preceded this host's start from a peer, since
+// requests with ids issued in those views may still arrive. It returns false if the fetch
+// must be repeated.
 func (hos *Host) fetchPastViews(ctx context.Context) bool {
 	if hos.shared.view().Number <= 1 {
 		return true
--- a/host/configuration.go
+++ b/host/configuration.go
@@ -29,13 +29,13 @@
 )
 
 // PlatformBehindError reports that the platform stores an older configuration than the
-// active one, as it does after a restore from a backup.
+// active one, for example after a restore from a backup.
 type PlatformBehindError struct {
 	Served  uint64
 	InForce uint64
 }
 
-// Error names both revisions.
+// Error returns both revisions.
 func (per *PlatformBehindError) Error() string {
 	return fmt.Sprintf("the platform stores configuration revision %d, older than the active revision %d; change not written", per.Served, per.InForce)
 }
@@ -51,8 +51,8 @@
 	return acc, known
 }
 
-// chunkSource fetches one chunk of a stored configuration. A chunk holds the JSON of a
-// group of resources and is stored under its SHA-256 digest.
+// chunkSource fetches one chunk of a stored configuration. A chunk is the JSON of a group of
+// resources and is identified by its SHA-256 digest.
 type chunkSource func(ctx context.Context, ref resource.ChunkRef) ([]byte, error)
 
 func chunkKey(ref resource.ChunkRef) string {
@@ -87,9 +87,9 @@
 	return all, nil
 }
 
-// applyHead activates a configuration if its revision is higher than the active one. A
-// configuration that can't be applied is rejected as a whole, and the host reports itself
-// as not ready.
+// applyHead activates the configuration of the head if its revision is higher than the active
+// one. If the configuration is invalid, the active one stays, and the host reports that it
+// isn't ready.
 func (hos *Host) applyHead(ctx context.Context, hea resource.Head, fetch chunkSource) error {
 	if hea.Revision <= hos.Configuration().Revision {
 		return nil
@@ -110,8 +110,8 @@
 	return err
 }
 
-// activateConfiguration makes a configuration the active one. It ignores revisions that
-// aren't higher than the active one.
+// activateConfiguration makes a configuration the active one, unless the active one has the
+// same or a higher revision.
 func (lop *loop) activateConfiguration(now time.Time, hea resource.Head, con resource.Configuration, all map[string][]byte) {
 	if con.Revision <= lop.host.Configuration().Revision {
 		return
@@ -144,14 +144,15 @@
 	return operator.ChangeResult{}, last
 }
 
-// writer writes one change to the platform.
+// writer writes one change to the platform, in one or more attempts.
 type writer struct {
 	host   *Host
 	change resource.Change
-	// uncertain is set if the reply to a swap of the head was lost, so that the swap may
-	// have taken effect.
+	// uncertain is set if the reply to the most recent write of the head was lost, so that
+	// the write may have taken effect.
 	uncertain bool
-	// created are the chunks stored by an attempt whose head wasn't written.
+	// created are the chunks that the previous attempt stored without confirming that its
+	// head was written.
 	created []resource.ChunkRef
 }
 
@@ -166,7 +167,7 @@
 		return res, true, err
 	}
 	wrc.dropUnusedChunks(ctx, current)
-	if rev, landed := current.ChangeRevision(wrc.change.ID); landed {
+	if rev, written := current.ChangeRevision(wrc.change.ID); written {
 		wrc.uncertain = false
 		wrc.activate(ctx, current)
 		return operator.ChangeResult{Revision: rev}, true, nil
@@ -178,7 +179,7 @@
 	return wrc.write(ctx, val, current)
 }
 
-// write applies the change to the stored configuration and replaces its head.
+// write applies the change to the stored configuration and replaces the stored head.
 func (wrc *writer) write(ctx context.Context, val store.Value, current resource.Head) (res operator.ChangeResult, settled bool, err error) {
 	all, err := wrc.host.collectChunks(ctx, current, wrc.host.chunkFromPlatform)
 	if err != nil {
@@ -211,8 +212,8 @@
 	return operator.ChangeResult{Revision: next.Revision}, true, nil
 }
 
-// storeChunks stores the chunks that are new in this revision. A chunk that already exists
-// was stored by an earlier attempt or by a concurrent writer of the same content.
+// storeChunks stores the chunks that are new in the head's revision. A chunk that already
+// exists was stored by an earlier attempt or by a concurrent writer of the same content.
 func (wrc *writer) storeChunks(ctx context.Context, hea resource.Head, chunks map[string][]byte) error {
 	for _, ref := range hea.Chunks {
 		if ref.Since != hea.Revision {
@@ -228,6 +229,7 @@
 	return nil
 }
 
+// swapHead replaces the stored head if its revision on the platform is still the expected one.
 func (wrc *writer) swapHead(ctx context.Context, expect store.Revision, hea resource.Head) error {
 	data, err := json.Marshal(hea)
 	if err != nil {
@@ -239,16 +241,16 @@
 	return err
 }
 
-// activate applies the written configuration on this host. If that fails, the host
-// receives the configuration through its watch.
+// activate applies the written configuration on this host. If that fails, the host applies
+// the configuration when its watch of the platform reports the new head.
 func (wrc *writer) activate(ctx context.Context, hea resource.Head) {
 	if err := wrc.host.applyHead(ctx, hea, wrc.host.chunkFromPlatform); err != nil {
-		wrc.host.log.Warn().Err(err).Uint64("Revision", hea.Revision).Msg("configuration accepted, but applying it on this host failed; waiting for the watch")
+		wrc.host.log.Warn().Err(err).Uint64("Revision", hea.Revision).Msg("configuration written, but applying it on this host failed; waiting for the watch")
 	}
 }
 
 // dropUnreferenced deletes the chunks that the new head no longer refers to. A chunk whose
-// deletion fails only occupies storage.
+// deletion fails stays stored and has no other effect.
 func (wrc *writer) dropUnreferenced(ctx context.Context, current, hea resource.Head) {
 	for _, ref := range current.Chunks {
 		if _, kept := hea.Chunk(ref.Digest); !kept {
@@ -257,7 +259,9 @@
 	}
 }
 
-// dropUnusedChunks deletes the chunks of an attempt that lost against another writer.
+// dropUnusedChunks deletes the chunks of the previous attempt that the stored head doesn't
+// refer to. It skips those of a revision that isn't written yet, since a write of the head
+// whose reply was lost may still take effect.
 func (wrc *writer) dropUnusedChunks(ctx context.Context, hea resource.Head) {
 	created := wrc.created
 	wrc.created = nil
--- a/host/dispatch.go
+++ b/host/dispatch.go
@@ -26,7 +26,7 @@
 // cancelTimeout bounds the call that cancels a request on its engine.
 const cancelTimeout = 2 * time.Second
 
-// dispatch sends a request to its engine at most once; it never retries.
+// dispatch sends a request to its engine. It never sends the request a second time.
 func (hos *Host) dispatch(ctx context.Context, id request.ID, name string, jb *job) gateway.Result {
 	eng, known := hos.Configuration().Engine(name)
 	if !known {
@@ -71,7 +71,8 @@
 	return hos.finishModel(ctx, id, eng.Address, res, start, jb)
 }
 
-// resumeInterrupted reads the rest of an interrupted stream from its engine.
+// resumeInterrupted reads the rest of an interrupted stream from its engine, in at most
+// maxResumeAttempts attempts.
 func (hos *Host) resumeInterrupted(ctx context.Context, id request.ID, adr netip.AddrPort, interrupted engine.Result, jb *job) engine.Result {
 	res := interrupted
 	for range maxResumeAttempts {
@@ -90,8 +91,8 @@
 	return res
 }
 
-// finishModel completes the exchange, or cancels a request whose client disconnected,
-// and returns the result for the gateway.
+// finishModel completes the exchange of an answered request, or cancels the request on its
+// engine if the context has ended, and returns the result for the gateway.
 func (hos *Host) finishModel(ctx context.Context, id request.ID, adr netip.AddrPort, res engine.Result, start time.Time, jb *job) gateway.Result {
 	var ser *engine.StatusError
 	switch {
@@ -122,7 +123,7 @@
 	return errors.As(err, &ser)
 }
 
-// cancelOnEngine cancels a request on its engine, best effort.
+// cancelOnEngine cancels a request on its engine. A failure is only logged.
 func (hos *Host) cancelOnEngine(id request.ID, adr netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
--- a/host/drain.go
+++ b/host/drain.go
@@ -12,10 +12,10 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// drainPollInterval is how often a draining host checks for requests in flight.
+// drainPollInterval is the interval at which a draining host checks for requests in flight.
 const drainPollInterval = 20 * time.Millisecond
 
-// successorCount is the number of hosts that receive the ledger of a stopping host.
+// successorCount is the number of hosts that receive the ledger of a draining host.
 const successorCount = 2
 
 // handoverTimeout bounds the transfer of the ledger to one host.
@@ -40,8 +40,9 @@
 }
 
 // Drain prepares the host for a planned stop: it rejects new work, waits until no request
-// is in flight, and hands its ledger over to other hosts. It returns a *DrainError if the
-// context ends first. Stop should follow.
+// is in flight, hands its ledger over to other hosts, and shuts down its client-facing server.
+// It returns a *DrainError if the context ends while requests are in flight. Stop should
+// follow.
 func (hos *Host) Drain(ctx context.Context) error {
 	hos.draining.Store(true)
 	hos.log.Info().Msg("host is draining")
@@ -78,14 +79,14 @@
 	}
 }
 
-// shutDownClientServer stops the client-facing server gracefully, so that answers being
-// sent are completed.
+// shutDownClientServer stops the client-facing server gracefully: it waits until the answers
+// that are being sent are complete.
 func (hos *Host) shutDownClientServer(ctx context.Context) error {
 	return errors.Wrap(hos.servers[0].Shutdown(ctx), "shut down the client-facing server")
 }
 
-// handOver sends the ledger to hosts in different failure domains, so that they can
-// answer fences for the requests that this host granted.
+// handOver sends the ledger to successorCount other hosts, in different failure domains if
+// possible, so that they can answer fences for the requests that this host granted.
 func (hos *Host) handOver(ctx context.Context) {
 	han, err := callLoop(ctx, hos.loop, func(time.Time) reservation.Handover { return hos.loop.coordinator.Handover() })
 	if err != nil {
--- a/host/dump.go
+++ b/host/dump.go
@@ -34,8 +34,8 @@
 	Jobs        int
 	KeptBytes   int
 	Inbox       int
-	// Goroutines counts all goroutines of the process. Tasks names the host's long-running
-	// ones, Spawned counts its current dispatches and calls to peers.
+	// Goroutines is the number of goroutines of the process. Tasks are the names of the host's
+	// long-running ones; Spawned is the number of its short-lived ones.
 	Goroutines int
 	Tasks      []string
 	Spawned    int64
@@ -60,7 +60,7 @@
 	Queued int
 }
 
-// Traffic counts the bytes between this host and the others.
+// Traffic is the number of bytes exchanged between this host and its peers.
 type Traffic struct {
 	Received uint64
 	Sent     uint64
--- a/host/host.go
+++ b/host/host.go
@@ -10,8 +10,8 @@
 //	hos.Drain(ctx) // planned stop: returns when no request is in flight
 //	hos.Stop()
 //
-// All decisions are made on one goroutine, the loop. The other goroutines only
-// post events to it and execute its actions.
+// Both cores run on one goroutine, the loop. The other goroutines do the I/O: they
+// execute actions of the cores and post events to the loop.
 package host
 
 import (
@@ -47,8 +47,8 @@
 	Log      zerolog.Logger
 	// Store is the interface to the platform: its keys, leases and list of hosts.
 	Store store.Store
-	// Gateway and Coordinator may set the fields that tests and benchmarks vary. New sets
-	// the epoch, the start time and the periods from Settings.
+	// Gateway and Coordinator hold the parameters of the cores that tests and benchmarks vary.
+	// New overwrites the epoch, the start time and the periods that Settings define.
 	Gateway     gateway.Config
 	Coordinator coordinator.Config
 }
@@ -75,12 +75,12 @@
 	chunks   *chunkCache
 	draining atomic.Bool
 	// drainStarted wakes maintainLease when the host starts to drain, so that the
-	// membership entry is updated at once.
+	// host's membership entry is updated at once.
 	drainStarted chan struct{}
 	// aheadPeers are the addresses of peers that have newer views or configuration.
 	aheadPeers chan netip.AddrPort
 	tasks      *task.Group
-	// spawned waits for the short-lived goroutines; spawnedCount counts them.
+	// spawned is the group of the short-lived goroutines; spawnedCount is their number.
 	spawned      sync.WaitGroup
 	spawnedCount atomic.Int64
 	servers      []*http.Server
@@ -89,7 +89,7 @@
 	done chan struct{}
 }
 
-// New returns a host that isn't running yet; Start starts it.
+// New returns a host that isn't running yet. Start starts the host.
 func New(cfg Config) (*Host, error) {
 	epoch, err := request.NewEpoch()
 	if err != nil {
@@ -123,7 +123,7 @@
 	return hos, nil
 }
 
-// Epoch returns the epoch of this process start.
+// Epoch returns the epoch that identifies this start of the host.
 func (hos *Host) Epoch() request.Epoch {
 	return hos.epoch
 }
@@ -202,7 +202,7 @@
 func (hos *Host) Stop() {
 	hos.cancel()
 	for _, srv := range hos.servers {
-		// Close always closes the listeners; other errors have no effect.
+		// The error is ignored: the listeners and connections are closed in any case.
 		_ = srv.Close()
 	}
 	<-hos.done
@@ -213,7 +213,7 @@
 	hos.log.Info().Msg("host stopped")
 }
 
-// spawn runs short-lived work in its own goroutine, which posts its result to the loop.
+// spawn runs short-lived work in a goroutine of its own. The work posts its result to the loop.
 func (hos *Host) spawn(work func()) {
 	hos.spawnedCount.Add(1)
 	hos.spawned.Go(func() {
--- a/host/loop.go
+++ b/host/loop.go
@@ -17,11 +17,11 @@
 // tickInterval is the interval of the cores' tick events.
 const tickInterval = 50 * time.Millisecond
 
-// inboxLen is the capacity of the loop's queue of events.
+// inboxLen is the capacity of inbox, the loop's queue of events.
 const inboxLen = 4096
 
-// loop owns both decision cores and the state that their actions change. Only its own
-// goroutine accesses that state.
+// loop owns both decision cores and the state that their actions change. Only the goroutine
+// that executes run accesses that state.
 type loop struct {
 	host        *Host
 	inbox       chan func(now time.Time)
@@ -33,7 +33,7 @@
 	outbound    map[request.Epoch]*outbound
 	inbound     map[request.Epoch]*inbound
 	inboundByID map[uint64]*inbound
-	// retainedBytes is the size of the retained answers in bytes. retainedOrder holds
+	// retainedBytes is the total size of the retained answers in bytes. retainedOrder holds
 	// the ids of their requests, oldest first.
 	retainedBytes int
 	retainedOrder []request.ID
@@ -41,7 +41,7 @@
 	ctx context.Context
 }
 
-// job holds a request's exchange and the data needed to run it.
+// job holds a request's exchange and the data needed to run the request.
 type job struct {
 	exchange *caller.Exchange
 	work     caller.Work
@@ -120,7 +120,8 @@
 	}
 }
 
-// post queues work for the loop. The work is discarded once the loop has stopped.
+// post queues work for the loop, and blocks while the queue is full. It discards the work if
+// the loop has stopped.
 func (lop *loop) post(work func(now time.Time)) {
 	select {
 	case lop.inbox <- work:
@@ -128,7 +129,7 @@
 	}
 }
 
-// StoppedError reports that the host has stopped, so that its loop processes no more work.
+// StoppedError reports that the host has stopped and processes no more work.
 type StoppedError struct{}
 
 // Error implements error.
--- a/host/membership.go
+++ b/host/membership.go
@@ -13,7 +13,7 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// The keys of membership on the platform.
+// The platform's keys for membership. Hosts watch all keys with watchedPrefix.
 const (
 	watchedPrefix = "lynxwell/"
 	hostsPrefix   = watchedPrefix + "hosts/"
@@ -23,8 +23,8 @@
 // watchTimeout bounds how long one watch call waits for a change.
 const watchTimeout = 20 * time.Second
 
-// proposalStagger is the delay added per proposer rank, so that a host proposes a
-// view only if the hosts ranked before it have not done so.
+// proposalStagger is the delay per proposer rank, so that a host proposes a view only if
+// the hosts ranked before it have not done so.
 const proposalStagger = 150 * time.Millisecond
 
 // minBackoff and maxBackoff bound the exponential backoff after a failed call to the platform.
@@ -41,7 +41,8 @@
 	}
 }
 
-// maintainLease renews the host's lease, and the key bound to it, until the context ends.
+// maintainLease renews the host's lease and keeps the membership key up to date, until the
+// context ends.
 func (hos *Host) maintainLease(ctx context.Context) error {
 	hol := &leaseHolder{host: hos}
 	wait := minBackoff
@@ -70,15 +71,16 @@
 	}
 }
 
-// leaseHolder holds a host's lease and the last value written under its membership key.
+// leaseHolder holds a host's lease and the value most recently written under its membership
+// key.
 type leaseHolder struct {
 	host    *Host
 	lease   store.LeaseID
 	written []byte
 }
 
-// step renews the lease, or requests a new one, and writes the host's key if its
-// value is out of date.
+// step renews the lease, or requests a new one, and writes the host's membership key if the
+// stored value is out of date.
 func (hol *leaseHolder) step(ctx context.Context) error {
 	if err := hol.renew(ctx); err != nil {
 		return err
@@ -97,6 +99,7 @@
 	return nil
 }
 
+// renew renews the lease, or requests a new one if there is none or it has expired.
 func (hol *leaseHolder) renew(ctx context.Context) error {
 	sto := hol.host.store
 	if hol.lease != 0 {
@@ -116,8 +119,8 @@
 	return nil
 }
 
-// write updates the host's key by compare-and-swap. After a write with an uncertain
-// outcome, the next step reads the key back.
+// write updates the host's membership key by compare-and-swap. After a write with an
+// uncertain outcome, the next step reads the key and writes only if the value differs.
 func (hol *leaseHolder) write(ctx context.Context, data []byte) error {
 	key := hostsPrefix + hol.host.set.Name
 	val, err := hol.host.store.Get(ctx, key)
@@ -131,8 +134,9 @@
 	return err
 }
 
-// watchPlatform watches the members, views and configuration on the platform and
-// applies their changes. It fetches from the seeds while the platform is unavailable.
+// watchPlatform watches the members, views and configuration on the platform and applies
+// their changes. While the platform is unavailable, a host without a view or configuration
+// fetches them from the seeds.
 func (hos *Host) watchPlatform(ctx context.Context) error {
 	wait := minBackoff
 	pastViewsFetched := false
@@ -158,8 +162,8 @@
 	return ctx.Err()
 }
 
-// refresh reads the watched keys, applies views and configuration, and proposes a
-// new view if the members differ. It returns the revision to watch from.
+// refresh reads the watched keys, applies the views and the configuration, and proposes a new
+// view if the members have changed. It returns the revision to watch from.
 func (hos *Host) refresh(ctx context.Context) (store.Revision, error) {
 	values, rev, err := hos.store.List(ctx, watchedPrefix)
 	if err != nil {
@@ -245,8 +249,8 @@
 	}
 }
 
-// propose writes the next view by compare-and-swap if its members differ from those
-// of the current one. Hosts wait in rank order, so that usually only one of them writes.
+// propose writes the next view by compare-and-swap if its members differ from those of the
+// current one. Each host first waits according to its rank, so that usually only one writes.
 func (hos *Host) propose(ctx context.Context, snp platformSnapshot) error {
 	members, err := hos.proposedMembers(ctx, snp)
 	if err != nil || len(members) == 0 || snp.views.Current.SameMembers(members) {
@@ -278,8 +282,8 @@
 	return hos.applyViews(ctx, next)
 }
 
-// proposedMembers returns the members for the next view: hosts with a lease, and
-// current members with which this host has a session.
+// proposedMembers returns the members for the next view: the hosts with a lease, and the
+// members of the current view that are this host or have a session with its gateway.
 func (hos *Host) proposedMembers(ctx context.Context, snp platformSnapshot) ([]view.Member, error) {
 	connected, err := callLoop(ctx, hos.loop, func(time.Time) map[uint64]bool {
 		up := make(map[uint64]bool)
--- a/host/monitor.go
+++ b/host/monitor.go
@@ -9,14 +9,14 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// reportInterval is how often a coordinator polls the load reports of its engines.
-// hostsInterval is how often it reads the platform's list of hosts.
+// reportInterval is the interval at which a host polls the engines that it coordinates.
+// hostsInterval is the minimum interval at which the host reads the platform's list of hosts.
 const (
 	reportInterval = 500 * time.Millisecond
 	hostsInterval  = 2 * time.Second
 )
 
-// reportTimeout bounds the calls that read the load and cache events of one engine.
+// reportTimeout bounds the poll of one engine, which reads its load and its cache events.
 const reportTimeout = time.Second
 
 // monitorEngines polls the engines that this host coordinates for their load, their cache
@@ -38,8 +38,8 @@
 	}
 }
 
-// monitor polls engines and the platform's list of hosts. sequences holds the position in
-// each engine's cache events, draining the engines that the list reports as draining.
+// monitor polls engines and the platform's list of hosts. sequences holds the next position
+// in the cache events of each engine, draining the engines that the list reports as draining.
 type monitor struct {
 	host      *Host
 	sequences map[string]uint64
@@ -47,8 +47,8 @@
 	hostsRead time.Time
 }
 
-// readHosts reads from the platform's list of hosts which engines are draining. The list
-// lags and may be unavailable, but engines also report draining in their load.
+// readHosts reads from the platform's list of hosts which engines are draining. The list may
+// be out of date or unavailable; engines also report with their load that they are draining.
 func (mon *monitor) readHosts(ctx context.Context) {
 	if time.Since(mon.hostsRead) < hostsInterval {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-// engineReading is the result of polling one engine, which has its own goroutine.
+// engineReading is the result of polling one engine.
 type engineReading struct {
 	engine   resource.Engine
 	reported coordinator.EngineReported
@@ -75,6 +75,7 @@
 	failed   bool
 }
 
+// readEngines polls all engines that this host coordinates, each in a goroutine of its own.
 func (mon *monitor) readEngines(ctx context.Context) error {
 	names, err := callLoop(ctx, mon.host.loop, func(time.Time) []string {
 		return mon.host.loop.coordinator.EngineNames()
--- a/host/parts.go
+++ b/host/parts.go
@@ -6,7 +6,7 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// chunkCache holds the stored chunks of the active configuration, by digest.
+// chunkCache holds the encoded chunks of the active configuration, by digest.
 type chunkCache struct {
 	mutex sync.Mutex
 	data  map[string][]byte
--- a/host/peerbackend.go
+++ b/host/peerbackend.go
@@ -14,8 +14,9 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// sessionNumbers is the number of the last session opened by a gateway.
-var sessionNumbers atomic.Uint64
+// inboundCount counts the sessions that gateways have opened with hosts of this process. The
+// count at its opening is a session's number.
+var inboundCount atomic.Uint64
 
 // Header implements peer.Backend.
 func (hos *Host) Header() peer.Header {
@@ -27,7 +28,7 @@
 
 // SessionUp implements peer.Backend.
 func (hos *Host) SessionUp(from peer.Header, que *peer.Queue, cancel context.CancelFunc) uint64 {
-	inb := &inbound{number: sessionNumbers.Add(1), gateway: from.Epoch, name: from.Name, queue: que, cancel: cancel}
+	inb := &inbound{number: inboundCount.Add(1), gateway: from.Epoch, name: from.Name, queue: que, cancel: cancel}
 	hos.loop.post(func(now time.Time) { hos.loop.inboundUp(now, inb) })
 	return inb.number
 }
@@ -109,7 +110,7 @@
 	return sta, nil
 }
 
-// window returns the number of the gateway's current time window. It doesn't use the loop.
+// window returns the number of the gateway's current time window. Any goroutine may call it.
 func (hos *Host) window() uint64 {
 	return gateway.WindowAt(hos.started, hos.set.Timing.Window.Std(), time.Now())
 }
--- a/host/sessions.go
+++ b/host/sessions.go
@@ -20,8 +20,8 @@
 	maxReconnectDelay = time.Second
 )
 
-// maintainSessions keeps a session open with each member that this gateway connects to,
-// until the context ends.
+// maintainSessions keeps a session open with each member that this gateway connects to, until
+// the context ends.
 func (hos *Host) maintainSessions(ctx context.Context) error {
 	ended := make(chan request.Epoch)
 	running := make(map[request.Epoch]context.CancelFunc)
@@ -41,7 +41,7 @@
 	}
 }
 
-// reconcileSessions starts a goroutine for each missing session and cancels those of
+// reconcileSessions starts a goroutine for each missing session and cancels the goroutines of
 // members that are no longer in the view.
 func (hos *Host) reconcileSessions(ctx context.Context, running map[request.Epoch]context.CancelFunc, ended chan<- request.Epoch) {
 	vie := hos.shared.view()
@@ -81,7 +81,8 @@
 	}
 }
 
-// runSession runs one session until it is lost.
+// runSession opens a session with the member and returns when the session has ended or could
+// not be opened.
 func (hos *Host) runSession(ctx context.Context, mem view.Member) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -131,7 +132,7 @@
 	lop.gatewayEvent(now, gateway.PeerLost{Peer: out.member.Epoch})
 }
 
-// inboundUp registers a session of a gateway and ends the gateway's previous one.
+// inboundUp registers a session that a gateway opened and ends the gateway's previous session.
 func (lop *loop) inboundUp(now time.Time, inb *inbound) {
 	if previous := lop.inbound[inb.gateway]; previous != nil {
 		lop.inboundLost(now, previous)
--- a/host/shared.go
+++ b/host/shared.go
@@ -15,11 +15,11 @@
 	config  atomic.Pointer[activeConfig]
 	mutex   sync.Mutex
 	history view.History
-	// headers are the last headers reported by each peer epoch.
+	// headers holds the most recent header that each peer reported, by the peer's epoch.
 	headers map[request.Epoch]peer.Header
-	// changed is closed and replaced at each change of the view or configuration.
+	// changed is closed and replaced at each change of the current view or the configuration.
 	changed chan struct{}
-	// problem is why the host isn't ready, if its last configuration was rejected.
+	// problem is why the host rejected the most recent configuration; empty if it didn't.
 	problem string
 }
 
@@ -50,7 +50,7 @@
 	return acf
 }
 
-// view returns the current view.
+// view returns the current view, which is the newest one in the history.
 func (sha *shared) view() view.View {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
@@ -64,7 +64,7 @@
 	return sha.history.Since(number)
 }
 
-// addView adds a view to the history and reports whether it is the newest.
+// addView adds a view to the history and reports whether the view has become the current one.
 func (sha *shared) addView(vie view.View) bool {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
@@ -91,7 +91,7 @@
 	sha.notifyLocked()
 }
 
-// notifyLocked is notify with the mutex held by the caller.
+// notifyLocked is notify for callers that hold the mutex.
 func (sha *shared) notifyLocked() {
 	close(sha.changed)
 	sha.changed = make(chan struct{})
