--- a/resource/check.go
+++ b/resource/check.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxSlots bounds Engine.Slots, to catch typing errors.
+// maxSlots bounds Engine.Slots, so that mistyped values are rejected.
 const maxSlots = 4096
 
 // digestLen is the length of a SHA-256 digest in bytes.
@@ -54,8 +54,8 @@
 	return chk.problems
 }
 
-// check collects the problems of a configuration. digests maps the key digests seen so far
-// to the client account that lists them.
+// check collects the problems of a configuration. digests maps each key digest seen so far
+// to the client account that lists it.
 type check struct {
 	con      Configuration
 	digests  map[string]Key
--- a/resource/configuration.go
+++ b/resource/configuration.go
@@ -11,7 +11,8 @@
 
 // Configuration is an immutable set of resources with a revision.
 type Configuration struct {
-	// Revision orders configurations; 0 is the empty configuration before any change.
+	// Revision increases by one with each change. The configuration before any change is empty
+	// and has the revision 0.
 	Revision uint64
 	entries  map[Key]Entry
 }
@@ -76,7 +77,8 @@
 	return collect[ClientAccount](con)
 }
 
-// EngineSlots is the name of an engine and the number of requests that it runs concurrently.
+// EngineSlots is the name of an engine and the number of requests that the engine runs
+// concurrently.
 type EngineSlots struct {
 	Engine string
 	Slots  int
@@ -121,15 +123,15 @@
 
 // Change is a set of edits that take effect together.
 type Change struct {
-	// ID is chosen by the writer. If a reply was lost, it shows whether the change was
-	// written.
+	// ID is chosen by the writer, who can check by the id whether the change was written if
+	// the reply was lost.
 	ID string
-	// Edits each refer to the configuration before the change.
+	// Edits are all based on the configuration before the change.
 	Edits []Edit
 }
 
-// ConflictError reports that another writer changed a resource after the revision on which
-// an edit is based.
+// ConflictError reports that the current revision of a resource isn't the one on which an
+// edit is based, because another writer changed the resource.
 type ConflictError struct {
 	// Key identifies the resource.
 	Key Key
--- a/resource/head.go
+++ b/resource/head.go
@@ -12,22 +12,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// accountChunks is the number of chunks over which the client accounts are distributed,
-// so that each stays far below the platform's limit of 1 MB per value.
+// accountChunks is the number of chunks over which the client accounts are distributed, so
+// that each chunk stays far below the platform's limit of 1 MB per value.
 const accountChunks = 16
 
 // maxRememberedChanges is the number of change ids that the head stores.
 const maxRememberedChanges = 64
 
-// Head is the stored value that orders configurations. A configuration is stored as chunks,
-// each under its digest. Since the head lists the digests, replacing the head activates
-// all chunks at once.
+// Head is the value stored on the platform that determines the current configuration. The
+// resources are stored as chunks, each under a key of its own. Since the head lists the
+// chunks, replacing the head replaces the complete configuration at once.
 type Head struct {
 	// Revision is the configuration's revision.
 	Revision uint64
 	// Chunks are the references to the chunks, sorted by digest.
 	Chunks []ChunkRef `json:"Parts"`
-	// Changes are the last changes, newest last.
+	// Changes are the most recent changes, at most 64, newest last.
 	Changes []WrittenChange
 }
 
@@ -41,7 +41,7 @@
 	Since uint64
 }
 
-// WrittenChange records a change that has been written to the configuration.
+// WrittenChange is a change that has been written to the configuration.
 type WrittenChange struct {
 	// ID is the id of the change.
 	ID string
@@ -70,8 +70,9 @@
 	return ChunkRef{}, false
 }
 
-// Split encodes the configuration as a head and its chunks by digest. The head takes over
-// the changes of the previous head and adds changeID.
+// Split encodes the configuration as a head and its chunks by digest. The head lists the
+// changes of the previous head, followed by changeID. A chunk that the previous head lists
+// keeps its reference.
 func (con Configuration) Split(previous Head, changeID string) (Head, map[string][]byte, error) {
 	groups := make(map[string][]Entry)
 	for _, ent := range con.Entries() {
@@ -147,8 +148,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// chunkName returns the name of the chunk that holds the resource: one chunk per kind, and
-// several for client accounts.
+// chunkName returns the name of the chunk that holds the resource. Each kind has one chunk,
+// except client accounts, which are distributed by a hash of their names.
 func chunkName(key Key) string {
 	if key.Kind != KindClientAccount {
 		return string(key.Kind)
--- a/resource/resource.go
+++ b/resource/resource.go
@@ -3,12 +3,12 @@
 //
 // # Usage
 //
-//	set, err := resource.ParseSet("menus.json", data) // a file of resources
-//	next, err := conf.With(change)                    // a changed configuration
-//	problems := next.Check()                          // the problems of an invalid configuration
+//	set, err := resource.ParseSet("menus.json", data) // the resources of a file
+//	next, err := conf.With(change)                    // the configuration after the change
+//	problems := conf.Check()                          // nil if the configuration is valid
 //
-// A configuration is an immutable value with a revision. Hosts only ever switch to a
-// configuration with a higher revision.
+// A configuration is an immutable value with a revision. A host replaces its configuration
+// only by one with a higher revision.
 package resource
 
 import (
@@ -29,7 +29,7 @@
 	KindClientAccount Kind = "ClientAccount"
 )
 
-// Kinds returns all kinds, each after the kinds to which its resources refer.
+// Kinds returns all kinds. Each kind follows those to which its resources refer.
 func Kinds() []Kind {
 	return []Kind{KindTier, KindService, KindEngine, KindClientAccount}
 }
@@ -46,7 +46,7 @@
 
 // KindError reports an unknown kind of resource.
 type KindError struct {
-	// Text is the name that was given.
+	// Text is the unknown name.
 	Text string
 }
 
@@ -87,7 +87,7 @@
 
 // Service is a model or a plain HTTP service that clients request by name.
 type Service struct {
-	// Name is the model name in requests, or the name under /services/.
+	// Name is the model name in requests for a model, or the path segment after /services/.
 	Name string
 	// Protocol is the protocol of the service's engines.
 	Protocol Protocol
@@ -115,8 +115,8 @@
 	// DecodeTokensPerSecond is the initial estimate of the decode speed of one stream, which
 	// is corrected in the same way. 0 means 40.
 	DecodeTokensPerSecond float64
-	// Leaving drains the engine: it gets no new work. Operators set it before they remove
-	// the server.
+	// Leaving drains the engine, which then gets no new work. Operators set the field before
+	// they remove the server.
 	Leaving bool
 }
 
@@ -139,7 +139,7 @@
 	Tiers []string
 	// Services are the names of the services that the account may use; empty means all.
 	Services []string
-	// Weight is the account's relative share of busy engines; 0 means 1.
+	// Weight is the account's share of busy engines relative to other accounts; 0 means 1.
 	Weight float64
 	// RequestsPerSecond limits the account's request rate across the system; 0 means no limit.
 	RequestsPerSecond float64
--- a/resource/resource_test.go
+++ b/resource/resource_test.go
@@ -40,10 +40,10 @@
 		"Stale":          {write(resource.Tier{Name: "Normal", Rank: 2}, 9), 0, "fields Rank; edit based on revision 9, current revision is 1"},
 		"DeleteUnseen":   {resource.Edit{Key: resource.Key{Kind: resource.KindTier, Name: "Normal"}}, 0, "fields (all)"},
 		"Delete":         {resource.Edit{Key: resource.Key{Kind: resource.KindTier, Name: "Normal"}, Seen: 1}, 2, ""},
-		"BadName":        {write(resource.Tier{Name: "a b"}, 0), 0, "Tier/a b: Name"},
+		"InvalidName":    {write(resource.Tier{Name: "a b"}, 0), 0, "Tier/a b: Name"},
 		"NoService":      {write(resource.Engine{Name: "e", Service: "x", Slots: 1}, 0), 0, `there is no service "x"`},
 		"NoTier":         {write(resource.ClientAccount{Name: "a", Tiers: []string{"x"}}, 0), 0, `there is no tier "x"`},
-		"BadDigest":      {write(resource.ClientAccount{Name: "a", Tiers: []string{"Normal"}, KeyDigests: []string{"x"}}, 0), 0, "KeyDigests"},
+		"InvalidDigest":  {write(resource.ClientAccount{Name: "a", Tiers: []string{"Normal"}, KeyDigests: []string{"x"}}, 0), 0, "KeyDigests"},
 	}
 	for name, cas := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -91,12 +91,12 @@
 	con := applyEdits(t, resource.Configuration{}, write(resource.Tier{Name: "Normal"}, 0))
 	head, chunks, err := con.Split(resource.Head{}, "one")
 	assert.NilError(t, err)
-	var per *resource.ChunkError
+	var cer *resource.ChunkError
 	_, err = resource.Join(head, nil)
-	assert.Assert(t, errors.As(err, &per))
+	assert.Assert(t, errors.As(err, &cer))
 	chunks[head.Chunks[0].Digest] = []byte("[]")
 	_, err = resource.Join(head, chunks)
-	assert.Assert(t, errors.As(err, &per))
+	assert.Assert(t, errors.As(err, &cer))
 }
 
 func FuzzParseSet(f *testing.F) {
--- a/resource/set.go
+++ b/resource/set.go
@@ -16,8 +16,8 @@
 	ClientAccounts []ClientAccount `json:",omitempty"`
 }
 
-// ParseSet decodes the HuJSON content of a file of resources. For unknown fields and
-// values of the wrong type it returns a *format.FieldError with the line.
+// ParseSet decodes the HuJSON content of a file of resources. It returns a *format.FieldError
+// with the line if the content is invalid.
 func ParseSet(file string, data []byte) (Set, error) {
 	var set Set
 	if err := format.Decode(file, data, &set); err != nil {
@@ -48,7 +48,7 @@
 type Entry struct {
 	// Revision is the configuration revision of the last change.
 	Revision uint64
-	// Resource is the declared state.
+	// Resource is the state that operators declared.
 	Resource Resource
 }
 
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// DecodeSpec decodes one resource of the kind. It returns a *KindError if the kind is unknown.
+// DecodeSpec decodes one resource of the kind. It returns a *KindError if the kind is unknown
+// and a *format.FieldError if a field is invalid. file is the name that the error states.
 func DecodeSpec(file string, kin Kind, data []byte) (Resource, error) {
 	switch kin {
 	case KindService:
--- a/route/region.go
+++ b/route/region.go
@@ -5,13 +5,13 @@
 // Scope is the set of regions in which a request may be served and held. The zero Scope allows
 // all regions.
 type Scope struct {
-	// Bounded is set if only Regions are allowed, which may be empty.
+	// Bounded is set if only the listed Regions are allowed; no region is, if the list is empty.
 	Bounded bool
 	Regions []string
 }
 
 // Scope returns the regions in which requests of the client account to the route may be served
-// and held. If both the route and the account name regions, these are the common ones.
+// and held. If both the route and the account name regions, only their common ones are allowed.
 func (rou Route) Scope(acc Account) Scope {
 	switch {
 	case len(rou.Regions) == 0:
@@ -37,8 +37,9 @@
 	return both
 }
 
-// HostRegions returns the regions in which requests to a host name may be held, whichever of its
-// routes they match. The scope is unbounded if none of the routes names regions.
+// HostRegions returns the regions in which requests to a host name may be held, regardless of
+// which of the host name's routes they match. The scope is unbounded if none of these routes
+// names regions.
 func (tab *Table) HostRegions(host string) Scope {
 	var sco Scope
 	for _, rou := range tab.routesOf(host) {
@@ -57,7 +58,7 @@
 type RegionConflictError struct {
 	Route   string
 	Account string
-	// Field is the path of the account's field.
+	// Field is the path of the account's field in the configuration.
 	Field string
 }
 
@@ -66,7 +67,8 @@
 	return "configuration: " + rce.Field + ": shares no region with route " + rce.Route + "; requests of account " + rce.Account + " to this route are rejected"
 }
 
-// maxReported bounds the number of conflicts and of fields that are reported.
+// maxReported is the maximum number of conflicts, and of fields with unknown regions, that are
+// reported.
 const maxReported = 16
 
 // RegionConflicts returns the pairs of a route and a client account without a common region,
--- a/route/region_test.go
+++ b/route/region_test.go
@@ -14,12 +14,12 @@
 		route, account []string
 		want           route.Scope
 	}{
-		{"neither names any", nil, nil, route.Scope{}},
+		{"neither names regions", nil, nil, route.Scope{}},
 		{"empty lists", []string{}, []string{}, route.Scope{Regions: []string{}}},
 		{"only the route", []string{"a", "b"}, nil, route.Scope{Bounded: true, Regions: []string{"a", "b"}}},
 		{"only the account", nil, []string{"b"}, route.Scope{Bounded: true, Regions: []string{"b"}}},
-		{"both", []string{"a", "b"}, []string{"b", "c"}, route.Scope{Bounded: true, Regions: []string{"b"}}},
-		{"nothing in common", []string{"a"}, []string{"c"}, route.Scope{Bounded: true}},
+		{"both name regions", []string{"a", "b"}, []string{"b", "c"}, route.Scope{Bounded: true, Regions: []string{"b"}}},
+		{"no common region", []string{"a"}, []string{"c"}, route.Scope{Bounded: true}},
 	} {
 		t.Run(tst.name, func(t *testing.T) {
 			got := route.Route{Regions: tst.route}.Scope(route.Account{Regions: tst.account})
--- a/route/route.go
+++ b/route/route.go
@@ -1,12 +1,12 @@
-// Package route holds the configuration that operators set for all hosts: which service
+// Package route defines the configuration that operators set for all hosts: which service
 // answers which requests, for which client accounts, and within which limits.
 //
 // # Usage
 //
 //	tab, err := route.NewTable(con)
-//	rou, found := tab.Match("menus.example", "/rebuild/17")
-//	svc := rou.Pick(point)
-//	acc, known := tab.Account(key)
+//	rou, found := tab.Match("menus.example", "/rebuild/17") // the route of a request
+//	svc := rou.Pick(point)                                 // the service that answers the request
+//	acc, known := tab.Account(key)                         // the account that holds a key
 //
 // A Table is immutable and safe for concurrent use; each configuration has its own.
 package route
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// Kind is how often a request of a route may run.
+// Kind states whether a request of a route may run more than once, and whether the answer is a
+// stream.
 type Kind uint8
 
 // The kinds of requests.
@@ -43,10 +44,10 @@
 	}
 }
 
-// Share is the share of a route's requests that one service gets.
+// Share assigns a share of a route's requests to one service.
 type Share struct {
 	Service string
-	// Weight is relative to the weights of the route's other shares.
+	// Weight is the size of the share, relative to the weights of the route's other shares.
 	Weight uint32
 }
 
@@ -60,7 +61,7 @@
 	Kind       Kind
 	// Shares are the services that answer the requests; there is at least one.
 	Shares []Share
-	// Timeout is the longest time for which a request may be held.
+	// Timeout is the maximum time for which a host may hold a request.
 	Timeout time.Duration
 	// LatencyTarget is the time within which an answer, or the first event of a stream, should
 	// arrive.
@@ -70,26 +71,27 @@
 	EventGapTarget time.Duration
 	// Rank orders waiting requests; 0 is served first.
 	Rank int
-	// MaxAttempts is the number of engines that one request may be sent to.
+	// MaxAttempts is the maximum number of engines to which one request may be sent.
 	MaxAttempts int
 	// Public is set if requests need no key.
 	Public bool
 	// Sticky is set if requests identify the parts of their prompts, which engines cache.
 	Sticky bool
-	// Resumable is set if another engine may continue a stream after its last event.
+	// Resumable is set if another engine can continue an interrupted stream after the most
+	// recent event.
 	Resumable bool
-	// Regions are those in which requests may be served and held; empty for all.
+	// Regions are the regions in which requests may be served and held; empty means all.
 	Regions []string
 }
 
-// Repeatable reports whether a request may be sent to another engine although it may already
-// have run.
+// Repeatable reports whether a request that may already have run may be sent to another engine.
 func (rou Route) Repeatable() bool {
 	return rou.Kind == KindSafe || (rou.Kind == KindStreaming && rou.Resumable)
 }
 
-// Pick returns the service that answers a request, in proportion to the weights. point is a
-// number that is evenly distributed over the requests, such as a hash of the id.
+// Pick returns the service that answers a request, in proportion to the weights, or the first
+// service if all weights are 0. point must be uniformly distributed over the requests, as a
+// hash of their ids is.
 func (rou Route) Pick(point uint64) string {
 	var total uint64
 	for _, sha := range rou.Shares {
@@ -117,7 +119,7 @@
 	// Model is set for services with language-model engines.
 	Model *Model
 	// ColdFor is how long an engine is cold after its start. ColdRate is the number of requests
-	// per second that a cold engine can serve. Both are 0 if engines need no warm-up.
+	// per second that a cold engine can serve. Both are 0 if the engines need no warm-up.
 	ColdFor  time.Duration
 	ColdRate float64
 }
@@ -126,8 +128,8 @@
 type Model struct {
 	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// CacheTokens is the capacity of an engine's memory in tokens, shared by running requests
-	// and cached prompt parts.
+	// CacheTokens is the capacity of an engine's cache in tokens. Running requests and cached
+	// parts of prompts share it.
 	CacheTokens int
 	// EventTokens is the number of tokens in an event of a stream.
 	EventTokens int
@@ -137,22 +139,23 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Rank overrides the rank of the route if it is set.
+	// Rank overrides the rank of the route unless it is nil.
 	Rank *int
-	// Rate and Burst limit the account's requests over all hosts, in units per second and in
-	// units; Rate 0 means no limit.
+	// Rate and Burst limit the account's requests over all hosts. Rate is in units per second
+	// and 0 means no limit; Burst is in units.
 	Rate  float64
 	Burst float64
 	// ByTokens is set if the units are tokens; otherwise each request counts as 1.
 	ByTokens bool
-	// DefaultTokens is the cost of a request that doesn't state its tokens.
+	// DefaultTokens is the cost, in tokens, of a request that doesn't state its tokens.
 	DefaultTokens int
-	// Regions are those in which the account's requests may be served and held; empty for all.
+	// Regions are the regions in which the account's requests may be served and held; empty
+	// means all.
 	Regions []string
 }
 
-// Cost returns the number of units that a request counts against the account's limit; tokens is
-// 0 if the request doesn't state them.
+// Cost returns the number of units by which a request counts towards the account's limit. tokens
+// is 0 if the request doesn't state its tokens.
 func (acc Account) Cost(tokens int) float64 {
 	switch {
 	case !acc.ByTokens:
@@ -172,7 +175,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Configuration is one complete version of the operators' configuration.
+// Configuration is one version of the configuration that operators set.
 type Configuration struct {
 	// Version increases with each change, not necessarily by 1.
 	Version  uint64
--- a/route/table.go
+++ b/route/table.go
@@ -20,7 +20,7 @@
 	return "configuration: " + fer.Field + ": " + fer.Reason
 }
 
-// Table is an index of one configuration for serving requests.
+// Table indexes one configuration, so that hosts can look up routes, accounts and services.
 type Table struct {
 	configuration Configuration
 	byHost        map[string][]Route
@@ -29,8 +29,8 @@
 	byAccount     map[string]Account
 }
 
-// NewTable validates the configuration and returns its table. The error is a *FieldError for
-// the first invalid field.
+// NewTable checks the configuration and returns its table, or a *FieldError for the first invalid
+// field.
 func NewTable(con Configuration) (*Table, error) {
 	tab := &Table{
 		configuration: con,
@@ -86,7 +86,7 @@
 		tab.byAccount[acc.Name] = acc
 		for _, key := range acc.Keys {
 			if prev, taken := tab.byKey[key]; taken && prev.Name != acc.Name {
-				return fieldError(idx, "Accounts", "Keys", "a key is assigned to account "+prev.Name+" as well")
+				return fieldError(idx, "Accounts", "Keys", "a key is already assigned to account "+prev.Name+", want each key in one account")
 			}
 			tab.byKey[key] = acc
 		}
@@ -106,7 +106,7 @@
 
 func accountField(idx int, field string) string { return listField(idx, "Accounts", field) }
 
-// Configuration returns the configuration that the table was made from.
+// Configuration returns the configuration that the table indexes.
 func (tab *Table) Configuration() Configuration {
 	return tab.configuration
 }
@@ -135,25 +135,25 @@
 	return tab.byHost[strings.ToLower(host)]
 }
 
-// HasAccounts reports whether any client account is configured; without accounts, no request
+// HasAccounts reports whether any client account is configured. Without accounts, no request
 // needs a key.
 func (tab *Table) HasAccounts() bool {
 	return len(tab.configuration.Accounts) > 0
 }
 
-// Account returns the client account that holds the key.
+// Account returns the client account to which the key belongs, and whether there is one.
 func (tab *Table) Account(key string) (Account, bool) {
 	acc, known := tab.byKey[key]
 	return acc, known
 }
 
-// AccountNamed returns the client account with the given name.
+// AccountNamed returns the client account with the given name, and whether there is one.
 func (tab *Table) AccountNamed(name string) (Account, bool) {
 	acc, known := tab.byAccount[name]
 	return acc, known
 }
 
-// Service returns the service with the given name.
+// Service returns the service with the given name, and whether there is one.
 func (tab *Table) Service(name string) (Service, bool) {
 	svc, known := tab.byService[name]
 	return svc, known
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -11,6 +11,7 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
+// sample returns a valid configuration with two routes of one host name.
 func sample() route.Configuration {
 	return route.Configuration{
 		Version:  3,
@@ -73,7 +74,7 @@
 	assert.Equal(t, route.Account{}.Cost(1500), 1.0)
 }
 
-// Over all points, each service is picked as often as its weight.
+// Over one full range of points, each service must be picked as often as its weight states.
 func TestPickFollowsTheWeights(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Uint32Range(0, 50), 1, 5).Draw(rt, "weights")
--- a/view/assign.go
+++ b/view/assign.go
@@ -8,8 +8,8 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// deputySlotDivisor is the divisor of an engine's slots that gives the number of slots
-// assigned to a deputy.
+// deputySlotDivisor divides an engine's slots; the quotient, but at least one slot, is assigned
+// to a deputy.
 const deputySlotDivisor = 4
 
 // Share is the assignment of slots of one engine to the host that coordinates them.
@@ -20,16 +20,16 @@
 	Coordinator request.Epoch
 	// Slots is the number of the engine's slots that the host assigns to requests.
 	Slots int
-	// Deputy is set if the host grants these slots only to gateways in the failure
-	// domain of the engine's main coordinator.
+	// Deputy is set for slots that are assigned to a host outside the failure domain of the
+	// engine's main coordinator, so that gateways in that domain can use the engine.
 	Deputy bool
 }
 
 // Assign distributes the engines of one service over the view's active members:
 // evenly over failure domains, then by rendezvous hashing within a domain, so that the
-// loss of one host moves only that host's engines. If all engines of a service are
-// assigned to one failure domain, deputies in another domain get a share of the slots,
-// since a gateway accepts no grants from its own domain.
+// loss of one host moves only that host's engines. If all engines of the service are
+// assigned to one of several failure domains, deputies outside that domain get a share of
+// the slots, since a gateway accepts no grants from its own domain.
 func Assign(vie View, service string, engines []resource.EngineSlots) []Share {
 	active := vie.Active()
 	if len(active) == 0 || len(engines) == 0 {
@@ -63,7 +63,7 @@
 	return groups
 }
 
-// sortedDomains returns the domains in an order that differs between services.
+// sortedDomains returns the domains sorted by a hash that differs between services.
 func sortedDomains(groups map[string][]Member, service string) []string {
 	domains := make([]string, 0, len(groups))
 	for domain := range groups {
@@ -96,7 +96,8 @@
 	})
 }
 
-// addDeputies moves a share of each engine's slots to a deputy in another domain.
+// addDeputies moves a share of each engine's slots to a deputy in another domain. The main
+// coordinator and the deputy get at least one slot each, even if the engine has only one.
 func addDeputies(shares []Share, byDomain map[string][]Member, domains []string, load map[string]int) []Share {
 	deputies := make([]Share, 0, len(shares))
 	for idx := range shares {
--- a/view/history.go
+++ b/view/history.go
@@ -2,7 +2,7 @@
 
 import "lynxwell.dev/lynxwell/request"
 
-// History stores the last views by number.
+// History stores the most recent views by number.
 type History struct {
 	limit uint64
 	views map[uint64]View
@@ -17,7 +17,7 @@
 	return History{limit: historyLimit, views: make(map[uint64]View)}
 }
 
-// Add stores the view and removes those beyond the limit.
+// Add stores the view and removes the oldest views beyond the limit.
 func (his *History) Add(vie View) {
 	his.views[vie.Number] = vie
 	his.last = max(his.last, vie.Number)
@@ -42,7 +42,7 @@
 	return his.views[his.last]
 }
 
-// Since returns the stored views from the number on, oldest first.
+// Since returns the stored views with at least the given number, oldest first.
 func (his *History) Since(number uint64) []View {
 	var views []View
 	for num := max(number, 1); num <= his.last; num++ {
@@ -59,7 +59,8 @@
 	return known
 }
 
-// Find returns the first matching member, searching the stored views from the newest back.
+// Find returns the first matching member. It searches the stored views from the newest to the
+// oldest and stops at a gap in their numbers.
 func (his *History) Find(match func(Member) bool) (Member, bool) {
 	for num := his.last; num > 0; num-- {
 		vie, known := his.views[num]
--- a/view/propose.go
+++ b/view/propose.go
@@ -8,12 +8,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxHeadBytes bounds the size of the stored head, since every host reads it at each
-// change. Views that don't fit are fetched from peers.
+// maxHeadBytes bounds the size of the stored head, since every host reads the head at each
+// change. Hosts fetch the views that don't fit from peers.
 const maxHeadBytes = 128 << 10
 
-// Head is the stored value that orders views. It holds the current view, and as many of
-// the past ones as fit, so that a starting host knows them.
+// Head is the value stored on the platform that determines the current view. It also holds
+// as many past views as fit, so that a starting host knows them.
 type Head struct {
 	Current View
 	// Past are the previous views, newest last.
@@ -39,7 +39,7 @@
 }
 
 // Encode returns the head as JSON of at most 128 KiB. It drops the oldest views until the
-// rest fits, but never the current one.
+// rest fits, but never the current view, which may exceed the limit alone.
 func (hea Head) Encode() ([]byte, error) {
 	for {
 		data, err := json.Marshal(hea)
@@ -74,8 +74,8 @@
 	return members
 }
 
-// ProposerRank returns the number of members of the current view that should propose a
-// change before the named host does.
+// ProposerRank returns the number of members of the current view that propose a change of
+// the members before the named host does.
 func ProposerRank(current View, name string) int {
 	rank := 0
 	for _, mem := range current.Members {
--- a/view/sessionpeers.go
+++ b/view/sessionpeers.go
@@ -8,8 +8,8 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// maxFullMeshPeers is the largest number of other hosts up to which a gateway keeps a
-// session with every one of them.
+// maxFullMeshPeers is the largest number of other hosts at which a gateway keeps a session
+// with each of them.
 const maxFullMeshPeers = 24
 
 // coordinatorsPerService is the number of coordinators of each service with which a gateway
@@ -17,10 +17,10 @@
 const coordinatorsPerService = 2
 
 // SessionPeers returns the members with which the gateway with the given epoch keeps
-// sessions. In a view with at most 24 other members these are all of them. In a larger view
-// they are two coordinators of each service that are outside the gateway's failure domain,
-// if possible in different domains. The choice differs between gateways, which distributes
-// the load.
+// sessions. In a view with at most 24 other members, these are all other members. In a larger
+// view, they are two coordinators of each service that may grant requests to the gateway, in
+// different failure domains if possible. The choice differs between gateways, which
+// distributes the load.
 func (vie View) SessionPeers(gateway request.Epoch, services map[string][]resource.EngineSlots) []Member {
 	var others []Member
 	for _, mem := range vie.Members {
@@ -46,8 +46,8 @@
 	var coordinators []Member
 	for _, sha := range Assign(vie, service, engines) {
 		mem, _ := vie.Member(sha.Coordinator)
-		known := func(other Member) bool { return other.Epoch == mem.Epoch }
-		if vie.MayGrant(mem.Epoch, gateway) && !slices.ContainsFunc(coordinators, known) {
+		sameEpoch := func(other Member) bool { return other.Epoch == mem.Epoch }
+		if vie.MayGrant(mem.Epoch, gateway) && !slices.ContainsFunc(coordinators, sameEpoch) {
 			coordinators = append(coordinators, mem)
 		}
 	}
@@ -58,8 +58,8 @@
 	return PickAcrossDomains(coordinators, coordinatorsPerService)
 }
 
-// PickAcrossDomains returns up to count members, one of each failure domain before any
-// second one of a domain, otherwise in the given order.
+// PickAcrossDomains returns up to count members in the given order, except that the first
+// member of each failure domain precedes all further members of any domain.
 func PickAcrossDomains(members []Member, count int) []Member {
 	var first, rest []Member
 	for _, mem := range members {
--- a/view/view.go
+++ b/view/view.go
@@ -6,7 +6,7 @@
 //
 //	vie := view.View{Number: 4, Members: members}
 //	granters := vie.Granters(gatewayEpoch)       // the hosts that may grant to that gateway
-//	shares := view.Assign(vie, "menus", engines) // the engines' slots by coordinator
+//	shares := view.Assign(vie, "menus", engines) // the slots that each coordinator assigns
 //
 // A view never changes once it is published. A change of members creates a view
 // with the next number.
@@ -32,7 +32,7 @@
 	CallerAddress netip.AddrPort
 	// PeerAddress is the IP address and port to which other hosts connect.
 	PeerAddress netip.AddrPort
-	// Draining is set while the host drains; it gets no new work.
+	// Draining is set while the host drains and gets no new work.
 	Draining bool `json:"Leaving"`
 }
 
@@ -97,7 +97,7 @@
 	return false
 }
 
-// Active returns the members that accept new work, which are those not draining.
+// Active returns the members that aren't draining and thus accept new work.
 func (vie View) Active() []Member {
 	var active []Member
 	for _, mem := range vie.Members {
@@ -108,8 +108,8 @@
 	return active
 }
 
-// Without returns the view without the members for which lost returns true. It serves
-// to assign coordinators while hosts are lost. Which hosts may grant requests is always
+// Without returns the view without the members for which lost returns true. The result is
+// used to assign coordinators while hosts are lost. Which hosts may grant requests is always
 // determined from the complete view.
 func (vie View) Without(lost func(request.Epoch) bool) View {
 	remaining := View{Number: vie.Number}
@@ -136,8 +136,7 @@
 	return mix(hsh.Sum64())
 }
 
-// mix is a bit mixer that decorrelates the hashes of similar names, for which FNV alone
-// returns similar values.
+// mix mixes the bits of a hash, because FNV alone returns similar values for similar names.
 func mix(val uint64) uint64 {
 	val ^= val >> 33
 	val *= 0xff51afd7ed558ccd
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -32,9 +32,10 @@
 	return engines
 }
 
-// For any membership, every gateway must get at least one coordinator that may grant it
-// slots of the service, and the shares of an engine must add up to exactly its slots.
-// Without deputies, a service assigned to one domain would be unusable for its gateways.
+// For any membership, every gateway must have at least one coordinator that may grant it
+// slots of the service, and the shares of an engine must add up to the engine's slots.
+// Without deputies, gateways could not use a service whose engines are all assigned to their
+// own domain.
 func TestAssignGivesEveryGatewayAnEngineAndEachSlotOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vie, engines := drawView(t), drawEngines(t)
@@ -58,9 +59,9 @@
 	})
 }
 
-// The loss of a host must move only the engines that it coordinated. Otherwise one
-// failure would interrupt the coordination of unrelated engines. (The loss of a whole
-// domain may move as many engines as rebalancing the domains takes.)
+// The loss of a host must move only the engines that it coordinated. Otherwise one failure
+// would interrupt the coordination of unrelated engines. This doesn't hold for the loss of a
+// whole domain, after which the engines are rebalanced over the remaining domains.
 func TestLossOfHostMovesOnlyItsEngines(t *testing.T) {
 	vie := view.View{Number: 1}
 	for num := range 9 {
