--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,10 +1,10 @@
 // Package clock provides the time by which a host checks leases, deadlines, holds and the age of
-// its snapshots.
+// its snapshots, and which includes the time for which the host was suspended.
 //
 // A host may be suspended for seconds. The monotonic clock of the operating system and all
-// timers stop during a suspension. The wall clock doesn't, but it may be set at any time. A
-// Clock follows the monotonic clock and adds the time for which the host was suspended, so that
-// a resumed host knows what has expired.
+// timers stop during a suspension. The wall clock continues, but may be set at any time. A
+// Clock follows the monotonic clock and adds the length of each suspension, so that a resumed
+// host detects which leases and deadlines have expired.
 //
 // # Usage
 //
@@ -13,9 +13,9 @@
 //	ctx, cancel := clk.WithDeadline(ctx, clk.Now().Add(wait))
 //	go clk.Watch(ctx) // detects suspensions while the clock isn't read
 //
-// The times of a Clock carry no monotonic reading: compare them only with one another, never
-// with time.Now. Code that only measures a duration, such as the time that an answer took, uses
-// time.Since.
+// Compare the times of a Clock only with one another, never with time.Now: they carry no
+// monotonic reading. Code that only measures a duration, such as the time until an answer
+// arrived, uses time.Since.
 package clock
 
 import (
@@ -26,51 +26,53 @@
 )
 
 const (
-	// minSuspended is the shortest suspension that counts. Consecutive readings of two clocks
-	// differ by less.
+	// minSuspended is the shortest suspension that counts. Shorter differences between the
+	// boot-time and the monotonic clock occur because the two are read one after the other.
 	minSuspended = 2 * time.Millisecond
 	// maxDrift is how far the wall clock may diverge from the monotonic clock before the
-	// boot-time clock is read. A clock disciplined by NTP diverges by at most half a
-	// millisecond per second; one that is set diverges at once, and so does the clock of a
-	// suspended host. The boot-time clock, which takes a system call, is thus rarely read.
+	// boot-time clock is read. A wall clock disciplined by NTP diverges by at most half a
+	// millisecond per second. A larger divergence means that the wall clock was set or the host
+	// was suspended. The boot-time clock, whose reading takes a system call, is thus rarely read.
 	maxDrift = 5 * time.Millisecond
-	// watchInterval is how often Watch checks for a suspension: a quarter of the second after
-	// which clients switch to another host.
+	// watchInterval is the interval at which Watch checks for a suspension: a quarter of the
+	// second after which clients switch to another host.
 	watchInterval = 250 * time.Millisecond
 )
 
 // Source provides the readings of the operating system's clocks.
 type Source interface {
-	// Now returns the monotonic clock's time since some fixed point, and the wall clock's time.
+	// Now returns the monotonic clock's time since an arbitrary fixed point, and the wall
+	// clock's time.
 	Now() (monotonic time.Duration, wall time.Time)
-	// Boot returns the boot-time clock's time since some fixed point, including the time for
-	// which the host was suspended.
+	// Boot returns the boot-time clock's time since an arbitrary fixed point, including the
+	// time for which the host was suspended.
 	Boot() (time.Duration, error)
 }
 
 // Config holds the settings of a Clock.
 type Config struct {
-	// Source is nil for the operating system's clocks.
+	// Source provides the readings; nil means the operating system's clocks.
 	Source Source
-	// Suspended is called after each suspension, with its length. It may be nil and must not
-	// block.
+	// Suspended is called with the length of each suspension after its end. It may be nil and
+	// must not block.
 	Suspended func(time.Duration)
 	// Failed is called with the error if the boot-time clock can't be read. It may be nil.
 	Failed func(error)
 }
 
-// Clock is a clock that counts suspensions. It is safe for concurrent use.
+// Clock is a clock that advances by the length of each suspension as well. It is safe for
+// concurrent use.
 type Clock struct {
 	cfg Config
-	// base is the wall clock's time at the start, monotonic and boot are the readings of the
-	// other clocks then.
+	// base, monotonic and boot are the readings of the wall clock, the monotonic clock and the
+	// boot-time clock at the start.
 	base      time.Time
 	monotonic time.Duration
 	boot      time.Duration
-	// suspended is the total suspension since the start, in nanoseconds.
+	// suspended is the total length of the suspensions since the start, in nanoseconds.
 	suspended atomic.Int64
-	// divergence is by how much the wall clock had diverged from the monotonic clock at the
-	// last check for a suspension, in nanoseconds.
+	// divergence is the divergence of the wall clock from the monotonic clock at the most
+	// recent check for a suspension, in nanoseconds.
 	divergence atomic.Int64
 
 	mutex     sync.Mutex
@@ -99,7 +101,8 @@
 	return clk
 }
 
-// Now returns the time. It never goes backwards.
+// Now returns the time, which never goes backwards. It checks for a suspension if the wall clock
+// has diverged.
 func (clk *Clock) Now() time.Time {
 	monotonic, wall := clk.cfg.Source.Now()
 	monotonic -= clk.monotonic
@@ -126,7 +129,8 @@
 	return at.Sub(clk.Now())
 }
 
-// checkSuspension reads the boot-time clock and records a suspension if there was one.
+// checkSuspension reads the boot-time clock and, if the host was suspended, advances the clock by
+// the suspension, adjusts the timers and reports the suspension.
 func (clk *Clock) checkSuspension(divergence int64) {
 	clk.divergence.Store(divergence)
 	boot, err := clk.cfg.Source.Boot()
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -13,8 +13,8 @@
 	"lynxwell.dev/lynxwell/clocktest"
 )
 
-// In any order of events, the clock must advance by the time that passed and the time for which
-// the host was suspended. Setting the wall clock must change nothing.
+// In any order of events, the clock must advance by the time for which the host ran and the time
+// for which it was suspended. Setting the wall clock must change nothing.
 func TestClockCountsSuspensionsAndNothingElse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		src := clocktest.NewStopped()
@@ -70,11 +70,11 @@
 	var failed error
 	clk := clock.New(clock.Config{Source: src, Failed: func(err error) { failed = err }})
 	start := clk.Now()
-	src.Fail(errors.New("not there"))
+	src.Fail(errors.New("no boot-time clock"))
 	src.Suspend(time.Second)
 	src.Advance(time.Second)
 	assert.Equal(t, clk.Since(start), time.Second)
-	assert.Error(t, failed, "not there")
+	assert.Error(t, failed, "no boot-time clock")
 }
 
 func TestDeadlinePassesDuringASuspension(t *testing.T) {
@@ -104,7 +104,7 @@
 	select {
 	case <-ctx.Done():
 	case <-time.After(10 * time.Second):
-		t.Fatal("the context isn't canceled within 10 s")
+		t.Fatal("the context was not canceled within 10 s")
 	}
 }
 
@@ -120,7 +120,7 @@
 	case dur := <-detected:
 		assert.Equal(t, dur.Round(time.Second), time.Minute)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the suspension isn't detected within 10 s")
+		t.Fatal("the suspension was not detected within 10 s")
 	}
 	cancel()
 	assert.Assert(t, errors.Is(<-end, context.Canceled))
--- a/clock/deadline.go
+++ b/clock/deadline.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// deadline cancels a context at a time of the clock.
+// deadline cancels a context at the time at of the clock.
 type deadline struct {
 	at     time.Time
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// WithDeadline returns a context that is canceled at a time of this clock, even if the host is
-// suspended in the meantime. Its cause is then context.DeadlineExceeded.
+// WithDeadline returns a context that is canceled at a time of this clock, with the cause
+// context.DeadlineExceeded. If the time passes during a suspension, the context is canceled when
+// the suspension is detected.
 func (clk *Clock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	dea := &deadline{at: at, cancel: cancel}
@@ -31,7 +32,8 @@
 	}
 }
 
-// moveDeadlines resets all timers after a suspension, during which they didn't run.
+// moveDeadlines resets the timers of all deadlines after a suspension, during which timers don't
+// run.
 func (clk *Clock) moveDeadlines() {
 	clk.mutex.Lock()
 	defer clk.mutex.Unlock()
--- a/clocktest/source.go
+++ b/clocktest/source.go
@@ -1,11 +1,12 @@
-// Package clocktest provides a fake of a host's clocks, which a test may suspend and set.
+// Package clocktest provides a fake of a host's clocks, with which a test simulates suspensions
+// and changes of the wall clock.
 //
 // # Usage
 //
 //	src := clocktest.NewSource()
 //	clk := clock.New(clock.Config{Source: src})
-//	src.Suspend(10 * time.Second)        // the monotonic clock doesn't count this time
-//	src.ShiftWallClock(-2 * time.Second) // as when the wall clock is set
+//	src.Suspend(10 * time.Second)        // the monotonic clock doesn't advance
+//	src.ShiftWallClock(-2 * time.Second) // the wall clock is set back
 package clocktest
 
 import (
@@ -19,46 +20,48 @@
 	mutex     sync.Mutex
 	suspended time.Duration
 	shift     time.Duration
-	// stopped is set if the monotonic clock reads the time in monotonic, which Advance moves,
-	// instead of the real time.
+	// stopped is set if the monotonic clock returns monotonic, which Advance increases, instead
+	// of the real time since start.
 	stopped   bool
 	monotonic time.Duration
 	bootReads int
 	err       error
 }
 
-// NewSource returns clocks that follow the real time.
+// NewSource returns a source whose clocks follow the real time.
 func NewSource() *Source {
 	return &Source{start: time.Now()}
 }
 
-// NewStopped returns clocks that only move through Advance, Suspend and ShiftWallClock.
+// NewStopped returns a source whose clocks only change through Advance, Suspend and
+// ShiftWallClock.
 func NewStopped() *Source {
 	return &Source{start: time.Unix(1_000_000, 0), stopped: true}
 }
 
-// Suspend lets time pass that the monotonic clock doesn't count.
+// Suspend simulates a suspension: it advances the boot-time clock and the wall clock, but not the
+// monotonic clock.
 func (src *Source) Suspend(dur time.Duration) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
 	src.suspended += dur
 }
 
-// ShiftWallClock moves the wall clock forward, or back by a negative duration.
+// ShiftWallClock moves the wall clock forward, or back if the duration is negative.
 func (src *Source) ShiftWallClock(by time.Duration) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
 	src.shift += by
 }
 
-// Advance lets time pass on the clocks of NewStopped.
+// Advance advances all clocks of a source that NewStopped returned.
 func (src *Source) Advance(dur time.Duration) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
 	src.monotonic += dur
 }
 
-// Fail makes the boot-time clock fail with the error from now on; nil makes it work again.
+// Fail makes each read of the boot-time clock return the error; nil ends the failures.
 func (src *Source) Fail(err error) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -11,14 +11,13 @@
 )
 
 // Entry holds the settings of a host that serves clients in the protocol of the users'
-// platform. deploy/settings.json is the template that fills them in from the
-// platform's fields.
+// platform. The platform fills in the template deploy/settings.json to create the file.
 type Entry struct {
 	// Name is the host's name, unique in the system.
 	Name string
 	// Domain is the host's failure domain.
 	Domain string
-	// Regions maps each failure domain, including the host's own, to its region. It is
+	// Regions maps each failure domain, including the host's own, to its region. The map is
 	// empty in a deployment with one region.
 	Regions map[string]string
 	// CallerAddress is the listen address for clients' requests.
@@ -40,24 +39,25 @@
 	// LogLevel is a zerolog level; empty means "info".
 	LogLevel string
 	// Cores is the number of processor cores that the host may use, possibly less than 1.
-	// CoreSpeed is the speed of a core relative to a usual one. 0 means 1 for both.
+	// CoreSpeed is the speed of a core relative to a standard core. 0 means 1 for both.
 	Cores     float64
 	CoreSpeed float64
-	// Bounds are the service levels that the system has to keep.
+	// Bounds are the limits that the system must meet.
 	Bounds Bounds
 }
 
-// Bounds are the service levels that the system has to keep. Durations are in the unit
-// that the field's name ends in. Zero means the default.
+// Bounds are the limits that the system must meet. Durations are in the unit at the end of the
+// field's name. Zero means the default.
 type Bounds struct {
 	// RevokeMilliseconds is the time after which requests with a revoked key must be
 	// rejected, default 5000.
 	RevokeMilliseconds float64
-	// RevocationIsStrict extends that bound to hosts that can't connect to the store: if
-	// true, they stop accepting keys before the time has passed; if false, they continue
-	// with the latest configuration they have. Default true, the safe choice.
+	// RevocationIsStrict extends RevokeMilliseconds to hosts that can't connect to the store:
+	// if true, these hosts stop accepting keys before the time has passed; if false, they
+	// continue with the newest configuration that they have. Default true, because otherwise a
+	// host without the store accepts a revoked key for longer.
 	RevocationIsStrict Toggle
-	// GraceSeconds is how long a planned stop may take, default 8.
+	// GraceSeconds is the maximum duration of a planned stop, default 8.
 	GraceSeconds float64
 	// MaxKeepSeconds is the maximum time for which clients may cache the list of
 	// addresses, default 5.
@@ -68,18 +68,18 @@
 	RepeatRatio         float64
 	RepeatWindowSeconds float64
 	RepeatSlack         float64
-	// LimitSlack is how many tokens may be served beyond a client account's limit in a
-	// window, summed over all hosts; default 100000.
+	// LimitSlack is the number of tokens that may be served beyond a client account's limit in
+	// a window, summed over all hosts; default 100000.
 	LimitSlack float64
-	// LimitWindowSeconds is the length of the window in which a client account's use is
-	// counted, default 8.
+	// LimitWindowSeconds is the length of the window over which a client account's usage is
+	// measured, default 8.
 	LimitWindowSeconds float64
-	// LimitOvershoot is the fraction of the limit by which it may be exceeded in a window,
-	// in addition to the slack; from 0 to 1, default 0.
+	// LimitOvershoot is the fraction of the limit that may be served beyond the limit in a
+	// window, in addition to the slack; from 0 to 1, default 0.
 	LimitOvershoot float64
-	// ExposureShare is the fraction, from 0 to 1, of a service's requests that may be sent
-	// to a version not yet known to be healthy, and ExposureSlack the number of further
-	// ones; defaults 0.1 and 20.
+	// ExposureShare is the fraction, from 0 to 1, of a service's requests that may be sent to a
+	// version not yet known to be healthy. ExposureSlack is the number of requests that may be
+	// sent in addition. Defaults 0.1 and 20.
 	ExposureShare float64
 	ExposureSlack float64
 	// RenewSecretSeconds is the interval at which the secret shared by the hosts is
@@ -87,7 +87,7 @@
 	RenewSecretSeconds float64
 }
 
-// The defaults of Bounds, which are the initial values of both users' deployments.
+// The defaults of Bounds, which equal the initial settings of both users' deployments.
 const (
 	defaultRevokeMilliseconds  = 5000
 	defaultGraceSeconds        = 8
@@ -131,8 +131,8 @@
 	return ent.Regions[ent.Domain]
 }
 
-// LoadEntry reads and checks the settings file. It returns a *format.FieldError for an
-// invalid field.
+// LoadEntry reads and checks a settings file. It returns a *format.FieldError for an invalid
+// field.
 func LoadEntry(file string) (Entry, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -141,7 +141,7 @@
 	return ParseEntry(file, data)
 }
 
-// ParseEntry reads and checks settings from data. Errors name the file.
+// ParseEntry decodes and checks the content of a settings file, whose name errors state.
 func ParseEntry(file string, data []byte) (Entry, error) {
 	var ent Entry
 	if err := format.Decode(file, data, &ent); err != nil {
@@ -182,12 +182,12 @@
 		{ent.Name != "", "Name", "want a host name"},
 		{ent.Domain != "", "Domain", "want a failure domain"},
 		{len(ent.Regions) == 0 || ent.Region() != "", "Regions", "want the region of the host's own failure domain, or none at all"},
-		{usable(ent.CallerAddress), "CallerAddress", wantAddress},
-		{usable(ent.ReadyAddress), "ReadyAddress", wantAddress},
-		{usable(ent.DirectoryAddress), "DirectoryAddress", wantAddress},
-		{usable(ent.PeerAddress), "PeerAddress", wantAddress},
-		{usable(ent.MetricsAddress), "MetricsAddress", wantAddress},
-		{usable(ent.StoreAddress), "StoreAddress", wantAddress},
+		{isValidAddress(ent.CallerAddress), "CallerAddress", wantAddress},
+		{isValidAddress(ent.ReadyAddress), "ReadyAddress", wantAddress},
+		{isValidAddress(ent.DirectoryAddress), "DirectoryAddress", wantAddress},
+		{isValidAddress(ent.PeerAddress), "PeerAddress", wantAddress},
+		{isValidAddress(ent.MetricsAddress), "MetricsAddress", wantAddress},
+		{isValidAddress(ent.StoreAddress), "StoreAddress", wantAddress},
 		{ent.PeerKey == "" || len(ent.PeerKey) >= minKeyLen, "PeerKey", "want a key of 16 bytes or more, or none"},
 		{ent.Cores >= 0, "Cores", wantNonNegative},
 		{ent.CoreSpeed >= 0, "CoreSpeed", wantNonNegative},
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -2,10 +2,11 @@
 //
 // # Usage
 //
-//	sets, err := settings.Load("host.json")
+//	set, err := settings.Load("host.json")      // for package host
+//	ent, err := settings.LoadEntry("host.json") // for package entry
 //
-// The file is JSON with comments, with the names of the fields of Settings. Load
-// checks every field and reports the first invalid one.
+// A settings file is JSON with comments. Its keys are the names of the fields of Settings or
+// Entry. The functions check every field and report the first invalid one.
 package settings
 
 import (
@@ -21,7 +22,7 @@
 // minKeyLen is the minimum length of a key, in bytes.
 const minKeyLen = 16
 
-// Settings configure one host's process. They are read once, at its start.
+// Settings configure one host's process, which reads them once, at its start.
 type Settings struct {
 	// Name is the host's name, unique in the system.
 	Name string
@@ -35,18 +36,18 @@
 	OperatorAddress netip.AddrPort
 	// PlatformAddress is the address of the platform's key-value service.
 	PlatformAddress netip.AddrPort
-	// Seeds are peer addresses to fetch the state from if the platform is unavailable at
-	// the start.
+	// Seeds are the peer addresses from which the host fetches views and the configuration if
+	// the platform is unavailable at the start.
 	Seeds []netip.AddrPort
 	// PeerKey is the bearer key that all hosts share, of at least 16 bytes.
 	PeerKey string
-	// PeerKeyFile is the file to read the key from if PeerKey is empty.
+	// PeerKeyFile is the file from which the key is read if PeerKey is empty.
 	PeerKeyFile string
 	// PeerTLS enables mutual TLS between hosts; PeerKey may then be empty.
 	PeerTLS *TLSFiles
 	// OperatorKey is the bearer key of operators, of at least 16 bytes.
 	OperatorKey string
-	// OperatorKeyFile is the file to read the key from if OperatorKey is empty.
+	// OperatorKeyFile is the file from which the key is read if OperatorKey is empty.
 	OperatorKeyFile string
 	// LogLevel is a zerolog level; empty means "info".
 	LogLevel string
@@ -61,10 +62,10 @@
 	// Heartbeat is the interval between heartbeats of a session between hosts,
 	// default 500 ms.
 	Heartbeat format.Duration
-	// PeerTimeout is how long a session may go without a received frame before it is
-	// considered lost, default 1.5 s.
+	// PeerTimeout is how long a session may go without a received frame before the session
+	// is considered lost, default 1.5 s.
 	PeerTimeout format.Duration
-	// Window is how long a prefix of request ids is issued, default 5 m.
+	// Window is how long a gateway issues request ids with the same prefix, default 5 m.
 	Window format.Duration
 	// KeepAddresses is how long clients may cache the list of addresses, default 30 s.
 	KeepAddresses format.Duration
@@ -86,8 +87,7 @@
 	defaultDrainLimit    = 10 * time.Minute
 )
 
-// Load reads and checks the settings file. It returns a *format.FieldError for an
-// invalid field.
+// Load reads and checks a settings file. It returns a *format.FieldError for an invalid field.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -96,7 +96,8 @@
 	return Parse(file, data)
 }
 
-// Parse reads and checks settings from data. Errors name the file.
+// Parse decodes and checks the content of a settings file, whose name errors state. It reads the
+// key and certificate files that the settings name.
 func Parse(file string, data []byte) (Settings, error) {
 	var set Settings
 	if err := format.Decode(file, data, &set); err != nil {
@@ -136,6 +137,7 @@
 	}
 }
 
+// readKey reads the key from the file that a field names, unless the key is already set.
 func readKey(file, field, name string, key *string) error {
 	if name == "" || *key != "" {
 		return nil
@@ -159,10 +161,10 @@
 	return firstFailed(file, []fieldCheck{
 		{set.Name != "", "Name", "want a host name"},
 		{set.Domain != "", "Domain", "want a failure domain"},
-		{usable(set.CallerAddress), "CallerAddress", wantAddress},
-		{usable(set.PeerAddress), "PeerAddress", wantAddress},
-		{usable(set.OperatorAddress), "OperatorAddress", wantAddress},
-		{usable(set.PlatformAddress), "PlatformAddress", wantAddress},
+		{isValidAddress(set.CallerAddress), "CallerAddress", wantAddress},
+		{isValidAddress(set.PeerAddress), "PeerAddress", wantAddress},
+		{isValidAddress(set.OperatorAddress), "OperatorAddress", wantAddress},
+		{isValidAddress(set.PlatformAddress), "PlatformAddress", wantAddress},
 		{len(set.PeerKey) >= minKeyLen || (set.PeerTLS != nil && set.PeerKey == ""), "PeerKey", "want a key of 16 bytes or more, here or in PeerKeyFile"},
 		{len(set.OperatorKey) >= minKeyLen, "OperatorKey", "want a key of 16 bytes or more, here or in OperatorKeyFile"},
 		{set.PeerKey != set.OperatorKey, "OperatorKey", "must differ from PeerKey"},
@@ -170,11 +172,11 @@
 	})
 }
 
-// wantAddress is the error's reason for an invalid address.
+// wantAddress is the reason that an error states for an invalid address.
 const wantAddress = "want IP:PORT"
 
-// fieldCheck is the result of checking one field, with the requirement to report if the
-// check has failed.
+// fieldCheck is the result of checking one field. reason is the requirement to report if the
+// field is invalid.
 type fieldCheck struct {
 	valid  bool
 	field  string
@@ -195,6 +197,6 @@
 	return min(tim.Lease, tim.Heartbeat, tim.PeerTimeout, tim.Window, tim.KeepAddresses, tim.OrphanGrace, tim.DrainLimit) >= 0
 }
 
-func usable(adr netip.AddrPort) bool {
+func isValidAddress(adr netip.AddrPort) bool {
 	return adr.IsValid() && adr.Port() != 0
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -34,10 +34,10 @@
 		_, err := settings.Parse("f", data)
 		var fer *format.FieldError
 		if err != nil && !errors.As(err, &fer) {
-			t.Fatalf("error without a field: %v", err)
+			t.Fatalf("want a *format.FieldError, got %v", err)
 		}
 		if fer != nil && fer.Field == "" {
-			t.Fatalf("field isn't named: %v", err)
+			t.Fatalf("error names no field: %v", err)
 		}
 	})
 }
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -12,17 +12,16 @@
 
 // TLSFiles are the PEM files of one host for mutual TLS.
 type TLSFiles struct {
-	// CertificateFile and KeyFile are the host's own; the certificate must name
-	// the IP address of the host's PeerAddress.
+	// CertificateFile and KeyFile hold the host's certificate and its private key. The
+	// certificate must name the IP address of the host's PeerAddress.
 	CertificateFile string
 	KeyFile         string
-	// AuthorityFile holds the certificates of the authorities that sign the hosts'
-	// certificates.
+	// AuthorityFile holds the certificates of the authorities that sign the hosts' certificates.
 	AuthorityFile string
 }
 
-// Config returns the TLS configuration for clients and servers: both present their
-// certificate and verify the other's. It returns nil for a nil receiver.
+// Config returns the TLS configuration for connections between hosts: each side presents its
+// certificate and verifies the peer's. It returns nil for a nil receiver.
 func (til *TLSFiles) Config() (*tls.Config, error) {
 	if til == nil {
 		return nil, nil
--- a/settings/toggle.go
+++ b/settings/toggle.go
@@ -1,7 +1,7 @@
 package settings
 
-// Toggle is a setting that is on, off or unset. It is a string, so that a template may
-// fill in a missing value as an empty one, which means unset.
+// Toggle is a setting that is on, off or unset. The type is a string, because a template fills
+// in an empty string for a value that the platform leaves out; the setting is then unset.
 type Toggle string
 
 // The states of a Toggle.
