--- a/clock/clock.go
+++ b/clock/clock.go
@@ -53,7 +53,7 @@
 type Config struct {
 	// Source provides the readings; nil means the operating system's clocks.
 	Source Source
-	// Suspended is called with the length of each suspension after its end. It may be nil and
+	// Suspended is called after each suspension with the suspension's length. It may be nil and
 	// must not block.
 	Suspended func(time.Duration)
 	// Failed is called with the error if the boot-time clock can't be read. It may be nil.
@@ -144,7 +144,7 @@
 	if total-known < minSuspended || !clk.suspended.CompareAndSwap(int64(known), int64(total)) {
 		return
 	}
-	clk.moveDeadlines()
+	clk.resetDeadlineTimers()
 	clk.cfg.Suspended(total - known)
 }
 
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -22,7 +22,7 @@
 		start, passed := clk.Now(), time.Duration(0)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			dur := time.Duration(rapid.IntRange(10, 20_000).Draw(t, "milliseconds")) * time.Millisecond
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				src.Advance(dur)
 				passed += dur
--- a/clock/deadline.go
+++ b/clock/deadline.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// moveDeadlines resets the timers of all deadlines after a suspension, during which timers don't
-// run.
-func (clk *Clock) moveDeadlines() {
+// resetDeadlineTimers resets the timers of all deadlines after a suspension, during which timers
+// don't run.
+func (clk *Clock) resetDeadlineTimers() {
 	clk.mutex.Lock()
 	defer clk.mutex.Unlock()
 	now := clk.nowUnchecked()
--- a/host/answers_test.go
+++ b/host/answers_test.go
@@ -13,8 +13,9 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// finishedJob adds a job with a finished answer of size bytes to the loop.
-func finishedJob(lop *loop, unique string, size int) (request.ID, *job) {
+// addFinishedJob adds a job with a finished answer of size bytes to the loop. It returns the
+// request's id and the job.
+func addFinishedJob(lop *loop, unique string, size int) (request.ID, *job) {
 	id := request.ID{Unique: unique}
 	jb := &job{exchange: caller.NewExchange()}
 	jb.exchange.Head(http.StatusOK, nil)
@@ -29,11 +30,11 @@
 func TestForgottenAnswersDoNotCountAsRetained(t *testing.T) {
 	hos, _ := newTestHost(t)
 	for num := range 40 {
-		id, jb := finishedJob(hos.loop, fmt.Sprint(num), 1<<20)
+		id, jb := addFinishedJob(hos.loop, fmt.Sprint(num), 1<<20)
 		hos.loop.retainAnswer(id, jb)
 		hos.loop.gatewayAction(time.Now(), gateway.Forget{ID: id})
 	}
-	id, jb := finishedJob(hos.loop, "last", 1000)
+	id, jb := addFinishedJob(hos.loop, "last", 1000)
 	hos.loop.retainAnswer(id, jb)
 	assert.Equal(t, jb.exchange.Size(), 1000)
 	assert.Equal(t, hos.loop.retainedBytes, 1000)
@@ -44,7 +45,7 @@
 	hos, _ := newTestHost(t)
 	var jobs []*job
 	for num := range 20 {
-		id, jb := finishedJob(hos.loop, fmt.Sprint(num), 1<<20)
+		id, jb := addFinishedJob(hos.loop, fmt.Sprint(num), 1<<20)
 		hos.loop.retainAnswer(id, jb)
 		jobs = append(jobs, jb)
 	}
--- a/host/callerbackend.go
+++ b/host/callerbackend.go
@@ -65,8 +65,8 @@
 // generates.
 const uniqueLen = 9
 
-// NewID implements caller.Backend. The id's view is 0 if the host isn't a member of its
-// current view.
+// NewID implements caller.Backend. The id's view is 0 if the host's current view doesn't
+// contain the host.
 func (hos *Host) NewID() request.ID {
 	var raw [uniqueLen]byte
 	// rand.Read never returns an error.
--- a/host/membership.go
+++ b/host/membership.go
@@ -120,7 +120,8 @@
 }
 
 // write updates the host's membership key by compare-and-swap. After a write with an
-// uncertain outcome, the next step reads the key and writes only if the value differs.
+// uncertain outcome, the next step reads the key and writes only if the value or
+// the lease differs.
 func (hol *leaseHolder) write(ctx context.Context, data []byte) error {
 	key := hostsPrefix + hol.host.set.Name
 	val, err := hol.host.store.Get(ctx, key)
--- a/host/peerbackend.go
+++ b/host/peerbackend.go
@@ -14,8 +14,8 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// inboundCount counts the sessions that gateways have opened with hosts of this process. The
-// count at its opening is a session's number.
+// inboundCount counts the sessions that gateways have opened with hosts of this process. Its
+// value when a session is opened is the session's number.
 var inboundCount atomic.Uint64
 
 // Header implements peer.Backend.
--- a/host/shared.go
+++ b/host/shared.go
@@ -19,7 +19,7 @@
 	headers map[request.Epoch]peer.Header
 	// changed is closed and replaced at each change of the current view or the configuration.
 	changed chan struct{}
-	// problem is why the host rejected the most recent configuration; empty if it didn't.
+	// problem is why the host rejected the most recent configuration; empty if the host accepted it.
 	problem string
 }
 
--- a/resource/configuration.go
+++ b/resource/configuration.go
@@ -123,8 +123,8 @@
 
 // Change is a set of edits that take effect together.
 type Change struct {
-	// ID is chosen by the writer, who can check by the id whether the change was written if
-	// the reply was lost.
+	// ID is chosen by the writer. If a reply was lost, the writer looks the id up in the stored
+	// head to determine whether the change was written.
 	ID string
 	// Edits are all based on the configuration before the change.
 	Edits []Edit
--- a/route/region.go
+++ b/route/region.go
@@ -5,7 +5,7 @@
 // Scope is the set of regions in which a request may be served and held. The zero Scope allows
 // all regions.
 type Scope struct {
-	// Bounded is set if only the listed Regions are allowed; no region is, if the list is empty.
+	// Bounded is set if only the listed Regions are allowed; an empty list allows none.
 	Bounded bool
 	Regions []string
 }
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -11,8 +11,8 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-// sample returns a valid configuration with two routes of one host name.
-func sample() route.Configuration {
+// sampleConfiguration returns a valid configuration with two routes of one host name.
+func sampleConfiguration() route.Configuration {
 	return route.Configuration{
 		Version:  3,
 		Services: []route.Service{{Name: "one"}, {Name: "two"}},
@@ -25,7 +25,7 @@
 }
 
 func TestMatchReturnsTheLongestPrefixOfTheHost(t *testing.T) {
-	tab, err := route.NewTable(sample())
+	tab, err := route.NewTable(sampleConfiguration())
 	assert.NilError(t, err)
 	for target, want := range map[[2]string]string{
 		{"a.example", "/a/x"}:        "short",
@@ -57,7 +57,7 @@
 		},
 	} {
 		t.Run(field, func(t *testing.T) {
-			con := sample()
+			con := sampleConfiguration()
 			change(&con)
 			_, err := route.NewTable(con)
 			var fer *route.FieldError
--- a/view/assign.go
+++ b/view/assign.go
@@ -37,20 +37,20 @@
 	}
 	byDomain := groupByDomain(active)
 	domains := sortedDomains(byDomain, service)
-	load := make(map[string]int, len(domains))
+	engineCounts := make(map[string]int, len(domains))
 	ordered := slices.Clone(engines)
 	slices.SortFunc(ordered, func(one, two resource.EngineSlots) int {
 		return cmp.Or(cmp.Compare(Score(service, one.Engine), Score(service, two.Engine)), cmp.Compare(one.Engine, two.Engine))
 	})
 	shares := make([]Share, 0, len(engines))
 	for _, eng := range ordered {
-		domain := bestDomain(domains, load, eng.Engine)
-		load[domain]++
+		domain := bestDomain(domains, engineCounts, eng.Engine)
+		engineCounts[domain]++
 		host := bestMember(byDomain[domain], eng.Engine)
 		shares = append(shares, Share{Engine: eng.Engine, Coordinator: host.Epoch, Slots: eng.Slots})
 	}
-	if len(domains) > 1 && len(load) == 1 {
-		return addDeputies(shares, byDomain, domains, load)
+	if len(domains) > 1 && len(engineCounts) == 1 {
+		return addDeputies(shares, byDomain, domains, engineCounts)
 	}
 	return shares
 }
@@ -75,13 +75,13 @@
 	return domains
 }
 
-// bestDomain returns the domain with the fewest assigned engines. Ties go to the domain
+// bestDomain returns the domain with the fewest engines in engineCounts. Ties go to the domain
 // with the highest rendezvous score for the engine.
-func bestDomain(domains []string, load map[string]int, engine string) string {
+func bestDomain(domains []string, engineCounts map[string]int, engine string) string {
 	best := ""
 	for _, domain := range domains {
-		less := best == "" || load[domain] < load[best]
-		same := best != "" && load[domain] == load[best]
+		less := best == "" || engineCounts[domain] < engineCounts[best]
+		same := best != "" && engineCounts[domain] == engineCounts[best]
 		if less || (same && Score(engine, domain) > Score(engine, best)) {
 			best = domain
 		}
@@ -98,11 +98,11 @@
 
 // addDeputies moves a share of each engine's slots to a deputy in another domain. The main
 // coordinator and the deputy get at least one slot each, even if the engine has only one.
-func addDeputies(shares []Share, byDomain map[string][]Member, domains []string, load map[string]int) []Share {
+func addDeputies(shares []Share, byDomain map[string][]Member, domains []string, engineCounts map[string]int) []Share {
 	deputies := make([]Share, 0, len(shares))
 	for idx := range shares {
 		sha := &shares[idx]
-		domain := bestDomain(domains, load, sha.Engine)
+		domain := bestDomain(domains, engineCounts, sha.Engine)
 		host := bestMember(byDomain[domain], sha.Engine)
 		deputySlots := max(1, sha.Slots/deputySlotDivisor)
 		deputies = append(deputies, Share{Engine: sha.Engine, Coordinator: host.Epoch, Slots: deputySlots, Deputy: true})
--- a/view/propose.go
+++ b/view/propose.go
@@ -39,7 +39,7 @@
 }
 
 // Encode returns the head as JSON of at most 128 KiB. It drops the oldest views until the
-// rest fits, but never the current view, which may exceed the limit alone.
+// rest fits, but never the current view, which by itself may exceed the limit.
 func (hea Head) Encode() ([]byte, error) {
 	for {
 		data, err := json.Marshal(hea)
