--- a/entry/age.go
+++ b/entry/age.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// maxTimeoutsPerRoute bounds the distinct client timeouts remembered for a route. Timeouts of
+	// maxTimeoutsPerRoute bounds the distinct client timeouts counted for a route. Timeouts of
 	// first attempts recur, whereas those of retries vary and are evicted.
 	maxTimeoutsPerRoute = 64
 	// minTimeoutCount is how often a timeout must be seen before it counts as that of a first
-	// attempt: three retries seldom fall into the same millisecond.
+	// attempt: three retries seldom carry timeouts that are equal to the millisecond.
 	minTimeoutCount = 3
-	// maxTimeoutCountRatio is the largest ratio between the count of the most frequent timeout
-	// and that of another one that counts as a first attempt's. Timeouts of retries cluster too,
-	// since clients wait equally long for a host that has lost power.
+	// maxTimeoutCountRatio is by what factor a timeout may be rarer than the most frequent one
+	// and still count as that of a first attempt. Timeouts of retries recur too, since all clients
+	// wait equally long for a host that has lost power, but they are rarer than that.
 	maxTimeoutCountRatio = 20
 	// halvingCount is the count at which all counts of a route are halved, so that a new
 	// first-attempt timeout is recognized within some dozen attempts.
 	halvingCount = 1000
-	// maxTimeoutRoutes bounds the routes remembered; the timeouts of a busy route are learned in
-	// less than a second.
+	// maxTimeoutRoutes bounds the routes whose timeouts are counted. If a busy route is evicted,
+	// its timeouts are counted anew in less than a second.
 	maxTimeoutRoutes = 1024
 )
 
 // waitEstimator estimates how long clients had been waiting when they sent a request. Each
-// attempt carries the remainder of the same client timeout, and a first attempt carries all of
-// it. This makes earlier attempts known to a host that has seen none of them: clients choose a
-// host anew for each attempt, and hosts can be lost.
+// attempt carries what is left of the client's timeout, and a first attempt carries all of it.
+// The estimate therefore needs no knowledge of the earlier attempts, which may have gone to other
+// hosts, or to hosts that are lost.
 type waitEstimator struct {
 	mutex  sync.Mutex
 	routes *simplelru.LRU[string, *timeoutCounts]
@@ -64,7 +64,7 @@
 	if count+1 > halvingCount {
 		halveCounts(counts)
 	}
-	return recurringTimeoutAbove(counts, timeout) - timeout
+	return firstAttemptTimeout(counts, timeout) - timeout
 }
 
 // halveCounts halves all counts, so that recent timeouts count for more.
@@ -75,9 +75,9 @@
 	}
 }
 
-// recurringTimeoutAbove returns the shortest first-attempt timeout that is not below the one
+// firstAttemptTimeout returns the shortest first-attempt timeout that is not below the one
 // given, or that one itself if there is none.
-func recurringTimeoutAbove(counts *timeoutCounts, timeout time.Duration) time.Duration {
+func firstAttemptTimeout(counts *timeoutCounts, timeout time.Duration) time.Duration {
 	values := counts.Keys()
 	most := 0
 	for _, value := range values {
--- a/entry/barred.go
+++ b/entry/barred.go
@@ -20,7 +20,7 @@
 }
 
 // sendNotices sends all current engine signals to a host with which a session was opened; the
-// mutex is held.
+// mutex must be held.
 func (bro *broker) sendNotices(to fleet.Member) {
 	for _, not := range bro.host.notices.current() {
 		bro.send(to.Epoch, reservation.EngineNotice{Notice: not})
@@ -38,8 +38,8 @@
 	return "engine " + ber.Notice.Run.String() + " is blocked for this host by its signal " + ber.Notice.Signal.String()
 }
 
-// checkBlocked returns a *BlockedError for an engine that is blocked for this host. It reports
-// the signal again, since a scheduler has granted the engine regardless.
+// checkBlocked returns a *BlockedError for an engine that is blocked for this host. It then also
+// reports the signal to the schedulers again, since one of them has granted the engine regardless.
 func (hos *Host) checkBlocked(run fleet.EngineID) error {
 	sgn := hos.notices.blockingSignal(run)
 	if sgn == nil {
@@ -50,7 +50,7 @@
 	return &BlockedError{Notice: not}
 }
 
-// grant is what a gateway keeps of a grant to check whether it may still be used.
+// grant holds what a gateway needs to check whether a grant may still be used.
 type grant struct {
 	// rate is what the scheduler knew of the engine's rate limit. The reservation was placed at
 	// requestedAt, and the grant arrived at grantedAt.
@@ -92,7 +92,8 @@
 
 // checkRate returns a *RateExceededError for an engine that has signaled a rate limit to this
 // host, unless the grant is within the limit or the scheduler knew that the limit had ended
-// since. It reports the limit again, since a scheduler has granted the engine regardless.
+// since. With the error it also reports the limit to the schedulers again, since one of them has
+// granted the engine regardless.
 func (hos *Host) checkRate(run fleet.EngineID, grt grant) error {
 	lim, limited := hos.notices.limit(run)
 	if !limited {
--- a/entry/belief.go
+++ b/entry/belief.go
@@ -36,11 +36,12 @@
 	return known && eng.ID == run
 }
 
-// neverConfirmed is long before any time since the start.
+// neverConfirmed is the value of Host.confirmed before the first confirmation: long before the
+// host's start, so that the snapshot is too old to use.
 const neverConfirmed = -int64(time.Hour)
 
-// confirm records that the snapshot was current at the given time. A time from another host may
-// be earlier than the one already known.
+// confirm records that the snapshot was current at the given time. A zero time and one that is
+// earlier than the recorded one, as from another host's copy, are ignored.
 func (hos *Host) confirm(at time.Time) {
 	if at.IsZero() {
 		return
@@ -67,10 +68,10 @@
 }
 
 // isFresh reports whether the snapshot may be used for requests that need a key. If revocation is
-// strict, its age is limited. Otherwise it is enough that the snapshot was confirmed
-// once: during an outage of the store the newest known configuration serves clients better than
-// none, a request for an engine that no longer exists is rejected by its id, and the hosts
-// enforce limits among themselves.
+// strict, its age is limited. Otherwise it is enough that the snapshot was confirmed once: during
+// an outage of the store the newest known configuration serves clients better than none, a request
+// for an engine that no longer exists is rejected by its id, and the hosts enforce limits among
+// themselves.
 func (hos *Host) isFresh(now time.Time) bool {
 	if hos.confirmed.Load() == neverConfirmed {
 		return false
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// maxHeaderBytes bounds a request's header; it is slightly above the limit that operators
-	// set.
+	// maxHeaderBytes bounds a request's header; it is slightly above the limit that operators set
+	// for clients.
 	maxHeaderBytes = 32 << 10
 	// headerTimeout and idleTimeout bound a connection on which nothing is sent. Clients reuse
 	// connections that have been idle for up to four fifths of the time that operators set.
@@ -36,8 +36,8 @@
 	maxStaleRetry = 4 * time.Second
 )
 
-// cause is why a request ended. It appears in the log, in the counters and in the body of an
-// error.
+// cause is why a request ended. It appears in the log, in the names of counters and in the body of
+// an error response.
 type cause string
 
 // The causes.
@@ -102,7 +102,7 @@
 	// The fields below are the state of the attempts so far.
 	attempts int
 	exclude  []string
-	// lastGrantUnused is set if the last grant was not used.
+	// lastGrantUnused is set if the most recent grant was not used.
 	lastGrantUnused bool
 	// returnedGrants counts the grants that were returned unused because their engines were
 	// blocked for this host.
@@ -111,26 +111,26 @@
 	headerSent     bool
 	lastEventID    int64
 	eventCount     int
-	// lastEventAt is when the last event was sent to the client.
+	// lastEventAt is when the most recent event was sent to the client.
 	lastEventAt time.Time
 	// longestPause is the longest time between two events sent to the client.
 	longestPause time.Duration
 	engine       string
-	// grant is the last grant; it is for engine.
+	// grant is the most recent grant, which is for engine.
 	grant        grant
 	decidedBy    string
 	decisionWait time.Duration
 	timeToFirst  time.Duration
 }
 
-func (hos *Host) callerServer() *http.Server {
+func (hos *Host) clientServer() *http.Server {
 	return &http.Server{
-		Handler: http.HandlerFunc(hos.serveCaller), MaxHeaderBytes: maxHeaderBytes,
+		Handler: http.HandlerFunc(hos.serveClient), MaxHeaderBytes: maxHeaderBytes,
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 	}
 }
 
-func (hos *Host) serveCaller(wri http.ResponseWriter, htr *http.Request) {
+func (hos *Host) serveClient(wri http.ResponseWriter, htr *http.Request) {
 	exc := &exchange{host: hos, writer: wri, started: hos.clock.Now()}
 	if hos.draining.Load() {
 		wri.Header().Set("Connection", "close")
@@ -145,7 +145,8 @@
 	exc.run(ctx)
 }
 
-// admit reads the request and determines its route and its client account.
+// admit reads the request and determines its route and its client account. It returns the final
+// answer if the request can't be admitted.
 func (exc *exchange) admit(htr *http.Request) *problem {
 	hos := exc.host
 	req, err := platform.DecodeRequest(htr)
@@ -190,8 +191,8 @@
 }
 
 // staleRetryAfter returns the Retry-After for a stale configuration. It is short, since another
-// host may be able to serve the request, unless all hosts have lost the store: then it grows with
-// the length of the outage, with jitter.
+// host may be able to serve the request. If the store is unreachable for other hosts too, it grows
+// with the length of the outage and has a jitter.
 func (exc *exchange) staleRetryAfter() time.Duration {
 	if !exc.host.storeUnavailable.Load() {
 		return notReadyRetry
@@ -290,7 +291,7 @@
 	exc.logEnd(pro.status, pro.cause, pro.detail)
 }
 
-// abort aborts an answer that has begun, so that the client cannot take it for a complete one.
+// abort aborts an answer that has begun, so that the client cannot mistake it for a complete one.
 func (exc *exchange) abort(cau cause) {
 	exc.logEnd(0, cau, "")
 	panic(http.ErrAbortHandler)
@@ -327,7 +328,8 @@
 	evt.Msg("request")
 }
 
-// timeliness states whether an answer was in time, as measured at this host.
+// timeliness states whether an answer met the latency targets of its route, as measured at this
+// host.
 type timeliness string
 
 const (
--- a/entry/changes.go
+++ b/entry/changes.go
@@ -6,8 +6,8 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// maxLoggedNames bounds the names in the log line of an update: after a loss of all hosts each of
-// hundreds of hosts reads hundreds of entries, and with a line for each these would fill the log.
+// maxLoggedNames bounds the names in the log line of an update: after a loss of all hosts, each of
+// hundreds of hosts reads hundreds of entries, and naming all of them would fill the log.
 const maxLoggedNames = 12
 
 // memberChanges collects the hosts that one update registered or deregistered, for one log line.
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -33,8 +33,8 @@
 }
 
 // checkCold returns a *RateExceededError for a cold engine, unless the scheduler knew that the
-// engine is cold and granted it within maxColdGrantAge. It reports the engine as cold otherwise,
-// since the scheduler grants it for all hosts.
+// engine is cold and granted it within maxColdGrantAge. With the error it also reports the engine
+// as cold to the schedulers, since the coordinator grants it for all hosts.
 func (hos *Host) checkCold(eng fleet.Engine, grt grant) error {
 	left, perSecond := hos.coldRemaining(eng)
 	if left <= 0 {
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -18,7 +18,7 @@
 const (
 	// crashNone means that the attempt gives no sign of a crash.
 	crashNone crashState = iota
-	// crashUnconfirmed means that the connection ended, but a crash of the engine is unconfirmed.
+	// crashUnconfirmed means that the engine ended the connection, which may be due to a crash.
 	crashUnconfirmed
 	// crashConfirmed means that the engine crashed.
 	crashConfirmed
@@ -61,7 +61,7 @@
 }
 
 // reportCrash reports a crash, or an unconfirmed one, to the schedulers before the slot is
-// released, so that they don't take the engine for an idle one.
+// released, so that they don't consider the engine idle.
 func (exc *exchange) reportCrash(eng fleet.Engine, att attempt) {
 	if att.crash == crashNone {
 		return
@@ -98,19 +98,19 @@
 // queue of one session.
 const maxCaseReports = 128
 
-// sendCases sends the quarantine cases that this host knows to a new coordinator; the mutex is
-// held.
-func (bro *broker) sendCases(chosen request.Epoch) {
-	if chosen == bro.host.epoch {
+// sendCases sends the quarantine cases that this host knows to a host to which a session was
+// opened; the mutex must be held.
+func (bro *broker) sendCases(to request.Epoch) {
+	if to == bro.host.epoch {
 		return
 	}
 	for _, rep := range bro.core.CaseReports(bro.host.clock.Now(), quarantine.LevelWatched, maxCaseReports) {
-		bro.send(chosen, reservation.CaseReport{Report: rep})
+		bro.send(to, reservation.CaseReport{Report: rep})
 	}
 }
 
 // sendCasesToGateway sends the suspected and held requests to a gateway that uses this host as
-// its coordinator; the mutex is held.
+// its coordinator; the mutex must be held.
 func (bro *broker) sendCasesToGateway(inb *inbound) {
 	for _, rep := range bro.core.CaseReports(bro.host.clock.Now(), quarantine.LevelSuspected, maxCaseReports) {
 		inb.send(reservation.CaseReport{Report: rep})
@@ -118,8 +118,8 @@
 }
 
 // publishQuarantineChanges logs changes of the quarantine and sends them to the gateways that use
-// this host as their coordinator, to the coordinator and to its next candidates; the mutex is
-// held.
+// this host as their coordinator, to the coordinator and to its next candidates; the mutex must
+// be held.
 func (bro *broker) publishQuarantineChanges() {
 	changes, sources := bro.core.QuarantineChanges()
 	for _, cha := range changes {
@@ -146,16 +146,16 @@
 	if cha.FromPeer || !cha.Report.Cleared && !cha.ConcernsGateways() {
 		return
 	}
-	// Evidence against a request is sent too: a coordinator that has lost the store does not see
-	// engines deregister, which confirms a crash. Without this, eight engines crashed instead of
-	// three.
+	// Evidence against a request is sent too: a coordinator that can't reach the store does not
+	// see engines deregister, which confirms a crash. Without this, a poison request crashed eight
+	// engines instead of three.
 	for epo := range bro.links {
 		bro.send(epo, msg)
 	}
 }
 
-// logQuarantineChange logs the new state of a poison request and the engines that crashed under
-// it. A single crash is logged with its attempt only.
+// logQuarantineChange counts a change of the quarantine, and logs the new state of a poison request
+// with the engines that crashed under it. A single crash is logged with its attempt only.
 func (bro *broker) logQuarantineChange(cha quarantine.Change) {
 	bro.host.metrics.count("Quarantine." + cha.Kind.String())
 	if cha.Kind == quarantine.KindWatched || len(cha.Case.Crashes) < 2 && !cha.Case.Held {
--- a/entry/desk.go
+++ b/entry/desk.go
@@ -20,20 +20,20 @@
 // tickInterval is how often the scheduler handles a Tick event while requests wait.
 const tickInterval = 5 * time.Millisecond
 
-// broker places reservations with the coordinator, which is one host's scheduler acting for all
-// hosts, or with this host's own scheduler while no other host is reachable.
+// broker places reservations with the coordinator, the host whose scheduler grants engines to all
+// hosts. While no other host is reachable, this host is its own coordinator.
 type broker struct {
 	host  *Host
 	mutex sync.Mutex
 	core  *scheduler.Core
 	// ticking is set while a tick is scheduled.
 	ticking bool
-	// membership is the set of hosts that share the work, with the restarts that this host has
-	// detected; registeredMembership is the same by the entries in the store alone. A send on
-	// candidatesChanged triggers an adjustment of the sessions.
+	// membership is the membership by the entries in the store, with the new epochs of hosts whose
+	// restart this host has detected. registeredMembership is the same without these epochs.
 	membership           membership
 	registeredMembership membership
-	candidatesChanged    chan struct{}
+	// candidatesChanged makes maintainSessions adjust the sessions to the candidates.
+	candidatesChanged chan struct{}
 	// unreachableCandidates are the candidates with which the last attempt to open a session
 	// failed.
 	unreachableCandidates map[request.Epoch]bool
@@ -42,13 +42,14 @@
 	// links are the open sessions to coordinators, by the coordinator's epoch.
 	links map[request.Epoch]*link
 	// inbound are the sessions of gateways with this host's scheduler, by session number.
-	inbound  map[uint64]*inbound
-	sessions uint64
+	// lastSession is the highest number given.
+	inbound     map[uint64]*inbound
+	lastSession uint64
 	// active is the epoch of the coordinator; it is the host's own epoch while the host uses its
 	// own scheduler.
-	active request.Epoch
+	coordinator request.Epoch
 	// minTermEnd is the end of the coordinator's minimum term; until then a reachable
-	// coordinator stays, whichever host is the leader. electionScheduled is set while an election
+	// coordinator is kept, whichever host is the leader. electionScheduled is set while an election
 	// is scheduled for that time.
 	minTermEnd        time.Time
 	electionScheduled bool
@@ -56,32 +57,32 @@
 	// in the form in which another coordinator adopts them.
 	pending      map[request.ID]*pendingReservation
 	activeGrants map[request.ID]*reservation.Adopt
-	// debts is what this host's requests still owe to each account's limit, by account name.
-	// debtTable and debtHosts are the configuration and the number of hosts that debts was last
-	// updated for.
+	// debts holds what this host's requests still owe to each account's limit, by account name.
+	// debtTable and debtHosts are the configuration and the number of hosts by which debts was
+	// most recently updated.
 	debts     map[string]*accountDebt
 	debtTable *route.Table
 	debtHosts int
-	// presence tracks which hosts have a session with this one; publishedUnreachable is the list
-	// of unreachable hosts that this host last published.
+	// presence tracks which hosts have a session with this one.
 	presence *fleet.Presence
-	// publishedLeader is the leader that this host last published; 0 for none.
-	publishedLeader      request.Epoch
+	// publishedLeader is the leader that this host most recently published; 0 for none.
+	publishedLeader request.Epoch
+	// publishedUnreachable are the unreachable hosts that this host most recently published.
 	publishedUnreachable []request.Epoch
-	// unreachableHosts are the registered hosts that the active coordinator does not reach.
+	// unreachableHosts are the registered hosts that the coordinator can't reach.
 	unreachableHosts atomic.Pointer[map[request.Epoch]bool]
 	// evacuations is the known state of failure domains that are being evacuated.
 	evacuations *evacuation.Tracker
-	// measurements are the hosts' stored measurements of the engines' speed.
+	// measurements are the stored measurements of the engines' speed.
 	measurements pace.Measurements
 }
 
-// link is this host's session with a coordinator.
+// link is a session that this host opened to the coordinator or one of its next candidates.
 type link struct {
 	member fleet.Member
 	queue  *peer.Queue
 	cancel context.CancelFunc
-	// leader is the leader that the coordinator last reported; 0 for none.
+	// leader is the leader that this coordinator most recently reported; 0 for none.
 	leader request.Epoch
 }
 
@@ -106,7 +107,7 @@
 // pendingReservation is a reservation that waits for a decision.
 type pendingReservation struct {
 	reserve reservation.Reserve
-	// coordinator is the epoch of the host that the reservation was last sent to.
+	// coordinator is the epoch of the host that the reservation was most recently sent to.
 	coordinator request.Epoch
 	decision    chan decision
 }
@@ -127,7 +128,7 @@
 		candidatesChanged:     make(chan struct{}, 1),
 		links:                 make(map[request.Epoch]*link),
 		inbound:               make(map[uint64]*inbound),
-		active:                hos.epoch,
+		coordinator:           hos.epoch,
 		pending:               make(map[request.ID]*pendingReservation),
 		unreachableCandidates: make(map[request.Epoch]bool),
 		restarts:              make(map[string]restart),
@@ -158,7 +159,7 @@
 }
 
 // handleLocked passes an event to the host's own scheduler and delivers the resulting messages;
-// the mutex is held.
+// the mutex must be held.
 func (bro *broker) handleLocked(evt scheduler.Event) {
 	for _, snd := range bro.core.Handle(bro.host.clock.Now(), evt) {
 		bro.deliver(snd)
@@ -213,7 +214,7 @@
 		Int("Running", inp.Running).Dur("Unread", inp.PendingPrefill).Dur("Expected", inp.Expected).Msg("decision")
 }
 
-// applyMessage applies a coordinator's message; the mutex is held.
+// applyMessage applies a coordinator's message; the mutex must be held.
 func (bro *broker) applyMessage(by request.Epoch, msg reservation.Message) {
 	switch msg := msg.(type) {
 	case reservation.Grant:
@@ -257,7 +258,8 @@
 	pen.decision <- dec
 }
 
-// send sends a message to a coordinator; the mutex is held.
+// send sends a message to the scheduler of this host or of a host with a link; the message is
+// dropped if there is no link. The mutex must be held.
 func (bro *broker) send(to request.Epoch, msg reservation.Message) {
 	if to == bro.host.epoch {
 		bro.handleLocked(scheduler.Received{From: to, Message: msg})
@@ -271,7 +273,7 @@
 
 // sendToSchedulers sends a message to the host's own scheduler and over all links, that is to the
 // coordinator and its next candidates, so that the information survives the loss of any of them;
-// the mutex is held.
+// the mutex must be held.
 func (bro *broker) sendToSchedulers(msg reservation.Message) {
 	for epo := range bro.links {
 		bro.send(epo, msg)
@@ -305,15 +307,16 @@
 }
 
 // decisionSlack is how long a gateway waits for a decision beyond the time for which the
-// coordinator may queue the reservation. It covers some round trips and a pause of the
-// coordinator's processor.
+// coordinator may queue the reservation. It covers some round trips and a short stall of the
+// coordinator.
 const decisionSlack = 150 * time.Millisecond
 
 func decisionTimeout(res reservation.Reserve) time.Duration {
 	return res.LatencyTarget/4 + decisionSlack
 }
 
-// reserveLocally uses the host's own scheduler after the coordinator has not answered in time.
+// reserveLocally moves the reservation to the host's own scheduler after the coordinator has not
+// answered in time, and waits for the decision.
 func (bro *broker) reserveLocally(ctx context.Context, pen *pendingReservation) (decision, error) {
 	bro.mutex.Lock()
 	if pen.coordinator != bro.host.epoch && bro.pending[pen.reserve.ID] == pen {
@@ -346,9 +349,9 @@
 	return context.Cause(ctx)
 }
 
-// submit sends a reservation to the active coordinator; the mutex is held.
+// submit sends a reservation to the coordinator; the mutex must be held.
 func (bro *broker) submit(pen *pendingReservation) {
-	bro.submitTo(pen, bro.active)
+	bro.submitTo(pen, bro.coordinator)
 }
 
 func (bro *broker) submitTo(pen *pendingReservation, at request.Epoch) {
@@ -372,10 +375,10 @@
 	if gra := bro.activeGrants[pro.ID]; gra != nil {
 		gra.PendingPrefill = false
 	}
-	bro.sendToActiveAndOwn(pro)
+	bro.sendToCoordinatorAndOwn(pro)
 }
 
-// release releases the slot of an engine.
+// release ends the use of a grant and releases its slot.
 func (bro *broker) release(rel reservation.Release) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
@@ -384,14 +387,14 @@
 
 func (bro *broker) releaseLocked(rel reservation.Release) {
 	delete(bro.activeGrants, rel.ID)
-	bro.sendToActiveAndOwn(rel)
+	bro.sendToCoordinatorAndOwn(rel)
 }
 
-// sendToActiveAndOwn sends a message to the coordinator and to the host's own scheduler, which
-// must know the host's own runs in case it becomes the coordinator.
-func (bro *broker) sendToActiveAndOwn(msg reservation.Message) {
-	if bro.active != bro.host.epoch {
-		bro.send(bro.active, msg)
+// sendToCoordinatorAndOwn sends a message to the coordinator and to the host's own scheduler, which
+// must know the host's requests in flight in case it becomes the coordinator.
+func (bro *broker) sendToCoordinatorAndOwn(msg reservation.Message) {
+	if bro.coordinator != bro.host.epoch {
+		bro.send(bro.coordinator, msg)
 	}
 	bro.send(bro.host.epoch, msg)
 }
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -19,8 +19,8 @@
 	Epoch string
 	// NotReady is why the host accepts no requests; empty if it does.
 	NotReady string
-	// Version is that of the configuration in force, Age how long ago the snapshot was last
-	// confirmed to be current.
+	// Version is that of the active configuration, Age the time since the snapshot was most
+	// recently confirmed to be current.
 	Version uint64
 	Age     string
 	Members []fleet.Member
@@ -30,8 +30,8 @@
 	// Coordinator is the epoch of the coordinator; Own is set if it is this host.
 	Coordinator string
 	Own         bool
-	// Sessions are the coordinators that this host has sessions with, Gateways the hosts that this
-	// host's scheduler serves.
+	// Sessions are the hosts that this host has opened sessions to, the coordinator and its next
+	// candidates. Gateways are the hosts that have opened sessions to this one.
 	Sessions []string
 	Gateways []string
 	// Waiting and Held count the host's own requests: those that wait for a decision, and those
@@ -86,7 +86,7 @@
 func (bro *broker) dump(now time.Time, dum *Dump) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
-	dum.Coordinator, dum.Own = bro.active.String(), bro.active == bro.host.epoch
+	dum.Coordinator, dum.Own = bro.coordinator.String(), bro.coordinator == bro.host.epoch
 	for _, lin := range bro.links {
 		dum.Sessions = append(dum.Sessions, lin.member.Name)
 	}
--- a/entry/elect.go
+++ b/entry/elect.go
@@ -12,30 +12,30 @@
 )
 
 // minCoordinatorTerm is the minimum term of a newly chosen coordinator while it is reachable. The
-// actual term is drawn from one to two times this, so that no two hosts change in step. It is
-// long enough for the reports of the leader, which take a few milliseconds, to converge.
-// Without it, hosts that have started at the same time can keep changing their coordinators in
-// response to one another without end.
+// actual term is drawn from one to two times this, so that hosts don't change their coordinators
+// simultaneously. Reports of which host is the leader take a few milliseconds, so that all hosts
+// have them within a term. Without a minimum term, hosts that have started at the same time can
+// keep changing their coordinators in response to one another without end.
 const minCoordinatorTerm = 100 * time.Millisecond
 
-// elect makes the chosen host the coordinator and moves pending reservations to it; the mutex is
-// held.
+// elect makes the chosen host the coordinator and moves pending reservations to it; the mutex
+// must be held.
 func (bro *broker) elect() {
 	now := bro.host.clock.Now()
 	chosen := bro.chooseCoordinator()
-	if chosen != bro.active && bro.withinMinTerm(now) {
+	if chosen != bro.coordinator && bro.withinMinTerm(now) {
 		bro.scheduleElection(now)
-		chosen = bro.active
+		chosen = bro.coordinator
 	}
 	bro.updateShare(chosen)
-	if chosen == bro.active {
+	if chosen == bro.coordinator {
 		return
 	}
 	bro.minTermEnd = now.Add(minCoordinatorTerm + rand.N(minCoordinatorTerm))
-	bro.host.log.Info().Stringer("Coordinator", chosen).Stringer("Former", bro.active).
+	bro.host.log.Info().Stringer("Coordinator", chosen).Stringer("Former", bro.coordinator).
 		Bool("Own", chosen == bro.host.epoch).Int("Hosts", len(bro.membership.members)).Int("Waiting", len(bro.pending)).Msg("coordinator changed")
-	old := bro.active
-	bro.active = chosen
+	old := bro.coordinator
+	bro.coordinator = chosen
 	bro.unreachableHosts.Store(nil)
 	bro.applyUnreachable(bro.host.epoch, bro.publishedUnreachable)
 	bro.appoint(old, chosen)
@@ -50,11 +50,11 @@
 	}
 }
 
-// withinMinTerm reports whether the coordinator stays for now, whichever host is the leader: it
+// withinMinTerm reports whether the coordinator is kept for now, whichever host is the leader: it
 // is within its minimum term, reachable and still a member. A host that is its own coordinator
 // switches to another one without delay.
 func (bro *broker) withinMinTerm(now time.Time) bool {
-	return bro.active != bro.host.epoch && now.Before(bro.minTermEnd) && bro.isReachable(bro.active) && bro.isMember(bro.active)
+	return bro.coordinator != bro.host.epoch && now.Before(bro.minTermEnd) && bro.isReachable(bro.coordinator) && bro.isMember(bro.coordinator)
 }
 
 func (bro *broker) isMember(epo request.Epoch) bool {
@@ -62,7 +62,7 @@
 }
 
 // scheduleElection schedules an election for the end of the coordinator's minimum term; the mutex
-// is held.
+// must be held.
 func (bro *broker) scheduleElection(now time.Time) {
 	if bro.electionScheduled {
 		return
@@ -79,7 +79,7 @@
 
 // appoint notifies the old and the new coordinator which of them this host uses. Without this a
 // coordinator could only count the hosts that send it reservations; after seconds without traffic
-// it would take all hosts for lost and enforce only its own share of the limits.
+// it would consider all hosts lost and enforce only its own share of the limits.
 func (bro *broker) appoint(old, chosen request.Epoch) {
 	if old != bro.host.epoch {
 		bro.send(old, reservation.Appoint{})
@@ -90,8 +90,8 @@
 }
 
 // handOverGrants sends the grants in use to the new coordinator and releases them at the old one,
-// which would otherwise take the engines to be full if it became the coordinator again. The
-// host's own scheduler always knows the host's own grants.
+// which would otherwise consider the engines full if it became the coordinator again. The host's
+// own scheduler always knows the host's own grants, so it is sent none.
 func (bro *broker) handOverGrants(old, chosen request.Epoch) {
 	for _, gra := range bro.activeGrants {
 		if chosen != bro.host.epoch {
@@ -103,7 +103,8 @@
 	}
 }
 
-// setAppointed records whether a gateway uses this host as its coordinator; the mutex is held.
+// setAppointed records whether a gateway uses this host as its coordinator; the mutex must be
+// held.
 func (bro *broker) setAppointed(inb *inbound, appointed bool) {
 	inb.appointed = appointed
 	if appointed && len(bro.publishedUnreachable) > 0 {
@@ -112,7 +113,7 @@
 	if appointed {
 		bro.sendCasesToGateway(inb)
 	}
-	bro.updateShare(bro.active)
+	bro.updateShare(bro.coordinator)
 	bro.publishLeader()
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -76,8 +76,8 @@
 
 	// snapshot holds the known configuration, engines and hosts.
 	snapshot atomic.Pointer[snapshot]
-	// confirmed is when the store last showed that the snapshot is current, in nanoseconds after
-	// started by the host's clock.
+	// confirmed is the latest time at which the snapshot is known to have been current, in
+	// nanoseconds after started by the host's clock.
 	confirmed atomic.Int64
 	started   time.Time
 	// storeUnavailable is set while the store is unreachable for other hosts too.
@@ -90,12 +90,12 @@
 	evacuationUpdates chan struct{}
 	// resumed delivers the length of a suspension to handleSuspensions.
 	resumed chan time.Duration
-	// heldUpdates wakes maintainHeld. heldRevision is the store's revision of the held requests; 0 if
-	// the store has none.
+	// heldUpdates wakes maintainHeld. heldRevision is the store's revision of the held requests; 0
+	// if the store has none.
 	heldUpdates  chan struct{}
 	heldRevision atomic.Uint64
-	// leaseChecks makes maintainLease renew the lease soon.
-	leaseChecks chan struct{}
+	// renewalRequests wakes maintainLease before the next renewal is due.
+	renewalRequests chan struct{}
 	// entryInvalid is set when another writer has overwritten the host's own entry with an unusable
 	// value, until the entry is written again.
 	entryInvalid atomic.Bool
@@ -136,7 +136,7 @@
 		configured:        make(chan struct{}),
 		storeRead:         make(chan struct{}),
 		clientWaiting:     make(chan struct{}),
-		leaseChecks:       make(chan struct{}, 1),
+		renewalRequests:   make(chan struct{}, 1),
 		rolloutUpdates:    make(chan struct{}, 1),
 		evacuationUpdates: make(chan struct{}, 1),
 		heldUpdates:       make(chan struct{}, 1),
@@ -162,8 +162,8 @@
 	return hos, nil
 }
 
-// peerTiming detects a lost host well before clients give up: sessions are busy, and three missed
-// heartbeats in a row are no coincidence.
+// peerTiming makes sessions with a lost host end well before clients time out. Sessions are busy,
+// so that three missed heartbeats in a row mean that the host is lost.
 var peerTiming = peer.Timing{Heartbeat: 200 * time.Millisecond, Timeout: 700 * time.Millisecond}
 
 // security returns how hosts authenticate one another: by the key in their settings or, without
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -24,7 +24,8 @@
 
 const (
 	// evacuationInterval is how often the coordinator checks the progress of evacuations;
-	// idleEvacuationInterval is the same on all other hosts, any of which may become the coordinator.
+	// idleEvacuationInterval is the same on all other hosts, any of which may become the
+	// coordinator.
 	evacuationInterval     = 100 * time.Millisecond
 	idleEvacuationInterval = time.Second
 	// evacuationWriteTimeout bounds the writing of an evacuation's state.
@@ -54,7 +55,7 @@
 }
 
 // beginSend returns an *EvacuatedError if the domain is being evacuated. Otherwise the request may
-// be written, and endSend must be called once it is.
+// be written, and endSend must be called once it is written or abandoned.
 func (eva *evacuations) beginSend(domain string) error {
 	eva.mutex.Lock()
 	defer eva.mutex.Unlock()
@@ -120,8 +121,8 @@
 	bro.handleLocked(scheduler.DomainsClosed{Gateway: from, Domains: domains})
 }
 
-// setEvacuation changes the stored state of a failure domain. A domain of which the store holds
-// nothing more is removed.
+// setEvacuation changes the stored state of a failure domain. A domain for which the store holds
+// neither an order nor a published state is removed.
 func (wat *storeWatcher) setEvacuation(domain string, change func(*evacuation.StoredState)) {
 	sst := wat.evacuations[domain]
 	sst.Order.Domain = domain
@@ -163,7 +164,8 @@
 	wat.setEvacuation(domain, func(sst *evacuation.StoredState) { sst.Published = published })
 }
 
-// resetEvacuations prepares a complete read: orders that it lacks are withdrawn.
+// resetEvacuations prepares for a complete read of the store: it withdraws the orders that the read
+// lacks, and clears the published states, which the read sets again.
 func (wat *storeWatcher) resetEvacuations(values []store.Value, rev store.Revision) {
 	given := make(map[string]bool)
 	for _, val := range values {
@@ -179,16 +181,16 @@
 	}
 }
 
-// publishEvacuations puts the orders in force before the rest of an update is published, since
-// they are checked last, immediately before a request is sent.
+// publishEvacuations applies the orders before the rest of an update is published, since they are
+// checked last, immediately before a request is sent.
 func (wat *storeWatcher) publishEvacuations(now time.Time, tab *route.Table) {
 	if !wat.evacuationsChanged {
 		return
 	}
 	wat.evacuationsChanged = false
 	for _, domain := range wat.withdrawnDomains {
-		// The domain's engines had no requests. They may be cold, and report that only after they
-		// are used.
+		// The domain's engines had no requests. They may be cold, and report that only once they
+		// get requests again.
 		wat.directory.MarkCold(now, domain, coldFor(tab))
 	}
 	wat.withdrawnDomains = nil
--- a/entry/held.go
+++ b/entry/held.go
@@ -14,13 +14,14 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// Held requests are stored, so that they outlast the loss of all hosts: otherwise each such request
-// would crash three more engines after each loss. The coordinator writes them only when they have
-// changed, so a calm day costs no calls. Until then, and while the store is unreachable, each
-// host learns them from the reports of the others.
+// Held requests are stored, so that they stay held after the loss of all hosts: otherwise each such
+// request would crash three more engines after each loss. The coordinator writes them only when
+// they have changed, so that no calls are made on a day without crashes. Until they are written,
+// and while the store is unreachable, each host receives them in the reports of the others.
 
 const (
-	// PathFree is the path on the metrics address that releases a held request: POST with its digest.
+	// PathFree is the path on the metrics address that releases a held request: POST with its
+	// digest.
 	PathFree = "/held/free"
 	// queryDigest is the query parameter that holds the digest.
 	queryDigest = "digest"
@@ -28,7 +29,7 @@
 	// not promise that it hasn't.
 	statusHeld = http.StatusBadGateway
 	// heldTimeout bounds the writing of held requests; heldRetry is the time after which a write is
-	// checked or repeated.
+	// checked or retried.
 	heldTimeout = time.Second
 	heldRetry   = time.Second
 )
@@ -43,7 +44,7 @@
 	wat.host.broker.handle(scheduler.HoldsRead{Holds: holds})
 }
 
-// clearHeldRevision records that the store holds no held requests. Those that are known stay held:
+// clearHeldRevision records that the store has no held requests. The known ones stay held, since
 // another writer may have deleted the key.
 func (wat *storeWatcher) clearHeldRevision() {
 	wat.host.heldRevision.Store(0)
--- a/entry/leader.go
+++ b/entry/leader.go
@@ -8,12 +8,12 @@
 )
 
 // The leader is a host that coordinates more than half of all hosts. A host that can reach the
-// leader uses it as its coordinator, regardless of the order of the candidates and even if it
-// knows of the leader only from another host's report. So nothing changes when a host that was
-// lost or disconnected returns. A change of the coordinator is expensive: all hosts report their
-// running requests to a host that has no state yet, and clients are affected. Without a leader,
-// as after the loss of all hosts, the first reachable candidate is chosen and soon becomes the
-// leader.
+// leader uses it as its coordinator, regardless of the order of the candidates and even if it knows
+// of the leader only from another host's report. Therefore the coordinator does not change when a
+// host that was lost or disconnected returns. A change of the coordinator is expensive: all hosts
+// report their running requests to a host that has no state yet, and clients are affected. Without
+// a leader, as after the loss of all hosts, the first reachable candidate is chosen and soon
+// becomes the leader.
 
 // chooseCoordinator returns the host to use as the coordinator: the leader, or the first
 // reachable candidate.
@@ -75,9 +75,9 @@
 }
 
 // coordinatesLocked reports whether this host coordinates all hosts, as far as it knows; the
-// mutex is held.
+// mutex must be held.
 func (bro *broker) coordinatesLocked() bool {
-	return bro.active == bro.host.epoch && !bro.membership.unregistered && (bro.isLeader() || len(bro.membership.members) == 1)
+	return bro.coordinator == bro.host.epoch && !bro.membership.unregistered && (bro.isLeader() || len(bro.membership.members) == 1)
 }
 
 // coordinates reports whether this host coordinates all hosts, as far as it knows.
@@ -99,8 +99,8 @@
 	return served
 }
 
-// publishLeader sends the leader to all gateways with a session if it has changed; the mutex is
-// held.
+// publishLeader sends the leader to all gateways with a session if it has changed; the mutex
+// must be held.
 func (bro *broker) publishLeader() {
 	leader := bro.reachableLeader()
 	if leader == bro.publishedLeader {
@@ -116,7 +116,7 @@
 	inb.send(reservation.Leader{Host: bro.publishedLeader})
 }
 
-// applyLeader applies a coordinator's report of the leader; the mutex is held.
+// applyLeader applies a coordinator's report of the leader; the mutex must be held.
 func (bro *broker) applyLeader(by, leader request.Epoch) {
 	lin := bro.links[by]
 	if lin == nil || lin.leader == leader {
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -13,23 +13,23 @@
 
 const (
 	// minRenew and maxRenew bound the interval between renewals of a lease. In a small fleet a lost
-	// host's entry expires within seconds, in a large one within half a minute. Clients are no longer
-	// sent to the host once its session with the coordinator has ended, which is earlier; what expires
-	// is the entry of a host that never comes back.
+	// host's entry expires within seconds, in a large one within half a minute. Clients get no
+	// addresses of a lost host as soon as its session with the coordinator has ended, which is
+	// earlier, so the expiry matters only if the host never returns.
 	minRenew = time.Second
 	maxRenew = 10 * time.Second
 	// renewalsToExpiry is how many renewals must fail before the entry expires.
 	renewalsToExpiry = 3
-	// firstReadTimeout bounds how long a starting host waits for its first read of the store before it
-	// registers, so that it knows the size of the fleet: a first read takes some milliseconds.
+	// firstReadTimeout bounds how long a starting host waits for its first read of the store before
+	// it registers, so that it knows the size of the fleet: a first read takes some milliseconds.
 	firstReadTimeout = 150 * time.Millisecond
-	// fleetRenewals is how many renewals a second all hosts make together: with hundreds of hosts
-	// they would otherwise be most calls of a calm day.
-	fleetRenewals = 30
+	// fleetRenewalsPerSecond bounds the renewals of all hosts together: those of hundreds of hosts
+	// would otherwise be most of the calls to the store on a day without faults.
+	fleetRenewalsPerSecond = 30
 	// minLeaseRetry and maxLeaseRetry bound the backoff after a failed call. The first retry is
-	// soon, since the lease continues to run out; later ones are rare, since a whole fleet that
-	// continues to call doesn't help a store that is unreachable or over its rate limit. The store
-	// watcher reports when the store is reachable again.
+	// soon, since the lease is about to expire; later ones are rare, since the calls of a whole
+	// fleet only add to the load of a store that is unreachable or over its rate limit. The store
+	// watcher wakes maintainLease when the store is reachable again.
 	minLeaseRetry = 400 * time.Millisecond
 	maxLeaseRetry = 2 * time.Second
 	// registerJitter is the jitter with which hosts register when the store is reachable again.
@@ -79,11 +79,11 @@
 // renewInterval returns the interval at which each host renews its lease in a fleet of the given
 // number of hosts.
 func renewInterval(hosts int) time.Duration {
-	return min(maxRenew, max(minRenew, time.Second*time.Duration(hosts)/fleetRenewals))
+	return min(maxRenew, max(minRenew, time.Second*time.Duration(hosts)/fleetRenewalsPerSecond))
 }
 
-// leaseDuration returns the duration of a lease in a fleet of the given number of hosts. A host that
-// knows no other host yet takes the longest: hundreds may be starting.
+// leaseDuration returns the duration of a lease in a fleet of the given number of hosts. It is the
+// longest for a host that knows no other host yet: hundreds may be starting.
 func leaseDuration(hosts int) time.Duration {
 	if hosts <= 1 {
 		return renewalsToExpiry * maxRenew
@@ -114,10 +114,10 @@
 	}
 }
 
-// awaitLeaseRenewal waits until the lease is due for renewal, or may have expired. It reports false
-// once the host stops.
+// awaitLeaseRenewal waits until the lease is due for renewal, or for a short random time after a
+// call of renewLeaseSoon. It reports false once the host stops.
 func (hos *Host) awaitLeaseRenewal(ctx context.Context, wait time.Duration) bool {
-	wake := hos.leaseChecks
+	wake := hos.renewalRequests
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -135,17 +135,17 @@
 	}
 }
 
-// checkLease makes maintainLease renew the lease soon: after the store was unreachable, after a
+// renewLeaseSoon makes maintainLease renew the lease soon: after the store was unreachable, after a
 // suspension, and when the host's own entry is missing or invalid.
-func (hos *Host) checkLease() {
+func (hos *Host) renewLeaseSoon() {
 	select {
-	case hos.leaseChecks <- struct{}{}:
+	case hos.renewalRequests <- struct{}{}:
 	default:
 	}
 }
 
-// register takes a lease and writes the host's entry under it. A write whose answer is lost is
-// repeated under a new lease; the previous lease expires by itself.
+// register requests a lease and writes the host's entry under it. A write whose answer is lost is
+// retried under a new lease; the previous lease expires by itself.
 func (hos *Host) register(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 	lease, err := hos.store.GrantLease(ctx, ttl)
 	if err != nil {
--- a/entry/lease_test.go
+++ b/entry/lease_test.go
@@ -20,7 +20,7 @@
 	assert.Equal(t, renewInterval(7), time.Second)
 	for _, hosts := range []int{30, 87, 295} {
 		each := float64(hosts) / renewInterval(hosts).Seconds()
-		assert.Assert(t, each <= fleetRenewals+1, "%d hosts renew %.0f times a second", hosts, each)
+		assert.Assert(t, each <= fleetRenewalsPerSecond+1, "%d hosts renew %.0f times a second", hosts, each)
 	}
 	assert.Equal(t, renewInterval(5000), maxRenew)
 }
@@ -51,7 +51,7 @@
 		return store.Change{Value: store.Value{Key: platform.MemberKey(name)}, Deleted: true}
 	}
 	wat.applyChange(deletion("other"))
-	assert.Equal(t, len(hos.leaseChecks), 0)
+	assert.Equal(t, len(hos.renewalRequests), 0)
 	wat.applyChange(deletion("self"))
-	assert.Equal(t, len(hos.leaseChecks), 1)
+	assert.Equal(t, len(hos.renewalRequests), 1)
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// quantiles are the ones written of each histogram.
+// quantiles are those that text returns for each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 // text returns all metrics and the calls to the store by kind, one per line, sorted.
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -73,8 +73,9 @@
 
 // signals returns the signals in an answer about the engine that the request was sent to; the mutex
 // must be held. If the answer names another engine, or rejects the request as misdirected without
-// naming an engine, its signals are that other engine's and are not used. An answer to another
-// request still came from this engine, but its time is unknown.
+// naming an engine, its signals are that other engine's and are not used. The signals in an answer
+// to another request are used, since that answer still came from this engine; but it can't end a
+// rate limit, since it is unknown when that request was sent.
 func (ntc *notices) signals(hrd upstream.HeadReceived) []fleet.Notice {
 	head := hrd.Head
 	switch {
@@ -135,9 +136,9 @@
 
 // log logs a new signal together with the engine's entry in the snapshot; the mutex must be held.
 func (ntc *notices) log(now time.Time, hrd upstream.HeadReceived, signal fleet.Signal, prev fleet.ReceivedLimit, limited bool) {
-	known, listed := ntc.host.snapshot.Load().engine(hrd.Engine)
+	known, registered := ntc.host.snapshot.Load().engine(hrd.Engine)
 	evt := ntc.host.log.Info().Stringer("Engine", hrd.Engine).Stringer("Address", hrd.Address).Stringer("Says", signal).Str("AnswerTo", hrd.Head.ID).
-		Bool("Listed", listed).Bool("EntryDraining", known.Draining).Uint64("EntrySequence", known.Sequence).Dur("Age", ntc.host.snapshotAge(now))
+		Bool("Listed", registered).Bool("EntryDraining", known.Draining).Uint64("EntrySequence", known.Sequence).Dur("Age", ntc.host.snapshotAge(now))
 	switch sig := signal.(type) {
 	case fleet.Backoff:
 		evt = evt.Dur("For", sig.Remaining)
@@ -152,9 +153,9 @@
 	evt.Msg("engine signal")
 }
 
-// recordInvalid logs and counts an invalid signal. An invalid backoff has no effect, so the engine
-// is judged by its health alone; the rate limit that was signaled before an invalid rate stays
-// in force.
+// recordInvalid logs and counts an invalid signal. A backoff that is too long is cut to the maximum,
+// other invalid backoffs have no effect, so that the engine is judged by its health alone. The rate
+// limit that was signaled before an invalid rate stays in force.
 func (ntc *notices) recordInvalid(hrd upstream.HeadReceived) {
 	ntc.host.metrics.count("EngineNotices.Unread")
 	now := ntc.host.clock.Now()
@@ -201,7 +202,8 @@
 }
 
 // endLimit ends a rate limit that the scheduler reported to be over, as an answer to another host
-// has shown, unless the engine has signaled it again since the reservation was placed at requestedAt.
+// has shown, unless the engine has signaled it again since the reservation was placed at
+// requestedAt.
 func (ntc *notices) endLimit(run fleet.EngineID, requestedAt time.Time) {
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
@@ -222,7 +224,8 @@
 	return ntc.received.Current(now)
 }
 
-// prune drops expired notices and those of engine runs that are no longer registered.
+// prune drops expired notices, those of engine runs that are no longer registered, and the times of
+// log lines that no longer suppress others.
 func (ntc *notices) prune(snp *snapshot) {
 	now := ntc.host.clock.Now()
 	ntc.mutex.Lock()
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// batchInterval is how long further changes are collected after some have arrived: each read is a
-	// call, and changes may take seconds to apply.
+	// batchInterval is how long further changes are collected after some have arrived: each read is
+	// a call, and it is enough that changes take effect within seconds.
 	batchInterval = 100 * time.Millisecond
-	// startupBatchInterval is the same shortly after the host's start, for startupPeriod: hosts that
-	// start together schedule alone until they know one another, which costs more than the calls that
-	// a longer interval saves.
+	// startupBatchInterval is the same during startupPeriod after the host's start: hosts that start
+	// together each use their own scheduler until they know one another, which costs more than the
+	// calls that a longer interval saves.
 	startupBatchInterval = 50 * time.Millisecond
 	startupPeriod        = 1500 * time.Millisecond
 	// minStoreRetry and maxStoreRetry bound the backoff before the store is called again: each call
-	// counts against its rate limit, and a configuration must be in force soon.
+	// counts against its rate limit, and a new configuration must become active soon.
 	minStoreRetry = 50 * time.Millisecond
 	maxStoreRetry = 200 * time.Millisecond
-	// peerReadInterval is how often other hosts are read from until that call: draining engines must
-	// get no new requests after two seconds.
+	// peerReadInterval is how often other hosts' copies are read during that backoff: draining
+	// engines must get no new requests after two seconds.
 	peerReadInterval = 400 * time.Millisecond
 	// maxRateLimitRetry bounds the backoff where the store's rate limit is exhausted.
 	maxRateLimitRetry = 2 * time.Second
 	// expiryHold is how long after an outage of the store entries that expired in it are kept: their
 	// owners register again within about two seconds.
 	expiryHold = 2200 * time.Millisecond
-	// maxPeerReadGap is the longest gap between two successful reads from other hosts during which the
-	// store is assumed to serve them: without changes, their copies are as old as their last watch.
+	// maxPeerReadGap is the longest gap between two successful reads from other hosts during which
+	// the store is assumed to serve them: without changes, their copies are as old as the answer to
+	// their most recent watch.
 	maxPeerReadGap = watchTimeout
 )
 
@@ -47,7 +48,8 @@
 	directory *fleet.Directory
 	table     *route.Table
 	revision  store.Revision
-	// needsFullRead is set while all keys must be read again.
+	// needsFullRead is set until all keys have been read, and again once the store has compacted the
+	// changes after revision.
 	needsFullRead bool
 	// invalidValues records the keys whose values can't be used.
 	invalidValues *invalidValues
@@ -64,12 +66,13 @@
 	loggedOrders       map[evacuation.Order]bool
 	// hostChanges collects what the update that is being applied changes in the list of hosts.
 	hostChanges memberChanges
-	// waitedForHosts is set once a host that found no other host has waited for some.
+	// waitedForHosts is set once this host, which found no other host at its start, has waited for
+	// others to register.
 	waitedForHosts bool
 	// relays chooses the relay, through which the store is read.
 	relays *relayChooser
-	// peerIndex is the index, modulo the number of hosts, of the host that was last read from while
-	// the store was unreachable.
+	// peerIndex is the index, modulo the number of hosts, of the host that was most recently read
+	// from while the store was unreachable.
 	peerIndex int
 	// probedRelay is the epoch of the relay that has answered a short call; 0 for none.
 	probedRelay request.Epoch
@@ -79,11 +82,11 @@
 	nextProbe time.Time
 	// unreachableSince is when the store became unreachable; zero while it is reachable.
 	unreachableSince time.Time
-	// peersCurrentSince is the time since which other hosts have had the current content of the store,
-	// and peerReadAt when one of them last passed it on to this host.
+	// peersCurrentSince is the time since which other hosts have had the current content of the
+	// store. peerReadAt is when this host most recently read it from one of them.
 	peersCurrentSince time.Time
 	peerReadAt        time.Time
-	// lastError is the last error of a call to the store.
+	// lastError is the error of the most recent call to the store that failed.
 	lastError error
 	backoff   time.Duration
 }
@@ -173,8 +176,8 @@
 	wat.backoff = min(limit, 2*wat.backoff)
 }
 
-// readFromPeersUntil reads from other hosts until the next call to the store. That may take long
-// while the store's rate limit is exhausted, and draining engines must be known before then.
+// readFromPeersUntil reads from other hosts until the next call to the store. While the store's rate
+// limit is exhausted, that call may be seconds away, and draining engines must be known earlier.
 func (wat *storeWatcher) readFromPeersUntil(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil {
 		wat.readFromPeers(ctx)
@@ -195,10 +198,10 @@
 	wat.host.log.Info().Dur("After", now.Sub(wat.unreachableSince)).Uint64("Revision", uint64(wat.revision)).Msg("store reachable again")
 	wat.unreachableSince = time.Time{}
 	wat.nextProbe = time.Time{}
-	// A fleet that reaches the store again all at once soon returns to reading through other hosts.
+	// All hosts reach the store again at about the same time, so that the relay is ready soon.
 	wat.directUntil = now.Add(startupDirectReadTime)
 	wat.host.storeUnavailable.Store(false)
-	wat.host.checkLease()
+	wat.host.renewLeaseSoon()
 	if !wat.storeServesPeers(now) {
 		wat.directory.HoldRemovals(now.Add(expiryHold))
 	}
@@ -206,10 +209,10 @@
 }
 
 // storeServesPeers reports whether the store certainly serves other hosts while this host can't
-// reach it. In an outage entries expire although their owners are running, so removals are
-// held. If only this host can't reach the store, a removed entry is that of an engine or host that
-// has stopped, which must get no requests. Other hosts notice an outage within maxPeerCopyAge, which
-// is less than expiryHold.
+// reach it. In an outage entries expire although their owners are running, so removals are deferred.
+// If only this host can't reach the store, a removed entry is that of an engine or host that has
+// stopped, which must get no requests. Other hosts detect an outage within maxPeerCopyAge, which is
+// less than expiryHold.
 func (wat *storeWatcher) storeServesPeers(now time.Time) bool {
 	return now.Sub(wat.peerReadAt) <= maxPeerReadGap && now.Sub(wat.peersCurrentSince) > expiryHold
 }
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -14,8 +14,8 @@
 	// of the 0.3 s after which a lost host counts as unreachable. It limits the messages to one
 	// per host and interval.
 	presenceInterval = 100 * time.Millisecond
-	// idlePresenceInterval is the interval for hosts without sessions from gateways, which is
-	// nearly all of them.
+	// idlePresenceInterval is the interval for hosts without sessions from gateways: nearly all
+	// hosts.
 	idlePresenceInterval = time.Second
 )
 
@@ -46,7 +46,7 @@
 	if slices.Equal(unreachable, bro.publishedUnreachable) {
 		return presenceInterval
 	}
-	if bro.active == bro.host.epoch {
+	if bro.coordinator == bro.host.epoch {
 		bro.host.log.Info().Int("Absent", len(unreachable)).Int("Former", len(bro.publishedUnreachable)).Int("Hosts", len(bro.membership.members)).Msg("unreachable hosts changed")
 	}
 	bro.publishedUnreachable = unreachable
@@ -63,10 +63,10 @@
 	inb.send(reservation.Absent{Hosts: bro.publishedUnreachable})
 }
 
-// applyUnreachable applies a report of unreachable hosts if it is the coordinator's; the mutex is
-// held.
+// applyUnreachable applies a report of unreachable hosts if it is the coordinator's; the mutex
+// must be held.
 func (bro *broker) applyUnreachable(by request.Epoch, hosts []request.Epoch) {
-	if by != bro.active {
+	if by != bro.coordinator {
 		return
 	}
 	unreachable := make(map[request.Epoch]bool, len(hosts))
@@ -76,7 +76,7 @@
 	bro.unreachableHosts.Store(&unreachable)
 }
 
-// isUnreachable reports whether the coordinator takes a registered host to be unreachable.
+// isUnreachable reports whether the coordinator has reported a host as unreachable.
 func (bro *broker) isUnreachable(epo request.Epoch) bool {
 	unreachable := bro.unreachableHosts.Load()
 	return unreachable != nil && (*unreachable)[epo]
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -5,7 +5,8 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// publish makes the state of the store watcher the host's snapshot and passes on the changes.
+// publish makes the state of the store watcher the host's snapshot, and passes the changes on to the
+// host's scheduler and its sessions.
 func (wat *storeWatcher) publish() {
 	wat.publishEvacuations(wat.host.clock.Now(), wat.table)
 	engines := wat.directory.Engines()
@@ -16,7 +17,7 @@
 	}
 	wat.updateGauges(snp)
 	prev := wat.host.snapshot.Swap(snp)
-	wat.endPreviousRuns(prev, engines)
+	wat.abortEarlierRuns(prev, engines)
 	if snp.table != nil && prev.table != snp.table {
 		wat.host.broker.handle(scheduler.ConfigurationChanged{Table: snp.table})
 	}
@@ -29,8 +30,8 @@
 	wat.host.broker.updateMembership(mbs)
 }
 
-// endPreviousRuns ends all calls that still wait for engines that have been restarted.
-func (wat *storeWatcher) endPreviousRuns(prev *snapshot, engines []fleet.Engine) {
+// abortEarlierRuns aborts the calls that still wait for earlier runs of restarted engines.
+func (wat *storeWatcher) abortEarlierRuns(prev *snapshot, engines []fleet.Engine) {
 	for _, eng := range engines {
 		if known, found := prev.engines[eng.ID.Name]; eng.ID.StartTime.IsZero() || found && known.ID == eng.ID {
 			continue
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -11,9 +11,9 @@
 	// minRelayHosts is the minimum number of hosts in a failure domain for one of them to read the
 	// store for all: with fewer hosts that saves too little.
 	minRelayHosts = 3
-	// maxRelayCandidates is how many hosts of a failure domain are tried in turn as the relay, before
-	// each host reads the store by itself: the first may be lost, and the second rejected by the
-	// store, at the same time.
+	// maxRelayCandidates is how many hosts of a failure domain are tried in turn as the relay,
+	// before each host reads the store by itself: the first may be lost, and the second rejected by
+	// the store, at the same time.
 	maxRelayCandidates = 3
 	// relaySkipTime is how long a host that failed is skipped: hosts come back within seconds, and a
 	// call costs some milliseconds.
@@ -21,8 +21,8 @@
 )
 
 // relayChooser chooses the relay: the host of a failure domain that reads the store for all others
-// of that domain. Without a second choice, each host would read the store by itself while the first choice is lost, or is
-// rejected by the store.
+// of that domain. It skips candidates that have failed: otherwise each host would read the store by
+// itself while the first candidate is lost, or is rejected by the store.
 type relayChooser struct {
 	own request.Epoch
 	// skippedUntil is the time until which each host that failed is skipped.
@@ -33,8 +33,8 @@
 	return &relayChooser{own: own, skippedUntil: make(map[request.Epoch]time.Time)}
 }
 
-// relay returns the relay of the failure domain, as far as this host knows. There is none if the
-// domain has too few hosts, or if all candidates have failed.
+// relay returns the relay of the failure domain, as far as this host knows; peers are the hosts of
+// the domain. There is none if they are too few, or if all candidates have failed.
 func (rch *relayChooser) relay(now time.Time, peers []fleet.Member) (fleet.Member, bool) {
 	if len(peers) < minRelayHosts {
 		return fleet.Member{}, false
--- a/entry/refused.go
+++ b/entry/refused.go
@@ -7,8 +7,8 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// maxInvalidKeys bounds the keys whose invalid values are remembered. Further ones are counted but
-// not logged, so that a writer of many invalid values can't fill the log.
+// maxInvalidKeys bounds the keys whose invalid values are recorded. Further ones are counted but not
+// logged, so that a writer of many invalid values can't fill the log.
 const maxInvalidKeys = 256
 
 // invalidValues records the keys of the store whose values are invalid. Each is logged when its
@@ -24,8 +24,8 @@
 	return &invalidValues{log: log, counter: counter, reasons: make(map[string]string)}
 }
 
-// checkValue reports whether a value could be decoded and records the result. The consequence is
-// logged: what the host does if the value is invalid.
+// checkValue reports whether a value could be decoded, and records the result. The consequence is
+// the log message for an invalid value: it states what is invalid and what the host does.
 func (inv *invalidValues) checkValue(val store.Value, err error, consequence string) bool {
 	if err != nil {
 		inv.recordInvalid(val, err, consequence)
@@ -35,7 +35,8 @@
 	return true
 }
 
-// recordInvalid records an invalid value. The consequence is logged: what the host does instead.
+// recordInvalid counts an invalid value, and logs it unless it is already logged for the same
+// reason.
 func (inv *invalidValues) recordInvalid(val store.Value, err error, consequence string) {
 	inv.counter.Inc(1)
 	reason := err.Error()
--- a/entry/regions.go
+++ b/entry/regions.go
@@ -6,7 +6,7 @@
 )
 
 // checkRegions logs the regions in a configuration that are unknown, and the routes and accounts
-// whose requests no region may serve. The configuration stays in force as its operators wrote it.
+// whose requests no region may serve. The configuration is active all the same.
 func (wat *storeWatcher) checkRegions(tab *route.Table, val store.Value) {
 	for _, err := range tab.RegionConflicts() {
 		wat.host.metrics.count("RoutesWithoutRegion")
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -8,12 +8,13 @@
 	"lynxwell.dev/lynxwell/settings"
 )
 
-// settingsInterval is how often the settings file is checked: a change need not come with a signal,
-// and no setting is more urgent than a few seconds.
+// settingsInterval is how often the settings file is checked for changes made without a signal; no
+// setting has to take effect within less than a few seconds.
 const settingsInterval = 2 * time.Second
 
-// Reload reads the settings file again. Invalid settings are refused as a whole, and the last valid
-// ones stay in force.
+// Reload reads the settings file again and applies its bounds of the grace period, of revocations
+// and of the renewal of secrets; all other settings apply from the next start. Invalid settings are
+// refused as a whole, and the last valid ones stay in use.
 func (hos *Host) Reload(reason string) {
 	set, err := settings.LoadEntry(hos.cfg.SettingsFile)
 	if err != nil {
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -14,7 +14,7 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-// returnGrant records that a grant is returned unused, and why.
+// returnGrant counts and logs that a grant is returned unused, and why.
 func (exc *exchange) returnGrant(err error) {
 	exc.lastGrantUnused = true
 	exc.returnedGrants++
@@ -125,7 +125,8 @@
 
 // latencyTarget returns the time within which the next attempt's answer is still useful. For the
 // first attempt that is what is left of the route's latency target. A retry usually misses the
-// target, but its client keeps waiting, and a stream that has begun is lost unless it continues.
+// target, but its client keeps waiting, and a stream that has begun is lost unless it continues: for
+// these the limit is the deadline and, for a stream, the client's timeout for the next event.
 func (exc *exchange) latencyTarget(now time.Time) time.Duration {
 	if exc.attempts == 0 {
 		return exc.route.LatencyTarget - now.Sub(exc.started)
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// rolloutInterval is how often the coordinator decides on roll-outs while there are any: a
-	// fraction of the second within which a version that became faulty does harm.
+	// rolloutInterval is how often the coordinator decides on roll-outs while any is unfinished: a
+	// fraction of the second within which a faulty version does harm.
 	rolloutInterval = 100 * time.Millisecond
 	// rolloutTimeout bounds the writing of a ledger or a state.
 	rolloutTimeout = time.Second
@@ -23,7 +23,7 @@
 // rollouts is the stored state of roll-outs, by service.
 type rollouts struct {
 	stored map[string]rollout.StoredState
-	// changed is set until the scheduler has been informed.
+	// changed is set until the changes have been passed to the scheduler.
 	changed bool
 }
 
@@ -103,8 +103,8 @@
 }
 
 // rolloutWrites makes this host's scheduler decide on roll-outs if this host is the coordinator,
-// and returns what is to be written. Other hosts send no requests to a new version until its roll-out
-// is completed. It also reports whether any roll-out is unfinished.
+// and returns what is to be written. Other hosts send no requests to a new version until its
+// roll-out is completed. It also reports whether any roll-out is unfinished.
 func (bro *broker) rolloutWrites(now time.Time) ([]rollout.Write, bool) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -17,12 +17,12 @@
 	// coordinator and the host that would replace it.
 	coordinatorSessions = 2
 	// maxCandidates bounds how many hosts a gateway tries to keep sessions with, including
-	// unreachable ones: the hosts of the largest failure domain of a fleet of six, which may be
+	// unreachable ones: all hosts of the largest failure domain of a fleet of six, which may be
 	// lost at once, and two more.
 	maxCandidates = 5
 )
 
-// membership is the set of hosts that share the work.
+// membership is the set of hosts that share the engines and the limits.
 type membership struct {
 	// members are all hosts; candidates are those that may be the coordinator, in order of
 	// preference.
@@ -71,7 +71,7 @@
 	bro.wakeSessions()
 }
 
-// applyMembership applies a new membership; the mutex is held.
+// applyMembership applies a new membership; the mutex must be held.
 func (bro *broker) applyMembership(mbs membership) {
 	now := bro.host.clock.Now()
 	bro.registeredMembership, bro.membership = mbs, mbs.applyRestarts(bro.restarts)
@@ -84,8 +84,8 @@
 
 // candidates returns the hosts to keep sessions with, in order: the first that are not known to
 // be unreachable, those before them in case they have returned, and the known leaders.
-// Unreachable hosts don't count because their entries remain until their leases expire; a host
-// that waited for this would use its own scheduler for as long.
+// Unreachable hosts don't count towards coordinatorSessions: their entries remain until their
+// leases expire, and a host that waited for that would use its own scheduler until then.
 func (bro *broker) candidates() []fleet.Member {
 	var found []fleet.Member
 	reachable := 0
@@ -136,7 +136,7 @@
 }
 
 // recordUnreachable records that a session could not be opened, so that the next candidates are
-// tried.
+// tried. A session that lasted longer than the opening may take was open, and is not recorded.
 func (bro *broker) recordUnreachable(mem fleet.Member, lasted time.Duration) {
 	if lasted > dialTimeout+maxRedial {
 		return
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -31,7 +31,8 @@
 	refusalLogInterval = time.Second
 )
 
-// secrets holds the deployment's secrets, unless the settings hold a key.
+// secrets holds the deployment's secrets, by which its hosts authenticate one another unless their
+// settings hold a key.
 type secrets struct {
 	authenticator *credential.Authenticator
 	// known is closed once a secret is known.
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -20,7 +20,7 @@
 	name    string
 	address netip.AddrPort
 	server  *http.Server
-	// serve serves connections in another way than server.Serve; nil to use that.
+	// serve replaces server.Serve; nil to use server.Serve.
 	serve func(net.Listener, *http.Server) error
 }
 
@@ -31,11 +31,11 @@
 	return lis.server.Serve(open)
 }
 
-// metricsListener names the only address that a host can run without.
+// metricsListener is the name of the only listener that a host can run without.
 const metricsListener = "MetricsAddress"
 
-// liveness closes connections of clients and hosts that have gone silent: after that time the
-// client of a stream has given up, and the engine would generate an answer that is not read.
+// liveness closes connections whose client or host no longer responds: after that time the client
+// of a stream has given up, and the engine would generate an answer that is not read.
 var liveness = transport.Liveness{Limit: 2500 * time.Millisecond}
 
 func (hos *Host) serve(ctx context.Context) error {
@@ -43,7 +43,7 @@
 	peerServer := peers.HTTPServer()
 	peerServer.ErrorLog = log.New(serverErrorLog{log: hos.log}, "", 0)
 	listeners := []listener{
-		{name: "CallerAddress", address: hos.set.CallerAddress, server: hos.callerServer()},
+		{name: "CallerAddress", address: hos.set.CallerAddress, server: hos.clientServer()},
 		{name: "ReadyAddress", address: hos.set.ReadyAddress, server: newPlainServer(hos.readyHandler())},
 		{name: "DirectoryAddress", address: hos.set.DirectoryAddress, server: newPlainServer(hos.directoryHandler())},
 		{name: "PeerAddress", address: hos.set.PeerAddress, server: peerServer, serve: peers.Serve},
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -183,15 +183,15 @@
 			bro.dropInbound(num)
 		}
 	}
-	bro.sessions++
+	bro.lastSession++
 	bro.presence.SessionOpened(from.Epoch)
 	inb := &inbound{gateway: from.Epoch, name: from.Name, queue: que, cancel: cancel}
-	bro.inbound[bro.sessions] = inb
+	bro.inbound[bro.lastSession] = inb
 	if bro.publishedLeader != 0 {
 		bro.sendLeader(inb)
 	}
-	bro.updateShare(bro.active)
-	return bro.sessions
+	bro.updateShare(bro.coordinator)
+	return bro.lastSession
 }
 
 // SessionMessage implements peer.Sessions.
@@ -220,7 +220,7 @@
 	defer bro.mutex.Unlock()
 	if bro.inbound[session] != nil {
 		bro.dropInbound(session)
-		bro.updateShare(bro.active)
+		bro.updateShare(bro.coordinator)
 		bro.publishLeader()
 	}
 }
--- a/entry/source.go
+++ b/entry/source.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// watchTimeout is how long a watch waits for a change. Each answer confirms the age of the
-	// configuration, and a missing answer shows that the store doesn't respond.
+	// watchTimeout is how long a watch waits for a change. Each answer confirms that the snapshot is
+	// current, and a missing answer shows that the store doesn't respond.
 	watchTimeout = 1400 * time.Millisecond
-	// relayWatchTimeout is the same on a relay: the copies of the hosts that read through it are older
-	// than its own by the time that they wait.
+	// relayWatchTimeout is the same on a relay. It is shorter, since the hosts that read through the
+	// relay wait in addition, and their copies are older than the relay's by that wait.
 	relayWatchTimeout = 800 * time.Millisecond
 	// relayedWatchTimeout is how long a host waits for its relay to pass on changes.
 	relayedWatchTimeout = 700 * time.Millisecond
@@ -30,9 +30,9 @@
 	probeWait = time.Millisecond
 	// maxPeerReads bounds how many other hosts are tried at a time while the store is unreachable.
 	maxPeerReads = 3
-	// relayProbeTimeout bounds the first call to a relay. Entries outlive
-	// lost hosts by some seconds, and one without power would delay a starting host by a second. An
-	// answer takes some milliseconds, and tens of milliseconds from a busy processor.
+	// relayProbeTimeout bounds the first call to a relay. The entries of lost hosts remain for some
+	// seconds, and a relay without power would otherwise delay a starting host by a second. An
+	// answer takes some milliseconds, and tens of milliseconds on a busy processor.
 	relayProbeTimeout = 200 * time.Millisecond
 	// maxPeerCopyAge is the age of another host's copy from which the store is read directly: that
 	// host's own watch must be overdue by then.
@@ -42,17 +42,17 @@
 	directReadTime = 2 * time.Second
 	// startupDirectReadTime is the same shortly after the host's start and after the store has
 	// recovered: the other host is seldom ready at that moment but soon is, and a whole fleet that
-	// reads directly meanwhile makes most of a day's calls.
+	// reads directly for longer would make most of a day's calls.
 	startupDirectReadTime = 300 * time.Millisecond
-	// relayRetryInterval is the pause before a host that has nothing to pass on yet is called again,
-	// and relayReadyTimeout bounds how long that is repeated: hosts that start together become ready
-	// within some tenths of a second, and a host that loses the one it reads through notices it within
-	// a few milliseconds of its domain peers.
+	// relayRetryInterval is the pause before a relay that is not ready is called again, and
+	// relayReadyTimeout bounds how long it is called again: hosts that start together become ready
+	// within some tenths of a second, and the hosts of a domain that lose their relay detect that
+	// within a few milliseconds of one another.
 	relayRetryInterval = 40 * time.Millisecond
 	relayReadyTimeout  = 400 * time.Millisecond
 	// peerArrivalWait is how long a host that finds no other host waits for others to register, as
-	// long as no client waits: the entries of a fleet that starts for the first time don't exist yet,
-	// nor do those of a fleet whose leases expired in an outage.
+	// long as no client waits: the entries of a fleet that starts for the first time don't exist
+	// yet, nor do those of a fleet whose leases expired in an outage.
 	peerArrivalWait = 400 * time.Millisecond
 	// relayedProbeInterval is the average interval at which a host that reads through another one
 	// probes an unreachable store itself, in case only the other host can't reach it.
@@ -141,7 +141,8 @@
 	return !wat.storeProbeDue(now)
 }
 
-// isPeerNotReady reports whether a host answered that it has nothing to pass on yet; it soon may.
+// isPeerNotReady reports whether a read through a host failed because the host is not ready yet or
+// its copy is behind, so that another call may soon succeed.
 func isPeerNotReady(err error) bool {
 	var unready *peer.UnreadyError
 	var behind *BehindMirrorError
@@ -191,8 +192,8 @@
 }
 
 // chooseRelay returns the relay to read through, if there is one. A host that finds other hosts at
-// its start also has clients, so it doesn't wait for one of them to become ready: that host may
-// have started just after it.
+// its start first reads the store directly: clients are already using the fleet, and the relay may
+// have started later than this host and not be ready.
 func (wat *storeWatcher) chooseRelay(now time.Time) (fleet.Member, bool) {
 	if wat.host.confirmed.Load() == neverConfirmed && !wat.waitedForHosts || !wat.host.canAuthenticate() {
 		return fleet.Member{}, false
@@ -226,11 +227,11 @@
 	return "copy of the store on host " + sme.Member + " is " + sme.Age.String() + " old, too old to use"
 }
 
-// BehindMirrorError reports a host whose copy of the store is older than that of the host that asks
-// it, such as one that started more slowly than the hosts that read through it.
+// BehindMirrorError reports a host whose copy of the store is older than that of the host that reads
+// through it, such as a host that started more slowly.
 type BehindMirrorError struct {
 	Member string
-	// Revision is that of the host's copy, Known that of the host that asks.
+	// Revision is that of the host's copy, Known that of the reading host's copy.
 	Revision store.Revision
 	Known    store.Revision
 }
@@ -291,7 +292,7 @@
 		return update{}, &StaleMirrorError{Member: mem.Name, Age: age}
 	}
 	if upd.changes.Revision < wat.revision {
-		// An older copy must not undo changes that this host has applied.
+		// An older copy must not revert changes that this host has applied.
 		return update{}, &BehindMirrorError{Member: mem.Name, Revision: upd.changes.Revision, Known: wat.revision}
 	}
 	if reply.Snapshot {
@@ -302,9 +303,10 @@
 	return upd, nil
 }
 
-// listStale reads all keys from the store at a start; their values may be some seconds old. Such a read counts
-// against no rate limit, however many hosts start at once, and confirms nothing. The watch or read
-// through another host that follows brings the changes since.
+// listStale reads all keys from the store at the host's start; their values may be some seconds old.
+// Such a read counts against no rate limit, however many hosts start at once, but does not confirm
+// that the snapshot is current. The watch or read through another host that follows returns the
+// changes since.
 func (wat *storeWatcher) listStale(ctx context.Context) (update, error) {
 	values, rev, err := wat.host.store.ListStale(ctx, platform.RootPrefix)
 	if err != nil {
--- a/entry/spending.go
+++ b/entry/spending.go
@@ -37,8 +37,8 @@
 }
 
 // hostShare returns this host's share of an amount that belongs to all hosts.
-func (adb *accountDebt) hostShare(whole float64) float64 {
-	return whole / float64(max(1, adb.hosts))
+func (adb *accountDebt) hostShare(total float64) float64 {
+	return total / float64(max(1, adb.hosts))
 }
 
 // message returns the message that reports the debt to a coordinator; burst is that of all hosts
@@ -62,7 +62,7 @@
 	return limited
 }
 
-// updateDebts updates the debts to the current accounts and hosts; the mutex is held. It is
+// updateDebts updates the debts to the current accounts and hosts; the mutex must be held. It is
 // called at each change of the store and returns early if neither has changed, since most changes
 // concern engines.
 func (bro *broker) updateDebts(now time.Time) {
@@ -85,16 +85,16 @@
 		adb.rate = acc.Rate
 		changed := adb.hosts != hosts
 		adb.hosts = hosts
-		if changed && adb.startDebtLeft > 0 && bro.active != bro.host.epoch {
+		if changed && adb.startDebtLeft > 0 && bro.coordinator != bro.host.epoch {
 			reports = append(reports, adb.message(acc.Name, cfg.Burst(acc)))
 		}
 	}
 	for _, deb := range largestDebts(reports) {
-		bro.send(bro.active, deb)
+		bro.send(bro.coordinator, deb)
 	}
 }
 
-// recordSpent adds the cost of a grant to the debt of its account; the mutex is held.
+// recordSpent adds the cost of a grant to the debt of its account; the mutex must be held.
 func (bro *broker) recordSpent(res reservation.Reserve) {
 	adb := bro.debts[res.Account]
 	if adb == nil || res.Attempt > 0 {
@@ -109,7 +109,8 @@
 // its share, which the rate soon restores.
 const maxReportedDebts = 128
 
-// reportDebts reports the largest debts of this host to the new coordinator; the mutex is held.
+// reportDebts reports the largest debts of this host to the new coordinator; the mutex must be
+// held.
 func (bro *broker) reportDebts(chosen request.Epoch) {
 	now := bro.host.clock.Now()
 	cfg := schedulerConfig(bro.host)
--- a/entry/spending_test.go
+++ b/entry/spending_test.go
@@ -60,7 +60,7 @@
 	assert.Assert(t, !lost)
 	assert.Equal(t, lin.queue.Len(), maxReportedDebts)
 	// The bound also applies to a report that is repeated because there are more hosts.
-	hos.broker.active = 7
+	hos.broker.coordinator = 7
 	hos.broker.membership.members = make([]fleet.Member, 3)
 	hos.broker.updateDebts(time.Now())
 	assert.Assert(t, !lost)
--- a/entry/steady_test.go
+++ b/entry/steady_test.go
@@ -140,7 +140,7 @@
 			sim.run(start.Add(convergedAfter + observedFor))
 			assert.Equal(t, sim.changes(), changes, "seed %d: the hosts don't converge", seed)
 			for _, hos := range sim.hosts {
-				assert.Equal(t, hos.broker.active, sim.hosts[0].broker.active, "seed %d", seed)
+				assert.Equal(t, hos.broker.coordinator, sim.hosts[0].broker.coordinator, "seed %d", seed)
 			}
 		})
 	}
--- a/entry/survey.go
+++ b/entry/survey.go
@@ -34,12 +34,12 @@
 	bro.handleLocked(scheduler.MeasurementsRead{Measurements: mea})
 }
 
-// unrecordedMeasurements returns the measurements of this host's scheduler, and whether they differ
+// unwrittenMeasurements returns the measurements of this host's scheduler, and whether they differ
 // from the stored ones. It returns nothing unless this host is the coordinator.
-func (bro *broker) unrecordedMeasurements() (pace.Measurements, bool) {
+func (bro *broker) unwrittenMeasurements() (pace.Measurements, bool) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
-	if bro.active != bro.host.epoch || bro.membership.unregistered || len(bro.membership.members) == 0 {
+	if bro.coordinator != bro.host.epoch || bro.membership.unregistered || len(bro.membership.members) == 0 {
 		return pace.Measurements{}, false
 	}
 	mea := bro.core.Measurements()
@@ -54,8 +54,8 @@
 	for {
 		select {
 		case <-tick.C:
-			if mea, differs := hos.broker.unrecordedMeasurements(); differs {
-				hos.recordMeasurements(ctx, mea)
+			if mea, differs := hos.broker.unwrittenMeasurements(); differs {
+				hos.writeMeasurements(ctx, mea)
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -63,8 +63,9 @@
 	}
 }
 
-// recordMeasurements writes the measurements. A write that fails is repeated if they still differ.
-func (hos *Host) recordMeasurements(ctx context.Context, mea pace.Measurements) {
+// writeMeasurements writes the measurements. After a failure they are written again at the next
+// check if they still differ.
+func (hos *Host) writeMeasurements(ctx context.Context, mea pace.Measurements) {
 	ctx, cancel := context.WithTimeout(ctx, measurementsTimeout)
 	defer cancel()
 	data, err := platform.EncodeMeasurements(mea)
--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// A host that was suspended must not act on what expired meanwhile: revoked keys, deadlines,
-// leases, its own entry. All of these are checked against the host's clock, which counts the time of
-// the suspension. The lease and the sessions, which the host couldn't maintain, are checked here.
+// A host that was suspended must not use what may have become invalid meanwhile: client keys,
+// deadlines, leases, its own entry. All of these are checked against the host's clock, which counts
+// the time of the suspension. The lease and the sessions, which the host couldn't maintain, are
+// handled here.
 
-// recordSuspension records a suspension and wakes handleSuspensions. Sessions that were silent for
-// so long have ended at the other side: until they are open again this host schedules alone, with
-// its own share of the limits.
+// recordSuspension records a suspension and wakes handleSuspensions. After a long suspension the
+// peers have ended their sessions with this host: until these are open again, this host uses its
+// own scheduler with its own share of the limits.
 func (hos *Host) recordSuspension(dur time.Duration) {
 	hos.metrics.count("Suspensions")
 	hos.log.Warn().Dur("For", dur).Msg("host was suspended")
@@ -28,7 +29,7 @@
 	for {
 		select {
 		case dur := <-hos.resumed:
-			hos.checkLease()
+			hos.renewLeaseSoon()
 			if dur >= peerTiming.Timeout {
 				hos.broker.closeSessions()
 			}
--- a/entry/take.go
+++ b/entry/take.go
@@ -56,7 +56,7 @@
 		wat.directory.DropEngine(name)
 	}
 	if wat.directory.Missing(wat.host.set.Name) {
-		wat.host.checkLease()
+		wat.host.renewLeaseSoon()
 	}
 }
 
@@ -74,7 +74,7 @@
 	usable := wat.invalidValues.checkValue(val, err, "host entry invalid, host not used")
 	if !usable && val.Key == platform.MemberKey(wat.host.set.Name) {
 		wat.host.entryInvalid.Store(true)
-		wat.host.checkLease()
+		wat.host.renewLeaseSoon()
 	}
 	return mem, usable
 }
@@ -122,8 +122,8 @@
 	}
 }
 
-// applyDeletion applies the deletion of a key. A configuration, the measurements and a roll-out
-// stay in force after their keys are deleted.
+// applyDeletion applies the deletion of a key. A configuration, the measurements and the order of a
+// roll-out remain in use after their keys are deleted.
 func (wat *storeWatcher) applyDeletion(cha store.Change) {
 	wat.invalidValues.recordValid(cha.Key)
 	switch kind, name := platform.KindOf(cha.Key); kind {
@@ -133,7 +133,7 @@
 	case platform.KeyMember:
 		wat.removeMember(name)
 		if name == wat.host.set.Name {
-			wat.host.checkLease()
+			wat.host.renewLeaseSoon()
 		}
 	case platform.KeyRolloutState:
 		wat.rollouts.set(name, func(sta *rollout.StoredState) { sta.State, sta.StateVersion, sta.StateRevision = 0, "", 0 })
@@ -159,11 +159,11 @@
 func (wat *storeWatcher) applyEngine(eng fleet.Engine, rev store.Revision) {
 	newer := wat.directory.SetEngine(wat.host.clock.Now(), eng)
 	wat.host.log.Info().Stringer("Engine", eng.ID).Str("Service", eng.Service).Str("Version", eng.Version).Stringer("Address", eng.Address).Bool("Draining", eng.Draining).Dur("ColdFor", eng.ColdFor).
-		Uint64("Sequence", eng.Sequence).Bool("Newer", newer).Uint64("Revision", uint64(rev)).Msg("engine entry")
+		Uint64("Sequence", eng.Sequence).Bool("Newer", newer).Uint64("Revision", uint64(rev)).Msg("engine entry read")
 }
 
-// applyConfiguration puts a newer configuration in force. An invalid one is refused as a whole, and
-// the last valid one stays in force.
+// applyConfiguration makes a newer configuration the active one. An invalid one is refused as a
+// whole, and the last valid one stays active.
 func (wat *storeWatcher) applyConfiguration(val store.Value) {
 	con, err := platform.DecodeConfiguration(val.Data)
 	if err != nil {
@@ -184,8 +184,8 @@
 	wat.checkRegions(tab, val)
 	for _, acc := range con.Accounts {
 		wat.host.log.Debug().Str("Account", acc.Name).Float64("Rate", acc.Rate).Float64("Burst", acc.Burst).Bool("ByTokens", acc.ByTokens).
-			Interface("Rank", acc.Rank).Int("Keys", len(acc.Keys)).Uint64("Version", con.Version).Msg("client account")
+			Interface("Rank", acc.Rank).Int("Keys", len(acc.Keys)).Uint64("Version", con.Version).Msg("client account configured")
 	}
 	wat.host.log.Info().Uint64("Version", con.Version).Uint64("Revision", uint64(val.Revision)).
-		Int("Routes", len(con.Routes)).Int("Accounts", len(con.Accounts)).Msg("configuration in force")
+		Int("Routes", len(con.Routes)).Int("Accounts", len(con.Accounts)).Msg("configuration active")
 }
