--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -134,7 +134,8 @@
 	wat.evacuationsChanged = true
 }
 
-// applyEvacuation applies an operator's order to evacuate a failure domain.
+// applyEvacuation applies an operator's order to evacuate a failure domain. An order with an invalid
+// value is applied too, since its key names the domain; one with an invalid key is ignored.
 func (wat *storeWatcher) applyEvacuation(val store.Value) {
 	ord, err := platform.DecodeEvacuation(val)
 	wat.invalidValues.checkValue(val, err, "evacuation order invalid")
--- a/entry/refused.go
+++ b/entry/refused.go
@@ -25,7 +25,7 @@
 }
 
 // checkValue reports whether a value could be decoded, and records the result. The consequence is
-// the log message for an invalid value: it states what is invalid and what the host does.
+// the log message for an invalid value, which states what is invalid and what the host does.
 func (inv *invalidValues) checkValue(val store.Value, err error, consequence string) bool {
 	if err != nil {
 		inv.recordInvalid(val, err, consequence)
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -76,7 +76,7 @@
 	now := bro.host.clock.Now()
 	bro.registeredMembership, bro.membership = mbs, mbs.applyRestarts(bro.restarts)
 	bro.presence.SetMembers(now, bro.membership.members)
-	bro.forgetDeregistered()
+	bro.dropDeregistered()
 	bro.updateDebts(now)
 	bro.elect()
 	bro.publishLeader()
@@ -103,8 +103,8 @@
 	return found
 }
 
-// forgetDeregistered drops the records of hosts that are no longer registered.
-func (bro *broker) forgetDeregistered() {
+// dropDeregistered drops the records of hosts that are no longer registered.
+func (bro *broker) dropDeregistered() {
 	maps.DeleteFunc(bro.unreachableCandidates, func(epo request.Epoch, _ bool) bool {
 		return !slices.ContainsFunc(bro.membership.members, func(mem fleet.Member) bool { return mem.Epoch == epo })
 	})
