--- a/call/call.go
+++ b/call/call.go
@@ -50,8 +50,8 @@
 	Body   []byte
 }
 
-// Tokens returns the number of tokens that the request counts against a limit by tokens; 0 if it
-// doesn't state them.
+// Tokens returns the number of tokens that the request counts against a limit on tokens; 0 for
+// requests without a prompt.
 func (req Request) Tokens() int {
 	return req.PromptTokens + req.MaxTokens
 }
@@ -72,8 +72,8 @@
 	Slots   int
 	// IdleLimit is how long the connection may be idle; 0 if the answer doesn't state it.
 	IdleLimit time.Duration
-	// Misdirected is set if the request was intended for another engine than the one that
-	// answers. Instance identifies the answering engine; empty if the answer doesn't state it.
+	// Misdirected is set if the request was intended for an engine other than the one that
+	// answered. Instance identifies the engine that answered; empty if the answer doesn't state it.
 	Misdirected bool
 	Instance    string
 	// Draining is set if the engine is draining.
@@ -87,8 +87,8 @@
 	HasRate     bool
 	Rate        float64
 	InvalidRate string
-	// Cold is how much longer the engine is cold; 0 if it doesn't report to be. InvalidCold is
-	// the beginning of an invalid value.
+	// Cold is how much longer the engine is cold; 0 if the answer doesn't state it. InvalidCold
+	// is the beginning of an invalid value.
 	Cold        time.Duration
 	InvalidCold string
 	// UnrecognizedHeaders are the names of unrecognized headers, in no particular order.
--- a/call/digest.go
+++ b/call/digest.go
@@ -65,8 +65,9 @@
 // Digest returns the digest of the request for the named client account, which is empty on
 // public routes, where clients can't be distinguished. The body must have been read to its end:
 // a digest of a part of it would be meaningless. Half of a SHA-256 is long enough that two
-// requests collide neither by accident nor through a client's search. It takes a microsecond
-// for each KB of body, compared with six for a scheduling decision (BenchmarkDigest).
+// requests collide neither by accident nor by a client's search for collisions. Computing the
+// digest takes about a microsecond for each KB of body, compared with six microseconds for a
+// scheduling decision (BenchmarkDigest).
 func (req Request) Digest(account string) Digest {
 	sum := sha256.New()
 	for _, field := range []string{account, req.Method, req.Host, req.Target} {
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -30,7 +30,7 @@
 	// Self is the epoch of this process.
 	Self request.Epoch
 	// SettleTime is how long a new coordinator of an engine waits for the gateways to
-	// report the slots that they hold.
+	// report the slots that their requests occupy.
 	SettleTime time.Duration
 	// FloorTime is how long a queue that refused a reservation accepts no
 	// reservation of a lower rank.
@@ -64,8 +64,8 @@
 	// other hosts without waiting for a new view.
 	lost     map[request.Epoch]bool
 	draining bool
-	// stopped is set once the ledger was handed over. Promises after that would be
-	// lost with this process.
+	// stopped is set once the ledger has been handed over. Later promises would be lost
+	// with this process.
 	stopped bool
 	actions []Action
 }
@@ -121,8 +121,8 @@
 	return cor.actions
 }
 
-// Fence answers a gateway that wants to take over a request. The actions refuse the
-// waiting reservation that the fence ends.
+// Fence answers the fence of a gateway that takes over a request. The returned actions
+// refuse the request's waiting reservation under a lower ballot.
 func (cor *Core) Fence(now time.Time, fen reservation.Fence) (reservation.FenceAnswer, []Action) {
 	cor.actions = nil
 	if cor.stopped {
@@ -155,8 +155,8 @@
 	}
 }
 
-// Attest stores an attestation: the records of what a lost coordinator epoch granted
-// to a gateway and closed for it.
+// Attest stores an attestation: the records of the requests that a lost coordinator
+// epoch granted to a gateway or closed for it.
 func (cor *Core) Attest(now time.Time, att reservation.Attestation) {
 	cor.ledger.Attest(now, att)
 }
@@ -167,7 +167,7 @@
 }
 
 // Handover returns the complete ledger and stops the coordinator: from then on it
-// grants, promises and closes nothing.
+// accepts no reservation, fence or close. Drain must have emptied the queues before.
 func (cor *Core) Handover() reservation.Handover {
 	cor.stopped = true
 	return cor.ledger.Handover()
@@ -190,9 +190,9 @@
 }
 
 // reassign recomputes the engines that the view and the configuration assign to this
-// host, and refuses the reservations of services that it no longer coordinates.
+// host, and refuses the reservations of services that this host no longer coordinates.
 func (cor *Core) reassign(now time.Time) {
-	assigned := cor.myShares()
+	assigned := cor.ownShares()
 	for name := range cor.engines {
 		if _, kept := assigned[name]; !kept {
 			delete(cor.engines, name)
@@ -217,7 +217,7 @@
 	return all
 }
 
-func (cor *Core) myShares() map[string]view.Share {
+func (cor *Core) ownShares() map[string]view.Share {
 	assigned := make(map[string]view.Share)
 	if cor.draining {
 		return assigned
@@ -245,7 +245,8 @@
 	ens.deputy = sha.Deputy
 }
 
-// rebuildServices rebuilds the services from the engines.
+// rebuildServices groups the engines by service. Services without engines are dropped
+// and their reservations refused.
 func (cor *Core) rebuildServices() {
 	for _, svc := range cor.services {
 		svc.engines = nil
--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -201,8 +201,8 @@
 }
 
 // A grant can be lost with its session. When its holder then closes the request, the
-// grant must not count as a conflicting claim: a holder that is refused as fenced by
-// itself would ask again forever.
+// grant must not count as a conflicting claim: the holder would be refused as fenced by
+// itself and retry forever.
 func TestCloseRevokesALostGrant(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 1})
 	assert.DeepEqual(t, messages(har.receive(reserveOf("one", 10))), []string{"Grant one"})
@@ -212,14 +212,15 @@
 }
 
 // Once a fence has relied on an attestation, the grants of the lost epoch must stay
-// rejected: a new grant could dispatch a request again that the fence allowed to run.
+// rejected: a new grant could dispatch a request a second time, after the fence has
+// allowed another gateway to run it.
 func TestAttestationUsedByAFenceIsNotRevoked(t *testing.T) {
 	key := reservation.AttestationKey{Lost: otherEpoch, Holder: gatewayEpoch}
 	att := reservation.Attestation{AttestationKey: key, Sequence: 1}
 	fen := reservation.Fence{ID: requestID("one"), Ballot: request.Ballot{Round: 1, Holder: otherEpoch}}
 	cases := map[string]struct {
-		fenced   bool
-		released bool
+		fenced  bool
+		revoked bool
 	}{
 		"NotReliedOn": {false, true},
 		"ReliedOn":    {true, false},
@@ -233,9 +234,9 @@
 				assert.DeepEqual(t, ans.Attestations, []reservation.AttestationKey{key})
 			}
 			ans := har.core.RevokeAttestation(reservation.Revocation{AttestationKey: key, Sequence: 2})
-			assert.Equal(t, ans.Revoked, cas.released)
+			assert.Equal(t, ans.Revoked, cas.revoked)
 			after, _ := har.core.Fence(har.now, fen)
-			assert.Equal(t, len(after.Attestations) == 0, cas.released)
+			assert.Equal(t, len(after.Attestations) == 0, cas.revoked)
 		})
 	}
 }
@@ -259,7 +260,7 @@
 	assert.DeepEqual(t, messages(har.receive(reserveOf("high", 20))), []string{"Refuse low Full"})
 }
 
-// The state of hosts that no view knows any more must be dropped, or memory use grows
+// The state of hosts that are in no remembered view must be dropped, or memory use grows
 // as long as the process runs.
 func TestAttestationsOfUnknownHostsAreDropped(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 1})
@@ -274,7 +275,7 @@
 
 // A short request must not go to an engine with a long pending prefill: its few tokens
 // would wait for the prefill, even on the fastest engine.
-func TestShortRequestAvoidsAnEngineWithALongPrompt(t *testing.T) {
+func TestShortRequestAvoidsAnEngineWithALongPendingPrefill(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 4, second: true})
 	long := reserveOf("long", 10)
 	long.PromptTokens = 8000
--- a/coordinator/engine.go
+++ b/coordinator/engine.go
@@ -14,11 +14,11 @@
 	defaultDecodeSpeed  = 40
 )
 
-// learnRate is the weight of a new speed measurement in the moving average.
-const learnRate = 0.2
+// speedSmoothing is the weight of a new measurement in the moving average of a speed.
+const speedSmoothing = 0.2
 
-// minMeasuredTime is the shortest time from which a speed is learned. Shorter times
-// are dominated by the network.
+// minMeasuredTime is the shortest time from which a speed is computed. Shorter times
+// consist mostly of network delay.
 const minMeasuredTime = 5 * time.Millisecond
 
 // ejectionTime is how long an engine gets no grants after a failure.
@@ -32,20 +32,20 @@
 	// deputy is set if the host grants only to gateways in the failure domain of the
 	// engine's coordinator.
 	deputy bool
-	held   map[request.ID]*hold
-	// prefill and decode are the learned speeds, in tokens per second.
+	held   map[request.ID]*heldSlot
+	// prefill and decode are the estimated speeds, in tokens per second.
 	prefill  float64
 	decode   float64
 	prefixes *prefixSet
-	// readyAt is when grants may start. Before that, the gateways still report the
-	// grants of the previous coordinator.
+	// readyAt is when grants may start. Until then, the gateways report the slots that
+	// previous coordinators granted.
 	readyAt      time.Time
 	ejectedUntil time.Time
 	draining     bool
 }
 
-// hold is one occupied slot.
-type hold struct {
+// heldSlot is one occupied slot.
+type heldSlot struct {
 	gateway request.Epoch
 	// prefilled is when the request's prefill is expected to finish.
 	prefilled time.Time
@@ -54,7 +54,7 @@
 }
 
 func newEngineState(eng resource.Engine, ready time.Time) *engineState {
-	ens := &engineState{held: make(map[request.ID]*hold), prefixes: newPrefixSet(), readyAt: ready}
+	ens := &engineState{held: make(map[request.ID]*heldSlot), prefixes: newPrefixSet(), readyAt: ready}
 	ens.prefill = orDefault(eng.PrefillTokensPerSecond, defaultPrefillSpeed)
 	ens.decode = orDefault(eng.DecodeTokensPerSecond, defaultDecodeSpeed)
 	return ens
@@ -81,8 +81,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// pendingPrefillTime returns the predicted time to finish the prefills of the running
-// requests. Until then every stream on the engine is slow.
+// pendingPrefillTime returns the predicted time until the prefills of the running
+// requests are finished. Until then, every answer stream of the engine is slow.
 func (ens *engineState) pendingPrefillTime(now time.Time) time.Duration {
 	var total time.Duration
 	for _, hol := range ens.held {
@@ -100,8 +100,8 @@
 	return ens.predict(uncached, 0, 0)
 }
 
-// learn updates the engine's speeds with one finished run.
-func (ens *engineState) learn(prefillTokens, decodeTokens int, firstToken, total time.Duration) {
+// updateSpeeds updates the estimated speeds with the measurements of one finished run.
+func (ens *engineState) updateSpeeds(prefillTokens, decodeTokens int, firstToken, total time.Duration) {
 	if prefillTokens > 0 && firstToken >= minMeasuredTime {
 		ens.prefill = blend(ens.prefill, float64(prefillTokens)/firstToken.Seconds())
 	}
@@ -111,5 +111,5 @@
 }
 
 func blend(old, measured float64) float64 {
-	return old*(1-learnRate) + measured*learnRate
+	return old*(1-speedSmoothing) + measured*speedSmoothing
 }
--- a/coordinator/event.go
+++ b/coordinator/event.go
@@ -34,7 +34,8 @@
 	Message reservation.Message
 }
 
-// EngineReported delivers an engine's own load report or its state in the host list.
+// EngineReported delivers an engine's load report, or that the platform is draining the
+// engine.
 type EngineReported struct {
 	Engine   string
 	Running  int
--- a/coordinator/ledger.go
+++ b/coordinator/ledger.go
@@ -109,16 +109,16 @@
 	if reason != 0 {
 		return reason, holder
 	}
-	// A grant under the same ballot was lost in transit: its holder asks to close the
-	// request, so it hasn't dispatched the request and won't.
+	// A grant under the same ballot was lost in transit: its holder, which asks to close
+	// the request, hasn't dispatched the request and won't.
 	rec := led.touch(now, id, bal)
 	rec.state = reservation.FenceStateClosed
 	rec.engine = ""
 	return 0, 0
 }
 
-// Fence answers whether the request was granted and, if not, promises never to grant
-// it under a lower ballot. granter is set if the host may grant the request.
+// Fence returns whether the request was granted and, if not, promises never to grant
+// the request under a lower ballot. granter is set if the host may grant the request.
 func (led *Ledger) Fence(now time.Time, fen reservation.Fence, granter bool) reservation.FenceAnswer {
 	ans := reservation.FenceAnswer{ID: fen.ID, From: led.self, Successions: led.successionList()}
 	rec := led.records[fen.ID]
@@ -168,8 +168,9 @@
 	return keys
 }
 
-// Attest stores an attestation: it merges the records of what a lost coordinator epoch
-// granted to one gateway. An attestation that isn't newer than the known one is ignored.
+// Attest stores an attestation and merges its records: the requests that a lost
+// coordinator epoch granted to one gateway or closed for it. An attestation that isn't
+// newer than the known one is ignored.
 func (led *Ledger) Attest(now time.Time, att reservation.Attestation) {
 	known := led.attestations[att.AttestationKey]
 	if known != nil && known.sequence >= att.Sequence {
@@ -186,7 +187,7 @@
 	known := led.attestations[rev.AttestationKey]
 	switch {
 	case known == nil:
-		// An attestation that is still in transit must not count when it arrives.
+		// An attestation that is still in transit must be ignored when it arrives.
 		led.attestations[rev.AttestationKey] = &attestation{sequence: rev.Sequence}
 	case known.fenced:
 		ans.Revoked = false
@@ -202,7 +203,8 @@
 	han := reservation.Handover{Stopped: append(led.successionList(), led.self), Floors: maps.Clone(led.floors)}
 	for id, rec := range led.records {
 		for _, holder := range earlierHolders(rec, id) {
-			// Later fences must also know the gateways that claimed the request before.
+			// The answers to later fences must also list the gateways that claimed the
+			// request before.
 			bal := request.Ballot{Round: 1, Holder: holder}
 			han.Records = append(han.Records, reservation.Record{ID: id, Ballot: bal, State: reservation.FenceStatePromised})
 		}
@@ -242,8 +244,8 @@
 	}
 }
 
-// Forget drops the records that were last used before the given time. From then on ids
-// of their windows and of older ones are refused as forgotten.
+// Forget drops the records that were last used before the given time. From then on, ids
+// of the same windows or older ones are refused as forgotten.
 func (led *Ledger) Forget(before time.Time) {
 	for id, rec := range led.records {
 		if rec.usedAt.Before(before) {
--- a/coordinator/queue.go
+++ b/coordinator/queue.go
@@ -31,7 +31,7 @@
 type queue struct {
 	byID  map[request.ID]*waiting
 	tiers []*tierQueue
-	// work is the predicted work of all of them.
+	// work is the total predicted work.
 	work time.Duration
 }
 
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// serve takes the reservation out and charges its account.
+// serve removes the reservation and charges its account.
 func (que *queue) serve(wai *waiting) {
 	tiq := que.tier(wai.reserve.Rank)
 	acq := tiq.accounts[wai.reserve.Account]
--- a/coordinator/queue_test.go
+++ b/coordinator/queue_test.go
@@ -24,10 +24,10 @@
 	os.Exit(m.Run())
 }
 
-// referenceQueue is a plain list that computes the order from scratch each time.
+// referenceQueue is a plain list that computes the order anew for each call of next.
 type referenceQueue struct {
 	waits []*waiting
-	// virtual and last are the virtual times of the accounts and the tiers.
+	// virtual holds the virtual times of the accounts, last those of the tiers.
 	virtual map[string]float64
 	last    map[int]float64
 }
@@ -122,20 +122,20 @@
 			Account: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "account"),
 			Weight:  float64(rapid.IntRange(0, 2).Draw(t, "weight")),
 		},
-		arrived: now, promoteAt: now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "patience")) * time.Second),
+		arrived: now, promoteAt: now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "promote after")) * time.Second),
 		work: time.Duration(rapid.IntRange(1, 9).Draw(t, "work")) * time.Second,
 	}
 }
 
-// The queue and the reference list must serve the same reservations in the same order
-// for the same events.
+// After the same events, the queue and the reference list must serve the same reservations
+// in the same order.
 func TestQueueServesInTheReferenceOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		que := newQueue()
 		ref := &referenceQueue{virtual: make(map[string]float64), last: make(map[int]float64)}
 		now := time.Unix(1000, 0)
 		for number := range rapid.IntRange(1, 80).Draw(t, "events") {
-			now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "pause")) * time.Millisecond)
+			now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "time step")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1, 2:
 				wai := drawWaiting(t, number, now)
@@ -146,7 +146,7 @@
 				serveBoth(t, que, ref, now)
 			case 4:
 				if len(ref.waits) > 0 {
-					id := ref.waits[rapid.IntRange(0, len(ref.waits)-1).Draw(t, "gone")].reserve.ID
+					id := ref.waits[rapid.IntRange(0, len(ref.waits)-1).Draw(t, "removed")].reserve.ID
 					que.remove(id)
 					ref.remove(id)
 				}
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -31,8 +31,8 @@
 
 // The supported orders.
 const (
-	// OrderFair serves higher tiers first, shares engines fairly between the
-	// accounts of a tier, and serves shorter work first within an account.
+	// OrderFair serves higher tiers first, shares the engines fairly between the
+	// accounts of a tier, and serves the least work first within an account.
 	OrderFair Order = iota
 	// OrderArrival serves by arrival across all tiers, as a baseline for comparison.
 	OrderArrival
@@ -129,14 +129,14 @@
 	return (svc.queue.work + busy) / time.Duration(slots)
 }
 
-// typicalRunTime returns the run time of an average request on the engine, for a rough
-// estimate of the delay.
+// typicalRunTime returns the predicted run time of a typical request on the engine, for a
+// rough estimate of the delay.
 func (svc *serviceState) typicalRunTime(ens *engineState) time.Duration {
-	const prompt, answer = 1000, 40
+	const prompt, answer = 1000, 40 // tokens
 	return ens.predict(prompt, 0, answer)
 }
 
-// meanRunTime returns the predicted run time, averaged over the engines.
+// meanRunTime returns the reservation's predicted run time, averaged over the engines.
 func (svc *serviceState) meanRunTime(res reservation.Reserve) time.Duration {
 	if len(svc.engines) == 0 {
 		return 0
@@ -148,7 +148,7 @@
 	return total / time.Duration(len(svc.engines))
 }
 
-// minRunTime returns the shortest predicted run time on any of the engines.
+// minRunTime returns the reservation's shortest predicted run time on any of the engines.
 func (svc *serviceState) minRunTime(res reservation.Reserve) time.Duration {
 	best := time.Duration(0)
 	for _, ens := range svc.engines {
@@ -252,8 +252,8 @@
 	return cor.ledger.Check(res.ID, res.Ballot)
 }
 
-// makeRoom reports whether the reservation may be queued. If the queue is full, it
-// drops a reservation of a lower rank.
+// makeRoom reports whether the reservation may be queued. If the queue is full,
+// makeRoom drops a reservation of a lower rank, if there is one.
 func (cor *Core) makeRoom(now time.Time, svc *serviceState, res reservation.Reserve) bool {
 	if now.Before(svc.floorUntil) && res.Rank < svc.floorRank {
 		return false
@@ -265,7 +265,8 @@
 }
 
 // dropLower drops one reservation below the rank and reports whether there was one.
-// The request isn't closed: its gateway asks the service's other coordinators first.
+// The dropped request isn't closed: its gateway asks the service's other coordinators
+// first.
 func (cor *Core) dropLower(now time.Time, svc *serviceState, rank int) bool {
 	wai := svc.queue.lowestBelow(rank)
 	if wai == nil {
@@ -276,8 +277,8 @@
 	return true
 }
 
-// refuseFull refuses a reservation for lack of room and raises the floor to its rank, so
-// that no lower reservation is queued for the floor time.
+// refuseFull refuses a reservation because the queue is full, and raises the floor to the
+// reservation's rank, so that none of a lower rank is queued for the floor time.
 func (cor *Core) refuseFull(now time.Time, wai *waiting, svc *serviceState) {
 	svc.raiseFloor(now, wai.reserve.Rank, cor.cfg.FloorTime)
 	cor.refuse(wai, reservation.ReasonFull, 0, svc)
@@ -300,7 +301,7 @@
 	cor.send(wai.gateway, ref, svc)
 }
 
-// schedule grants slots as long as there are a free slot and a waiting reservation.
+// schedule grants slots until no slot is free or no reservation is waiting.
 func (cor *Core) schedule(now time.Time, svc *serviceState) {
 	svc.now = now
 	for {
@@ -333,7 +334,7 @@
 	svc.queue.serve(wai)
 	res := wai.reserve
 	cor.ledger.Grant(now, res.ID, res.Ballot, ens.engine.Name)
-	ens.held[res.ID] = &hold{gateway: wai.gateway, prefilled: now.Add(ens.prefillTime(res))}
+	ens.held[res.ID] = &heldSlot{gateway: wai.gateway, prefilled: now.Add(ens.prefillTime(res))}
 	ens.prefixes.add(res.PrefixHash)
 	cor.send(wai.gateway, reservation.Grant{ID: res.ID, Ballot: res.Ballot, Engine: ens.engine.Name}, svc)
 }
@@ -413,7 +414,7 @@
 	if rel.Failed {
 		ens.ejectedUntil = now.Add(ejectionTime)
 	} else if rel.Dispatched {
-		ens.learn(rel.PrefillTokens, rel.DecodeTokens, rel.FirstToken, rel.Total)
+		ens.updateSpeeds(rel.PrefillTokens, rel.DecodeTokens, rel.FirstToken, rel.Total)
 	}
 	cor.scheduleService(now, ens)
 }
@@ -426,12 +427,12 @@
 
 func (cor *Core) adopt(_ time.Time, from request.Epoch, ado reservation.Adopt) {
 	if ens := cor.engines[ado.Engine]; ens != nil {
-		ens.held[ado.ID] = &hold{gateway: from}
+		ens.held[ado.ID] = &heldSlot{gateway: from}
 	}
 }
 
-// reconcileHeld releases the slots that the gateway doesn't list: their grants were
-// lost with an earlier session.
+// reconcileHeld releases the gateway's slots that it doesn't list: their grants were lost
+// with an earlier session.
 func (cor *Core) reconcileHeld(now time.Time, from request.Epoch, hol reservation.Hold) {
 	for _, ens := range cor.engines {
 		for id, held := range ens.held {
--- a/gateway/action.go
+++ b/gateway/action.go
@@ -18,7 +18,7 @@
 	ID     request.ID
 }
 
-// Answer sends one client a final answer that isn't stored for repeats.
+// Answer sends one client a final answer that isn't stored for the client's retries.
 type Answer struct {
 	Caller CallerID
 	Final  Final
@@ -30,8 +30,8 @@
 	To view.Member
 }
 
-// Finish ends a request without a complete answer: every attached client gets
-// the final answer.
+// Finish ends a request without a complete answer: Final is sent to every attached
+// client.
 type Finish struct {
 	ID    request.ID
 	Final Final
@@ -83,14 +83,14 @@
 	Fence reservation.Fence
 }
 
-// SendAttestation sends a coordinator an attestation of what a lost coordinator had
-// granted and closed.
+// SendAttestation sends a coordinator an attestation: the requests that a lost
+// coordinator had granted to this gateway or closed for it.
 type SendAttestation struct {
 	To          view.Member
 	Attestation reservation.Attestation
 }
 
-// SendRevocation revokes an attestation. RevocationAnswered follows.
+// SendRevocation asks a coordinator to revoke an attestation. RevocationAnswered follows.
 type SendRevocation struct {
 	To         view.Member
 	Revocation reservation.Revocation
--- a/gateway/arrive.go
+++ b/gateway/arrive.go
@@ -7,7 +7,8 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// undecidedRetryAfter is the Retry-After of a request whose outcome is undecided.
+// undecidedRetryAfter is the Retry-After of a request whose outcome is undecided or
+// for which no coordinator was available.
 const undecidedRetryAfter = time.Second
 
 func (gat *Core) arrived(now time.Time, arr Arrived) {
@@ -22,8 +23,8 @@
 	gat.arrivedForeign(now, arr)
 }
 
-// attach subscribes a repeat of a known request to its answer. A repeat with
-// another body under the same id is rejected.
+// attach subscribes a client's retry of a known request to its answer. A retry with
+// another fingerprint under the same id is rejected.
 func (gat *Core) attach(now time.Time, ent *entry, arr Arrived) {
 	if ent.spec.Fingerprint != arr.Spec.Fingerprint {
 		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseIDReused, Outcome: request.Unknown}})
@@ -67,7 +68,7 @@
 	return ent
 }
 
-// admit checks a new request against the account's limits, then reserves it.
+// admit checks a new request against the account's limits, then reserves a slot for it.
 func (gat *Core) admit(now time.Time, ent *entry) {
 	if gat.draining {
 		gat.close(now, ent, Final{Cause: CauseDraining, Outcome: request.NotRun, Retry: true})
@@ -105,8 +106,8 @@
 	gat.startFence(now, arr)
 }
 
-// mayBeAlive reports whether the owner of an id may still answer: the session
-// with it isn't lost and its host hasn't restarted since.
+// mayBeAlive reports whether the process that owns an id may still answer: its epoch
+// isn't recorded as lost, and the newest view with its host has the same epoch.
 func (gat *Core) mayBeAlive(owner view.Member) bool {
 	if gat.lost[owner.Epoch] != nil {
 		return false
@@ -121,7 +122,7 @@
 		return
 	}
 	if fai.ID.Epoch == gat.cfg.Self {
-		// Another gateway has fenced the request and is unreachable now.
+		// Another gateway has fenced the request and is now unreachable.
 		fin := Final{Cause: CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: undecidedRetryAfter}
 		gat.emit(Answer{Caller: fai.Caller, Final: fin})
 		return
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -16,8 +16,9 @@
 // own floor time (1 s), so that message delay doesn't matter.
 const floorFreshness = 400 * time.Millisecond
 
-// refusalFreshness is how long a coordinator's refusal counts. It must end before
-// the floor that the refusal raised.
+// refusalFreshness is the age up to which a coordinator's refusal is a reason to shed a
+// request. It must be shorter than the coordinator's floor time, so that the floor that
+// the refusal raised is still in force.
 const refusalFreshness = 700 * time.Millisecond
 
 // movedRetryDelay is how long the gateway skips a coordinator that has no engine
@@ -70,8 +71,8 @@
 }
 
 // mayAcceptGrant reports whether the gateway may accept a grant of the request
-// from the coordinator epoch: the view of the id names the epoch as a granter, the
-// epoch isn't lost, and it is outside this gateway's own failure domain.
+// from the coordinator epoch: the epoch isn't lost, is a granter in the view of the id
+// and, if the request was taken over, is outside this gateway's own failure domain.
 func (gat *Core) mayAcceptGrant(epo request.Epoch, ent *entry) bool {
 	if gat.lost[epo] != nil {
 		return false
@@ -85,7 +86,8 @@
 
 func (gat *Core) outsideOwnDomain(epo request.Epoch, vie view.View) bool {
 	if len(vie.Domains()) < 3 {
-		// With two domains, no third one is left for a request that was taken over.
+		// With two domains, no granter is outside the domains of both the owner and this
+		// gateway.
 		return true
 	}
 	granter, _ := vie.Member(epo)
@@ -93,9 +95,9 @@
 	return !known || own.Domain != granter.Domain
 }
 
-// reserve sends the reservation to the best coordinator that hasn't refused it.
-// If all have refused, the other coordinators are asked to evict a reservation of
-// a lower rank.
+// reserve sends the reservation to the best candidate among the coordinators. If there is
+// none and some have refused, the coordinators that haven't refused are asked to evict a
+// reservation of a lower rank.
 func (gat *Core) reserve(now time.Time, ent *entry) {
 	gat.table.enter(ent, phaseWaiting)
 	ent.coordinator = 0
@@ -108,7 +110,7 @@
 	case gat.isOutdated(ent):
 		gat.close(now, ent, Final{Cause: CausePrefixRetired, Outcome: request.NotRun, Retry: true})
 	default:
-		gat.table.stranded[ent.id] = ent
+		gat.table.unassigned[ent.id] = ent
 	}
 }
 
@@ -128,7 +130,7 @@
 }
 
 func (gat *Core) sendReserve(now time.Time, ent *entry, to request.Epoch) {
-	delete(gat.table.stranded, ent.id)
+	delete(gat.table.unassigned, ent.id)
 	ent.coordinator = to
 	ent.reserved = now
 	gat.peer(to).loadOf(ent.spec.Service).sent++
@@ -136,8 +138,8 @@
 }
 
 // bestCoordinator returns the coordinator with the shortest predicted time to the
-// first token, or 0. Ties and near ties go to the coordinator whose engines
-// probably have the prompt's prefix in their caches.
+// first token, or 0 if there is none. The prediction includes the prefill time of the
+// prompt's prefix, except for the coordinator whose engines probably have it cached.
 func (gat *Core) bestCoordinator(now time.Time, ent *entry) request.Epoch {
 	var best request.Epoch
 	var bestCost time.Duration
@@ -179,7 +181,8 @@
 	los := gat.peer(epo).loadOf(ent.spec.Service)
 	free := los.load.FreeSlots - los.sent
 	if free > 0 {
-		// The prefills behind the reported delay have progressed since the report.
+		// Part of the reported delay, which is pending prefill time, has passed since the
+		// report.
 		return max(0, los.load.Delay-now.Sub(los.updatedAt))
 	}
 	slots := max(1, gat.slotsOf(epo, ent.spec.Service))
@@ -201,7 +204,7 @@
 }
 
 // preferredCoordinator returns the coordinator for requests with this prompt
-// prefix, chosen by rendezvous hashing so that they share a cache.
+// prefix, chosen by rendezvous hashing so that these requests share a cache.
 func (gat *Core) preferredCoordinator(ent *entry) request.Epoch {
 	key := ent.id.String()
 	if ent.spec.PrefixHash != 0 {
@@ -227,7 +230,7 @@
 	if spec.PrefixHash == 0 {
 		return time.Nanosecond
 	}
-	const typicalPrefillSpeed = 4000
+	const typicalPrefillSpeed = 4000 // tokens per second
 	return time.Duration(spec.PrefixTokens) * time.Second / typicalPrefillSpeed
 }
 
@@ -248,9 +251,9 @@
 	}
 }
 
-// requestEviction asks the next coordinator that hasn't refused yet to drop a
-// reservation of a lower rank. The coordinators that haven't refused are usually those
-// that may not grant to this gateway. If none is left, the request is shed.
+// requestEviction asks the next coordinator that hasn't refused the request to drop a
+// reservation of a lower rank. These coordinators are usually those that may not grant
+// to this gateway. If none is left, the request is shed.
 func (gat *Core) requestEviction(now time.Time, ent *entry) {
 	gat.table.enter(ent, phaseEvicting)
 	ent.reserved = now
@@ -281,8 +284,8 @@
 }
 
 // shed closes the request after every coordinator has answered that it holds no
-// reservation of a lower rank. If the oldest of these answers isn't fresh any more,
-// all coordinators are asked again.
+// reservation of a lower rank, or one hasn't answered in time. If the oldest refusal is
+// older than refusalFreshness, all coordinators are asked again.
 func (gat *Core) shed(now time.Time, ent *entry) {
 	if now.Sub(ent.oldestRefusal(now)) > refusalFreshness {
 		clear(ent.refused)
--- a/gateway/close.go
+++ b/gateway/close.go
@@ -9,7 +9,7 @@
 
 // close ends a request that wasn't dispatched. The client gets the outcome NotRun
 // only after a granter has recorded that the request never runs, because another
-// gateway may have taken it over in the meantime.
+// gateway may have taken the request over in the meantime.
 func (gat *Core) close(now time.Time, ent *entry, fin Final) {
 	gat.table.enter(ent, phaseClosing)
 	ent.closeAsked = true
@@ -35,7 +35,7 @@
 // closingGranter returns the granter that is asked to close the request, or 0. A
 // granter in this gateway's failure domain, or this host itself, is acceptable if no
 // other is left: every later fence needs the answer of that granter, or of the host
-// that took over its ledger, and without it the request isn't run.
+// that took over its ledger, and without that answer no gateway runs the request.
 func (gat *Core) closingGranter(ent *entry) request.Epoch {
 	if gat.isUp(ent.coordinator) && gat.mayAcceptGrant(ent.coordinator, ent) && !ent.hasRefused(ent.coordinator) {
 		return ent.coordinator
@@ -61,17 +61,17 @@
 }
 
 // undecided reports the outcome Unknown to the clients and drops the request, so
-// that a repeat is evaluated again. It is only for requests that this gateway hasn't
-// dispatched: what another gateway did with them is in the granters' ledgers.
+// that a retry is evaluated again. It must not be called for requests that this gateway
+// has dispatched; a dispatch by another gateway is recorded in the granters' ledgers.
 func (gat *Core) undecided(ent *entry) {
 	fin := Final{Cause: CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: undecidedRetryAfter}
 	gat.emit(Finish{ID: ent.id, Final: fin, Granters: ent.fence.granterAnswers()})
 	gat.relinquish(ent)
 }
 
-// relinquish ends a request whose outcome this gateway doesn't decide now. If a
-// granter may have closed it without the answer arriving, the entry stays in memory:
-// this gateway must neither run the request nor attest that it was never closed.
+// relinquish drops a request whose outcome this gateway can't decide. If a granter may
+// have closed the request and the answer was lost, the entry stays in memory: this
+// gateway must neither run the request nor attest that it was never closed.
 func (gat *Core) relinquish(ent *entry) {
 	if !ent.closeAsked {
 		gat.forget(ent)
@@ -82,7 +82,7 @@
 	gat.emit(Forget{ID: ent.id})
 }
 
-// finish sends every attached client the final answer and stores it for repeats.
+// finish sends every attached client the final answer and stores it for retries.
 func (gat *Core) finish(ent *entry, fin Final) {
 	gat.table.enter(ent, phaseGivenUp)
 	ent.final = fin
@@ -102,7 +102,7 @@
 	case reservation.Reserve, reservation.Withdraw, reservation.Release, reservation.Adopt, reservation.Hold, reservation.Evict:
 		// Only gateways send these.
 	}
-	gat.retryStranded(now)
+	gat.retryUnassigned(now)
 }
 
 func (gat *Core) recordLoad(now time.Time, rec Received) {
@@ -129,8 +129,8 @@
 	gat.emit(Dispatch{ID: ent.id, Engine: gra.Engine})
 }
 
-// returnGrant releases a granted slot that isn't used, unless the message repeats the
-// grant that the request runs on.
+// returnGrant releases a granted slot that isn't used, unless the message is a duplicate
+// of the grant that the request runs on.
 func (gat *Core) returnGrant(from request.Epoch, ent *entry, gra reservation.Grant) {
 	if ent != nil && ent.granter == from && ent.engine == gra.Engine {
 		return
@@ -159,8 +159,8 @@
 	switch ref.Reason {
 	case reservation.ReasonFull:
 		los.floorRank = ref.FloorRank
-		// The refusal may have been delayed; the time of the reservation is the earliest
-		// time at which the floor can have been raised.
+		// The refusal may have been delayed: the coordinator may have raised the floor at
+		// any time since the reservation was sent.
 		los.floorUntil = ent.reserved.Add(floorFreshness)
 		ent.refused[from] = ent.reserved
 		gat.reserve(now, ent)
@@ -193,7 +193,7 @@
 }
 
 // yieldToHolder ends a request that another gateway has taken over and redirects its
-// clients to that gateway.
+// clients to that gateway. If that gateway isn't known, the request is undecided.
 func (gat *Core) yieldToHolder(ent *entry, ref reservation.Refuse) {
 	holder, known := gat.views.Find(byEpoch(ref.Holder))
 	if ref.Reason != reservation.ReasonFenced || !known || holder.Epoch == gat.cfg.Self {
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -33,8 +33,8 @@
 	Started time.Time
 	// Window is the length of one window of request ids.
 	Window time.Duration
-	// CloseTimeout bounds the wait for a granter's answer that a request never
-	// runs.
+	// CloseTimeout bounds the wait for a granter's confirmation that a request never
+	// runs, and for the answer to an eviction.
 	CloseTimeout time.Duration
 	// OrphanGrace is how long a request continues without an attached client.
 	OrphanGrace time.Duration
@@ -207,7 +207,7 @@
 			gat.sendAdopt(ent, previous[ent.spec.Service])
 		}
 	}
-	gat.retryStranded(now)
+	gat.retryUnassigned(now)
 }
 
 func (gat *Core) sendAdopt(ent *entry, previous []view.Share) {
@@ -234,11 +234,11 @@
 	return pee != nil && pee.up
 }
 
-func (gat *Core) retryStranded(now time.Time) {
-	if len(gat.table.stranded) == 0 {
+func (gat *Core) retryUnassigned(now time.Time) {
+	if len(gat.table.unassigned) == 0 {
 		return
 	}
-	for _, ent := range sortedByID(gat.table.stranded) {
+	for _, ent := range sortedByID(gat.table.unassigned) {
 		gat.reserve(now, ent)
 	}
 }
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -195,7 +195,7 @@
 
 // A lost coordinator may have granted requests that the attestations about it don't
 // list. Its grants must be rejected until every attestation is revoked.
-func TestLostCoordinatorIsRefusedUntilEveryAttestationIsRevoked(t *testing.T) {
+func TestLostCoordinatorIsNotUsedUntilEveryAttestationIsRevoked(t *testing.T) {
 	har := newHarness(t, 4, member(1, "a"), member(2, "b"), member(3, "c"))
 	att, attested := find[gateway.SendAttestation](har.handle(gateway.PeerLost{Peer: 2}))
 	assert.Assert(t, attested)
@@ -218,7 +218,7 @@
 
 // A grant that arrives after the reservation has moved to another coordinator must be
 // released.
-func TestGrantOfAPreviousCoordinatorIsReturned(t *testing.T) {
+func TestGrantOfAPreviousCoordinatorIsReleased(t *testing.T) {
 	har := newHarness(t, 4, member(1, "a"), member(2, "b"), member(3, "c"))
 	first, res, _ := sent[reservation.Reserve](har.arrive(har.idOf(self, "one")))
 	refuse := gateway.Received{From: first, Message: reservation.Refuse{ID: res.ID, Ballot: res.Ballot, Reason: reservation.ReasonFull}}
@@ -233,7 +233,7 @@
 }
 
 // A request without an available coordinator must fail after DefaultNoCoordinatorTimeout
-// with a time for the retry, instead of waiting until its deadline.
+// and allow a retry, instead of waiting until its deadline.
 func TestRequestWithoutCoordinatorFailsAfterTimeout(t *testing.T) {
 	har := newHarness(t, 4, member(1, "a"), member(2, "b"))
 	har.handle(gateway.PeerLost{Peer: 2})
@@ -247,9 +247,9 @@
 	assert.Assert(t, fin.Final.Retry)
 }
 
-// A starting host learns past views after the current one. From then on it must relay
-// or fence their ids instead of refusing them as too old.
-func TestPastViewLearnedLaterIsAccepted(t *testing.T) {
+// A starting host receives past views after the current one. Afterwards the gateway must
+// relay or fence the ids of these views instead of rejecting them as too old.
+func TestIDOfPastViewReceivedLaterIsRelayed(t *testing.T) {
 	har := &harness{t: t, now: start, core: gateway.New(gateway.Config{Self: self, Started: start})}
 	har.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{member(1, "a"), member(3, "b")}}})
 	ans, answered := find[gateway.Answer](har.arrive(har.idOf(2, "one")))
@@ -294,7 +294,7 @@
 // because it accepts no grant from its own failure domain. It must close the request in
 // its own ledger, where every later fence reads it, instead of leaving it undecided
 // until the deadline.
-func TestLastGranterClosesWhatItCannotGrantItself(t *testing.T) {
+func TestLastGranterClosesRequestThatItMayNotGrant(t *testing.T) {
 	har := newHarness(t, 2, member(1, "a"), member(2, "b"), member(3, "c"), member(4, "d"))
 	har.handle(gateway.ViewChanged{View: view.View{Number: 2, Members: []view.Member{
 		member(1, "a"), member(5, "b"), member(6, "c"), member(7, "d"),
--- a/gateway/dump.go
+++ b/gateway/dump.go
@@ -40,7 +40,7 @@
 	Epoch request.Epoch
 	// Vouchers are the coordinators that hold an attestation about the epoch.
 	Vouchers []request.Epoch
-	// Gone is set if the grants are rejected for good.
+	// Gone is set if the grants are rejected permanently.
 	Gone bool
 }
 
--- a/gateway/engine.go
+++ b/gateway/engine.go
@@ -20,7 +20,7 @@
 	case phaseResuming:
 		gat.resumeDone(ent, evt.Result)
 	case phaseWaiting, phaseEvicting, phaseClosing, phaseFencing, phaseDone, phaseCloseUnconfirmed, phaseGivenUp:
-		// Nothing is running.
+		// The request has no dispatch or resumption in progress.
 	}
 }
 
@@ -79,7 +79,7 @@
 }
 
 // resumeDone ends a request that another gateway dispatched. A failure isn't stored,
-// because a repeat may still be able to read the answer.
+// because a retry may still be able to read the answer.
 func (gat *Core) resumeDone(ent *entry, res Result) {
 	switch {
 	case res.Complete:
--- a/gateway/entry.go
+++ b/gateway/entry.go
@@ -53,12 +53,12 @@
 	callers     int
 	abandonedAt time.Time
 	// coordinator is the epoch to which the reservation, eviction or close was sent; 0
-	// if there is none. reserved is when the current step (reservation, eviction, close
+	// if none was sent. reserved is when the current step (reservation, eviction, close
 	// or fence) started.
 	coordinator request.Epoch
 	reserved    time.Time
-	// refused maps the coordinators that refused, or can't close, the request to the
-	// time of the refusal.
+	// refused maps the coordinators that refused the reservation, were asked for an
+	// eviction, or can't close the request to the earliest possible time of the refusal.
 	refused map[request.Epoch]time.Time
 	// overflow is set once another coordinator has dropped a reservation of a lower
 	// rank for this request, which may then exceed the queue's bound.
@@ -75,8 +75,8 @@
 	fenceRounds uint32
 }
 
-// hasRefused reports whether the coordinator has refused the request, holds no
-// reservation of a lower rank, or can't close the request.
+// hasRefused reports whether the coordinator has refused the reservation, was asked for
+// an eviction, or can't close the request.
 func (ent *entry) hasRefused(epo request.Epoch) bool {
 	_, refused := ent.refused[epo]
 	return refused
--- a/gateway/fence.go
+++ b/gateway/fence.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// fenceRecipients returns the granters and the other current hosts except the owner,
-// which may have taken over the ledger of a stopped granter.
+// fenceRecipients returns the granters and all other current hosts except the owner: any
+// of them may have taken over the ledger of a stopped granter.
 func (gat *Core) fenceRecipients(granters []view.Member, owner request.Epoch) []view.Member {
 	recipients := slices.Clone(granters)
 	for _, mem := range gat.views.Last().Members {
@@ -105,8 +105,8 @@
 	gat.emit(Resume{ID: ent.id, Engine: ans.Engine})
 }
 
-// superseded redirects the clients to the gateway with the higher ballot if that is
-// reachable, and otherwise starts a round with a ballot above it.
+// superseded redirects the clients to the gateway with the higher ballot if that gateway
+// is reachable, and otherwise starts a fence round with a ballot above it.
 func (gat *Core) superseded(now time.Time, ent *entry, ans reservation.FenceAnswer) {
 	holder, known := gat.views.Find(byEpoch(ans.Ballot.Holder))
 	if known && holder.Epoch != gat.cfg.Self && gat.isUp(holder.Epoch) {
@@ -117,8 +117,8 @@
 	gat.fenceRound(now, ent, ans.Ballot.Round+1)
 }
 
-// evaluateFence takes the request over once it is settled with every granter. If no
-// answer is pending and some granter isn't settled, the request is undecided.
+// evaluateFence takes the request over once every granter is settled. If no answer is
+// pending and some granter isn't settled, the request is undecided.
 func (gat *Core) evaluateFence(now time.Time, ent *entry) {
 	att := ent.fence
 	if gat.allSettled(ent) {
@@ -181,7 +181,7 @@
 }
 
 // isAttested reports whether a granter that has promised holds the attestation. Only
-// such a granter knows of all earlier claims.
+// such a granter reports all earlier claims to the request.
 func (att *fenceAttempt) isAttested(key reservation.AttestationKey) bool {
 	for _, mem := range att.granters {
 		ans := att.answers[mem.Epoch]
@@ -215,9 +215,10 @@
 }
 
 // takeOver makes this gateway the holder of the request. If a granter has closed the
-// request, a client may have received that answer and it must not run any more. One such
-// answer isn't sufficient before all granters are settled: a granter closes expired
-// requests on its own, while their gateway may have a grant from another granter.
+// request, a client may have received that outcome, so the request must not run any more.
+// A granter's answer that it has closed the request isn't sufficient before all granters
+// are settled: a granter closes expired requests on its own, while their gateway may have
+// a grant from another granter.
 func (gat *Core) takeOver(now time.Time, ent *entry) {
 	att := ent.fence
 	ent.fence = nil
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -14,8 +14,8 @@
 	byID map[request.ID]*entry
 	// active are the requests without a final answer.
 	active map[request.ID]*entry
-	// stranded are the active requests that wait for an available coordinator.
-	stranded map[request.ID]*entry
+	// unassigned are the active requests that wait for an available coordinator.
+	unassigned map[request.ID]*entry
 	// finished are the finished requests in the order in which they finished.
 	finished []*entry
 	// accounts counts the active requests by client account.
@@ -25,7 +25,7 @@
 func newTable() *table {
 	return &table{
 		byID: make(map[request.ID]*entry), active: make(map[request.ID]*entry),
-		stranded: make(map[request.ID]*entry), accounts: make(map[string]int),
+		unassigned: make(map[request.ID]*entry), accounts: make(map[string]int),
 	}
 }
 
@@ -41,7 +41,7 @@
 
 func (tab *table) deactivate(ent *entry) {
 	delete(tab.active, ent.id)
-	delete(tab.stranded, ent.id)
+	delete(tab.unassigned, ent.id)
 	tab.accounts[ent.spec.Account]--
 	if tab.accounts[ent.spec.Account] == 0 {
 		delete(tab.accounts, ent.spec.Account)
@@ -52,7 +52,7 @@
 func (tab *table) enter(ent *entry, next phase) {
 	wasFinished := ent.isFinished()
 	ent.phase = next
-	delete(tab.stranded, ent.id)
+	delete(tab.unassigned, ent.id)
 	switch {
 	case ent.isFinished() && !wasFinished:
 		tab.deactivate(ent)
--- a/gateway/vouch.go
+++ b/gateway/vouch.go
@@ -11,8 +11,8 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// attesterCount is the number of coordinators that get an attestation of what a lost
-// coordinator had granted.
+// attesterCount is the number of coordinators that receive an attestation about a lost
+// coordinator.
 const attesterCount = 2
 
 // lostState describes a coordinator epoch whose grants the gateway rejects.
@@ -20,7 +20,7 @@
 	// attesters are the coordinators that hold an attestation about the epoch.
 	attesters map[request.Epoch]*attesterState
 	// permanent is set if a fence has relied on an attestation: the epoch's grants
-	// are rejected for good.
+	// are rejected permanently.
 	permanent bool
 }
 
@@ -33,8 +33,8 @@
 	return func(mem view.Member) bool { return mem.Epoch == epo }
 }
 
-// peerLost rejects the epoch's grants from now on, sends attestations of what it had
-// granted, and moves the reservations that waited there to other coordinators.
+// peerLost rejects the epoch's grants until the attestations about it are revoked, sends
+// these attestations, and moves the reservations that waited there to other coordinators.
 func (gat *Core) peerLost(now time.Time, epo request.Epoch) {
 	pee := gat.peers[epo]
 	if pee == nil || !pee.up {
@@ -54,7 +54,7 @@
 	}
 }
 
-// peerUnreachable assigns the engines of an unreachable host to other coordinators.
+// peerUnreachable assigns the engines of a host without a session to other coordinators.
 func (gat *Core) peerUnreachable(now time.Time, epo request.Epoch) {
 	if gat.unreachable[epo] || gat.isUp(epo) {
 		return
@@ -120,7 +120,7 @@
 		gat.reroute(now)
 	}
 	gat.sendHeld(epo)
-	gat.retryStranded(now)
+	gat.retryUnassigned(now)
 }
 
 // sendHeld reports to a coordinator, as the first message of a session, the slots that the
@@ -142,7 +142,8 @@
 	gat.send(epo, hol)
 }
 
-// retryRevocations revokes the attestations about epochs that are reachable again.
+// retryRevocations asks the attesters to revoke their attestations about epochs that are
+// reachable again.
 func (gat *Core) retryRevocations() {
 	for _, epo := range slices.Sorted(maps.Keys(gat.lost)) {
 		los := gat.lost[epo]
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -14,15 +14,15 @@
 		text string
 		part string
 	}{
-		"Good":        {"5-0193f2ab3c4d5e6f-1-tray.4711", ""},
-		"HyphenInOwn": {"5-0193f2ab3c4d5e6f-1-a-b-c", ""},
-		"Empty":       {"", "id"},
-		"NoUnique":    {"5-0193f2ab3c4d5e6f-1-", "unique part"},
-		"BadView":     {"05-0193f2ab3c4d5e6f-1-a", "view"},
-		"BadEpoch":    {"5-0193F2AB3C4D5E6F-1-a", "epoch"},
-		"ShortEpoch":  {"5-0193-1-a", "epoch"},
-		"BadWindow":   {"5-0193f2ab3c4d5e6f-x-a", "window"},
-		"BadUnique":   {"5-0193f2ab3c4d5e6f-1-a b", "unique part"},
+		"Valid":          {"5-0193f2ab3c4d5e6f-1-tray.4711", ""},
+		"HyphenInUnique": {"5-0193f2ab3c4d5e6f-1-a-b-c", ""},
+		"Empty":          {"", "id"},
+		"NoUnique":       {"5-0193f2ab3c4d5e6f-1-", "unique part"},
+		"InvalidView":    {"05-0193f2ab3c4d5e6f-1-a", "view"},
+		"InvalidEpoch":   {"5-0193F2AB3C4D5E6F-1-a", "epoch"},
+		"ShortEpoch":     {"5-0193-1-a", "epoch"},
+		"InvalidWindow":  {"5-0193f2ab3c4d5e6f-x-a", "window"},
+		"InvalidUnique":  {"5-0193f2ab3c4d5e6f-1-a b", "unique part"},
 	}
 	for name, cas := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/reservation/emptying.go
+++ b/reservation/emptying.go
@@ -3,8 +3,8 @@
 import "lynxwell.dev/lynxwell/evacuation"
 
 // EnforcedOrders reports to a coordinator all evacuation orders that the gateway enforces. The
-// coordinator grants the gateway no engine in these failure domains, and learns when no gateway
-// sends requests there any more.
+// coordinator then grants the gateway no engine in these failure domains, and can determine when
+// no gateway sends requests there any more.
 type EnforcedOrders struct {
 	Orders []evacuation.Order
 }
--- a/reservation/fence.go
+++ b/reservation/fence.go
@@ -2,8 +2,8 @@
 
 import "lynxwell.dev/lynxwell/request"
 
-// Fence asks a ledger whether a request was granted, and if not, never to grant it under a
-// lower ballot.
+// Fence asks a host whether its ledger contains a grant of the request and, if not, for a promise
+// never to grant the request under a lower ballot.
 type Fence struct {
 	ID     request.ID
 	Ballot request.Ballot
@@ -93,8 +93,8 @@
 // RevocationAnswer is a coordinator's answer to Revocation.
 type RevocationAnswer struct {
 	AttestationKey
-	// Revoked is false if a request of the holder was fenced on the basis of the attestation;
-	// the gateway then refuses grants of the coordinator epoch permanently.
+	// Revoked is false if a fence has relied on the attestation; the gateway then rejects the
+	// grants of the coordinator epoch permanently.
 	Revoked bool
 }
 
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -2,8 +2,9 @@
 //
 // # Usage
 //
-// A gateway sends Reserve, Withdraw, Release, Adopt and Hold; a coordinator answers with Grant
-// and Refuse. Fence, Attestation, Revocation and Handover are separate remote calls, and not
+// A gateway sends Reserve, Withdraw, Release, Adopt, Hold and Evict; a coordinator answers with
+// Grant, Refuse and Evicted. The other messages report events and states of requests, accounts,
+// engines and hosts. Fence, Attestation, Revocation and Handover are separate remote calls and not
 // messages of a session. A receiver of messages switches on the type:
 //
 //	switch msg := msg.(type) {
@@ -50,8 +51,8 @@
 	PrefixTokens int
 	// Remaining is the time until the deadline.
 	Remaining time.Duration
-	// Overflow asks for a position beyond the limit of the queue, in exchange for a
-	// reservation that another coordinator has dropped.
+	// Overflow asks for a position beyond the limit of the queue, in place of a reservation
+	// that another coordinator has dropped.
 	Overflow bool
 	// AnswerTokens is an estimate of the answer's length; 0 for none.
 	AnswerTokens int
@@ -82,8 +83,8 @@
 	Digest call.Digest
 	// Regions are those in which the request may be served; empty for all.
 	Regions []string
-	// Requeued means that the request was granted before and not sent. It keeps its
-	// position in the queue, and is not counted against the retry budget a second time.
+	// Requeued means that the request was granted before and not dispatched. The request keeps
+	// its position in the queue, and isn't counted against the retry budget a second time.
 	Requeued bool
 }
 
@@ -99,8 +100,8 @@
 	Engine string
 	// Rate is what the coordinator knew of the engine's rate limit.
 	Rate GrantRate
-	// Cold means that the coordinator knew the engine to be cold, and granted it within the
-	// rate that a cold engine can serve.
+	// Cold means that the coordinator knew that the engine was cold, and that the grant is
+	// within the rate that a cold engine can serve.
 	Cold bool
 }
 
@@ -114,12 +115,12 @@
 	GrantRateUnknown GrantRate = iota
 	// GrantRateLimited means that the grant is within the rate limit.
 	GrantRateLimited
-	// GrantRateUnlimited means that a response without a rate limit has come after all
-	// responses with one.
+	// GrantRateUnlimited means that the engine's rate limit has ended: a response without a
+	// rate limit was sent after all responses with one.
 	GrantRateUnlimited
 )
 
-// Reason is why a coordinator doesn't keep a reservation.
+// Reason is why a coordinator refuses a reservation.
 type Reason uint8
 
 // The reasons of a Refuse. With ReasonExpired and ReasonClosed, the coordinator has recorded
@@ -148,8 +149,8 @@
 	ReasonBudget
 	// ReasonNoEngine means that no engine of the service remains to be tried.
 	ReasonNoEngine
-	// ReasonHeld means that the request is a poison request, which crashes the engines that
-	// run it.
+	// ReasonHeld means that the request is quarantined as a poison request, which crashes the
+	// engines that run it.
 	ReasonHeld
 	// ReasonBackoff means that all remaining engines have requested a backoff or are draining.
 	ReasonBackoff
@@ -214,7 +215,7 @@
 	Total         time.Duration
 }
 
-// Adopt reports a slot that a previous coordinator granted to the engine's new coordinator.
+// Adopt reports to an engine's new coordinator a slot that a previous coordinator granted.
 type Adopt struct {
 	ID     request.ID
 	Ballot request.Ballot
@@ -243,15 +244,15 @@
 	FirstToken time.Duration
 }
 
-// AccountDebt reports to a coordinator that starts to schedule for a gateway how much the
-// gateway's requests still owe to a client account's limit, whichever host scheduled them: their
-// cost, less the gateway's equal share of the rate in the meantime. A gateway that learns soon
-// after its start that there are more or fewer hosts sends the report once more.
+// AccountDebt reports a gateway's debt to a client account's limit when a coordinator starts to
+// schedule for the gateway: the cost of the gateway's granted requests, whichever host scheduled
+// them, less the gateway's equal share of the rate in the meantime. If the number of hosts changes
+// soon after the gateway's start, the gateway sends the report again.
 type AccountDebt struct {
 	Account string
 	Debt    float64
-	// Share is the gateway's equal share of the burst that all hosts together may spend, by the
-	// number of hosts that it knows; it doesn't change over time.
+	// Share is the gateway's equal share of the burst that all hosts together may spend. It
+	// depends on the number of hosts that the gateway knows, and not on time.
 	Share float64
 }
 
@@ -284,8 +285,8 @@
 	Unconfirmed bool
 }
 
-// CaseReport passes on the crashes recorded against a poison request. A gateway sends it to its
-// new coordinator, and a coordinator to the gateways that it schedules for.
+// CaseReport reports the crashes that are recorded for a possible poison request. A gateway sends
+// it to its new coordinator, and a coordinator to the gateways that it schedules for.
 type CaseReport struct {
 	quarantine.Report
 }
@@ -296,8 +297,8 @@
 	IDs []request.ID
 }
 
-// Evict asks a coordinator that has no grant for the gateway to drop one reservation of a lower
-// rank, so that another coordinator may keep one of a higher rank.
+// Evict asks a coordinator that can't grant the request to drop one reservation of a lower rank, so
+// that another coordinator may queue the request.
 type Evict struct {
 	ID      request.ID
 	Service string
