--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -42,12 +42,14 @@
 	// ControlBytes is the number of bytes that a host sends to and receives from other hosts.
 	ControlBytes float64
 	// BytesARequest is the increase of ControlBytes per request, compared with
-	// the row of the same number of hosts at rate 0.
+	// the most recent row of the same number of hosts at rate 0, or with 0 bytes if rate 0
+	// wasn't measured before.
 	BytesARequest float64
 	// CPU is the processor time of the whole process in percent of one core,
 	// per host; it includes the fake engines, the clients and the fake platform.
 	CPU float64
-	// HeapBytes and Goroutines are values per host and include those components.
+	// HeapBytes and Goroutines also include the fake engines, the clients and the fake
+	// platform.
 	HeapBytes  float64
 	Goroutines float64
 	// PlatformCalls is the number of platform calls per second of the whole system.
@@ -68,7 +70,8 @@
 )
 
 // Capacity measures each number of hosts at each rate. It calls progress after each
-// measurement and returns all rows, or the rows so far and an error.
+// measurement. It returns all rows, or an error with the rows of the numbers of hosts that
+// were measured at every rate.
 func Capacity(ctx context.Context, cfg CapacityConfig, progress func(CapacityRow)) ([]CapacityRow, error) {
 	var rows []CapacityRow
 	for _, hosts := range cfg.Hosts {
@@ -115,7 +118,7 @@
 // because newly opened sessions exchange more data than idle ones.
 const settleTime = 5 * time.Second
 
-// sleep waits for the given time; it returns the context's error if that ends first.
+// sleep waits for the given time, or returns the context's error if the context ends first.
 func sleep(ctx context.Context, length time.Duration) error {
 	if !task.Sleep(ctx, length) {
 		return ctx.Err()
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -129,7 +129,7 @@
 		if res.err = sendOnce(ctx, cli, adr, body); res.err != nil {
 			return res
 		}
-		// Values beyond the range can only come from a defect of this tool.
+		// RecordValue fails only above maxMicros, 60 s; fake engines answer far sooner.
 		_ = res.histogram.RecordValue(max(1, time.Since(begun).Microseconds()))
 	}
 	return res
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -38,7 +38,7 @@
 	HeaderOnce = "Lynxwell-Once"
 	// HeaderRequestID carries the request's id in every answer.
 	HeaderRequestID = "Lynxwell-Request-Id"
-	// HeaderOutcome carries, in an error answer, whether the request ran.
+	// HeaderOutcome carries, in an error answer, the request's outcome: whether it ran.
 	HeaderOutcome = "Lynxwell-Outcome"
 	// HeaderRelayed carries the name of the host that relayed the request.
 	HeaderRelayed = "Lynxwell-Relayed"
@@ -70,7 +70,7 @@
 
 // ModelWork is a chat completions request.
 type ModelWork struct {
-	// Body always requests a stream, also if the client did not.
+	// Body always requests a stream, even if the client did not.
 	Body []byte
 }
 
@@ -108,7 +108,7 @@
 type Backend interface {
 	// Configuration returns the active configuration.
 	Configuration() resource.Configuration
-	// Account returns the client account with this digest of a key.
+	// Account returns the client account that has a key with this digest.
 	Account(digest string) (resource.ClientAccount, bool)
 	// Addresses returns the hosts that clients may use.
 	Addresses() Addresses
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -16,13 +16,15 @@
 // any number of clients that each read it from its start. It is safe for concurrent
 // use.
 type Exchange struct {
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 	status  int
 	header  http.Header
 	// stored holds the answer from offset base on.
-	stored   []byte
-	base     int
+	stored []byte
+	base   int
+	// readers maps each open reader to its offset in the answer.
 	readers  map[*Reader]int
 	ended    bool
 	complete bool
@@ -160,9 +162,9 @@
 // Next blocks until there is new data, the answer has ended or the context ends.
 func (rea *Reader) Next(ctx context.Context) (Progress, error) {
 	for {
-		pro, fresh, changed := rea.poll()
-		if fresh {
-			return pro, nil
+		prg, ready, changed := rea.poll()
+		if ready {
+			return prg, nil
 		}
 		select {
 		case <-changed:
@@ -172,27 +174,29 @@
 	}
 }
 
+// poll returns the progress, whether it has anything new for the reader, and a channel that is
+// closed at the next change.
 func (rea *Reader) poll() (Progress, bool, <-chan struct{}) {
 	exc := rea.exchange
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
-	pro := Progress{Status: exc.status, Header: exc.header, Over: exc.ended, Whole: exc.complete, Final: exc.final}
+	prg := Progress{Status: exc.status, Header: exc.header, Over: exc.ended, Whole: exc.complete, Final: exc.final}
 	if exc.final != nil && rea.offset == 0 {
 		// A client that has received no part of a failed answer gets only the error.
-		pro.Status = 0
-		return pro, true, nil
+		prg.Status = 0
+		return prg, true, nil
 	}
 	if rea.offset < exc.base {
-		pro.Trimmed = true
-		return pro, true, nil
+		prg.Trimmed = true
+		return prg, true, nil
 	}
-	if fresh := exc.stored[rea.offset-exc.base:]; len(fresh) > 0 {
-		pro.Data = append([]byte(nil), fresh...)
-		rea.offset += len(fresh)
+	if unread := exc.stored[rea.offset-exc.base:]; len(unread) > 0 {
+		prg.Data = append([]byte(nil), unread...)
+		rea.offset += len(unread)
 		exc.readers[rea] = rea.offset
 		if len(exc.stored) > MaxStoredBytes {
 			exc.notifyReaders()
 		}
 	}
-	return pro, len(pro.Data) > 0 || exc.ended, exc.changed
+	return prg, len(prg.Data) > 0 || exc.ended, exc.changed
 }
--- a/caller/output.go
+++ b/caller/output.go
@@ -34,24 +34,24 @@
 
 // apply writes the new part of the answer. It returns the result if the answer has
 // ended, and nil otherwise.
-func (out *output) apply(pro Progress) *result {
-	if pro.Trimmed {
+func (out *output) apply(prg Progress) *result {
+	if prg.Trimmed {
 		return out.fail(gateway.Final{Cause: gateway.CauseAnswerExpired, Outcome: request.Ran})
 	}
-	if pro.Status != 0 && len(pro.Data) > 0 {
-		if err := out.data(pro); err != nil {
-			return &result{status: pro.Status, code: "CallerLeft", abort: true}
+	if prg.Status != 0 && len(prg.Data) > 0 {
+		if err := out.data(prg); err != nil {
+			return &result{status: prg.Status, code: "CallerLeft", abort: true}
 		}
 	}
 	switch {
-	case pro.Final != nil:
-		return out.fail(*pro.Final)
-	case !pro.Over:
+	case prg.Final != nil:
+		return out.fail(*prg.Final)
+	case !prg.Over:
 		return nil
-	case !pro.Whole:
+	case !prg.Whole:
 		return out.fail(gateway.Final{Cause: gateway.CauseEngineFailed, Outcome: request.Ran})
 	default:
-		return out.end(pro)
+		return out.end(prg)
 	}
 }
 
@@ -61,37 +61,37 @@
 	return !out.sub.stream && status == http.StatusOK
 }
 
-func (out *output) data(pro Progress) error {
-	if out.isBuffered(pro.Status) {
-		out.buffered.Write(pro.Data)
+func (out *output) data(prg Progress) error {
+	if out.isBuffered(prg.Status) {
+		out.buffered.Write(prg.Data)
 		return nil
 	}
-	out.start(pro)
+	out.start(prg)
 	// The answer to a client that reads nothing for this long is aborted.
 	_ = out.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if _, err := out.writer.Write(pro.Data); err != nil {
+	if _, err := out.writer.Write(prg.Data); err != nil {
 		return err
 	}
 	return out.controller.Flush()
 }
 
-func (out *output) start(pro Progress) {
+func (out *output) start(prg Progress) {
 	if out.started {
 		return
 	}
 	out.started = true
-	for name, values := range pro.Header {
+	for name, values := range prg.Header {
 		out.writer.Header()[name] = values
 	}
-	out.writer.WriteHeader(pro.Status)
+	out.writer.WriteHeader(prg.Status)
 }
 
-func (out *output) end(pro Progress) *result {
-	if out.isBuffered(pro.Status) {
+func (out *output) end(prg Progress) *result {
+	if out.isBuffered(prg.Status) {
 		return out.endBuffered()
 	}
-	out.start(pro)
-	return &result{status: pro.Status, code: "Whole", outcome: request.Ran}
+	out.start(prg)
+	return &result{status: prg.Status, code: "Whole", outcome: request.Ran}
 }
 
 func (out *output) endBuffered() *result {
--- a/caller/parse_test.go
+++ b/caller/parse_test.go
@@ -12,11 +12,11 @@
 
 func TestParseChatNamesTheField(t *testing.T) {
 	cases := map[string]struct{ body, field string }{
-		"Good":       {`{"model": "m", "messages": [{"role": "user", "content": "c"}]}`, ""},
-		"NoModel":    {`{"messages": [{"role": "user", "content": "c"}]}`, "model"},
-		"NoMessages": {`{"model": "m"}`, "messages"},
-		"BadTokens":  {`{"model": "m", "messages": [{}], "max_tokens": -1}`, "max_tokens"},
-		"NotJSON":    {`{`, "body"},
+		"Valid":             {`{"model": "m", "messages": [{"role": "user", "content": "c"}]}`, ""},
+		"NoModel":           {`{"messages": [{"role": "user", "content": "c"}]}`, "model"},
+		"NoMessages":        {`{"model": "m"}`, "messages"},
+		"NegativeMaxTokens": {`{"model": "m", "messages": [{}], "max_tokens": -1}`, "max_tokens"},
+		"NotJSON":           {`{`, "body"},
 	}
 	for name, cas := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/caller/problem.go
+++ b/caller/problem.go
@@ -72,8 +72,8 @@
 	sendJSON(wri, pro.status, pro.body())
 }
 
-// finalText maps the cause of each final answer to its status and message.
-var finalText = map[gateway.Cause]struct {
+// finalAnswers maps the cause of each final answer to the answer's status and message.
+var finalAnswers = map[gateway.Cause]struct {
 	status  int
 	message string
 }{
@@ -95,9 +95,9 @@
 }
 
 func problemOf(fin gateway.Final) problem {
-	text := finalText[fin.Cause]
+	ans := finalAnswers[fin.Cause]
 	return problem{
-		status: text.status, code: string(fin.Cause), message: text.message,
+		status: ans.status, code: string(fin.Cause), message: ans.message,
 		outcome: fin.Outcome, retry: fin.Retry, retryAfter: fin.RetryAfter,
 	}
 }
--- a/caller/read.go
+++ b/caller/read.go
@@ -33,7 +33,7 @@
 		return nil, pro
 	}
 	conf := srv.cfg.Backend.Configuration()
-	body, pro := readBody(wri, req, largestBody(conf))
+	body, pro := readBody(wri, req, maxBodyOfAny(conf))
 	if pro != nil {
 		return nil, pro
 	}
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, badRequest("body", err.Error())
 	}
-	sub, pro := srv.submit(req, conf, acc, ser, body)
+	sub, pro := srv.newSubmission(req, conf, acc, ser, body)
 	if pro != nil {
 		return nil, pro
 	}
@@ -102,7 +102,7 @@
 	if pro != nil {
 		return nil, pro
 	}
-	sub, pro := srv.submit(req, conf, acc, ser, body)
+	sub, pro := srv.newSubmission(req, conf, acc, ser, body)
 	if pro != nil {
 		return nil, pro
 	}
@@ -115,7 +115,8 @@
 	return sub, nil
 }
 
-// withoutLynxwellHeaders removes the headers that are meant for this system only.
+// withoutLynxwellHeaders removes from header the fields that are meant for lynxwell and not for
+// the backend server, among them the client account's key, and returns header.
 func withoutLynxwellHeaders(header http.Header) http.Header {
 	for _, name := range []string{HeaderDeadline, HeaderTier, HeaderOnce, HeaderRelayed, HeaderID, "Authorization"} {
 		header.Del(name)
@@ -123,8 +124,9 @@
 	return header
 }
 
-// submit reads and validates the headers that model and plain requests share.
-func (srv *Server) submit(req *http.Request, conf resource.Configuration, acc resource.ClientAccount, ser resource.Service, body []byte) (*submission, *problem) {
+// newSubmission validates the headers that model and plain requests share and returns a submission
+// without its work, which readChat and readPlain set.
+func (srv *Server) newSubmission(req *http.Request, conf resource.Configuration, acc resource.ClientAccount, ser resource.Service, body []byte) (*submission, *problem) {
 	tier, pro := tierFor(conf, acc, req.Header.Get(HeaderTier))
 	if pro != nil {
 		return nil, pro
@@ -241,7 +243,9 @@
 	return defaultMaxBodyBytes
 }
 
-func largestBody(conf resource.Configuration) int64 {
+// maxBodyOfAny returns the largest body size that any service accepts, in bytes. It is
+// the limit for a chat completions request, whose service is known only after the body was read.
+func maxBodyOfAny(conf resource.Configuration) int64 {
 	largest := int64(defaultMaxBodyBytes)
 	for _, ser := range conf.Services() {
 		largest = max(largest, maxBodyOf(ser))
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -11,19 +11,19 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// relayChunk is the size of the buffer for relayed answers, in bytes.
-const relayChunk = 16 << 10
+// relayBufferBytes is the size of the buffer through which a relayed answer is copied.
+const relayBufferBytes = 16 << 10
 
 // relayRequest relays a request to the gateway that handles it, and the answer back to
 // the client.
 func (srv *Server) relayRequest(wri http.ResponseWriter, req *http.Request, sub *submission, to view.Member) {
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
-	watched := srv.watchPeer(ctx, cancel, to)
+	watchDone := srv.watchPeer(ctx, cancel, to)
 	rep, err := srv.sendRelayed(ctx, req, sub, to)
 	if err != nil {
 		cancel()
-		<-watched
+		<-watchDone
 		if isDone(req.Context()) {
 			return
 		}
@@ -37,15 +37,15 @@
 	wri.WriteHeader(rep.StatusCode)
 	err = copyFlushed(wri, rep.Body)
 	cancel()
-	<-watched
+	<-watchDone
 	srv.logEnd(sub, rep.StatusCode, "Relayed", "")
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// watchPeer cancels the relay when the other host stops responding. The channel receives
-// a value when the watch has ended.
+// watchPeer cancels the relay when the peer stops responding. The channel receives a value
+// when the watch has ended.
 func (srv *Server) watchPeer(ctx context.Context, cancel context.CancelFunc, to view.Member) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -68,9 +68,11 @@
 	return srv.relayClient.Do(out)
 }
 
+// copyFlushed copies the body to the client and flushes after each read, so that streamed events
+// aren't delayed.
 func copyFlushed(wri http.ResponseWriter, body io.Reader) error {
 	controller := http.NewResponseController(wri)
-	buf := make([]byte, relayChunk)
+	buf := make([]byte, relayBufferBytes)
 	for {
 		count, err := body.Read(buf)
 		if count > 0 {
--- a/caller/server.go
+++ b/caller/server.go
@@ -155,7 +155,8 @@
 	}
 }
 
-// retryRelay requests a new decision from the gateway after a relay without an answer.
+// retryRelay requests a new decision from the gateway after a relay without an answer. It doesn't
+// relay a second time: if that is the decision, the client gets an error with outcome Unknown.
 func (srv *Server) retryRelay(wri http.ResponseWriter, req *http.Request, sub *submission, rel Relayed) {
 	dec, err := srv.cfg.Backend.RelayFailed(req.Context(), sub.arrived, rel.To, sub.work)
 	if err != nil {
@@ -175,23 +176,24 @@
 	sendProblem(wri, pro)
 }
 
-// sendExchange sends the exchange's answer to the client, as a stream or as one body.
+// sendExchange sends the exchange's answer to the client, as a stream or as one body. If the request
+// has moved to another gateway and no part of the answer was sent, it relays the request there.
 func (srv *Server) sendExchange(wri http.ResponseWriter, req *http.Request, sub *submission, exc *Exchange) {
 	rea := exc.Open()
 	defer srv.cfg.Backend.Detach(sub.arrived.ID)
 	defer rea.Close()
 	out := &output{writer: wri, controller: http.NewResponseController(wri), sub: sub}
 	for {
-		pro, err := rea.Next(req.Context())
+		prg, err := rea.Next(req.Context())
 		if err != nil {
 			srv.logEnd(sub, 0, "CallerLeft", "")
 			return
 		}
-		if pro.Final != nil && pro.Final.Cause == gateway.CauseMoved && !out.started && sub.work != nil {
-			srv.relayRequest(wri, req, sub, pro.Final.Holder)
+		if prg.Final != nil && prg.Final.Cause == gateway.CauseMoved && !out.started && sub.work != nil {
+			srv.relayRequest(wri, req, sub, prg.Final.Holder)
 			return
 		}
-		if res := out.apply(pro); res != nil {
+		if res := out.apply(prg); res != nil {
 			srv.logEnd(sub, res.status, res.code, res.outcome)
 			if res.abort {
 				panic(http.ErrAbortHandler)
--- a/cmd/applycmd.go
+++ b/cmd/applycmd.go
@@ -29,7 +29,7 @@
 func newApplyCmd() *applyCmd {
 	com := &applyCmd{sub: newSubcommand("apply", "write the resources of a file",
 		"    lynxwell apply --file menus.json --host 127.0.0.1:7003 --key-file operator.key\n    lynxwell apply --file - --dry-run")}
-	com.opts.attach(com.sub)
+	com.opts.addFlags(com.sub)
 	com.sub.String(&com.opts.file, "f", "file", "file of resources, JSON with comments; - for standard input")
 	com.sub.Bool(&com.opts.dryRun, "", "dry-run", "only parse and validate the file")
 	return com
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -5,7 +5,8 @@
 //	code := cmd.Run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)
 //
 // The exit code is 0 for success, 1 for a failure, 2 for an invalid command line,
-// and 3 for a conflict with another operator's change.
+// environment variable or log level, and 3 for a conflict with another operator's
+// change.
 package cmd
 
 import (
@@ -123,7 +124,8 @@
 	return exitFailure
 }
 
-// usageError reports an invalid flag or argument.
+// usageError reports an invalid flag, argument or environment variable, or an invalid
+// LogLevel in the settings.
 type usageError struct {
 	flag   string
 	reason string
--- a/cmd/deletecmd.go
+++ b/cmd/deletecmd.go
@@ -23,7 +23,7 @@
 
 func newDeleteCmd() *deleteCmd {
 	com := &deleteCmd{sub: newSubcommand("delete", "remove a resource", "    lynxwell delete Engine fast-1 --host 127.0.0.1:7003")}
-	com.opts.attach(com.sub)
+	com.opts.addFlags(com.sub)
 	com.sub.AddPositionalValue(&com.opts.kind, "KIND", 1, true, "Service, Engine, Tier or ClientAccount")
 	com.sub.AddPositionalValue(&com.opts.name, "NAME", 2, true, "name of the resource")
 	return com
--- a/cmd/dumpcmd.go
+++ b/cmd/dumpcmd.go
@@ -30,7 +30,7 @@
 
 func newDumpCmd() *dumpCmd {
 	com := &dumpCmd{sub: newSubcommand("dump", "print the state of a host's process", "    lynxwell dump 127.0.0.1:7003 --key-file operator.key\n    lynxwell dump 127.0.0.1:7003 --metrics\n    lynxwell dump --entry 10.1.0.25:7601")}
-	com.opts.attach(com.sub)
+	com.opts.addFlags(com.sub)
 	com.sub.AddPositionalValue(&com.opts.address, "HOST", 1, false, "operator address of the host, replaces --host")
 	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host on the users' platform; needs no key")
 	com.sub.Bool(&com.opts.metrics, "m", "metrics", "print the metrics instead of the state")
--- a/cmd/entrycmd.go
+++ b/cmd/entrycmd.go
@@ -21,9 +21,9 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// logLines is the number of log lines buffered for a slow log reader before the
-// oldest are dropped; a busy host writes that many in some seconds.
-const logLines = 4096
+// logBufferLines is the number of log lines buffered for a slow log reader before the
+// oldest are dropped. A busy host writes that many within a few seconds.
+const logBufferLines = 4096
 
 // entryCmd implements the entry command, which runs a host on the users' platform.
 type entryCmd struct {
@@ -84,7 +84,7 @@
 
 func newLogWriter(out io.Writer) *logWriter {
 	low := &logWriter{}
-	low.Writer = diode.NewWriter(out, logLines, 0, func(missed int) { low.dropped.Add(int64(missed)) })
+	low.Writer = diode.NewWriter(out, logBufferLines, 0, func(missed int) { low.dropped.Add(int64(missed)) })
 	return low
 }
 
@@ -109,8 +109,8 @@
 	return entry.New(cfg)
 }
 
-// appendEntryHooks starts the host with the application and drains it when the
-// application stops.
+// appendEntryHooks starts the host with the application, and drains and stops it
+// when the application stops.
 func appendEntryHooks(lic fx.Lifecycle, hos *entry.Host) {
 	lic.Append(fx.Hook{
 		OnStart: hos.Start,
--- a/cmd/evacuationcmd.go
+++ b/cmd/evacuationcmd.go
@@ -16,8 +16,8 @@
 	"lynxwell.dev/lynxwell/evacuation"
 )
 
-// evacuationInterval is the polling interval of --watch; evacuating a failure domain takes
-// seconds.
+// evacuationInterval is the polling interval of --watch. Evacuating a failure domain takes at
+// least some seconds.
 const evacuationInterval = time.Second
 
 // evacuationCmd implements the evacuation command, which prints the progress of evacuations and
@@ -41,7 +41,7 @@
 	com.sub.AddPositionalValue(&com.opts.domain, "DOMAIN", 1, false, "failure domain (default: all)")
 	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host; only the coordinator knows the missing hosts")
 	com.sub.Duration(&com.opts.timeout, "t", "timeout", "time limit for each response")
-	com.sub.Bool(&com.opts.watch, "w", "watch", "print the state every second until all are empty")
+	com.sub.Bool(&com.opts.watch, "w", "watch", "print the state every second until all selected domains are empty")
 	return com
 }
 
@@ -98,7 +98,8 @@
 	return empty, printCold(str.out, dum)
 }
 
-// printEvacuation prints the progress of one failure domain and the hosts it waits for.
+// printEvacuation prints the progress of one failure domain's evacuation and the hosts that the
+// coordinator waits for.
 func printEvacuation(out io.Writer, evd evacuation.Dump, dum entry.Dump) error {
 	var text strings.Builder
 	if evd.Order == 0 {
@@ -116,7 +117,7 @@
 	return err
 }
 
-// printCold prints the cold engines and their request rates.
+// printCold prints the cold engines and the limits on their request rates.
 func printCold(out io.Writer, dum entry.Dump) error {
 	var text strings.Builder
 	for _, svc := range dum.Scheduler.Services {
--- a/cmd/evacuationcmd_test.go
+++ b/cmd/evacuationcmd_test.go
@@ -17,8 +17,8 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// startEvacuatingHost starts a fake of the coordinator host while domain d1 is evacuated. It
-// publishes the given states in turn and repeats the last.
+// startEvacuatingHost starts a fake of the coordinator host while domain d1 is evacuated. Its
+// dumps report the given published states in turn; the last one repeats.
 func startEvacuatingHost(t *testing.T, published ...string) netip.AddrPort {
 	t.Helper()
 	calls := 0
--- a/cmd/getcmd.go
+++ b/cmd/getcmd.go
@@ -29,7 +29,7 @@
 func newGetCmd() *getCmd {
 	com := &getCmd{sub: newSubcommand("get", "print resources",
 		"    lynxwell get --host 127.0.0.1:7003\n    lynxwell get Engine fast-1 --json")}
-	com.opts.attach(com.sub)
+	com.opts.addFlags(com.sub)
 	com.sub.AddPositionalValue(&com.opts.kind, "KIND", 1, false, "Service, Engine, Tier or ClientAccount")
 	com.sub.AddPositionalValue(&com.opts.name, "NAME", 2, false, "name of a resource")
 	com.sub.Bool(&com.opts.json, "j", "json", "print the complete resources as JSON")
--- a/cmd/heldcmd.go
+++ b/cmd/heldcmd.go
@@ -29,7 +29,7 @@
 type heldOptions struct {
 	entry   netip.AddrPort
 	timeout time.Duration
-	free    string
+	digest  string
 }
 
 func newHeldCmd() *heldCmd {
@@ -37,7 +37,7 @@
 	com.opts.timeout = 5 * time.Second
 	com.sub.NetipAddrPort(&com.opts.entry, "e", "entry", "metrics address of a host; the list of the coordinator is the most complete")
 	com.sub.Duration(&com.opts.timeout, "t", "timeout", "time limit for each response")
-	com.sub.String(&com.opts.free, "f", "free", "digest of a request to release")
+	com.sub.String(&com.opts.digest, "f", "free", "digest of a request to release")
 	return com
 }
 
@@ -49,7 +49,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, com.opts.timeout)
 	defer cancel()
-	if com.opts.free != "" {
+	if com.opts.digest != "" {
 		return com.release(ctx, str)
 	}
 	raw, err := fetchEntry(ctx, com.opts.entry, entry.PathDump)
@@ -65,7 +65,7 @@
 
 // release asks a host to release a request from quarantine.
 func (com *heldCmd) release(ctx context.Context, str streams) error {
-	dig, err := call.ParseDigest(com.opts.free)
+	dig, err := call.ParseDigest(com.opts.digest)
 	if err != nil {
 		return &usageError{flag: "--free", reason: err.Error()}
 	}
@@ -90,8 +90,8 @@
 	return err
 }
 
-// printCases prints the quarantine cases of a host in the order of its dump, the worst first,
-// and then the restricted traffic sources.
+// printCases prints the quarantine cases of a host in the order of its dump, the highest level
+// first, and then the restricted traffic sources.
 func printCases(out io.Writer, dum entry.Dump) error {
 	var text strings.Builder
 	if len(dum.Scheduler.Cases)+len(dum.Scheduler.Restricted) == 0 {
@@ -100,7 +100,7 @@
 	for _, cas := range dum.Scheduler.Cases {
 		fmt.Fprintf(&text, "%s %s%s\n", cas.Digest, cas.Level, heldUntil(cas))
 		fmt.Fprintf(&text, "  account %s, route %s, service %s\n", accountOrPublic(cas.Account), cas.Route, cas.Service)
-		fmt.Fprintf(&text, "  crashed %s, ran exclusively on the last: %t, released %d times on trial\n", strings.Join(cas.Engines, " "), cas.Alone, cas.Trials)
+		fmt.Fprintf(&text, "  crashed %s, ran exclusively on the last: %t, crashed another engine after %d holds\n", strings.Join(cas.Engines, " "), cas.Alone, cas.Trials)
 	}
 	for _, src := range dum.Scheduler.Restricted {
 		fmt.Fprintf(&text, "isolated: all requests of account %s, route %s, service %s, because they crash engines with a new digest each time\n", accountOrPublic(src.Account), src.Route, src.Service)
--- a/cmd/hostoptions.go
+++ b/cmd/hostoptions.go
@@ -20,7 +20,7 @@
 	timeout time.Duration
 }
 
-// The environment variables that replace absent flags.
+// The environment variables that are used if the flag is absent.
 const (
 	envHost    = "LYNXWELL_HOST"
 	envKeyFile = "LYNXWELL_KEY_FILE"
@@ -29,22 +29,24 @@
 // defaultTimeout is the default time limit of commands that call a host.
 const defaultTimeout = 30 * time.Second
 
-func (opt *hostOptions) attach(sub *flaggy.Subcommand) {
+func (opt *hostOptions) addFlags(sub *flaggy.Subcommand) {
 	opt.timeout = defaultTimeout
 	sub.NetipAddrPort(&opt.host, "", "host", "operator address of a host, IP:PORT (or "+envHost+")")
-	sub.String(&opt.key, "", "key", "key of the operators")
+	sub.String(&opt.key, "", "key", "the operators' key")
 	sub.String(&opt.keyFile, "", "key-file", "file with the operators' key (or "+envKeyFile+")")
 	sub.Duration(&opt.timeout, "", "timeout", "time limit for the whole command (default 30s)")
 }
 
 func (opt *hostOptions) client() (*operator.Client, error) {
-	if err := opt.fill(); err != nil {
+	if err := opt.resolve(); err != nil {
 		return nil, err
 	}
 	return operator.NewClient(operator.ClientConfig{Address: opt.host, Key: opt.key}), nil
 }
 
-func (opt *hostOptions) fill() error {
+// resolve fills in absent options from the environment variables, reads the key file, and
+// returns a *usageError for an option that is invalid or still missing.
+func (opt *hostOptions) resolve() error {
 	if text := os.Getenv(envHost); !opt.host.IsValid() && text != "" {
 		adr, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -66,7 +68,7 @@
 		opt.key = strings.TrimRight(string(data), "\r\n")
 	}
 	if opt.key == "" {
-		return &usageError{flag: "--key-file", reason: "want the operators' key"}
+		return &usageError{flag: "--key-file", reason: "want a file with the operators' key, or --key with the key itself"}
 	}
 	return nil
 }
--- a/cmd/loadcmd.go
+++ b/cmd/loadcmd.go
@@ -29,7 +29,7 @@
 	key           string
 	kind          string
 	domain        string
-	visitors      int
+	clients       int
 	rate          float64
 	length        time.Duration
 	deadline      time.Duration
@@ -42,7 +42,7 @@
 
 // The default options: a small load that any system can serve.
 const (
-	defaultVisitors      = 8
+	defaultClients       = 8
 	defaultRate          = 20.0
 	defaultDeadline      = 5 * time.Second
 	defaultLatencyTarget = time.Second
@@ -52,7 +52,7 @@
 	com := &loadCmd{sub: newSubcommand("load", "send requests as clients on the users' platform do",
 		"    lynxwell load --directory 10.1.0.25:8220 --host-name menus.example --path /rebuild/x --kind streaming --key KEY --prompt 2000 --answer 200 --rate 50 --for 30s")}
 	opt := &com.opts
-	opt.kind, opt.visitors, opt.rate = "unsafe", defaultVisitors, defaultRate
+	opt.kind, opt.clients, opt.rate = "unsafe", defaultClients, defaultRate
 	opt.length, opt.deadline, opt.latencyTarget, opt.retries = benchLength, defaultDeadline, defaultLatencyTarget, 1
 	com.sub.StringSlice(&opt.directories, "d", "directory", "directory address of a host, IP:PORT; repeatable, the nearest first")
 	com.sub.String(&opt.hostName, "", "host-name", "host name of the route")
@@ -60,12 +60,12 @@
 	com.sub.String(&opt.key, "k", "key", "key of a client account")
 	com.sub.String(&opt.kind, "", "kind", "unsafe, safe, streaming or resumable (default unsafe)")
 	com.sub.String(&opt.domain, "", "domain", "failure domain of the clients")
-	com.sub.Int(&opt.visitors, "", "visitors", "number of clients (default 8)")
+	com.sub.Int(&opt.clients, "", "visitors", "number of clients (default 8)")
 	com.sub.Float64(&opt.rate, "r", "rate", "total requests per second (default 20)")
 	com.sub.Duration(&opt.length, "", "for", "time for which requests are sent (default 5s)")
 	com.sub.Duration(&opt.deadline, "", "deadline", "client timeout (default 5s)")
 	com.sub.Duration(&opt.latencyTarget, "", "aim", "latency target for the first part of an answer (default 1s)")
-	com.sub.Int(&opt.retries, "", "retries", "retries of a client (default 1)")
+	com.sub.Int(&opt.retries, "", "retries", "maximum number of retries per request (default 1)")
 	com.sub.Int(&opt.prompt, "", "prompt", "length of the prompt in tokens")
 	com.sub.Int(&opt.answer, "", "answer", "maximum length of the answer in tokens")
 	com.sub.UInt64(&opt.seed, "", "seed", "random seed for the choice of addresses and the send times")
@@ -113,12 +113,12 @@
 	return report(str, results, com.opts.latencyTarget)
 }
 
-// send runs all clients until the load ends and returns the results of their requests.
+// send runs all clients for the length of the load and returns the results of their requests.
 func (com *loadCmd) send(ctx context.Context, directories []netip.AddrPort, req visitor.Request) []visitor.Result {
 	opt := com.opts
-	ends := make(chan []visitor.Result)
+	finished := make(chan []visitor.Result)
 	stop := time.Now().Add(opt.length)
-	for num := range opt.visitors {
+	for num := range opt.clients {
 		random := rand.New(rand.NewPCG(opt.seed, uint64(num)))
 		cli := visitor.New(visitor.Config{
 			Directories: directories, HostName: opt.hostName, Domain: opt.domain, Random: random, KeepAlive: num%2 == 0,
@@ -126,18 +126,20 @@
 		})
 		go func() {
 			defer cli.Close()
-			ends <- sendUntil(ctx, cli, req, stop, func() time.Duration {
-				return time.Duration(random.ExpFloat64() * float64(opt.visitors) / opt.rate * float64(time.Second))
+			finished <- sendUntil(ctx, cli, req, stop, func() time.Duration {
+				return time.Duration(random.ExpFloat64() * float64(opt.clients) / opt.rate * float64(time.Second))
 			})
 		}()
 	}
 	var results []visitor.Result
-	for range opt.visitors {
-		results = append(results, <-ends...)
+	for range opt.clients {
+		results = append(results, <-finished...)
 	}
 	return results
 }
 
+// sendUntil sends requests one at a time until stop or until the context is done; gap returns
+// the time between two intended send times.
 func sendUntil(ctx context.Context, cli *visitor.Client, req visitor.Request, stop time.Time, gap func() time.Duration) []visitor.Result {
 	var results []visitor.Result
 	next := time.Now().Add(gap())
@@ -153,8 +155,8 @@
 	return results
 }
 
-// maxMicros and digits set the range and precision of the latency histograms: up to
-// ten minutes, with three significant digits.
+// The maximum value of the latency histograms in microseconds (ten minutes), and their
+// precision: three significant digits.
 const (
 	maxMicros = int64(10 * time.Minute / time.Microsecond)
 	digits    = 3
@@ -163,31 +165,31 @@
 // report prints the outcomes and latencies of the requests.
 func report(str streams, results []visitor.Result, latencyTarget time.Duration) error {
 	first := hdrhistogram.New(1, maxMicros, digits)
-	whole := hdrhistogram.New(1, maxMicros, digits)
-	ends := make(map[string]int)
+	complete := hdrhistogram.New(1, maxMicros, digits)
+	outcomes := make(map[string]int)
 	inTime := 0
 	for _, res := range results {
 		att := res.Last()
 		if !att.Served() {
-			ends[outcomeOf(att)]++
+			outcomes[outcomeOf(att)]++
 			continue
 		}
-		ends["Served"]++
+		outcomes["Served"]++
 		toFirst := res.Took - att.Took + att.First
 		if toFirst <= latencyTarget {
 			inTime++
 		}
 		// Values are capped at the histogram's largest value, so recording them can't fail.
 		_ = first.RecordValue(min(maxMicros, toFirst.Microseconds()))
-		_ = whole.RecordValue(min(maxMicros, res.Took.Microseconds()))
+		_ = complete.RecordValue(min(maxMicros, res.Took.Microseconds()))
 	}
 	tab := tabwriter.NewWriter(str.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tab, "Asked\t%d\nInAim\t%d\n", len(results), inTime)
 	for _, name := range []string{"Served", "Refused", "Failed", "BrokenOff", "NotReached"} {
-		fmt.Fprintf(tab, "%s\t%d\n", name, ends[name])
+		fmt.Fprintf(tab, "%s\t%d\n", name, outcomes[name])
 	}
 	for _, quantile := range []float64{50, 95, 99} {
-		fmt.Fprintf(tab, "First P%g\t%s\nWhole P%g\t%s\n", quantile, micros(first.ValueAtQuantile(quantile)), quantile, micros(whole.ValueAtQuantile(quantile)))
+		fmt.Fprintf(tab, "First P%g\t%s\nWhole P%g\t%s\n", quantile, micros(first.ValueAtQuantile(quantile)), quantile, micros(complete.ValueAtQuantile(quantile)))
 	}
 	return tab.Flush()
 }
--- a/cmd/logwriter_test.go
+++ b/cmd/logwriter_test.go
@@ -26,7 +26,7 @@
 	out := newLogWriter(blw)
 	written := make(chan struct{})
 	go func() {
-		for range 3 * logLines {
+		for range 3 * logBufferLines {
 			// logWriter accepts every line without an error.
 			_, _ = out.Write([]byte("{}\n"))
 		}
@@ -41,5 +41,5 @@
 	assert.NilError(t, out.Close())
 	lines := int64(bytes.Count(blw.buf.Bytes(), []byte("\n")))
 	assert.Assert(t, out.dropped.Load() > 0)
-	assert.Assert(t, lines+out.dropped.Load() <= 3*logLines, "%d lines written and %d dropped", lines, out.dropped.Load())
+	assert.Assert(t, lines+out.dropped.Load() <= 3*logBufferLines, "%d lines written and %d dropped", lines, out.dropped.Load())
 }
--- a/cmd/rolloutcmd.go
+++ b/cmd/rolloutcmd.go
@@ -95,12 +95,11 @@
 	return ended, nil
 }
 
-// printRollout prints one roll-out: its state, the requests that it was granted, and the
-// answers by route.
+// printRollout prints one roll-out: its state, its canary requests, and the answers by route.
 func printRollout(out io.Writer, rod rollout.Dump, dum entry.Dump) error {
 	text := fmt.Sprintf("%s to %s: %s (%s)\n", rod.Service, rod.Version, rod.State, rod.Reason)
 	if !rod.Began.IsZero() {
-		text += fmt.Sprintf("  began %s ago, period %s, moving %t\n", time.Since(rod.Began).Round(time.Millisecond), rod.Period, rod.Moving)
+		text += fmt.Sprintf("  began %s ago, period %s, canary phase over: %t\n", time.Since(rod.Began).Round(time.Millisecond), rod.Period, rod.Moving)
 	}
 	text += fmt.Sprintf("  canary requests: at most %d of %d, %d by this host\n", rod.Reserved, rod.Requests, rod.Given)
 	if !dum.Own {
--- a/cmd/rolloutcmd_test.go
+++ b/cmd/rolloutcmd_test.go
@@ -18,8 +18,8 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// startRolloutHost starts a fake of a host whose roll-out is in the given states in turn; the last
-// one repeats.
+// startRolloutHost starts a fake of a host whose dumps report the given states of a roll-out in
+// turn; the last one repeats.
 func startRolloutHost(t *testing.T, states ...rollout.State) netip.AddrPort {
 	t.Helper()
 	calls := 0
--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -17,7 +17,7 @@
 	})
 }
 
-// addressNames are the environment variables that give scripts free addresses.
+// addressNames are the environment variables that TestScripts sets to free addresses.
 var addressNames = []string{"CALLER", "PEER", "OPERATOR", "PLATFORM", "ENGINE"}
 
 func TestScripts(t *testing.T) {
@@ -39,13 +39,13 @@
 	ts.Check(os.WriteFile(ts.MkAbs(args[1]), []byte(text), 0o600))
 }
 
-// The bounds of retry.
+// The limits of retry.
 const (
 	retryAttempts = 100
 	retryDelay    = 50 * time.Millisecond
 )
 
-// retry runs a command until it succeeds.
+// retry runs a command until it succeeds, at most retryAttempts times.
 func retry(ts *testscript.TestScript, _ bool, args []string) {
 	ticker := time.NewTicker(retryDelay)
 	defer ticker.Stop()
--- a/cmd/standincmd.go
+++ b/cmd/standincmd.go
@@ -18,7 +18,8 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// standinCmd implements the standin command, which runs a fake of one of the systems around lynxwell.
+// standinCmd implements the standin command, which runs a fake of one of the systems that lynxwell
+// connects to.
 type standinCmd struct {
 	sub      *flaggy.Subcommand
 	platform *flaggy.Subcommand
@@ -39,7 +40,7 @@
 
 func newStandinCmd() *standinCmd {
 	com := &standinCmd{
-		sub: newSubcommand("standin", "run a fake of a system around lynxwell",
+		sub: newSubcommand("standin", "run a fake of a system that lynxwell connects to",
 			"    lynxwell standin platform --listen 127.0.0.1:7100\n    lynxwell standin engine --listen 127.0.0.1:7200 --name fast-1 --slots 8\n    lynxwell standin backend --listen 127.0.0.1:7300 --name kitchen-1"),
 		platform: newSubcommand("platform", "run a fake of the platform's key-value service", "    lynxwell standin platform --listen 127.0.0.1:7100"),
 		engine:   newSubcommand("engine", "run a fake of a language-model engine", "    lynxwell standin engine --listen 127.0.0.1:7200 --name fast-1 --slots 8"),
@@ -57,10 +58,10 @@
 		sub.NetipAddrPort(&com.opts.listen, "l", "listen", "address to listen on, IP:PORT")
 		com.sub.AttachSubcommand(sub, 1)
 	}
-	com.platform.Duration(&com.opts.hostsLag, "", "hosts-lag", "delay of the list of hosts")
+	com.platform.Duration(&com.opts.hostsLag, "", "hosts-lag", "delay after which the host list shows a change")
 	com.engineFlags()
 	com.backend.String(&com.opts.backCfg.Name, "n", "name", "name of the backend server")
-	com.backend.Duration(&com.opts.backCfg.Work, "w", "work", "duration of a call")
+	com.backend.Duration(&com.opts.backCfg.Work, "w", "work", "processing time of a call")
 	return com
 }
 
@@ -72,8 +73,8 @@
 	com.engine.Float64(&cfg.DecodeTokensPerSecond, "", "decode", "answer tokens per second of one stream (default 80)")
 	com.engine.Float64(&cfg.BatchSlowdown, "", "batch-slowdown", "relative slowdown per additional stream (default 0.05)")
 	com.engine.Int(&cfg.PrefixMemoryTokens, "", "prefix-memory", "capacity of the prompt prefix cache in tokens (default 65536)")
-	com.engine.Duration(&cfg.LoadLag, "", "load-lag", "age of load reports (default 200ms)")
-	com.engine.Duration(&cfg.EventLag, "", "event-lag", "age of cache events (default 500ms)")
+	com.engine.Duration(&cfg.LoadLag, "", "load-lag", "delay of load reports (default 200ms)")
+	com.engine.Duration(&cfg.EventLag, "", "event-lag", "delay of cache events (default 500ms)")
 	com.engine.Int(&cfg.EventGap, "", "event-gap", "drop every Nth cache event; 0 drops none")
 }
 
@@ -110,8 +111,8 @@
 	return err
 }
 
-// serveStandin serves until the context is done. It prints the address that it
-// listens on, so that callers can request port 0.
+// serveStandin serves until the context is done. It prints the listen address, because
+// the system chooses the port if the --listen flag gives port 0.
 func serveStandin(ctx context.Context, str streams, adr netip.AddrPort, handler http.Handler) error {
 	if !adr.IsValid() {
 		return &usageError{flag: "--listen", reason: "want IP:PORT"}
--- a/cmd/statuscmd.go
+++ b/cmd/statuscmd.go
@@ -26,7 +26,7 @@
 
 func newStatusCmd() *statusCmd {
 	com := &statusCmd{sub: newSubcommand("status", "print the status that the hosts report", "    lynxwell status --host 127.0.0.1:7003")}
-	com.opts.attach(com.sub)
+	com.opts.addFlags(com.sub)
 	com.sub.Bool(&com.opts.json, "j", "json", "print the complete status as JSON")
 	return com
 }
--- a/cmd/watchcmd.go
+++ b/cmd/watchcmd.go
@@ -26,9 +26,9 @@
 func newWatchCmd() *watchCmd {
 	com := &watchCmd{sub: newSubcommand("watch", "print the status each time it changes",
 		"    lynxwell watch --host 127.0.0.1:7003\n    lynxwell watch --until-revision 12 --timeout 10s")}
-	com.opts.attach(com.sub)
+	com.opts.addFlags(com.sub)
 	com.sub.Bool(&com.opts.json, "j", "json", "print each status as one line of JSON")
-	com.sub.UInt64(&com.opts.revision, "u", "until-revision", "exit when every host has this revision in force")
+	com.sub.UInt64(&com.opts.revision, "u", "until-revision", "exit when every host has this revision or a later one in force")
 	return com
 }
 
@@ -61,13 +61,13 @@
 		_ = json.NewEncoder(str.out).Encode(sta)
 		return
 	}
-	ready := 0
+	inForce := 0
 	for _, hst := range sta.Hosts {
 		if hst.Reached && hst.Problem == "" && hst.Revision == sta.Revision {
-			ready++
+			inForce++
 		}
 	}
-	fmt.Fprintf(str.out, "view %d, revision %d in force on %d of %d hosts\n", sta.View, sta.Revision, ready, len(sta.Hosts))
+	fmt.Fprintf(str.out, "view %d, revision %d in force on %d of %d hosts\n", sta.View, sta.Revision, inForce, len(sta.Hosts))
 }
 
 // inForceOnAllHosts reports whether every host has the revision or a later one in force.
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -5,7 +5,7 @@
 // # Usage
 //
 //	rep, err := demo.Run(ctx, demo.Config{For: 12 * time.Second, Seed: 1, Progress: os.Stdout})
-//	err = demo.Check(rep) // fails unless each request got its own complete answer once
+//	err = demo.Check(rep) // fails unless each request got its own complete answer and was dispatched once
 package demo
 
 import (
@@ -32,8 +32,8 @@
 
 // The keys of the client accounts; they are used only within this process.
 const (
-	kitchenKey = "demo key of the care homes"
-	payrollKey = "demo key of the building firms"
+	careHomesKey     = "demo key of the care homes"
+	buildingFirmsKey = "demo key of the building firms"
 )
 
 // The tiers of the demo.
@@ -131,7 +131,7 @@
 			{Name: "labels", Protocol: resource.ProtocolPlain},
 		},
 		ClientAccounts: []resource.ClientAccount{
-			account("care-homes", kitchenKey), account("building-firms", payrollKey),
+			account("care-homes", careHomesKey), account("building-firms", buildingFirmsKey),
 		},
 	}
 	for idx, eng := range sys.Engines {
@@ -181,8 +181,8 @@
 	}
 	fmt.Fprintf(cfg.Progress, "configuration in force on all hosts; sending requests for %s\n", cfg.For)
 	clients := map[string]*load.Client{
-		"care-homes":     load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: kitchenKey, Seed: cfg.Seed}),
-		"building-firms": load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: payrollKey, Seed: cfg.Seed + 1}),
+		"care-homes":     load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: careHomesKey, Seed: cfg.Seed}),
+		"building-firms": load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: buildingFirmsKey, Seed: cfg.Seed + 1}),
 	}
 	results, err := load.Run(ctx, load.Config{Clients: clients, Kinds: Kinds(), For: cfg.For, Seed: cfg.Seed, Progress: progressPrinter(cfg.Progress)})
 	if err != nil {
@@ -205,7 +205,8 @@
 	}
 }
 
-// FailedError reports a run in which some request didn't get its own complete answer exactly once.
+// FailedError reports a run in which some request didn't get its own complete answer or was
+// dispatched twice.
 type FailedError struct {
 	Tier   string
 	Reason string
@@ -215,7 +216,8 @@
 	return fmt.Sprintf("demo failed: tier %s: %s", fer.Tier, fer.Reason)
 }
 
-// Check returns a *FailedError unless each request got its own complete answer exactly once.
+// Check returns a *FailedError unless each request got its own complete answer and was dispatched
+// once.
 func Check(rep load.Report) error {
 	for _, tir := range rep.Tiers {
 		if tir.Whole != tir.Sent {
--- a/format/format.go
+++ b/format/format.go
@@ -78,7 +78,7 @@
 	return line
 }
 
-// checker compares a syntax tree with the Go type that it is decoded into.
+// checker compares a file's syntax tree with the Go type that the file is decoded into.
 type checker struct {
 	file string
 	data []byte
@@ -150,7 +150,7 @@
 	var ute *json.UnmarshalTypeError
 	if errors.As(err, &ute) {
 		reason := fmt.Sprintf("invalid type %s, want %s", ute.Value, ute.Type)
-		// Pack preserves byte offsets, so the decoder's offset is the offset in the file.
+		// Standardize preserves byte offsets, so the decoder's offset is the offset in the file.
 		return che.fail(int(ute.Offset), ute.Field, reason)
 	}
 	return &FieldError{File: che.file, Field: "(file)", Reason: err.Error()}
--- a/load/client.go
+++ b/load/client.go
@@ -1,4 +1,4 @@
-// Package load sends requests to a running system as its clients do, and
+// Package load sends requests to a running system, as the system's clients do, and
 // reports their outcomes.
 //
 // # Usage
@@ -43,7 +43,7 @@
 // another address. A frozen host accepts connections but sends nothing.
 const headerTimeout = 3 * time.Second
 
-// avoidDuration is how long an address isn't used after it failed.
+// avoidDuration is how long an address is avoided after it failed.
 const avoidDuration = 3 * time.Second
 
 // maxAnswerBytes bounds the size of a response body.
@@ -107,12 +107,12 @@
 }
 
 // Refresh fetches the addresses from the entries and the known addresses, in random
-// order, until one responds.
+// order, until one returns them.
 func (cli *Client) Refresh(ctx context.Context) (caller.Addresses, error) {
-	var last error
+	var lastErr error
 	for _, adr := range cli.refreshCandidates() {
 		var ans caller.Addresses
-		if last = cli.fetch(ctx, adr, &ans); last != nil {
+		if lastErr = cli.fetch(ctx, adr, &ans); lastErr != nil {
 			continue
 		}
 		cli.mutex.Lock()
@@ -120,7 +120,7 @@
 		cli.mutex.Unlock()
 		return ans, nil
 	}
-	return caller.Addresses{}, errors.Wrap(last, "no address returned the list of addresses")
+	return caller.Addresses{}, errors.Wrap(lastErr, "no address returned the list of addresses")
 }
 
 func (cli *Client) refreshCandidates() []netip.AddrPort {
@@ -161,7 +161,8 @@
 	Path   string
 	Body   []byte
 	Tier   string
-	Once   bool
+	// Once marks a request that must run at most once.
+	Once bool
 	// Deadline bounds the time from Intended to the complete answer.
 	Deadline time.Duration
 	// Intended is the intended send time; the zero time stands for now.
@@ -179,10 +180,11 @@
 	Body   []byte
 	// Whole is set for a complete answer with status 200.
 	Whole bool
-	// Outcome is the last outcome reported to the client; it is empty for a complete answer.
+	// Outcome is the most recent outcome reported to the client; it is empty for a complete
+	// answer.
 	Outcome request.Outcome
 	Code    string
-	// Told maps each id to the last outcome reported for it.
+	// Told maps each id to the most recent outcome reported for it.
 	Told       map[request.ID]request.Outcome
 	Repeats    int
 	FirstToken time.Duration
@@ -281,6 +283,8 @@
 	return fmt.Sprintf("%x.%d", cli.salt, cli.count)
 }
 
+// pick returns a random address that isn't last and hasn't failed within avoidDuration,
+// or any address if there is none.
 func (cli *Client) pick(known caller.Addresses, last netip.AddrPort) caller.Address {
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
@@ -295,7 +299,7 @@
 	return known.Addresses[start]
 }
 
-// avoid excludes an address from pick for avoidDuration.
+// avoid records a failure of an address, which pick then avoids for avoidDuration.
 func (cli *Client) avoid(adr netip.AddrPort) {
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
@@ -319,8 +323,8 @@
 	return exc.client.http.Do(req)
 }
 
-// dropUnusedID discards the request's id if nothing was sent under it. Its prefix
-// belongs to the host that couldn't be reached, so the next attempt needs a new one.
+// dropUnusedID discards the request's id if nothing was sent under it. The id's prefix
+// belongs to a host that couldn't be reached, so the next attempt uses a new id.
 func (exc *exchange) dropUnusedID(err error) {
 	if !transport.NotSent(err) {
 		exc.maybeSent = true
@@ -330,8 +334,8 @@
 	}
 }
 
-// backOff records a failed connection and waits for retryDelay; the retry uses the
-// same id.
+// backOff records an attempt without a complete answer, waits for retryDelay and returns
+// false. The retry uses the same id unless dropUnusedID has discarded it.
 func (exc *exchange) backOff(ctx context.Context, err error) bool {
 	exc.answer.Err = err
 	exc.answer.Repeats++
@@ -362,7 +366,7 @@
 }
 
 // isComplete reports whether a stream ends with its end marker. Any other response is
-// complete, because its length was checked while it was read.
+// complete, because reading a truncated body returns an error.
 func isComplete(rep *http.Response, body []byte) bool {
 	if rep.Header.Get("Content-Type") != "text/event-stream" {
 		return true
@@ -398,6 +402,7 @@
 	}
 }
 
+// retryAfter returns the delay in the Retry-After header, and whether the header has one.
 func retryAfter(rep *http.Response) (time.Duration, bool) {
 	seconds, err := strconv.Atoi(rep.Header.Get("Retry-After"))
 	if err != nil {
--- a/load/kind.go
+++ b/load/kind.go
@@ -37,7 +37,7 @@
 	AnswerTokens int
 	// Deadline bounds the time to the complete answer.
 	Deadline format.Duration
-	// Once marks the requests as not repeatable.
+	// Once marks requests that must run at most once.
 	Once bool
 }
 
@@ -49,7 +49,7 @@
 	text     string
 }
 
-// bytesPerToken is the length of a token in the generated texts.
+// bytesPerToken is the length of a token in the generated texts, in bytes.
 const bytesPerToken = 4
 
 func (kin Kind) newSample(random *rand.Rand, number int) (sample, error) {
--- a/load/report.go
+++ b/load/report.go
@@ -22,7 +22,7 @@
 type Report struct {
 	Tiers []TierReport
 	Audit Audit
-	// Codes counts the requests without their own complete answer, by kind and code.
+	// Codes counts the requests without their own complete answer, by kind and error code.
 	Codes map[string]int
 }
 
@@ -30,12 +30,14 @@
 type TierReport struct {
 	Tier string
 	Sent int
-	// The numbers of complete answers and of complete answers within the deadline.
+	// Whole counts requests with their own complete answer, InTime those of them whose answer
+	// was complete within the deadline.
 	Whole  int
 	InTime int
 	// GivenUp counts requests whose final answer was an error with an outcome.
 	GivenUp int
-	// Lost counts requests without an answer.
+	// Lost counts all other requests: those without an answer, with an error without an
+	// outcome, or with the answer to another request.
 	Lost          int
 	Repeats       int
 	FirstTokenP50 time.Duration
@@ -80,7 +82,7 @@
 		switch {
 		case res.Own:
 			tir.Whole++
-			// Values beyond the range can only come from a defect of this tool.
+			// RecordValue fails only above histogramMax, which is far beyond every deadline.
 			_ = first.RecordValue(max(1, ans.FirstToken.Microseconds()))
 			if ans.Total <= res.Kind.Deadline.Std() {
 				tir.InTime++
--- a/load/run.go
+++ b/load/run.go
@@ -25,9 +25,12 @@
 	Progress func(Counts)
 }
 
-// Counts are the totals of a run so far.
+// Counts are the totals of a run.
 type Counts struct {
-	Sent  int
+	// Sent is the number of requests in the run, including those that aren't sent yet.
+	Sent int
+	// Ended counts the requests finished so far, Whole those of them with their own complete
+	// answer.
 	Ended int
 	Whole int
 }
@@ -87,7 +90,8 @@
 	sample sample
 }
 
-// planArrivals generates every arrival of the run in advance, from the seed alone.
+// planArrivals generates every arrival of the run in advance, so that the arrivals depend on
+// nothing but the kinds and the seed.
 func planArrivals(cfg Config) ([]arrival, error) {
 	var arrivals []arrival
 	for num, kin := range cfg.Kinds {
@@ -112,20 +116,24 @@
 	return arrivals, nil
 }
 
-// Audit compares the dispatches that engines received with the outcomes reported to clients.
+// Audit compares the dispatches that engines and backend servers received with the outcomes
+// reported to clients.
 type Audit struct {
-	// Dispatches counts all dispatches to engines, Requests the distinct request
-	// ids among them.
+	// Dispatches counts all dispatches to engines and backend servers, Requests the
+	// distinct request ids among them.
 	Dispatches int
 	Requests   int
-	// Doubled are ids that were dispatched more than once.
+	// Doubled names the ids that were dispatched more than once, each with the method and
+	// path of its second dispatch.
 	Doubled []string
 	// FalselyNotRun are ids that were reported as NotRun although they were dispatched.
 	FalselyNotRun []string
-	// Mixed counts complete answers that belong to another request.
+	// Mixed counts requests whose complete answer is not the expected one but, for
+	// example, another request's.
 	Mixed int
 	// PrefillTokens is the number of prompt tokens that engines processed,
-	// WastedTokens the number that led to no complete answer.
+	// WastedTokens the number of those processed for requests that didn't get their
+	// own complete answer.
 	PrefillTokens int
 	WastedTokens  int
 	WastedByTier  map[string]int
--- a/main.go
+++ b/main.go
@@ -1,6 +1,6 @@
 // Command lynxwell is a request scheduler for language-model engines of unequal
 // speed: the daemon, the operators' client, and fakes of the engines and the platform
-// for trials.
+// for testing.
 //
 // # Usage
 //
--- a/operator/client.go
+++ b/operator/client.go
@@ -21,10 +21,11 @@
 // maxAnswerBytes bounds the size of a response body.
 const maxAnswerBytes = 64 << 20
 
-// changeAttempts bounds how often a change is sent while its result is unknown.
+// changeAttempts is the maximum number of times that a change is sent while its result is
+// unknown.
 const changeAttempts = 5
 
-// changeRetryDelay is the delay between these attempts.
+// changeRetryDelay is the delay between two attempts to send a change.
 const changeRetryDelay = 200 * time.Millisecond
 
 // ClientConfig is the configuration of a Client.
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -8,8 +8,9 @@
 //	res, err := cli.Apply(ctx, set)      // the resources of a file
 //	sta, err := cli.Status(ctx)          // the revisions in force on each host
 //
-// A change carries an id that its writer chooses. A writer whose reply was lost
-// sends the change again under the same id and learns whether it took effect.
+// A change carries an id that its writer chooses. If the reply is lost, the writer
+// sends the change again under the same id and receives its result; the change
+// takes effect at most once.
 package operator
 
 import (
@@ -54,7 +55,7 @@
 
 // ChangeResult is the result of an accepted change.
 type ChangeResult struct {
-	// Revision is a revision of the configuration that contains the change.
+	// Revision is the revision of a configuration that contains the change.
 	Revision uint64
 	// Unchanged is set when the configuration already contained the change.
 	Unchanged bool
--- a/operator/server.go
+++ b/operator/server.go
@@ -31,9 +31,9 @@
 type Backend interface {
 	// Configuration returns the configuration in force on this host.
 	Configuration() resource.Configuration
-	// Change writes a change to the platform. It returns a
+	// Change writes a change to the platform's store. Its error is a
 	// *resource.ConflictError, a *resource.CheckError, a *NotDecidedError or
-	// one of the platform's errors.
+	// one of the store's errors.
 	Change(ctx context.Context, cha resource.Change) (ChangeResult, error)
 	// Status queries all hosts and returns their merged status.
 	Status(ctx context.Context) Status
@@ -116,7 +116,7 @@
 	writeJSON(wri, http.StatusOK, EntryList{Revision: con.Revision, Entries: []resource.Entry{ent}})
 }
 
-// editWire is an EditBody whose Spec isn't decoded yet.
+// editWire is an EditBody whose Spec isn't decoded yet, because its type depends on Kind.
 type editWire struct {
 	Kind   resource.Kind
 	Name   string
@@ -226,7 +226,7 @@
 	writeJSON(wri, http.StatusOK, srv.cfg.Backend.Status(req.Context()))
 }
 
-// serveWatch streams the status, one JSON value per line, each time it changes.
+// serveWatch streams the status as JSON lines: the current one, and then each changed one.
 func (srv *Server) serveWatch(wri http.ResponseWriter, req *http.Request) {
 	wri.Header().Set("Content-Type", "application/jsonl")
 	ticker := time.NewTicker(watchInterval)
--- a/story/losses.go
+++ b/story/losses.go
@@ -113,9 +113,9 @@
 func (los *Losses) byWindow() map[string]tally {
 	first := los.requests[0].start
 	rows := make(map[string]tally)
-	for _, end := range los.requests {
-		number := end.start.Sub(first) / los.window
-		count(rows, fmt.Sprintf("%7.1fs", (number*los.window).Seconds()), end)
+	for _, req := range los.requests {
+		windows := req.start.Sub(first) / los.window
+		count(rows, fmt.Sprintf("%7.1fs", (windows*los.window).Seconds()), req)
 	}
 	return rows
 }
@@ -125,29 +125,29 @@
 
 func (los *Losses) byRoute() map[string]tally {
 	routes := make(map[string][]finishedRequest)
-	for _, end := range los.requests {
-		routes[end.route] = append(routes[end.route], end)
+	for _, req := range los.requests {
+		routes[req.route] = append(routes[req.route], req)
 	}
 	rows := make(map[string]tally)
-	for name, ends := range routes {
-		slices.SortStableFunc(ends, func(one, two finishedRequest) int { return cmp.Compare(one.tokens, two.tokens) })
-		large := len(ends) - int(largestShare*float64(len(ends)))
-		for idx, end := range ends {
+	for name, requests := range routes {
+		slices.SortStableFunc(requests, func(one, two finishedRequest) int { return cmp.Compare(one.tokens, two.tokens) })
+		firstLarge := len(requests) - int(largestShare*float64(len(requests)))
+		for idx, req := range requests {
 			row := name
-			if idx >= large && end.tokens > 0 {
+			if idx >= firstLarge && req.tokens > 0 {
 				row += " (largest)"
 			}
-			count(rows, cmp.Or(row, "(none)"), end)
+			count(rows, cmp.Or(row, "(none)"), req)
 		}
 	}
 	return rows
 }
 
-func count(rows map[string]tally, row string, end finishedRequest) {
+func count(rows map[string]tally, row string, req finishedRequest) {
 	if rows[row] == nil {
 		rows[row] = make(tally)
 	}
-	rows[row][end.outcome]++
+	rows[row][req.outcome]++
 }
 
 // writeTable writes the rows with one column per outcome: InTime first, then the
--- a/story/story.go
+++ b/story/story.go
@@ -1,7 +1,7 @@
 // Package story reads the hosts' logs and reconstructs what happened to one
 // request: the request's own lines on every host, and the changes of state that
-// its hosts logged in the meantime. It also counts the outcomes of all requests
-// (see Losses).
+// its hosts logged shortly before and while the request was in progress. It also
+// counts the outcomes of all requests (see Losses).
 //
 // # Usage
 //
@@ -40,8 +40,9 @@
 	fieldTook    = "Took"
 )
 
-// lookback is how long before a request's start other lines are included,
-// because a host may act on information that is some seconds old.
+// lookback is the length of the time before a request's start from which other
+// lines are included, because a host may act on information that is some seconds
+// old.
 const lookback = 5 * time.Second
 
 // line is one parsed log line.
@@ -151,9 +152,9 @@
 	return nil
 }
 
-// surroundingLines returns the lines without a request that the request's hosts
-// logged between lookback before its start and its last line: those about no
-// engine, and those about engines that the request used.
+// surroundingLines returns the lines that name no request and that the request's
+// hosts logged between lookback before its start and its last line. Lines that name
+// an engine are included only if the request's lines name it too.
 func (tli *Timeline) surroundingLines() []line {
 	hosts, engines := make(map[string]bool), make(map[string]bool)
 	first, last := tli.requestLines[0].at, tli.requestLines[0].at
@@ -172,8 +173,8 @@
 	var lines []line
 	for _, lin := range tli.otherLines {
 		engine := lin.text(fieldEngine)
-		near := !lin.at.Before(first.Add(-lookback)) && !lin.at.After(last)
-		if near && ((engine == "" && hosts[lin.text(fieldHost)]) || (engine != "" && engines[engine] && hosts[lin.text(fieldHost)])) {
+		inRange := !lin.at.Before(first.Add(-lookback)) && !lin.at.After(last)
+		if inRange && ((engine == "" && hosts[lin.text(fieldHost)]) || (engine != "" && engines[engine] && hosts[lin.text(fieldHost)])) {
 			lines = append(lines, lin)
 		}
 	}
