--- a/scheduler/apart.go
+++ b/scheduler/apart.go
@@ -12,16 +12,16 @@
 
 const (
 	// isolationPeriod is how long an engine stays isolated after it was last reserved for suspect
-	// requests. Clients retry within a third of ten seconds, and the answers still in progress
-	// take some seconds too.
+	// requests. Clients with a timeout of ten seconds retry within a third of it, and the answers
+	// in progress at the engine take some seconds too.
 	isolationPeriod = 5 * time.Second
 	// minEnginesToIsolate is the minimum number of engines of a service for isolation: one of
 	// two would be half of the service.
 	minEnginesToIsolate = 3
 	// enginesPerIsolated is the number of engines for each isolated engine beyond the first.
 	enginesPerIsolated = 16
-	// crashMemory is how long a crashed engine isn't regarded as idle: its entry stays registered
-	// for three heartbeats.
+	// crashMemory is how long a crashed engine gets no suspect requests: its entry stays registered
+	// for three heartbeats, and it looks idle.
 	crashMemory = 10 * time.Second
 	// crashHoldOff is how long a crashed engine is granted nothing. It refuses connections, and a
 	// request that meets three such engines is refused. Engines restart within seconds, and one
@@ -44,7 +44,7 @@
 			isolated++
 		}
 		switch {
-		case ene.admits(now, han):
+		case ene.admitsSuspect(now, han):
 			if free == nil || ene.isIsolated(now) && !free.isIsolated(now) {
 				free = ene
 			}
@@ -53,8 +53,8 @@
 			soonest = ene
 		}
 	}
-	// With fewer than minEnginesToIsolate engines available, none is kept free, but an idle one
-	// may be used.
+	// With fewer than minEnginesToIsolate eligible engines, none is kept free, but an idle one may
+	// be used.
 	canIsolate := isolated < 1+len(eligible)/enginesPerIsolated && len(eligible) >= minEnginesToIsolate
 	if free != nil && len(eligible) < minEnginesToIsolate {
 		canIsolate = isolated < 1
@@ -62,15 +62,15 @@
 	if free != nil && (canIsolate || free.isIsolated(now)) {
 		svc.isolate(now, free)
 		can := free.candidate(wai.reserve)
-		can.first = can.unloaded
+		can.firstEvent = can.unloaded
 		return can
 	}
 	svc.renewIsolation(now, eligible, soonest, canIsolate)
 	return candidate{}
 }
 
-// admits reports whether the engine may be granted a request that may crash it.
-func (ene *engine) admits(now time.Time, han handling) bool {
+// admitsSuspect reports whether the engine may be granted a request that may crash it.
+func (ene *engine) admitsSuspect(now time.Time, han handling) bool {
 	if ene.exclusiveRuns > 0 || !ene.hasSlot() || !ene.limiter.admits(now) {
 		return false
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-// isolate reserves an engine for suspect requests for a while.
+// isolate reserves an engine for suspect requests for isolationPeriod.
 func (svc *service) isolate(now time.Time, ene *engine) {
 	ene.isolatedUntil = now.Add(isolationPeriod)
 	svc.extendExclusions(ene.isolatedUntil)
@@ -134,7 +134,7 @@
 	return svc.exclusiveRuns > 0 || now.Before(svc.exclusionsUntil)
 }
 
-// isIsolated reports whether the engine is reserved for suspect requests.
+// isIsolated reports whether the engine is reserved for suspect requests or runs one exclusively.
 func (ene *engine) isIsolated(now time.Time) bool {
 	return now.Before(ene.isolatedUntil) || ene.runsExclusively()
 }
@@ -161,7 +161,7 @@
 	return longest
 }
 
-// crashedRecently reports whether the engine crashed so recently that it isn't regarded as idle.
+// crashedRecently reports whether the engine crashed within crashMemory.
 func (ene *engine) crashedRecently(now time.Time) bool {
 	return ene.crashed && now.Sub(ene.crashedAt) < crashMemory
 }
--- a/scheduler/choose_test.go
+++ b/scheduler/choose_test.go
@@ -62,7 +62,7 @@
 	assert.Equal(t, grantedEngine(har.reserve(res), "again"), eng)
 }
 
-// answer reports the first token of a granted request and releases it as answered.
+// answer reports the first token of a granted request and releases the request.
 func (har *harness) answer(name string, first, total time.Duration, events int) {
 	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Progress{ID: requestID(name), FirstToken: first}})
 	har.release(reservation.Release{ID: requestID(name), Dispatched: true, FirstToken: first, DecodeTokens: events, Total: total})
@@ -139,11 +139,11 @@
 		{Address: far.Address, Profile: pace.Profile{Read: 3.6, Event: 3.6, Weight: 10}},
 	}}})})
 	for name, tst := range map[string]struct {
-		age  time.Duration
-		want string
-	}{"first-try": {0, "near"}, "second-try": {110 * time.Millisecond, "far"}} {
+		clientWait time.Duration
+		want       string
+	}{"first-attempt": {0, "near"}, "second-attempt": {110 * time.Millisecond, "far"}} {
 		res := promptReservation(name, 1000)
-		res.LatencyTarget, res.ClientWait = 300*time.Millisecond, tst.age
+		res.LatencyTarget, res.ClientWait = 300*time.Millisecond, tst.clientWait
 		assert.Equal(t, grantedEngine(har.reserve(res), name), tst.want)
 		har.release(reservation.Release{ID: requestID(name)})
 	}
@@ -152,10 +152,11 @@
 func TestLatePromptGoesToFastestEngine(t *testing.T) {
 	har := newMeasuredHarness()
 	assert.Equal(t, grantedEngine(har.reserve(promptReservation("other", 10)), "other"), "b-quick")
-	// 1.2 s at the quick engine, 4.6 s at the slow one, which is idle.
+	// Takes 1.2 s on the quick engine, and 4.6 s on the slow one, which is idle.
 	assert.Equal(t, grantedEngine(har.reserve(promptReservation("long", 54_000)), "long"), "b-quick")
-	// Behind that prompt it would take 2.3 s, which the client may wait for, but the quick
-	// engine has enough pending prefills; the slow one would answer after the client timed out.
+	// Behind the first long prompt, another one would take 2.3 s, for which a client would wait, but
+	// the quick engine has as many pending prefills as it may have. The slow engine would answer
+	// after the client timed out.
 	assert.Equal(t, grantedEngine(har.reserve(promptReservation("next", 54_000)), "next"), "")
 	assert.Equal(t, refusalReason(har.advance(300*time.Millisecond), "next"), reservation.ReasonOverload)
 }
--- a/scheduler/cold.go
+++ b/scheduler/cold.go
@@ -3,8 +3,8 @@
 import "time"
 
 // A cold engine accepts few requests per second and fails under many more. Engines are cold
-// after their start and whenever they signal it. The core learns of it from store entries and
-// from notices of gateways. It also marks a crashed engine cold when it records the crash, since
+// after their start and whenever they signal it. The core reads this from store entries and from
+// the notices of gateways. It also marks a crashed engine cold when it records the crash, since
 // the next run at the address may be registered late, or not at all while the store is
 // unavailable.
 
--- a/scheduler/cold_sim_test.go
+++ b/scheduler/cold_sim_test.go
@@ -14,8 +14,8 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// rateSim also simulates engines that go cold. Each host, also a coordinator, reads from the store
-// after a delay of its own that an engine is cold.
+// rateSim also simulates engines that become cold. Each host, including a coordinator, reads from
+// the store after a random delay that an engine is cold.
 
 const (
 	simColdPeriod = 3 * time.Second
@@ -51,7 +51,7 @@
 func (sim *rateSim) readCold(hos *rateHost, eng *rateEngine) {
 	hos.cold[eng.ID.Name] = eng.coldUntil
 	if sim.cfg.policy != rateByGrant {
-		// The coordinators ignore it.
+		// Only with rateByGrant do the coordinators limit the grants of cold engines.
 		return
 	}
 	var all []fleet.Engine
@@ -94,7 +94,7 @@
 // a quarter of them, are cold: the peak use of a cold engine's allowance within a second (1 is all
 // of it), the share of requests refused, and the mean wait of the requests served.
 func BenchmarkColdEnginePolicies(b *testing.B) {
-	policies := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "parts", rateByGrant: "grant"}
+	policies := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "share", rateByGrant: "grant"}
 	for _, size := range []struct{ engines, hosts int }{{4, 4}, {20, 7}, {140, 85}} {
 		for _, fraction := range []int{1, 4} {
 			for policy, name := range policies {
@@ -114,7 +114,7 @@
 							sum.waited += res.waited
 						}
 					}
-					b.ReportMetric(sum.coldPeakUse, "worst")
+					b.ReportMetric(sum.coldPeakUse, "peak-use")
 					b.ReportMetric(100*float64(sum.refused)/float64(sum.sent), "refused%")
 					b.ReportMetric(1000*sum.waited.Seconds()/float64(max(1, sum.served)), "ms-waited")
 				})
@@ -123,9 +123,9 @@
 	}
 }
 
-// All hosts together that know an engine to be cold never send it more than its cold allowance
-// within a second, for any partition of the hosts and any coordinators. This holds also when many
-// engines go cold at once and when engines send rate limits too.
+// The hosts that know an engine to be cold never send it in total more than its cold allowance
+// within a second, for any partition of the hosts and any coordinators, also when many engines
+// become cold at once and when engines send rate limits too.
 func TestColdRateHoldsForAnyPartition(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := rateSimConfig{
@@ -135,7 +135,7 @@
 		together := time.Duration(rapid.IntRange(1000, 5000).Draw(rt, "together")) * time.Millisecond
 		for range rapid.IntRange(1, cfg.engines).Draw(rt, "cold") {
 			at := together
-			if rapid.Bool().Draw(rt, "by itself") {
+			if rapid.Bool().Draw(rt, "at its own time") {
 				at = time.Duration(rapid.IntRange(1000, 8000).Draw(rt, "cold at")) * time.Millisecond
 			}
 			cfg.cold = append(cfg.cold, at)
@@ -154,8 +154,8 @@
 	})
 }
 
-// A service whose engines all go cold at once keeps serving at the cold rate meanwhile, and refuses
-// no request soon after.
+// A service whose engines all become cold at once serves requests at the cold rate meanwhile, and
+// refuses no request soon after.
 func TestServiceRecoversAfterAllEnginesWereCold(t *testing.T) {
 	for seed := range uint64(3) {
 		for _, hosts := range []int{1, 7, 40} {
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -80,10 +80,10 @@
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{coldEngine(har, "a", coldPeriod), warm}})
 	assert.Equal(t, grantedEngine(har.reserve(plainReservation("r1")), "r1"), "b")
 	for num := range 8 {
-		har.reserve(plainReservation(fmt.Sprint("fills-", num)))
+		har.reserve(plainReservation(fmt.Sprint("fill-", num)))
 	}
 	har.advance(200 * time.Millisecond)
-	assert.Assert(t, grantedEngine(har.sends, "fills-7") == "a" || grantedEngine(har.sends, "fills-5") == "a", "%+v", har.sends)
+	assert.Assert(t, grantedEngine(har.sends, "fill-7") == "a" || grantedEngine(har.sends, "fill-5") == "a", "%+v", har.sends)
 }
 
 // A Cold signal extends the cold period of the engine's entry if it ends later; a signal that
@@ -115,7 +115,7 @@
 }
 
 // A scheduler that is responsible for a share of the hosts gets the same share of the cold rate,
-// and one that takes over starts without saved tokens.
+// and one that takes over starts with an empty bucket.
 func TestColdRateIsDividedByHosts(t *testing.T) {
 	har := newColdRateHarness()
 	har.handle(scheduler.ShareChanged{Divisor: 8, Hosts: 8, Standby: true})
--- a/scheduler/crash_sim_test.go
+++ b/scheduler/crash_sim_test.go
@@ -105,7 +105,7 @@
 	crashRequestRate     = 1.6 // requests per second and engine
 	crashOccupancy       = 2 * time.Second
 	crashRepeatableShare = 0.4
-	crashRetryShare      = 0.3                    // share of the clients that lost a stream and retry after some seconds
+	crashRetryShare      = 0.3                    // share of the clients that retry some seconds after they lost a stream
 	crashDelay           = 100 * time.Millisecond // from the start of a poison request to the crash
 	crashEntryExpiry     = 3 * time.Second
 	crashTickInterval    = 5 * time.Millisecond
--- a/scheduler/dump.go
+++ b/scheduler/dump.go
@@ -18,7 +18,7 @@
 	Accounts []AccountDump
 	// Cases are the requests that were involved in crashes, the most suspect first. Restricted
 	// are the traffic sources whose requests run only on isolated engines, since they crash
-	// engines and change each time.
+	// engines with requests that differ each time.
 	Cases      []CaseDump                 `json:",omitempty"`
 	Restricted []quarantine.TrafficSource `json:",omitempty"`
 }
@@ -80,7 +80,7 @@
 	PerSecond float64
 	Own       float64
 	// Tokens is the number of requests that may be granted now. Spent counts the grants of the last
-	// four seconds by gateway, up to the number that is kept.
+	// four seconds by gateway, up to maxRecentGrants in total.
 	Tokens float64
 	Spent  map[string]int
 }
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -36,11 +36,12 @@
 	occupancy time.Duration
 	// eventTokens is the number of tokens in one event of an answer.
 	eventTokens int
-	// cached holds the prompt parts that are assumed to be in the engine's cache.
-	cached       *simplelru.LRU[uint64, int]
-	cachedTokens int
-	cacheTokens  int
-	health       health
+	// cached holds the prompt parts that are assumed to be in the engine's cache, cachedTokens is
+	// the number of their tokens. cacheCapacity is the size of the cache in tokens.
+	cached        *simplelru.LRU[uint64, int]
+	cachedTokens  int
+	cacheCapacity int
+	health        health
 	// isolatedUntil is the end of the engine's isolation, exclusiveRuns the number of its
 	// exclusive runs.
 	isolatedUntil time.Time
@@ -52,8 +53,8 @@
 	// signals are the engine's signals in force; nil for none.
 	signals *signalState
 	// limiter limits the grants of the engine to its signaled rate, and to the configured rate
-	// while it is cold; nil if neither applies. rateEnded is set if a signaled rate was followed
-	// by an answer without one.
+	// while it is cold; nil if neither applies. rateEnded is set if the engine had a signaled rate
+	// limit that has ended.
 	limiter   *rateLimiter
 	rateEnded bool
 }
@@ -85,7 +86,7 @@
 	// speed when warm.
 	cold bool
 	// route and repeatable are those of the request if this core granted it. loaded is set if the
-	// engine had as much load as the others.
+	// engine had at least the typical load of an engine of the old version during a roll-out.
 	route      string
 	repeatable bool
 	loaded     bool
@@ -102,13 +103,13 @@
 const maxCachedParts = 4096
 
 // maxExcessRuns bounds the runs beyond an engine's slots that slotWait distinguishes. More than
-// maxEngineQueue occur only if hosts have scheduled alone.
+// maxEngineQueue occur only if several cores have granted the engine independently.
 const maxExcessRuns = 8
 
 func newEngine(eng fleet.Engine, model *pace.Engine) *engine {
 	ene := &engine{
 		Engine: eng, name: eng.ID.String(), running: make(map[request.ID]*run), model: model, serviceTime: initialServiceTime,
-		occupancy: initialOccupancy, eventTokens: 1, cacheTokens: defaultCacheTokens,
+		occupancy: initialOccupancy, eventTokens: 1, cacheCapacity: defaultCacheTokens,
 	}
 	// NewLRU fails only for a size below 1.
 	ene.cached, _ = simplelru.NewLRU(maxCachedParts, func(_ uint64, tokens int) { ene.cachedTokens -= tokens })
@@ -195,7 +196,7 @@
 		ene.cached.Add(par.ID, par.Tokens)
 		ene.cachedTokens += par.Tokens
 	}
-	for ene.cachedTokens > int(cacheShare*float64(ene.cacheTokens)) && ene.cached.Len() > 0 {
+	for ene.cachedTokens > int(cacheShare*float64(ene.cacheCapacity)) && ene.cached.Len() > 0 {
 		ene.cached.RemoveOldest()
 	}
 }
@@ -209,16 +210,16 @@
 	return max(ene.pendingPrefillTime(now), ene.slotWait(now))
 }
 
-// unloadedFirst predicts the time to the first event on an otherwise idle engine.
-func (ene *engine) unloadedFirst(tokens int) time.Duration {
+// unloadedFirstEvent predicts the time to the first event on an otherwise idle engine.
+func (ene *engine) unloadedFirstEvent(tokens int) time.Duration {
 	if tokens == 0 {
 		return ene.serviceTime
 	}
 	return ene.model.PrefillTime(tokens) + ene.model.Overhead()
 }
 
-// slotWait predicts how long the next request waits for a slot: until as many runs have ended as
-// exceed the slots.
+// slotWait predicts how long the next request waits until enough runs have ended for it to get a
+// slot.
 func (ene *engine) slotWait(now time.Time) time.Duration {
 	excess := len(ene.running) - ene.Slots + 1
 	if excess <= 0 {
@@ -253,14 +254,15 @@
 	return left
 }
 
-// learnPrefill applies the measured time to the first event of a prompt that didn't wait.
+// learnPrefill updates the speed model with the measured time to the first event, unless the run
+// was queued or the engine was cold.
 func (ene *engine) learnPrefill(rnn *run, took time.Duration) {
 	if !rnn.queued && !rnn.cold {
 		ene.model.ObservePrefill(rnn.tokens, took)
 	}
 }
 
-// learnServiceTime applies the measured time of a request without a prompt.
+// learnServiceTime updates the estimated service time with that of a request without a prompt.
 func (ene *engine) learnServiceTime(rnn *run, took time.Duration) {
 	if rnn.cold {
 		return
@@ -268,7 +270,7 @@
 	ene.serviceTime += time.Duration(serviceTimeGain * float64(took-ene.serviceTime))
 }
 
-// learnOccupancy applies the measured time of a request with a prompt.
+// learnOccupancy updates the estimated occupancy with that of a request with a prompt.
 func (ene *engine) learnOccupancy(took time.Duration) {
 	ene.occupancy += time.Duration(occupancyGain * float64(took-ene.occupancy))
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -4,7 +4,7 @@
 
 const (
 	// failuresToEject is the number of consecutive failures after which an engine is ejected: a
-	// single failure may be chance, a second one seldom is.
+	// single failure may be random, two in a row rarely are.
 	failuresToEject = 2
 	// minEjection and maxEjection bound the duration of an ejection. It doubles with each
 	// consecutive ejection until the engine answers.
--- a/scheduler/line.go
+++ b/scheduler/line.go
@@ -13,10 +13,10 @@
 
 // waiter is a request that waits in the queue of a service.
 type waiter struct {
-	reserve reservation.Reserve
-	gateway request.Epoch
-	number  uint64
-	since   time.Time
+	reserve       reservation.Reserve
+	gateway       request.Epoch
+	arrivalNumber uint64
+	since         time.Time
 	// until is when the request is refused.
 	until time.Time
 	// normalAt is the version of the quarantine, plus one, at which the request was found to need
@@ -51,7 +51,7 @@
 		return
 	}
 	svc.arrivals++
-	wai := &waiter{reserve: res, gateway: from, number: svc.arrivals, since: now, scope: strings.Join(res.Regions, " ")}
+	wai := &waiter{reserve: res, gateway: from, arrivalNumber: svc.arrivals, since: now, scope: strings.Join(res.Regions, " ")}
 	wai.late = res.Attempt == 0 && res.ClientWait > res.LatencyTarget
 	wai.until = now.Add(maxWait(res))
 	pos, _ := slices.BinarySearchFunc(svc.waiting, wai, compareWaiters)
@@ -74,7 +74,7 @@
 		// Retries go first: they have waited before, and engines have spent work on them. So do
 		// requests that wait again because their engine couldn't be used.
 		cmp.Compare(ordinal(right.waitedBefore()), ordinal(left.waitedBefore())),
-		cmp.Compare(left.number, right.number),
+		cmp.Compare(left.arrivalNumber, right.arrivalNumber),
 	)
 }
 
@@ -103,7 +103,7 @@
 // inputsFor returns the inputs of a decision on a waiting request.
 func (svc *service) inputsFor(now time.Time, wai *waiter) Inputs {
 	inp := svc.inputs(now, wai.since)
-	inp.RateLimited, inp.WaitedForRate = svc.limited, wai.rateLimited
+	inp.RateLimited, inp.WaitedForRate = svc.limitedEngines, wai.rateLimited
 	return inp
 }
 
@@ -196,7 +196,7 @@
 	if scn.isFull(wai) {
 		return
 	}
-	anyGateway := !constrained && (svc.signaled == 0 || !svc.hasBackoff(now, wai.gateway))
+	anyGateway := !constrained && (svc.signaledEngines == 0 || !svc.hasBackoff(now, wai.gateway))
 	switch {
 	case anyGateway && wai.scope == "":
 		scn.full = true
--- a/scheduler/listing.go
+++ b/scheduler/listing.go
@@ -9,7 +9,7 @@
 
 func (cor *Core) applyEngines(now time.Time, engines []fleet.Engine) {
 	for _, svc := range cor.services {
-		svc.engines, svc.signaled, svc.limited, svc.blockCache = svc.engines[:0], 0, 0, blockCache{}
+		svc.engines, svc.signaledEngines, svc.limitedEngines, svc.blockCache = svc.engines[:0], 0, 0, blockCache{}
 	}
 	known := make(map[fleet.EngineID]bool, len(engines))
 	for _, eng := range engines {
@@ -24,10 +24,10 @@
 		svc := cor.service(eng.Service)
 		svc.engines = append(svc.engines, ene)
 		if ene.signals != nil {
-			svc.signaled++
+			svc.signaledEngines++
 		}
 		if ene.limiter != nil {
-			svc.limited++
+			svc.limitedEngines++
 		}
 	}
 	for id := range cor.engines {
@@ -53,7 +53,7 @@
 	}
 	ene.eventTokens = max(1, svc.Model.EventTokens)
 	if svc.Model.CacheTokens > 0 {
-		ene.cacheTokens = svc.Model.CacheTokens
+		ene.cacheCapacity = svc.Model.CacheTokens
 	}
 }
 
--- a/scheduler/measurements.go
+++ b/scheduler/measurements.go
@@ -2,7 +2,7 @@
 
 import "lynxwell.dev/lynxwell/pace"
 
-// Measurements returns the measured speeds of the engines, to be recorded in the store.
+// Measurements returns the measured speeds of the engines, to be written to the store.
 func (cor *Core) Measurements() pace.Measurements {
 	services := make(map[string]pace.ServiceMeasurements)
 	for _, svc := range cor.services {
@@ -19,7 +19,7 @@
 	return pace.NewMeasurements(services)
 }
 
-// adoptMeasurements applies the recorded profiles to engines of which this core has measured less.
+// adoptMeasurements applies the stored profiles to engines of which this core has measured less.
 func (cor *Core) adoptMeasurements(mea pace.Measurements) {
 	cor.recorded = mea.Profiles()
 	for _, svc := range mea.Services {
--- a/scheduler/notice.go
+++ b/scheduler/notice.go
@@ -11,21 +11,21 @@
 )
 
 // Engines send signals about themselves in their answers, which the gateways forward to this
-// core as notices. A gateway that received a backoff request is never granted the engine until
-// it expires, even if no other engine is left. A draining engine is granted to no gateway.
-// Unlike outlier ejection, which infers an engine's state, these rules apply regardless of the
-// size of the service.
+// core as notices. A gateway that received a backoff request isn't granted the engine until the
+// backoff expires, even if no other engine is left. A draining engine is granted to no gateway.
+// Unlike outlier ejection, which infers an engine's state, these rules may exclude all engines of
+// a service.
 
 // BackoffScope selects the gateways that are affected by an engine's backoff request to one of
 // them.
 type BackoffScope uint8
 
-// Which scope serves clients best depends on the share of requests that the engine rejects,
-// which it doesn't report; docs/design/engines-own-word.md compares them.
+// Which scope serves clients best depends on the share of requests that the engine rejects, and
+// engines don't report that share; docs/design/engines-own-word.md compares the scopes.
 const (
 	// BackoffOthersProbe lets one request at a time of the other gateways probe whether the engine
-	// serves them: at once after the first backoff request, and after a growing delay when it is
-	// repeated.
+	// serves them: at once after the first backoff request, and after a delay that doubles with
+	// each rejected probe.
 	BackoffOthersProbe BackoffScope = iota
 	// BackoffAll applies the backoff to all gateways for a bounded time. An engine that rejects
 	// only a part of its requests is then out of use most of the time.
@@ -96,7 +96,7 @@
 	svc := cor.service(ene.Service)
 	if ene.signals == nil {
 		ene.signals = &signalState{backoffUntil: make(map[request.Epoch]time.Time)}
-		svc.signaled++
+		svc.signaledEngines++
 	}
 	svc.blockCache = blockCache{}
 	return ene.signals
@@ -218,10 +218,10 @@
 
 // expireSignals drops expired signals of the service's engines.
 func (svc *service) expireSignals(now time.Time) {
-	if svc.signaled == 0 {
+	if svc.signaledEngines == 0 {
 		return
 	}
-	svc.signaled = 0
+	svc.signaledEngines = 0
 	for _, ene := range svc.engines {
 		if ene.signals == nil {
 			continue
@@ -231,7 +231,7 @@
 			svc.blockCache = blockCache{}
 			continue
 		}
-		svc.signaled++
+		svc.signaledEngines++
 	}
 }
 
@@ -249,9 +249,10 @@
 type blockPeriod struct {
 	// blocked is false if an engine is available.
 	blocked bool
-	// ends is set if one of the engines is blocked only for a time; otherwise all are draining.
-	ends  bool
-	until time.Time
+	// temporary is set if one of the engines is blocked only until a time; otherwise all are
+	// draining.
+	temporary bool
+	until     time.Time
 	// othersUntil is the end of the period for gateways that didn't receive a backoff request: a
 	// client may retry at any host.
 	othersUntil time.Time
@@ -300,13 +301,13 @@
 			continue
 		}
 		at, others := ene.signals.blockedUntil(gateway), ene.signals.sharedBackoffUntil
-		if !blk.ends || at.Before(blk.until) {
+		if !blk.temporary || at.Before(blk.until) {
 			blk.until = at
 		}
-		if !blk.ends || others.Before(blk.othersUntil) {
+		if !blk.temporary || others.Before(blk.othersUntil) {
 			blk.othersUntil = others
 		}
-		blk.ends = true
+		blk.temporary = true
 	}
 	return blk
 }
@@ -314,15 +315,15 @@
 // refuseBlocked refuses a request at once if all its engines are draining, or in backoff beyond
 // its maximum wait, and reports whether it did.
 func (cor *Core) refuseBlocked(now time.Time, svc *service, wai *waiter) bool {
-	if svc.signaled == 0 {
+	if svc.signaledEngines == 0 {
 		return false
 	}
 	blk := svc.blockPeriodFor(wai)
-	if !blk.blocked || blk.ends && !blk.until.After(wai.until) {
+	if !blk.blocked || blk.temporary && !blk.until.After(wai.until) {
 		return false
 	}
 	delay := retryAfter(wai.reserve)
-	if blk.ends {
+	if blk.temporary {
 		delay = max(0, blk.othersUntil.Sub(now)) + minBackoffJitter + time.Duration(hashFraction(wai.reserve.ID)*float64(maxBackoffJitter-minBackoffJitter))
 	}
 	cor.refund(wai.reserve.Account, cor.costOf(wai.reserve))
--- a/scheduler/notice_test.go
+++ b/scheduler/notice_test.go
@@ -72,14 +72,14 @@
 	har := newHarness(plainEngine("a", 4))
 	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: 6 * time.Second})
 	har.advance(4 * time.Second)
-	_, ref := decisionFor(har.reserveFrom(peerEpoch, plainReservation("asked")), "asked")
+	_, ref := decisionFor(har.reserveFrom(peerEpoch, plainReservation("recipient")), "recipient")
 	assert.Equal(t, ref.Reason, reservation.ReasonBackoff)
 	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("probe")), "probe"), "a")
 	engine, ref := decisionFor(har.reserveFrom(otherPeerEpoch, plainReservation("second")), "second")
-	assert.Assert(t, engine == "" && ref.Reason == 0, "it waits for the result of the probe")
+	assert.Assert(t, engine == "" && ref.Reason == 0, "the request waits for the result of the probe")
 	har.now = har.now.Add(20 * time.Millisecond)
 	assert.Equal(t, grantedEngine(har.handle(scheduler.Received{From: otherPeerEpoch, Message: answeredRelease("probe")}), "second"), "a")
-	_, ref = decisionFor(har.reserveFrom(peerEpoch, plainReservation("asked-still")), "asked-still")
+	_, ref = decisionFor(har.reserveFrom(peerEpoch, plainReservation("recipient-again")), "recipient-again")
 	assert.Equal(t, ref.Reason, reservation.ReasonBackoff)
 	har.advance(2 * time.Second)
 	assert.Equal(t, grantedEngine(har.reserveFrom(peerEpoch, plainReservation("over")), "over"), "a")
@@ -100,7 +100,7 @@
 			har.handle(scheduler.Received{From: gateway, Message: reservation.Withdraw{ID: requestID(early)}})
 			har.advance(10 * time.Millisecond)
 		}
-		name := fmt.Sprint("try", num)
+		name := fmt.Sprint("probe", num)
 		assert.Equal(t, grantedEngine(har.reserveFrom(gateway, plainReservation(name)), name), "a")
 		har.now = har.now.Add(300 * time.Millisecond)
 		har.reportSignal(gateway, "a", fleet.Backoff{Remaining: 10 * time.Second})
@@ -111,10 +111,10 @@
 	har.now = har.now.Add(10 * time.Millisecond)
 	har.release(answeredRelease("served"))
 	har.reportSignal(request.Epoch(51), "a", fleet.Backoff{Remaining: 10 * time.Second})
-	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("anew")), "anew"), "a", "the engine has served a request since, so the delay starts at zero")
+	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("again")), "again"), "a", "the engine has served a request since, so the delay starts at zero")
 }
 
-// The answer to a probe may be lost: another request probes the engine after a second.
+// The answer to a probe may be lost, so another request probes the engine after a second.
 func TestLostProbeBlocksOthersForOneSecond(t *testing.T) {
 	har := newHarness(plainEngine("a", 4))
 	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: time.Second})
@@ -136,7 +136,7 @@
 	har.handle(scheduler.Received{From: otherPeerEpoch, Message: answeredRelease("probe")})
 	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: time.Hour - 5*time.Second})
 	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("next")), "next"), "a")
-	_, ref := decisionFor(har.reserveFrom(peerEpoch, plainReservation("asked")), "asked")
+	_, ref := decisionFor(har.reserveFrom(peerEpoch, plainReservation("recipient")), "recipient")
 	assert.Equal(t, ref.Reason, reservation.ReasonBackoff)
 }
 
@@ -158,10 +158,10 @@
 	}
 }
 
-// A request that can't be granted an engine in time is refused at once, with the time after which
-// a retry is worthwhile. One that can wait for the end of the backoff waits; the queue is then
-// served in the order of tiers.
-func TestAllEnginesInBackoffOrDraining(t *testing.T) {
+// If all engines are draining or in backoff, a request waits only if the backoff ends in time;
+// otherwise it is refused at once, with the time after which a retry is worthwhile. After the
+// backoff the queue is served in order of rank.
+func TestRequestWaitsOnlyForBackoffThatEndsInTime(t *testing.T) {
 	har := newHarness(plainEngine("a", 1), plainEngine("b", 4))
 	har.reportSignal(peerEpoch, "b", fleet.Draining{})
 	har.reportSignal(peerEpoch, "a", fleet.Backoff{Remaining: 2 * time.Second})
@@ -173,7 +173,7 @@
 	low.Rank = 1
 	for _, res := range []reservation.Reserve{low, high} {
 		engine, ref := decisionFor(har.reserve(res), res.ID.Unique)
-		assert.Assert(t, engine == "" && ref.Reason == 0, "it waits for the end of the backoff")
+		assert.Assert(t, engine == "" && ref.Reason == 0, "the request waits for the end of the backoff")
 	}
 	assert.Equal(t, grantedEngine(har.advance(40*time.Millisecond), "high"), "a")
 	har.now = har.now.Add(10 * time.Millisecond)
@@ -200,8 +200,7 @@
 	assert.Equal(t, grantedEngine(har.reserveFrom(otherPeerEpoch, plainReservation("passes")), "passes"), "b")
 }
 
-// A backoff request isn't a failure: the engine isn't ejected for it, nor is an ejected engine
-// used instead.
+// Rejections with a backoff request aren't failures, so the engine isn't ejected for them.
 func TestBackoffDoesNotCountAsFailure(t *testing.T) {
 	har := newHarness(plainEngine("a", 8), plainEngine("b", 8))
 	for num := range 6 {
@@ -224,17 +223,17 @@
 	assert.Equal(t, grantedEngine(har.reserve(first), "first"), "a")
 	assert.Equal(t, grantedEngine(har.reserve(plainReservation("other")), "other"), "b")
 	for num := range 6 {
-		har.reserve(plainReservation(fmt.Sprint("line", num)))
+		har.reserve(plainReservation(fmt.Sprint("queued", num)))
 	}
 	har.reportSignal(peerEpoch, "a", fleet.Draining{})
 	har.release(reservation.Release{ID: first.ID, Engine: "a"})
 	first.Requeued = true
 	har.reserve(first)
 	assert.Equal(t, grantedEngine(har.release(answeredRelease("other")), "first"), "b", "before the requests that arrived later")
-	repeat := plainReservation("repeat")
-	repeat.Attempt, repeat.Requeued = 1, true
+	retry := plainReservation("retry")
+	retry.Attempt, retry.Requeued = 1, true
 	for range 50 {
-		_, ref := decisionFor(har.reserve(repeat), "repeat")
+		_, ref := decisionFor(har.reserve(retry), "retry")
 		assert.Assert(t, ref.Reason != reservation.ReasonBudget)
 	}
 }
--- a/scheduler/pause_sim_test.go
+++ b/scheduler/pause_sim_test.go
@@ -21,7 +21,7 @@
 const (
 	// backoffIgnored treats the backoff request as a failure like any other.
 	backoffIgnored backoffPolicy = iota
-	// backoffByHost has only the host that received it return grants; no other component learns of it.
+	// backoffByHost has only the host that received it return grants; the coordinator gets no notice.
 	backoffByHost
 	// backoffOfRecipient has the coordinator not grant the engine to the host that received it.
 	backoffOfRecipient
@@ -52,7 +52,7 @@
 	engines int
 	hosts   int
 	// shedShare is the share of engines that shed load at a time, for backoffShedPeriod; failureShare
-	// is the share of answers of the other engines that fail.
+	// is the share of answers that fail.
 	shedShare    float64
 	failureShare float64
 	maxAttempts  int
@@ -77,8 +77,8 @@
 	fleet.Engine
 	shedUntil     time.Time
 	awaitsRequest bool
-	// backoffAt is when the engine last sent each host a backoff request, sent how many requests it
-	// has got from the host since.
+	// backoffAt is when the engine last sent each host a backoff request, sent how many requests the
+	// engine has received from the host since.
 	backoffAt map[request.Epoch]time.Time
 	sent      map[request.Epoch]int
 }
@@ -174,8 +174,8 @@
 	sim.reserve(&backoffRun{startedAt: sim.har.now, host: request.Epoch(10 + sim.random.IntN(sim.cfg.hosts))}, true)
 }
 
-func (sim *backoffSim) reserve(run *backoffRun, fresh bool) {
-	if fresh {
+func (sim *backoffSim) reserve(run *backoffRun, isNew bool) {
+	if isNew {
 		sim.sent++
 		run.reserve = plainReservation(fmt.Sprintf("p%09d", sim.sent))
 	}
@@ -306,10 +306,10 @@
 }
 
 // BenchmarkBackoffPolicies reports the cost of each policy: requests rejected per simulation,
-// requests finally refused, requests served, the largest number that one host sent an engine during
-// a backoff, and how long engines that serve again wait for their first request.
+// requests finally refused, requests served, the largest number of requests that one host sent an
+// engine during a backoff, and how long engines that serve again wait for their first request.
 func BenchmarkBackoffPolicies(b *testing.B) {
-	policies := []string{"ignored", "by-host", "asked", "all", "probing"}
+	policies := []string{"ignored", "by-host", "recipient", "all", "probing"}
 	for _, size := range []struct{ engines, hosts int }{{4, 7}, {18, 7}, {60, 85}, {140, 300}} {
 		for _, kind := range []struct {
 			name        string
@@ -318,14 +318,14 @@
 			attempts    int
 			rejectShare float64
 		}{
-			{"one", 0, 0, 0.3, 2, 0},
-			{"third", 0.3, 0, 0.3, 2, 0},
-			{"third-busy", 0.3, 0, 0.6, 2, 0},
-			{"third-once", 0.3, 0, 0.3, 1, 0},
-			{"failing", 0.3, 0.35, 0.3, 2, 0},
-			{"all", 1, 0, 0.3, 2, 0},
-			{"partly", 1, 0, 0.6, 2, 0.05},
-			{"partly-third", 0.3, 0, 0.6, 2, 0.6},
+			{"one-sheds", 0, 0, 0.3, 2, 0},
+			{"third-sheds", 0.3, 0, 0.3, 2, 0},
+			{"third-sheds-high-load", 0.3, 0, 0.6, 2, 0},
+			{"third-sheds-no-retry", 0.3, 0, 0.3, 1, 0},
+			{"third-sheds-others-fail", 0.3, 0.35, 0.3, 2, 0},
+			{"all-shed", 1, 0, 0.3, 2, 0},
+			{"all-shed-some-requests", 1, 0, 0.6, 2, 0.05},
+			{"third-sheds-some-requests", 0.3, 0, 0.6, 2, 0.6},
 		} {
 			for policy, name := range policies {
 				b.Run(fmt.Sprintf("%d/%s/%s", size.engines, kind.name, name), func(b *testing.B) {
@@ -346,11 +346,11 @@
 							sum.returns += res.returns
 						}
 					}
-					b.ReportMetric(float64(sum.rejected)/seeds, "turned")
+					b.ReportMetric(float64(sum.rejected)/seeds, "rejected")
 					b.ReportMetric(10000*float64(sum.refused)/float64(sum.sent), "refused/10k")
 					b.ReportMetric(100*float64(sum.served)/float64(sum.sent), "served%")
-					b.ReportMetric(float64(sum.maxDuringBackoff), "worst")
-					b.ReportMetric(sum.idle.Seconds()/float64(max(1, sum.returns)), "s-back")
+					b.ReportMetric(float64(sum.maxDuringBackoff), "max-in-backoff")
+					b.ReportMetric(sum.idle.Seconds()/float64(max(1, sum.returns)), "s-idle")
 				})
 			}
 		}
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -8,12 +8,12 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// Placement constraints: a request doesn't run in a failure domain that is being evacuated, as
-// far as its gateway or this core knows, and it runs only in the regions that its route and its
-// client account allow.
+// Placement constraints: a request doesn't run in a failure domain that is evacuated according to
+// its gateway or this core, and it runs only in the regions that its route and its client account
+// allow.
 
 // applyClosedDomains replaces the failure domains to which a gateway sends nothing. The gateway
-// may learn of an evacuation before this core does.
+// may read an evacuation order before this core does.
 func (cor *Core) applyClosedDomains(evt DomainsClosed) {
 	delete(cor.closed, evt.Gateway)
 	if len(evt.Domains) == 0 {
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -39,9 +39,9 @@
 	assert.Equal(t, har.reserveAndAnswer("again"), "a")
 }
 
-// A gateway may read an evacuation order before this core does: it then gets no grants in that
-// domain, while other gateways do.
-func TestGatewayThatEnforcesAnOrderGetsNoGrantsInItsDomain(t *testing.T) {
+// A gateway may read an evacuation order before the core does. It then gets no grants in the
+// evacuated domain, while other gateways do.
+func TestGatewayThatEnforcesEvacuationGetsNoGrantsInDomain(t *testing.T) {
 	har := newHarness(engineInDomain("d0", "a"), engineInDomain("d1", "b"))
 	har.handle(scheduler.DomainsClosed{Gateway: peerEpoch, Domains: []string{"d0"}})
 	other := request.Epoch(77)
@@ -83,14 +83,14 @@
 }
 
 func TestRequestRunsOnlyInAllowedRegions(t *testing.T) {
-	har := newRegionalHarness(engineInDomain("d0", "a"), engineInDomain("d2", "c"), engineInDomain("elsewhere", "e"))
+	har := newRegionalHarness(engineInDomain("d0", "a"), engineInDomain("d2", "c"), engineInDomain("unmapped", "e"))
 	for num := range 20 {
 		name := fmt.Sprint("south-", num)
 		assert.Equal(t, grantedEngine(har.reserve(reservationInRegions(name, "south")), name), "c")
 		name = fmt.Sprint("north-", num)
 		assert.Equal(t, grantedEngine(har.reserve(reservationInRegions(name, "north", "west")), name), "a")
 	}
-	assert.Equal(t, refusalReason(har.reserve(reservationInRegions("nowhere", "west")), "nowhere"), reservation.ReasonRegion)
+	assert.Equal(t, refusalReason(har.reserve(reservationInRegions("no-region", "west")), "no-region"), reservation.ReasonRegion)
 	har.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{engineInDomain("d0", "a")}})
 	assert.Equal(t, refusalReason(har.reserve(reservationInRegions("lost", "south")), "lost"), reservation.ReasonRegion, "the last engine of the region has deregistered")
 	assert.Equal(t, har.reserveAndAnswer("anywhere"), "a")
@@ -110,8 +110,8 @@
 	}
 }
 
-// The gateway's own region is preferred: the network delay to another one costs more than a busier
-// engine.
+// The gateway's own region is preferred: the network delay to another region costs more than a
+// busier engine.
 func TestOwnRegionIsPreferred(t *testing.T) {
 	busy := engineInDomain("d1", "b")
 	busy.Slots = 4
@@ -126,7 +126,7 @@
 // region only wait for its engines, which have no free slots.
 func BenchmarkManyWaitingForARegion(b *testing.B) {
 	for _, regions := range [][]string{nil, {"south"}} {
-		b.Run(fmt.Sprint(len(regions), "named"), func(b *testing.B) {
+		b.Run(fmt.Sprint(len(regions), "regions"), func(b *testing.B) {
 			var engines []fleet.Engine
 			for num := range 650 {
 				eng := engineInDomain("d2", fmt.Sprintf("e%03d", num))
@@ -152,11 +152,11 @@
 	}
 }
 
-// For any engines, any domains that are evacuated as far as this core or a gateway knows, and any
-// gateways that place reservations, fail and return: no request is granted an engine outside its
-// regions or in a domain that is closed to its gateway.
+// No request is granted an engine outside its regions or in a domain that is closed to its gateway,
+// for any engines, any domains that are evacuated according to the core or a gateway, and any
+// gateways that place reservations, fail and return.
 func TestNoGrantOutsideRegionsOrInClosedDomains(t *testing.T) {
-	domains := []string{"d0", "d1", "d2", "elsewhere"}
+	domains := []string{"d0", "d1", "d2", "unmapped"}
 	regions := map[string]string{"d0": "north", "d1": "north", "d2": "south"}
 	rapid.Check(t, func(rt *rapid.T) {
 		har := newRegionalHarness()
--- a/scheduler/place_ways_test.go
+++ b/scheduler/place_ways_test.go
@@ -24,7 +24,8 @@
 	evacuateByCoordinator evacuationPolicy = iota
 	// evacuateByReturn has each host return the grants that it gets there.
 	evacuateByReturn
-	// evacuateByReport has each host return those grants and report which orders it enforces.
+	// evacuateByReport has each host return those grants and report which orders it enforces, so
+	// that the coordinator grants it nothing there.
 	evacuateByReport
 )
 
@@ -32,8 +33,8 @@
 	evacuationDomains      = 4
 	evacuationNetworkDelay = time.Millisecond
 	evacuationServiceTime  = 40 * time.Millisecond
-	// coordinatorReadDelay is when the coordinator reads the order: the store rejects its reads until
-	// then. Hosts read the order within hostReadDelay.
+	// coordinatorReadDelay is the time after which the coordinator reads the order: the store rejects
+	// its reads until then. The other hosts read the order within hostReadDelay.
 	coordinatorReadDelay = 4 * time.Second
 	hostReadDelay        = time.Second
 	// maxReturned is how many grants of one request its host may return before it refuses the
@@ -41,8 +42,8 @@
 	maxReturned = 3
 )
 
-// evacuationSim simulates a service over four failure domains, one of which is evacuated at second
-// 0.
+// evacuationSim simulates a service over four failure domains, one of which is evacuated at the
+// start, at 0 s.
 type evacuationSim struct {
 	policy       evacuationPolicy
 	now          time.Time
@@ -196,7 +197,7 @@
 // hosts that had read the order, the requests refused, and the grants returned, per thousand
 // requests each.
 func BenchmarkEvacuationPolicies(b *testing.B) {
-	policies := map[evacuationPolicy]string{evacuateByCoordinator: "decider", evacuateByReturn: "sent-back", evacuateByReport: "said"}
+	policies := map[evacuationPolicy]string{evacuateByCoordinator: "coordinator", evacuateByReturn: "return", evacuateByReport: "report"}
 	for _, size := range []struct{ engines, hosts int }{{4, 4}, {20, 7}, {140, 85}} {
 		for policy, name := range policies {
 			b.Run(fmt.Sprintf("%d/%s", size.engines, name), func(b *testing.B) {
@@ -213,7 +214,7 @@
 				perThousand := 1000 / float64(sum.sent)
 				b.ReportMetric(perThousand*float64(sum.late), "late")
 				b.ReportMetric(perThousand*float64(sum.refused), "refused")
-				b.ReportMetric(perThousand*float64(sum.returned), "back")
+				b.ReportMetric(perThousand*float64(sum.returned), "returned")
 			})
 		}
 	}
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -13,11 +13,11 @@
 )
 
 // A poison request crashes each engine that runs it, and may return under another id. It is
-// therefore tracked by its digest: otherwise a single client that sent four such requests per
+// therefore tracked by its digest: without this, a single client that sent four such requests per
 // second put a service of ten engines out of use. Package quarantine distinguishes poison
-// requests from those that ran beside them; this file keeps them away from other requests.
+// requests from those that ran beside them; this file isolates them from other requests.
 
-// HoldsRead brings the held requests that are recorded in the store.
+// HoldsRead carries the held requests that are recorded in the store.
 type HoldsRead struct{ Holds []quarantine.Hold }
 
 // RequestReleased reports that an operator released a held request.
@@ -207,7 +207,8 @@
 	}
 }
 
-// hasKnownCause reports whether the engine ran a request that was involved in an earlier crash.
+// hasKnownCause reports whether the engine runs a request that was isolated or was involved in an
+// earlier crash.
 func (cor *Core) hasKnownCause(ene *engine) bool {
 	for _, rnn := range ene.running {
 		if rnn.exclusive || rnn.restricted || cor.quarantine.Crashes(rnn.subject.Digest) > 0 {
@@ -323,7 +324,8 @@
 	// is held permanently.
 	Until   time.Time
 	ForGood bool
-	Trials  int
+	// Trials is how often the request ran after a hold had expired and crashed another engine.
+	Trials int
 }
 
 // maxCaseDumps bounds the number of requests in a dump; operators look up only a few.
--- a/scheduler/quarantine_test.go
+++ b/scheduler/quarantine_test.go
@@ -47,16 +47,16 @@
 	return all
 }
 
-// Once a request was running on an engine that crashed, it doesn't run twice at the same time, so
+// A request that ran on an engine when it crashed doesn't run twice at the same time afterwards, so
 // that it crashes at most one engine at a time.
 func TestWatchedRequestRunsOnceAtATime(t *testing.T) {
 	har := newHarness(newModelEngines(6)...)
-	first := sameRequest("bad", "one")
+	first := sameRequest("poison", "one")
 	har.reportCrash(first, grantedEngine(har.reserve(first), "one"))
-	assert.Assert(t, grantedEngine(har.reserve(sameRequest("bad", "two")), "two") != "")
-	assert.Equal(t, grantedEngine(har.reserve(sameRequest("bad", "three")), "three"), "")
+	assert.Assert(t, grantedEngine(har.reserve(sameRequest("poison", "two")), "two") != "")
+	assert.Equal(t, grantedEngine(har.reserve(sameRequest("poison", "three")), "three"), "")
 	assert.Assert(t, grantedEngine(har.reserve(sameRequest("other", "four")), "four") != "", "other requests don't wait for it")
-	har.answerInFull(sameRequest("bad", "two"))
+	har.answerInFull(sameRequest("poison", "two"))
 	assert.Assert(t, grantedEngine(har.sends, "three") != "", "it was answered, so its copies run as usual")
 }
 
@@ -68,10 +68,10 @@
 		har.reserve(sameRequest(fmt.Sprint("work-", num), fmt.Sprint("work-", num)))
 	}
 	for num := range 2 {
-		name := fmt.Sprint("bad-", num)
-		har.reportCrash(sameRequest("bad", name), grantedEngine(har.reserve(sameRequest("bad", name)), name))
+		name := fmt.Sprint("poison-", num)
+		har.reportCrash(sameRequest("poison", name), grantedEngine(har.reserve(sameRequest("poison", name)), name))
 	}
-	assert.Equal(t, grantedEngine(har.reserve(sameRequest("bad", "waits")), "waits"), "", "no engine is idle")
+	assert.Equal(t, grantedEngine(har.reserve(sameRequest("poison", "waits")), "waits"), "", "no engine is idle")
 	used := map[string]bool{}
 	for num := range 12 {
 		name := fmt.Sprint("more-", num)
@@ -87,9 +87,9 @@
 		name := fmt.Sprint("beside-", num)
 		assert.Assert(t, grantedEngine(har.reserve(sameRequest(name, name)), name) != exclusive, "the suspected request runs exclusively")
 	}
-	har.reportCrash(sameRequest("bad", "waits"), exclusive)
-	assert.Equal(t, refusalReason(har.reserve(sameRequest("bad", "last")), "last"), reservation.ReasonHeld)
-	changed := sameRequest("worse", "changed")
+	har.reportCrash(sameRequest("poison", "waits"), exclusive)
+	assert.Equal(t, refusalReason(har.reserve(sameRequest("poison", "last")), "last"), reservation.ReasonHeld)
+	changed := sameRequest("changed", "changed")
 	assert.Assert(t, grantedEngine(har.reserve(changed), "changed") != "", "a changed request counts as another one")
 }
 
@@ -109,26 +109,27 @@
 	assert.Assert(t, grantedEngine(har.reserve(sameRequest("last", "last")), "last") != "", "an engine that is reported as crashed may still run")
 }
 
-// A suspected request that waits for an engine of its own is refused when its time is up.
+// A suspected request that waits for an engine to run on exclusively is refused when its maximum
+// wait ends.
 func TestSuspectedRequestIsRefusedInTime(t *testing.T) {
 	har := newHarness(newModelEngines(5)...)
 	for num := range 10 {
 		har.reserve(sameRequest(fmt.Sprint("work-", num), fmt.Sprint("work-", num)))
 	}
 	for num := range 2 {
-		name := fmt.Sprint("bad-", num)
-		har.reportCrash(sameRequest("bad", name), grantedEngine(har.reserve(sameRequest("bad", name)), name))
+		name := fmt.Sprint("poison-", num)
+		har.reportCrash(sameRequest("poison", name), grantedEngine(har.reserve(sameRequest("poison", name)), name))
 	}
-	har.reserve(sameRequest("bad", "waits"))
+	har.reserve(sameRequest("poison", "waits"))
 	assert.Equal(t, refusalReason(har.advance(300*time.Millisecond), "waits"), reservation.ReasonOverload)
 }
 
 // A new coordinator continues with the cases that were reported to it.
-func TestNextCoordinatorContinuesCases(t *testing.T) {
+func TestNewCoordinatorContinuesCases(t *testing.T) {
 	har := newHarness(newModelEngines(6)...)
 	for num := range 2 {
-		name := fmt.Sprint("bad-", num)
-		har.reportCrash(sameRequest("bad", name), grantedEngine(har.reserve(sameRequest("bad", name)), name))
+		name := fmt.Sprint("poison-", num)
+		har.reportCrash(sameRequest("poison", name), grantedEngine(har.reserve(sameRequest("poison", name)), name))
 	}
 	next := newHarness(newModelEngines(6)...)
 	next.now = har.now
@@ -136,9 +137,9 @@
 		next.handle(scheduler.Received{From: peerEpoch, Message: reservation.CaseReport{Report: rep}})
 	}
 	next.now = next.now.Add(time.Second)
-	exclusive := grantedEngine(next.reserve(sameRequest("bad", "three")), "three")
-	next.reportCrash(sameRequest("bad", "three"), exclusive)
-	assert.Equal(t, refusalReason(next.reserve(sameRequest("bad", "four")), "four"), reservation.ReasonHeld)
+	exclusive := grantedEngine(next.reserve(sameRequest("poison", "three")), "three")
+	next.reportCrash(sameRequest("poison", "three"), exclusive)
+	assert.Equal(t, refusalReason(next.reserve(sameRequest("poison", "four")), "four"), reservation.ReasonHeld)
 }
 
 // One poison request crashes at most three engines, at any size of the service, and no harmless
@@ -147,7 +148,7 @@
 func TestPoisonRequestsCrashFewEngines(t *testing.T) {
 	for _, size := range []int{4, 18, 60} {
 		for _, poisonClients := range []int{0, 1, 5} {
-			t.Run(fmt.Sprint(size, " engines, ", poisonClients), func(t *testing.T) {
+			t.Run(fmt.Sprint(size, " engines, poison clients: ", poisonClients), func(t *testing.T) {
 				res := newCrashSim(crashSimConfig{seed: 3, engines: size, poisonClients: poisonClients, duration: 25 * time.Second}).run()
 				assert.Assert(t, res.crashed <= 3*poisonClients, "%+v", res)
 				assert.Assert(t, poisonClients > 1 || res.held == 0, "%+v", res)
@@ -167,18 +168,18 @@
 	assert.Assert(t, res.crashed <= 20, "148 of 148 poison requests crash an engine unless their traffic source is restricted: %+v", res)
 }
 
-// crashPolicies are the quarantine policies to compare: none, hold a request after three crashes
-// whatever ran beside it, hold it after two crashes, and run it exclusively after its first or, by
+// crashPolicies are the quarantine policies to compare: no quarantine, hold a request after three
+// or two crashes whatever ran beside it, and run a request exclusively after its first or, by
 // default, its second crash.
 var crashPolicies = []struct {
 	name   string
 	policy quarantine.Config
 }{
-	{"never", quarantine.Config{SuspectAt: 1000, HoldAt: 1000, HoldExclusiveAt: 1000}},
-	{"three-ends", quarantine.Config{SuspectAt: 1000, HoldAt: 3, HoldExclusiveAt: 1000}},
-	{"two-ends", quarantine.Config{SuspectAt: 1000, HoldAt: 2, HoldExclusiveAt: 1000}},
-	{"alone-from-first", quarantine.Config{SuspectAt: 1, HoldAt: 3, HoldExclusiveAt: 2}},
-	{"alone-from-second", quarantine.Config{}},
+	{"none", quarantine.Config{SuspectAt: 1000, HoldAt: 1000, HoldExclusiveAt: 1000}},
+	{"hold-at-third-crash", quarantine.Config{SuspectAt: 1000, HoldAt: 3, HoldExclusiveAt: 1000}},
+	{"hold-at-second-crash", quarantine.Config{SuspectAt: 1000, HoldAt: 2, HoldExclusiveAt: 1000}},
+	{"exclusive-from-first-crash", quarantine.Config{SuspectAt: 1, HoldAt: 3, HoldExclusiveAt: 2}},
+	{"exclusive-from-second-crash", quarantine.Config{}},
 }
 
 // BenchmarkQuarantinePolicies reports the cost of each policy: engines crashed by poison requests,
@@ -191,13 +192,13 @@
 			varied        bool
 			crashRate     float64
 		}{
-			{"calm", 0, false, 0},
-			{"chance", 0, false, 1.0 / 60},
-			{"storm", 0, false, 1.0 / 10},
-			{"one", 1, false, 0},
-			{"one-chance", 1, false, 1.0 / 60},
-			{"five", 5, false, 0},
-			{"varied", 1, true, 0},
+			{"no-crashes", 0, false, 0},
+			{"random-crashes", 0, false, 1.0 / 60},
+			{"many-random-crashes", 0, false, 1.0 / 10},
+			{"one-poison-client", 1, false, 0},
+			{"one-poison-client-and-random-crashes", 1, false, 1.0 / 60},
+			{"five-poison-clients", 5, false, 0},
+			{"one-client-with-varied-poison", 1, true, 0},
 		} {
 			for _, policy := range crashPolicies {
 				b.Run(fmt.Sprintf("%d/%s/%s", size, kind.name, policy.name), func(b *testing.B) {
@@ -217,11 +218,11 @@
 							sum.lastCrash += res.lastCrash
 						}
 					}
-					b.ReportMetric(float64(sum.crashed)/float64(seeds), "ended")
+					b.ReportMetric(float64(sum.crashed)/float64(seeds), "crashed")
 					b.ReportMetric(10000*float64(sum.lost)/float64(sum.sent), "lost")
 					b.ReportMetric(10000*float64(sum.held)/float64(sum.sent), "held")
 					b.ReportMetric(100*float64(sum.served)/float64(sum.sent), "served%")
-					b.ReportMetric(sum.lastCrash.Seconds()/float64(seeds), "s-last")
+					b.ReportMetric(sum.lastCrash.Seconds()/float64(seeds), "s-last-crash")
 				})
 			}
 		}
@@ -233,10 +234,10 @@
 // reported before each tick.
 func BenchmarkManyWaiting(b *testing.B) {
 	for _, unconfirmed := range []int{0, 1000} {
-		b.Run(fmt.Sprint(unconfirmed, "doubts"), func(b *testing.B) {
+		b.Run(fmt.Sprint(unconfirmed, "unconfirmed"), func(b *testing.B) {
 			har := newHarness(newModelEngines(2)...)
-			first := sameRequest("bad", "bad")
-			har.reportCrash(first, grantedEngine(har.reserve(first), "bad"))
+			first := sameRequest("poison", "poison")
+			har.reportCrash(first, grantedEngine(har.reserve(first), "poison"))
 			for num := range unconfirmed {
 				har.reportUnconfirmedCrash(num)
 			}
@@ -258,7 +259,7 @@
 
 // reportUnconfirmedCrash reports a broken connection to an engine that may still run.
 func (har *harness) reportUnconfirmedCrash(num int) {
-	res := sameRequest(fmt.Sprint("doubted-", num), fmt.Sprint("doubted-", num))
+	res := sameRequest(fmt.Sprint("unconfirmed-", num), fmt.Sprint("unconfirmed-", num))
 	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineCrashed{
 		ID: res.ID, Observation: quarantine.Observation{Subject: res.Subject(), Engine: "e01"}, Unconfirmed: true,
 	}})
--- a/scheduler/rate.go
+++ b/scheduler/rate.go
@@ -10,10 +10,11 @@
 )
 
 // An overloaded engine signals the number of requests per second that it accepts from all hosts
-// together, and a cold engine tolerates only the configured rate. The scheduler enforces the sum
-// with a token bucket: each grant takes a token, at the lower of the two rates times this core's
-// share. A core that schedules for no host has no share, so that a new coordinator starts with
-// an empty bucket, whatever the former one granted in its last seconds.
+// together, and a cold engine tolerates only the configured rate. The scheduler enforces both
+// with a token bucket per engine: each grant takes a token, and the bucket fills at the lower of
+// the two rates times this core's share. A core that schedules for no host has no share, so that a
+// new coordinator starts with an empty bucket, whatever the previous one granted in its last
+// seconds.
 
 const (
 	// minRate is the lowest rate of grants in requests per second, applied even to an engine that
@@ -23,15 +24,15 @@
 	// addition to one request. Requests arrive unevenly, and tokens that don't fit are lost to
 	// the waiting requests.
 	normalBurstTime = 500 * time.Millisecond
-	// coldBurstTime is the same for a cold engine. It tolerates half as many requests again as its
-	// rate within a second, and a grant may be used a quarter of a second later.
+	// coldBurstTime is the same for a cold engine. A cold engine tolerates one and a half times its
+	// rate within a second, and a host may use a grant up to a quarter of a second later.
 	coldBurstTime = 200 * time.Millisecond
 	// recheckInterval is the period after which an engine with a rate limit is granted a request
 	// even if another engine would serve it better. Only an answer shows that the limit has
 	// ended, and the known state should be a few seconds old at most.
 	recheckInterval = 2 * time.Second
-	// recentGrantsWindow is how long grants are kept for the dump, maxRecentGrants how many are
-	// kept.
+	// recentGrantsWindow is how long grants are kept for the dump and the decision log,
+	// maxRecentGrants how many are kept.
 	recentGrantsWindow = 4 * time.Second
 	maxRecentGrants    = 128
 )
@@ -140,8 +141,8 @@
 	return lim.tokens >= 1
 }
 
-// needsCheck reports whether the engine has signaled a rate but was granted no request lately
-// that would show whether the rate still applies.
+// needsCheck reports whether the engine has signaled a rate but was granted no request within
+// recheckInterval that would show whether the rate still applies.
 func (lim *rateLimiter) needsCheck(now time.Time) bool {
 	if lim == nil || !lim.hasRate {
 		return false
@@ -206,13 +207,12 @@
 func (cor *Core) limiterOf(now time.Time, ene *engine) *rateLimiter {
 	if ene.limiter == nil {
 		ene.limiter = &rateLimiter{share: cor.rateShare(), filledAt: now}
-		cor.service(ene.Service).limited++
+		cor.service(ene.Service).limitedEngines++
 	}
 	return ene.limiter
 }
 
-// clearRate ends an engine's signaled rate limit. The engine may have been deregistered before
-// the answer that shows this arrived.
+// clearRate ends an engine's signaled rate limit.
 func (cor *Core) clearRate(now time.Time, ene *engine) {
 	if ene.limiter == nil || !ene.limiter.hasRate {
 		return
@@ -221,19 +221,21 @@
 	cor.dropLimiter(now, ene)
 }
 
-// dropLimiter removes the engine's rate limiter if no limit is in force.
+// dropLimiter removes the engine's rate limiter if no limit is in force. The engine may have been
+// deregistered before the answer that ended the limit arrived; the service then doesn't count it
+// any more.
 func (cor *Core) dropLimiter(now time.Time, ene *engine) {
 	if ene.limiter == nil || ene.limiter.isActive(now) {
 		return
 	}
 	ene.limiter = nil
 	if cor.engines[ene.ID] == ene {
-		cor.service(ene.Service).limited--
+		cor.service(ene.Service).limitedEngines--
 	}
 }
 
-// grantRate returns the state of the engine's rate limit for a grant. Other gateways learn this
-// way that the answer to one gateway has ended the limit.
+// grantRate returns the state of the engine's rate limit for a grant. It informs a gateway that the
+// answer to another gateway has ended the limit.
 func (ene *engine) grantRate() reservation.GrantRate {
 	switch {
 	case ene.limiter != nil && ene.limiter.hasRate:
@@ -255,8 +257,8 @@
 }
 
 // recordUnlimited records an answer without a rate limit; with one, the gateway would have sent a
-// notice first. It ends a limit that was signaled before the run was granted. Runs granted by
-// another core are ignored, since it isn't known when they were answered.
+// notice first. It ends a limit that was signaled before the run was granted. Inherited runs are
+// ignored, since their answers may be older than the limit.
 func (cor *Core) recordUnlimited(now time.Time, rnn *run) {
 	lim := rnn.engine.limiter
 	if lim != nil && !rnn.inherited && rnn.grantedAt.After(lim.signaledAt) {
@@ -277,7 +279,7 @@
 // allowance returns the current allowance of the service's engines.
 func (svc *service) allowance(now time.Time) allowance {
 	var alw allowance
-	if svc.limited == 0 {
+	if svc.limitedEngines == 0 {
 		return alw
 	}
 	for _, ene := range svc.engines {
@@ -310,9 +312,9 @@
 	return true
 }
 
-// suffices reports whether a request behind so many others may be granted within a time.
-// Fractions of tokens at several engines are added up, so that no request is refused that could
-// be granted.
+// suffices reports whether a request with so many others ahead of it may be granted within the
+// time left. Fractions of tokens at several engines are added up, so that no request is refused
+// that could be granted.
 func (alw allowance) suffices(ahead int, left time.Duration) bool {
 	return alw.tokens+alw.perSecond*left.Seconds() >= float64(ahead+1)
 }
--- a/scheduler/rate_test.go
+++ b/scheduler/rate_test.go
@@ -71,7 +71,7 @@
 	har.advance(time.Hour)
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 0, "another core is the coordinator")
 	har.handle(scheduler.ShareChanged{Divisor: 1, Hosts: 7})
-	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 0, "it doesn't know the grants of the previous coordinator")
+	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 0, "a new coordinator doesn't know the grants of the previous one")
 	har.advance(250 * time.Millisecond)
 	assert.Equal(t, har.countRateLimitedGrants("a", 4, 50, 0), 1)
 	har.handle(scheduler.ShareChanged{Divisor: 4, Hosts: 8})
@@ -121,8 +121,8 @@
 	assert.Equal(t, grantedEngine(har.advance(400*time.Millisecond), "next"), "", "the engine isn't ejected, and its limit is one request per second")
 }
 
-// Only an answer can show that an engine with a rate limit of zero takes requests again, so it
-// must be probed.
+// Only an answer can show that an engine with a rate limit of zero accepts requests again, so the
+// engine must be probed.
 func TestEngineWithRateLimitOfZeroIsProbed(t *testing.T) {
 	har := newHarness(plainEngine("a", 6), plainEngine("b", 0))
 	har.reportSignal(peerEpoch, "a", rateLimitSignal(0))
@@ -130,7 +130,7 @@
 }
 
 // Requests that can't be granted in time are refused at once, in the order of the queue. Their
-// RetryAfter spreads the retries at the rate that the engines take.
+// RetryAfter distributes the retries at the rate that the engines accept.
 func TestRequestBeyondRateLimitsIsRefusedAtOnce(t *testing.T) {
 	har := newHarness(plainEngine("a", 6), plainEngine("b", 6))
 	for _, name := range []string{"a", "b"} {
@@ -152,7 +152,7 @@
 			waiting++
 		}
 	}
-	// Each engine has saved six tokens; within 85 ms the queue gets 1.7 more.
+	// The bucket of each engine holds six tokens; 85 ms, the maximum wait, add 1.7 tokens in total.
 	assert.Equal(t, granted, 12)
 	assert.Equal(t, waiting, 1)
 	for num := 1; num < len(returns) && returns[num] < 900*time.Millisecond; num++ {
@@ -164,7 +164,7 @@
 	assert.Equal(t, grantedEngine(har.advance(100*time.Millisecond), "urgent"), "a")
 }
 
-// While one engine has no rate limit, no request is refused because of the limits of others.
+// While one engine has no rate limit, no request is refused because of the limits of the others.
 func TestEngineWithoutRateLimitServesTheRest(t *testing.T) {
 	har := newHarness(plainEngine("a", 6), plainEngine("b", 0))
 	har.reportSignal(peerEpoch, "a", rateLimitSignal(1))
@@ -268,7 +268,7 @@
 }
 
 // Only an answer can show that a rate limit has ended. If the other engines have room, they are
-// preferred over the one with a rate limit; unless that engine is probed now and then, it gets no
+// preferred over the one with a rate limit. Unless that engine is probed regularly, it gets no
 // requests (0 of 700 within 14 s) and its limit never ends.
 func TestRateLimitedEngineIsProbed(t *testing.T) {
 	har := newHarness(plainEngine("a", 6), plainEngine("b", 6), plainEngine("c", 6), plainEngine("d", 6))
@@ -290,5 +290,5 @@
 			count++
 		}
 	}
-	assert.Assert(t, count > 50, "%d of 350 in the seven seconds after it stopped", count)
+	assert.Assert(t, count > 50, "%d of 350 in the seven seconds after the limit ended", count)
 }
--- a/scheduler/rate_ways_test.go
+++ b/scheduler/rate_ways_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// All hosts together never send an engine more than its allowance within a window, for any
+// The hosts never send an engine in total more than its allowance within a window, for any
 // partition of the hosts and any coordinators.
 func TestRateLimitHoldsForAnyPartition(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -31,7 +31,7 @@
 	})
 }
 
-// While requests wait, an engine gets at least 80% of its rate limit.
+// While requests wait, an engine gets at least 80% of the requests that its rate limit allows.
 func TestRateLimitIsUsedWhileRequestsWait(t *testing.T) {
 	for seed := range uint64(3) {
 		for _, hosts := range []int{1, 7, 40} {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Soon after rate limits end, also limits of zero, no request is refused any more.
+// Soon after the rate limits end, including limits of zero, no request is refused any more.
 func TestServiceRecoversAfterRateLimitsEnd(t *testing.T) {
 	for seed := range uint64(5) {
 		for _, hosts := range []int{1, 7, 40} {
@@ -59,7 +59,7 @@
 // window, the smallest share of its rate limit that an engine got, the share of requests refused,
 // and the mean wait of the requests served.
 func BenchmarkRateLimitPolicies(b *testing.B) {
-	policies := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "parts", rateByLease: "lease", rateByGrant: "grant"}
+	policies := map[ratePolicy]string{rateIgnored: "ignored", rateByShare: "share", rateByLease: "lease", rateByGrant: "grant"}
 	for _, size := range []struct{ engines, hosts int }{{4, 4}, {18, 7}, {140, 300}} {
 		for _, kind := range []struct {
 			name         string
@@ -68,17 +68,17 @@
 			favoredShare float64
 			partitions   []ratePartition
 		}{
-			{"third", 0.3, 0.5, 0, nil},
-			{"all", 1, 1, 0, nil},
-			{"all-favored", 1, 1, 0.7, nil},
-			{"all-lost", 1, 1, 0, []ratePartition{{8 * time.Second, 1}, {9 * time.Second, 1}, {10 * time.Second, 1}, {16 * time.Second, 1}}},
-			{"all-divided", 1, 1, 0, []ratePartition{{8 * time.Second, 3}, {14 * time.Second, 1}, {20 * time.Second, 2}, {24 * time.Second, 1}}},
+			{"third-limited", 0.3, 0.5, 0, nil},
+			{"all-limited", 1, 1, 0, nil},
+			{"all-limited-favored-host", 1, 1, 0.7, nil},
+			{"all-limited-coordinator-changes", 1, 1, 0, []ratePartition{{8 * time.Second, 1}, {9 * time.Second, 1}, {10 * time.Second, 1}, {16 * time.Second, 1}}},
+			{"all-limited-partitions", 1, 1, 0, []ratePartition{{8 * time.Second, 3}, {14 * time.Second, 1}, {20 * time.Second, 2}, {24 * time.Second, 1}}},
 		} {
 			for policy, name := range policies {
 				b.Run(fmt.Sprintf("%d/%s/%s", size.engines, kind.name, name), func(b *testing.B) {
 					sum := sumRateSims(b, policy, size.engines, size.hosts, kind.limited, kind.load, kind.favoredShare, kind.partitions)
-					b.ReportMetric(sum.peakUse, "worst")
-					b.ReportMetric(sum.minUse, "used")
+					b.ReportMetric(sum.peakUse, "peak-use")
+					b.ReportMetric(sum.minUse, "min-use")
 					b.ReportMetric(100*float64(sum.refused)/float64(sum.sent), "refused%")
 					b.ReportMetric(1000*sum.waited.Seconds()/float64(max(1, sum.served)), "ms-waited")
 				})
@@ -98,7 +98,7 @@
 				cfg.rates = append(cfg.rates, []float64{10, 4, 1.5, 0.5}[num%4])
 			}
 			if limited == 1 {
-				// Twice what all engines take.
+				// Twice what the limits of all engines allow.
 				total = 2 * 4 * float64(engines)
 			}
 			cfg.load = total
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -51,13 +51,13 @@
 
 	assert.Equal(t, grantedEngine(har.reserve(promptReservation("next", 1000)), "next"), engineRun(2000).ID.String())
 	har.release(reservation.Release{ID: requestID("lost-2"), Engine: engineRun(1000).ID.String(), Dispatched: true, Failed: true})
-	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Adopt{ID: requestID("former"), Engine: engineRun(1000).ID.String(), Service: "model", PromptTokens: 9000, PendingPrefill: true}})
+	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Adopt{ID: requestID("inherited"), Engine: engineRun(1000).ID.String(), Service: "model", PromptTokens: 9000, PendingPrefill: true}})
 	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.Progress{ID: requestID("lost-2"), FirstToken: time.Second}})
 	assert.Equal(t, dumpEngine(t, har).Running, 1)
 	assert.Equal(t, dumpEngine(t, har).AsideFor, "")
 }
 
-// A retry may run on the restarted engine although the earlier run is excluded.
+// A retry that excludes an earlier run of an engine may run on the restarted engine.
 func TestRetryMayRunOnRestartedEngine(t *testing.T) {
 	har := newHarness(engineRun(1000))
 	res := promptReservation("r", 100)
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -8,7 +8,7 @@
 	"lynxwell.dev/lynxwell/rollout"
 )
 
-// RolloutsChanged brings the stored state of all roll-outs.
+// RolloutsChanged carries the stored state of all roll-outs.
 type RolloutsChanged struct{ States []rollout.StoredState }
 
 // RolloutRecorded reports that a write of a roll-out was stored, with the resulting revision of
@@ -37,7 +37,7 @@
 		delete(svc.abandoned, sta.Order.Version)
 		svc.rollout = rollout.New(cor.cfg.Rollouts, sta)
 		// A core that starts after the completion knows no engines from before it.
-		svc.switched = svc.rollout.State() == rollout.StateCompleted
+		svc.oldVersionStopped = svc.rollout.State() == rollout.StateCompleted
 	}
 	for _, svc := range cor.services {
 		cor.serve(now, svc)
@@ -50,14 +50,14 @@
 	}
 }
 
-// stopOldVersion regards the engines of the old version as stopped once the roll-out has
-// completed: they stop at once, while their entries stay registered for seconds. Engines that
-// start later are not affected, whatever their version.
+// stopOldVersion marks the engines of the old version as stopped once the roll-out has completed:
+// they stop at once, while their entries stay registered for seconds. Engines that start later
+// are not affected, whatever their version.
 func (svc *service) stopOldVersion() {
-	if svc.rollout.State() != rollout.StateCompleted || svc.switched {
+	if svc.rollout.State() != rollout.StateCompleted || svc.oldVersionStopped {
 		return
 	}
-	svc.switched = true
+	svc.oldVersionStopped = true
 	for _, ene := range svc.engines {
 		ene.stopped = !svc.runsNewVersion(ene)
 	}
@@ -121,7 +121,7 @@
 // access is the set of a service's engines that a request may run on, according to its roll-out.
 type access struct {
 	service *service
-	// restricted is set if the service had a roll-out; without one, all engines are allowed.
+	// restricted is set if the service has had a roll-out; otherwise all engines are allowed.
 	restricted bool
 	rollout.Access
 	// canary is the only engine of an unconfirmed version that may be granted the request; nil
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -40,7 +40,7 @@
 	return rollout.StoredState{Order: rollout.Order{Service: "plain", Version: version, Period: 10 * time.Second, Revision: revision}}
 }
 
-// recordRollouts records the writes that the core wants for its roll-outs as done.
+// recordRollouts confirms the core's roll-out writes as stored.
 func (har *harness) recordRollouts() {
 	for idx, wri := range har.core.RolloutWrites(har.now) {
 		har.handle(scheduler.RolloutRecorded{Write: wri, Revision: uint64(har.now.UnixNano()) + uint64(idx)})
@@ -63,17 +63,17 @@
 		assert.Assert(t, granted == "old-1" || granted == "old-2", granted)
 	}
 	har.recordRollouts()
-	res := repeatableReservation("repeat")
+	res := repeatableReservation("retry")
 	res.Attempt, res.Exclude = 1, []string{"old-1"}
-	assert.Equal(t, grantedEngine(har.reserve(res), "repeat"), "old-2")
-	assert.Equal(t, grantedEngine(har.reserve(repeatableReservation("trial")), "trial"), "new-1")
+	assert.Equal(t, grantedEngine(har.reserve(res), "retry"), "old-2")
+	assert.Equal(t, grantedEngine(har.reserve(repeatableReservation("canary")), "canary"), "new-1")
 	har.now = har.now.Add(time.Second)
-	expired := grantedEngine(har.reserve(repeatableReservation("lapsed")), "lapsed")
+	expired := grantedEngine(har.reserve(repeatableReservation("expired")), "expired")
 	assert.Assert(t, expired == "old-1" || expired == "old-2", expired)
 }
 
 // Canary requests go to one engine until it has as much load as the old engines, since some
-// versions are faulty only under load. Each one follows some requests to the old version.
+// versions are faulty only under load. They are only a share of the requests.
 func TestCanaryRequestsLoadOneEngineFirst(t *testing.T) {
 	har := newRolloutHarness(t)
 	for idx := range 8 {
@@ -82,14 +82,14 @@
 	har.recordRollouts()
 	granted := make(map[string]int)
 	for idx := range 15 {
-		name := fmt.Sprint("trial-", idx)
+		name := fmt.Sprint("canary-", idx)
 		granted[grantedEngine(har.reserve(repeatableReservation(name)), name)]++
 	}
 	assert.Equal(t, granted["new-1"], 3, "%v", granted)
 	assert.Equal(t, granted["new-2"], 0)
 }
 
-// A version whose order was superseded gets no request until it is ordered again.
+// A version whose order was superseded before it was known to be healthy gets no requests.
 func TestVersionOfSupersededOrderGetsNoRequests(t *testing.T) {
 	har := newRolloutHarness(t)
 	har.handle(scheduler.RolloutsChanged{States: []rollout.StoredState{storedStateOf("v3", 9)}})
@@ -101,8 +101,8 @@
 	}
 }
 
-// Failures of the new version roll it back with the tenth failed answer at the latest, and it gets
-// no further request.
+// Failures of the new version roll it back by the tenth failed answer, and it gets no further
+// requests.
 func TestFailuresRollBackRollout(t *testing.T) {
 	har := newRolloutHarness(t)
 	har.recordRollouts()
@@ -122,9 +122,9 @@
 	assert.Equal(t, har.core.Dump(har.now).Services[0].Rollout.State, "RolledBack")
 }
 
-// Once a roll-out is completed the engines of the old version count as stopped, although they are
-// still registered. Engines that register later get requests whatever their version, also on a
-// host that starts later.
+// Once a roll-out has completed, the engines of the old version count as stopped, although they are
+// still registered. Engines that register later get requests whatever their version, and so they do
+// from a core that starts later.
 func TestCompletedRolloutStopsOldEnginesOnly(t *testing.T) {
 	har := newRolloutHarness(t)
 	completed := storedStateOf("v2", 7)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -42,8 +42,8 @@
 	// Self is the epoch of the host that runs this core.
 	Self        request.Epoch
 	RetryBudget RetryBudget
-	// LimitSlack is the number of units that all hosts together may serve beyond a client
-	// account's limit before the limit counts as violated.
+	// LimitSlack is the number of tokens that all hosts together may serve beyond a client
+	// account's token limit before the limit counts as violated.
 	LimitSlack float64
 	// LimitWindow is the window over which an account's usage is measured. LimitOvershoot is the
 	// fraction of the limit by which the usage in a window may exceed it.
@@ -79,21 +79,21 @@
 // GatewayLost reports that a gateway's session has ended.
 type GatewayLost struct{ Gateway request.Epoch }
 
-// GrantedByPeer reports a run that another host's scheduler granted to this host, so that
-// this core accounts for it when it has to schedule alone.
+// GrantedByPeer reports a run that another host's core granted to this host, so that this core
+// accounts for the run and its cost if it later has to schedule for this host.
 type GrantedByPeer struct{ Adopt reservation.Adopt }
 
-// ShareChanged sets the divisor of the limits: each of this many equal schedulers enforces its
-// share of them. It is 1 for a core that schedules for all hosts, and 3 for one that schedules
-// for two of six.
+// ShareChanged sets the share of the limits that this core enforces.
 type ShareChanged struct {
+	// Divisor is the number that the limits are divided by: 1 for a core that schedules for all
+	// hosts, and 3 for one that schedules for two of six.
 	Divisor float64
 	// Hosts is the number of hosts. Standby is set while this core schedules for none of them.
 	Hosts   int
 	Standby bool
 }
 
-// MeasurementsRead brings the recorded speed measurements of the engines.
+// MeasurementsRead carries the stored speed measurements of the engines.
 type MeasurementsRead struct{ Measurements pace.Measurements }
 
 // DomainsClosed lists all failure domains to which a gateway sends no requests. It replaces the
@@ -103,7 +103,7 @@
 	Domains []string
 }
 
-// Tick serves the queues at the current time.
+// Tick makes the core serve its queues at the current time.
 type Tick struct{}
 
 func (EnginesChanged) isEvent()       {}
@@ -136,7 +136,8 @@
 	PendingPrefill time.Duration
 	Expected       time.Duration
 	// Engines is the number of the service's engines, Ejected the number that outlier detection
-	// would eject. EjectedUsed is set if these are too many, so that they are used anyway.
+	// would eject. EjectedUsed is set if these are more than half of the engines, so that they are
+	// used anyway.
 	Engines     int
 	Ejected     int
 	EjectedUsed bool
@@ -157,7 +158,7 @@
 	// maxWaitShare is the fraction of a request's latency target that it may wait for an engine: a
 	// refusal within a quarter of the target leaves the client time to retry.
 	maxWaitShare = 0.25
-	// responseMargin is reserved for delivering the response to the client within that time.
+	// responseMargin is subtracted from that wait for the delivery of the refusal to the client.
 	responseMargin = 15 * time.Millisecond
 	// overloadWindow is how long a service counts as overloaded after it refused a request that
 	// could have met its target. Refused clients retry within this time, and bursts last about as
@@ -186,9 +187,9 @@
 	// missedDeadlineCost is the cost of a stream that certainly misses its deadline, added to
 	// the time to the first token. It keeps long answers off engines too slow to complete them.
 	missedDeadlineCost = 1000 * time.Millisecond
-	// maxLateness is the multiple of its latency target that a late first event may take. Clients
-	// give up after four times the target, and predictions are off by a fifth. The bound keeps
-	// prompts that are too long for any engine from timing out at a slow one.
+	// maxLateness bounds the predicted time to a late first event, as a multiple of the latency
+	// target. Clients time out after four times the target, and predictions are off by a fifth. The
+	// bound keeps prompts that are too long for any engine from timing out at a slow one.
 	maxLateness = 3.0
 	// loadCost is the cost of an engine with all slots in use, added to the time to the first
 	// token: each additional stream slows down all streams of the engine.
@@ -205,7 +206,8 @@
 	rateLimitCost = 40 * time.Millisecond
 	// minRetryShare and maxRetryShare bound the delay after which a refused client retries, as
 	// fractions of its remaining time. Overload and exhausted limits last some seconds, clients
-	// wait for a third of their time at most, and the retries must not be synchronized.
+	// wait for at most a third of their remaining time before a retry, and the retries must not be
+	// synchronized.
 	minRetryShare = 0.16
 	maxRetryShare = 0.32
 	// maxRetryBase caps the remaining time that these fractions apply to: bursts are over within
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -125,7 +125,7 @@
 	acc := route.Account{Name: "kitchen", Rate: 1000, Burst: 2000, ByTokens: true}
 	clu := newCluster(4, acc)
 	clu.takeOver(0)
-	// 50 every 100 ms is half of the rate, so the limit is never reached.
+	// Requests with a cost of 50 every 100 ms use half of the rate, so the limit is never reached.
 	spend := func(span time.Duration) (refused int) {
 		for range int(span / (100 * time.Millisecond)) {
 			clu.now = clu.now.Add(100 * time.Millisecond)
@@ -143,7 +143,7 @@
 			granted++
 		}
 	}
-	// The burst alone allows 40 at once; without the debts that the gateways report it is 11.
+	// The burst alone allows 40 requests at once; without the gateways' debt reports, 11 are granted.
 	assert.Assert(t, granted >= 40, "%d", granted)
 	assert.Equal(t, spend(time.Second)+spend(time.Second) <= 20, true)
 }
