--- a/route/table_test.go
+++ b/route/table_test.go
@@ -11,7 +11,8 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-func sample() route.Configuration {
+// sampleConfiguration returns a valid configuration with two routes of one host name.
+func sampleConfiguration() route.Configuration {
 	return route.Configuration{
 		Version:  3,
 		Services: []route.Service{{Name: "one"}, {Name: "two"}},
@@ -24,7 +25,7 @@
 }
 
 func TestMatchReturnsTheLongestPrefixOfTheHost(t *testing.T) {
-	tab, err := route.NewTable(sample())
+	tab, err := route.NewTable(sampleConfiguration())
 	assert.NilError(t, err)
 	for target, want := range map[[2]string]string{
 		{"a.example", "/a/x"}:        "short",
@@ -56,7 +57,7 @@
 		},
 	} {
 		t.Run(field, func(t *testing.T) {
-			con := sample()
+			con := sampleConfiguration()
 			change(&con)
 			_, err := route.NewTable(con)
 			var fer *route.FieldError
@@ -73,7 +74,7 @@
 	assert.Equal(t, route.Account{}.Cost(1500), 1.0)
 }
 
-// Over all points, each service is picked as often as its weight.
+// Over one full range of points, each service must be picked as often as its weight states.
 func TestPickFollowsTheWeights(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Uint32Range(0, 50), 1, 5).Draw(rt, "weights")
