--- a/entry/barred.go
+++ b/entry/barred.go
@@ -35,7 +35,7 @@
 
 // Error names the engine and the signal.
 func (ber *BlockedError) Error() string {
-	return "engine " + ber.Notice.Run.String() + " is blocked for this host by its signal " + ber.Notice.Signal.String()
+	return "engine " + ber.Notice.Run.String() + " wants nothing from this host: " + ber.Notice.Signal.String()
 }
 
 // checkBlocked returns a *BlockedError for an engine that is blocked for this host. It then also
@@ -79,15 +79,15 @@
 
 // Error names the engine, its rate limit and why the grant is not within it.
 func (ree *RateExceededError) Error() string {
-	why := "the scheduler did not know of the limit"
+	why := "who decided didn't know of it"
 	switch ree.Rate {
 	case reservation.GrantRateLimited:
 		why = "granted " + ree.Age.String() + " ago"
 	case reservation.GrantRateUnlimited:
-		why = "the engine repeated the limit after the reservation was sent"
+		why = "named again since who decided was asked"
 	case reservation.GrantRateUnknown:
 	}
-	return fmt.Sprintf("rate limit of engine %s is %g requests/s: %s", ree.Run, ree.PerSecond, why)
+	return fmt.Sprintf("engine %s takes %g requests a second: %s", ree.Run, ree.PerSecond, why)
 }
 
 // checkRate returns a *RateExceededError for an engine that has signaled a rate limit to this
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -40,7 +40,7 @@
 
 // Error names the failure domain.
 func (eer *EvacuatedError) Error() string {
-	return "failure domain " + eer.Order.Domain + " is being evacuated"
+	return "failure domain " + eer.Order.Domain + " is being emptied"
 }
 
 // evacuations keeps this host's requests out of failure domains that are being evacuated.
--- a/host/configuration.go
+++ b/host/configuration.go
@@ -37,7 +37,7 @@
 
 // Error returns both revisions.
 func (per *PlatformBehindError) Error() string {
-	return fmt.Sprintf("the platform stores configuration revision %d, older than the active revision %d; change not written", per.Served, per.InForce)
+	return fmt.Sprintf("the platform serves configuration revision %d, but %d is in force", per.Served, per.InForce)
 }
 
 // Configuration implements caller.Backend and operator.Backend.
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	if val.Revision == 0 {
-		return nil, &resource.ChunkError{Digest: ref.Digest, Reason: "not found on the platform"}
+		return nil, &resource.ChunkError{Digest: ref.Digest, Reason: "not on the platform"}
 	}
 	return val.Data, nil
 }
@@ -100,7 +100,7 @@
 	}
 	con, err := resource.Join(hea, all)
 	if err != nil {
-		hos.shared.setProblem(fmt.Sprintf("applying configuration revision %d failed: %v", hea.Revision, err))
+		hos.shared.setProblem(fmt.Sprintf("configuration revision %d can't be applied: %v", hea.Revision, err))
 		return err
 	}
 	_, err = callLoop(ctx, hos.loop, func(now time.Time) struct{} {
--- a/host/configuration_test.go
+++ b/host/configuration_test.go
@@ -60,5 +60,5 @@
 	wrc := &writer{host: hos, change: resource.Change{ID: "x"}}
 	_, settled, err := wrc.try(t.Context())
 	assert.Assert(t, !settled)
-	assert.ErrorContains(t, err, "stores configuration revision 5, older than the active revision 7")
+	assert.ErrorContains(t, err, "serves configuration revision 5, but 7 is in force")
 }
--- a/host/operatorbackend.go
+++ b/host/operatorbackend.go
@@ -45,7 +45,7 @@
 	sta := operator.HostStatus{Name: mem.Name, Epoch: mem.Epoch, Domain: mem.Domain, Leaving: mem.Draining}
 	hea, err := hos.headerOf(ctx, mem)
 	if err != nil {
-		sta.Problem = "unreachable: " + err.Error()
+		sta.Problem = "not reached: " + err.Error()
 		return sta
 	}
 	sta.Reached, sta.View, sta.Revision = true, hea.View, hea.Revision
@@ -74,19 +74,19 @@
 	behind := ""
 	for _, hst := range sta.Hosts {
 		if !hst.Reached {
-			behind = hst.Name + " is unreachable"
+			behind = hst.Name + " isn't reached"
 			continue
 		}
 		res.Observed[hst.Name] = hst.Revision
 		if hst.Revision < ent.Revision {
-			behind = hst.Name + " has not applied this revision yet"
+			behind = hst.Name + " is behind"
 		}
 	}
 	res.Conditions = append(res.Conditions, operator.Condition{Type: "InForce", Status: behind == "", Reason: behind})
 	if eng, isEngine := ent.Resource.(resource.Engine); isEngine {
 		reason := ""
 		if eng.Leaving {
-			reason = "the field Leaving is set"
+			reason = "the operator has set Leaving"
 		}
 		res.Conditions = append(res.Conditions, operator.Condition{Type: "TakesWork", Status: !eng.Leaving, Reason: reason})
 	}
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -156,7 +156,7 @@
 }
 
 func (ner *NotDecidedError) Error() string {
-	return fmt.Sprintf("change %s: unknown whether it took effect; send it again under the same id: %v", ner.ChangeID, ner.Cause)
+	return fmt.Sprintf("change %s: it isn't known whether it took effect; ask again under the same id: %v", ner.ChangeID, ner.Cause)
 }
 
 func (ner *NotDecidedError) Unwrap() error {
--- a/operator/server.go
+++ b/operator/server.go
@@ -88,7 +88,7 @@
 	want := []byte("Bearer " + srv.cfg.Key)
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(req.Header.Get("Authorization")), want) != 1 {
-			writeJSON(wri, http.StatusUnauthorized, ErrorBody{Code: CodeUnauthorized, Message: "Authorization: want \"Bearer\" and the operators' key"})
+			writeJSON(wri, http.StatusUnauthorized, ErrorBody{Code: CodeUnauthorized, Message: "Authorization: want the operators' bearer key"})
 			return
 		}
 		next.ServeHTTP(wri, req)
@@ -137,7 +137,7 @@
 		return resource.Change{}, err
 	}
 	if raw.ID == "" {
-		return resource.Change{}, &format.FieldError{File: "change", Field: "ID", Reason: "want an id that you choose, found none"}
+		return resource.Change{}, &format.FieldError{File: "change", Field: "ID", Reason: "want an id of your choice"}
 	}
 	cha := resource.Change{ID: raw.ID}
 	for idx, edi := range raw.Edits {
@@ -164,7 +164,7 @@
 		return resource.Edit{}, err
 	}
 	if res.Key() != edi.Key {
-		return resource.Edit{}, &format.FieldError{File: "change", Field: path + ".Spec.Name", Reason: "must equal the Kind and Name of the edit"}
+		return resource.Edit{}, &format.FieldError{File: "change", Field: path + ".Spec.Name", Reason: "must be the edit's Name"}
 	}
 	edi.Resource = res
 	return edi, nil
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -102,7 +102,7 @@
 
 // Error implements error.
 func (hte *HeartbeatTimeoutError) Error() string {
-	return fmt.Sprintf("no frame from the peer within %s", hte.Timeout)
+	return fmt.Sprintf("peer was silent for %s", hte.Timeout)
 }
 
 // EpochError reports that another process than the expected one answered: its epoch
--- a/resource/check.go
+++ b/resource/check.go
@@ -105,9 +105,9 @@
 	}
 	for _, digest := range acc.KeyDigests {
 		raw, err := hex.DecodeString(digest)
-		chk.require(err == nil && len(raw) == digestLen, key, "KeyDigests", "want SHA-256 digests of 64 hexadecimal digits each")
+		chk.require(err == nil && len(raw) == digestLen, key, "KeyDigests", "want SHA-256 digests of 64 hexadecimal digits")
 		other, taken := chk.digests[digest]
-		chk.require(!taken, key, "KeyDigests", "digest already listed by client account "+other.Name+"; want each digest only once")
+		chk.require(!taken, key, "KeyDigests", "a key of "+other.Name+" stands here too")
 		chk.digests[digest] = key
 	}
 	chk.require(acc.Weight >= 0, key, "Weight", "want 0 or more")
--- a/resource/configuration.go
+++ b/resource/configuration.go
@@ -145,7 +145,7 @@
 
 // Error returns the resource, the differing fields and both revisions.
 func (cer *ConflictError) Error() string {
-	return fmt.Sprintf("%s: changed by another writer: fields %s; edit based on revision %d, current revision is %d",
+	return fmt.Sprintf("%s: changed by another writer: fields %s; you saw revision %d, newer is %d",
 		cer.Key, strings.Join(cer.Fields, ", "), cer.Seen, cer.Newer)
 }
 
--- a/resource/head.go
+++ b/resource/head.go
@@ -84,7 +84,7 @@
 	for _, group := range groups {
 		data, err := json.Marshal(group)
 		if err != nil {
-			return Head{}, nil, errors.Wrap(err, "encode configuration chunk")
+			return Head{}, nil, errors.Wrap(err, "encode part")
 		}
 		digest := Digest(data)
 		chunks[digest] = data
@@ -114,7 +114,7 @@
 			return Configuration{}, &ChunkError{Digest: digest, Reason: "missing"}
 		}
 		if Digest(data) != digest {
-			return Configuration{}, &ChunkError{Digest: digest, Reason: "content does not match the digest"}
+			return Configuration{}, &ChunkError{Digest: digest, Reason: "content doesn't match the digest"}
 		}
 		var group []Entry
 		if err := json.Unmarshal(data, &group); err != nil {
@@ -139,7 +139,7 @@
 
 // Error returns the digest and the reason.
 func (cer *ChunkError) Error() string {
-	return fmt.Sprintf("configuration chunk %s: %s", cer.Digest, cer.Reason)
+	return fmt.Sprintf("configuration part %s: %s", cer.Digest, cer.Reason)
 }
 
 // Digest returns the SHA-256 digest of data in hexadecimal.
