--- a/format/format.go
+++ b/format/format.go
@@ -109,7 +109,7 @@
 		name := literal.String()
 		field := join(path, name)
 		if seen[name] {
-			return che.fail(mem.Name.StartOffset, field, "duplicate name")
+			return che.fail(mem.Name.StartOffset, field, "name stands twice")
 		}
 		seen[name] = true
 		sub, known := memberType(typ, name)
@@ -149,7 +149,7 @@
 func (che *checker) typeError(err error) error {
 	var ute *json.UnmarshalTypeError
 	if errors.As(err, &ute) {
-		reason := fmt.Sprintf("invalid type %s, want %s", ute.Value, ute.Type)
+		reason := fmt.Sprintf("a %s doesn't fit, want %s", ute.Value, ute.Type)
 		// Pack preserves byte offsets, so the decoder's offset is the offset in the file.
 		return che.fail(int(ute.Offset), ute.Field, reason)
 	}
--- a/store/store.go
+++ b/store/store.go
@@ -125,7 +125,7 @@
 
 // Error names the time to wait before a retry.
 func (rer *RateError) Error() string {
-	return fmt.Sprintf("store: rate limit exceeded, retry in %s", rer.RetryAfter)
+	return fmt.Sprintf("store: too many calls, come back in %s", rer.RetryAfter)
 }
 
 // UnavailableError reports a failed call that had no effect: the store rejected it, or it was a
@@ -137,7 +137,7 @@
 
 // Error names the call and the cause.
 func (uer *UnavailableError) Error() string {
-	return fmt.Sprintf("store: %s: store not available: %v", uer.Call, uer.Cause)
+	return fmt.Sprintf("store: %s: not available: %v", uer.Call, uer.Cause)
 }
 
 // Unwrap returns the cause.
@@ -153,7 +153,7 @@
 
 // Error names the call and the cause.
 func (uer *UncertainError) Error() string {
-	return fmt.Sprintf("store: %s: no reply, the write may have taken effect: %v", uer.Call, uer.Cause)
+	return fmt.Sprintf("store: %s: no reply, may have taken effect: %v", uer.Call, uer.Cause)
 }
 
 // Unwrap returns the cause.
