--- a/credential/credential.go
+++ b/credential/credential.go
@@ -11,7 +11,7 @@
 //
 // A secret is rotated in two steps, so that hosts with adjacent versions of the key ring can
 // always connect: hosts accept the next secret some minutes before any host uses it, and
-// accept the former one until the next renewal.
+// accept the previous one until the following secret comes into use.
 package credential
 
 import (
@@ -48,8 +48,8 @@
 type KeyRing struct {
 	// Current is the secret by which hosts authenticate themselves.
 	Current Secret
-	// Next and Former are the secrets after and before Current. Both are accepted from
-	// peers, and both may be empty.
+	// Next and Former are the secrets after and before Current. Hosts accept peers with
+	// either of them. Each may be empty.
 	Next   Secret `json:",omitempty"`
 	Former Secret `json:",omitempty"`
 	// Changed is the time of the last change, by the clock of the host that made it.
@@ -92,14 +92,14 @@
 }
 
 // activationDelay is how long the next secret is accepted before it becomes the current
-// one. Changes reach every host that can connect to the store or to another host within
-// seconds; with this delay, a host that was partitioned for some minutes already has the
-// secret when others start to use it.
+// one. A change reaches every host within seconds if the host can connect to the store or to
+// another host. The delay lets a host that was partitioned for some minutes receive the secret
+// before others start to use it.
 const activationDelay = 5 * time.Minute
 
 // Renewal returns the key ring after the next step of its rotation, and whether that step
-// is due. A next secret is added when the duration every has passed since the last change,
-// and becomes the current one 5 minutes later, or after that duration if it is shorter.
+// is due. A next secret is added once the time since the last change reaches the interval
+// every, and becomes the current one 5 minutes later, or after that interval if it is shorter.
 func (rin KeyRing) Renewal(now time.Time, every time.Duration) (KeyRing, bool, error) {
 	age := now.Sub(rin.Changed)
 	switch {
@@ -119,7 +119,7 @@
 	certificate tls.Certificate
 }
 
-// keyPurpose is the context of the key derivation, so that keys derived from the same
+// keyPurpose is the context string of the key derivation: keys that are derived from the same
 // secret for other purposes differ.
 const keyPurpose = "lynxwell hosts"
 
@@ -146,10 +146,10 @@
 	accepted []ed25519.PublicKey
 }
 
-// Config is the configuration for NewAuthenticator.
+// Config configures an Authenticator.
 type Config struct {
-	// Refused is called with the error of each handshake in which the peer did not
-	// authenticate itself. It may be nil.
+	// Refused is called with the error of each handshake in which the peer was rejected: a
+	// *UnauthenticatedError, or a *NoKeyRingError. It may be nil.
 	Refused func(err error)
 }
 
@@ -159,8 +159,8 @@
 	keys atomic.Pointer[keySet]
 }
 
-// NewAuthenticator returns an instance without a key ring, which rejects every peer until
-// SetKeyRing sets one.
+// NewAuthenticator returns an Authenticator without a key ring, which rejects every peer until
+// SetKeyRing is called.
 func NewAuthenticator(cfg Config) *Authenticator {
 	return &Authenticator{cfg: cfg}
 }
@@ -172,8 +172,8 @@
 		return err
 	}
 	if old, found := aut.KeyRing(); found && old.equal(rin) {
-		// Each full snapshot of the store contains the same key ring again, and deriving a
-		// key takes 0.1 ms.
+		// Each full snapshot of the store contains the key ring again, and deriving a key
+		// takes 0.1 ms.
 		return nil
 	}
 	kst := &keySet{ring: rin}
@@ -228,9 +228,9 @@
 		// X25519 alone: the hybrid post-quantum key exchange doubles the handshake time.
 		CurvePreferences: []tls.CurveID{tls.X25519},
 		NextProtos:       []string{"h2"},
-		// Certificates aren't bound to addresses. VerifyConnection compares the keys on
-		// both sides instead.
-		InsecureSkipVerify:     true, //nolint:gosec // VerifyConnection checks the other side's key.
+		// Certificates aren't bound to addresses. Instead, VerifyConnection checks the peer's
+		// public key on both sides.
+		InsecureSkipVerify:     true, //nolint:gosec // VerifyConnection checks the peer's key.
 		ClientAuth:             tls.RequestClientCert,
 		SessionTicketsDisabled: true,
 		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return aut.certificate() },
@@ -274,5 +274,5 @@
 			return nil
 		}
 	}
-	return &UnauthenticatedError{Reason: "key of an unknown secret"}
+	return &UnauthenticatedError{Reason: "key isn't derived from a secret of the key ring"}
 }
--- a/credential/credential_test.go
+++ b/credential/credential_test.go
@@ -30,7 +30,7 @@
 	return aut
 }
 
-// handshake opens a connection between two hosts and returns both sides' errors.
+// handshake performs a TLS handshake over a pipe and returns the errors of both sides.
 func handshake(t testing.TB, client, server *tls.Config) (clientErr, serverErr error) {
 	t.Helper()
 	one, two := net.Pipe()
@@ -58,8 +58,8 @@
 	return clientErr, <-served
 }
 
-// Hosts must be able to connect in every step of a rotation, also to hosts that have
-// missed the last step. Hosts that are two steps apart can't connect.
+// Hosts must be able to connect in every step of a rotation, also to hosts that have missed
+// the latest step. A host that has missed both steps must be rejected.
 func TestHostsAuthenticateDuringRenewal(t *testing.T) {
 	first := newKeyRing(t)
 	_, due, err := first.Renewal(start.Add(time.Minute), time.Hour)
@@ -94,8 +94,8 @@
 	}
 }
 
-// A peer without a secret of the key ring must be rejected whatever certificate it
-// presents, by servers and by clients, and each rejection must be reported.
+// Servers and clients must reject a peer without a secret of the key ring, whatever
+// certificate it presents, and report each rejection.
 func TestUnauthenticatedPeersAreRejected(t *testing.T) {
 	ring := newKeyRing(t)
 	var rejected []error
@@ -147,7 +147,7 @@
 	}
 }
 
-func FuzzRing(f *testing.F) {
+func FuzzKeyRing(f *testing.F) {
 	f.Add([]byte(`{"Current":"AAAA"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var rin credential.KeyRing
--- a/platformtest/contract_test.go
+++ b/platformtest/contract_test.go
@@ -16,7 +16,7 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// fixture is a store under test with its underlying memory and simulated time.
+// fixture is a store under test with its underlying memory and its simulated time.
 type fixture struct {
 	store  store.Store
 	memory *platformtest.Memory
@@ -156,8 +156,8 @@
 	}
 }
 
-// A write whose reply is lost takes effect, and the writer gets an error that leaves the outcome
-// open.
+// A write whose reply is lost takes effect, and the writer must get an error that says that the
+// outcome is unknown.
 func TestLostReplyIsUncertain(t *testing.T) {
 	eachStore(t, func(t *testing.T, fix fixture) {
 		fix.memory.SetFaults(platformtest.Faults{LoseReplies: 1})
--- a/platformtest/memory.go
+++ b/platformtest/memory.go
@@ -33,12 +33,12 @@
 type Faults struct {
 	// Down makes every call fail with a *store.UnavailableError.
 	Down bool
-	// Silent makes every call hang until its context ends or 4 s have passed, and then fail. A
-	// call that hangs does so even if the fault is cleared meanwhile.
+	// Silent makes every call hang until its context ends or 4 s have passed, and then fail.
+	// Clearing the fault doesn't end calls that already hang.
 	Silent bool
 	// Delay is added to every call.
 	Delay time.Duration
-	// LoseReplies is how many of the next writes take effect without a reply.
+	// LoseReplies is the number of subsequent writes that take effect without a reply.
 	LoseReplies int
 	// CallsPerSecond is the rate limit; 0 is no limit.
 	CallsPerSecond float64
@@ -48,7 +48,7 @@
 type MemoryConfig struct {
 	// Now returns the current time; nil is time.Now.
 	Now func() time.Time
-	// HostsLag is the delay after which the host list shows a change.
+	// HostsLag is the delay after which a change appears in the host list.
 	HostsLag time.Duration
 }
 
@@ -63,7 +63,7 @@
 	compacted  store.Revision
 	leases     map[store.LeaseID]*lease
 	lastID     store.LeaseID
-	hosts      map[string]hostChange
+	hosts      map[string]laggedState
 	faults     Faults
 	tokens     float64
 	refilledAt time.Time
@@ -76,7 +76,7 @@
 	expires time.Time
 }
 
-type hostChange struct {
+type laggedState struct {
 	before, after *store.HostState
 	at            time.Time
 }
@@ -97,7 +97,7 @@
 		values:  make(map[string]store.Value),
 		deleted: make(map[string]store.Revision),
 		leases:  make(map[store.LeaseID]*lease),
-		hosts:   make(map[string]hostChange),
+		hosts:   make(map[string]laggedState),
 		counts:  make(map[string]uint64),
 		changed: make(chan struct{}),
 	}
@@ -125,7 +125,7 @@
 func (mem *Memory) SetHost(name string, state *store.HostState) {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
-	mem.hosts[name] = hostChange{before: mem.hosts[name].after, after: state, at: mem.cfg.Now()}
+	mem.hosts[name] = laggedState{before: mem.hosts[name].after, after: state, at: mem.cfg.Now()}
 }
 
 // beginCall counts a call and applies the rate limit and the faults that precede its effect.
@@ -133,7 +133,8 @@
 	return mem.applyFaults(ctx, kind, true)
 }
 
-// applyFaults is beginCall, with the rate limit only if limited is set.
+// applyFaults counts a call and applies the faults that precede its effect, and the rate limit
+// if limited is set.
 func (mem *Memory) applyFaults(ctx context.Context, kind string, limited bool) error {
 	mem.mutex.Lock()
 	mem.counts[kind]++
@@ -165,8 +166,8 @@
 	}
 }
 
-// maxSilence bounds how long a call hangs: a server doesn't always notice that its client has
-// disconnected.
+// maxSilence bounds how long a call hangs, since a server doesn't always detect that its client
+// has disconnected.
 const maxSilence = 4 * time.Second
 
 // waitSilently blocks until the context ends or maxSilence has passed, and returns an outage.
@@ -197,8 +198,8 @@
 	return 0
 }
 
-// endWrite returns the error of a write whose reply is to be lost, and nil for any other.
-func (mem *Memory) endWrite(kind string) error {
+// loseReply returns a *store.UncertainError if the reply of the current write is to be lost.
+func (mem *Memory) loseReply(kind string) error {
 	if mem.faults.LoseReplies == 0 {
 		return nil
 	}
@@ -299,11 +300,11 @@
 		return 0, err
 	}
 	mem.write(wri)
-	return mem.revision, mem.endWrite("Put")
+	return mem.revision, mem.loseReply("Put")
 }
 
-// Write performs a write regardless of the simulated faults, for operators and engines, which
-// reach the store by another path than the hosts.
+// Write performs a write regardless of the simulated faults. It simulates operators and engines,
+// which reach the store by another path than the hosts.
 func (mem *Memory) Write(wri store.Write) error {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
@@ -430,7 +431,7 @@
 	defer mem.mutex.Unlock()
 	mem.lastID++
 	mem.leases[mem.lastID] = &lease{ttl: ttl, expires: mem.cfg.Now().Add(ttl)}
-	return mem.lastID, mem.endWrite("GrantLease")
+	return mem.lastID, mem.loseReply("GrantLease")
 }
 
 // RenewLease implements store.Store.
@@ -446,7 +447,7 @@
 		return &store.LeaseError{Lease: id}
 	}
 	lea.expires = mem.cfg.Now().Add(lea.ttl)
-	return mem.endWrite("RenewLease")
+	return mem.loseReply("RenewLease")
 }
 
 // RevokeLease implements store.Store.
@@ -460,7 +461,7 @@
 		return &store.LeaseError{Lease: id}
 	}
 	mem.removeLease(id)
-	return mem.endWrite("RevokeLease")
+	return mem.loseReply("RevokeLease")
 }
 
 // Hosts implements store.Store.
@@ -488,8 +489,8 @@
 	return hosts
 }
 
-// backendEntries returns the entries, under the prefix, of the backend servers in the host list.
-// On the platform each server has such an entry in the store.
+// backendEntries returns the store entries of the backend servers in the host list whose keys
+// have the prefix. On the platform each backend server has such an entry.
 func (mem *Memory) backendEntries(prefix string) []store.Value {
 	mem.mutex.Lock()
 	defer mem.mutex.Unlock()
--- a/platformtest/server.go
+++ b/platformtest/server.go
@@ -38,11 +38,11 @@
 	Gone bool
 }
 
-// pageItems is the most items in a page of a range.
+// pageItems is the maximum number of items in a page of a range.
 const pageItems = 500
 
-// Messages of the store's protocol, written after the platform's documentation. The fake
-// doesn't share them with package platform, so that a mistake in the adapter shows in tests.
+// Messages of the store's protocol, defined from the platform's documentation. The fake doesn't
+// share them with package platform, so that tests detect mistakes in the adapter.
 type (
 	item struct {
 		Key      string `json:"tls_key"`
--- a/store/change.go
+++ b/store/change.go
@@ -4,8 +4,8 @@
 
 // Change is the write or the removal of one key.
 type Change struct {
-	// Value is the key with its new value. For a removal only Key and Revision, the
-	// revision of the removal, are set.
+	// Value is the key with its new value. For a removal only Key and Revision are set, and
+	// Revision is that of the removal.
 	Value
 	// Deleted reports whether the key was removed.
 	Deleted bool
@@ -13,7 +13,7 @@
 
 // Changes is the result of a watch.
 type Changes struct {
-	// Changes are in the order of their revisions; empty if the wait ended without any.
+	// Changes are sorted by revision; empty if none occurred during the wait.
 	Changes []Change
 	// Revision is the revision from which the next watch continues.
 	Revision Revision
--- a/store/store.go
+++ b/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the interface to the platform's key-value service, with
-// compare-and-swap, leases, watches and the platform's host list, which lags.
+// Package store is the interface to the platform's key-value service, which offers
+// compare-and-swap, leases, watches and a host list that shows changes late.
 //
 // # Usage
 //
@@ -10,8 +10,8 @@
 //
 // Every call except ListStale counts against the platform's rate limit; a waiting
 // watch counts as one call. A write whose reply was lost returns an
-// *UncertainError, and the writer has to read the key to find out whether the write
-// took effect.
+// *UncertainError; the writer must read the key to determine whether the write took
+// effect.
 package store
 
 import (
@@ -40,7 +40,7 @@
 	Data []byte
 	// Expect is the revision that the key must have; 0 requires that it doesn't exist.
 	Expect Revision
-	// Lease, if set, is the lease at whose end the store removes the key.
+	// Lease, if set, is a lease; the store removes the key when the lease ends.
 	Lease LeaseID
 	// Delete removes the key instead of writing Data.
 	Delete bool
@@ -48,18 +48,18 @@
 	Blind bool
 }
 
-// HostKind is what runs on a host of the platform's list.
+// HostKind is the kind of program that runs on a host of the platform's list.
 type HostKind string
 
 // The kinds of hosts.
 const (
 	// HostEntry is a host of lynxwell.
 	HostEntry HostKind = "Entry"
-	// HostBackend is a backend server, which has the name of its engine.
+	// HostBackend is a backend server; its name is the engine's id.
 	HostBackend HostKind = "Backend"
 )
 
-// HostState is one entry of the platform's host list, which lags.
+// HostState is one entry of the platform's host list, which shows changes late.
 type HostState struct {
 	Name string
 	Kind HostKind
@@ -73,9 +73,9 @@
 	Get(ctx context.Context, key string) (Value, error)
 	// List returns the values under a prefix, sorted by key, and the store's revision.
 	List(ctx context.Context, prefix string) ([]Value, Revision, error)
-	// ListStale is List with the state of some seconds ago. It costs the store little and
-	// doesn't count against the rate limit; a watch from its revision returns the changes
-	// since.
+	// ListStale is List with a state that may be some seconds old. It costs the store little
+	// and doesn't count against the rate limit. A watch from the returned revision returns the
+	// changes since that state.
 	ListStale(ctx context.Context, prefix string) ([]Value, Revision, error)
 	// Put writes or removes one key. It returns a *ConflictError if the key has another
 	// revision, and an *UncertainError if no reply arrived.
@@ -91,7 +91,7 @@
 	RenewLease(ctx context.Context, id LeaseID) error
 	// RevokeLease ends the lease and removes its keys.
 	RevokeLease(ctx context.Context, id LeaseID) error
-	// Hosts returns the platform's host list, which lags.
+	// Hosts returns the platform's host list, which shows changes late.
 	Hosts(ctx context.Context) ([]HostState, error)
 }
 
@@ -117,7 +117,7 @@
 	return fmt.Sprintf("store: lease %d has expired", ler.Lease)
 }
 
-// RateError reports that the platform's rate limit is exceeded.
+// RateError reports a call that exceeded the platform's rate limit and had no effect.
 type RateError struct {
 	// RetryAfter is the time to wait before a retry.
 	RetryAfter time.Duration
@@ -128,8 +128,8 @@
 	return fmt.Sprintf("store: rate limit exceeded, retry in %s", rer.RetryAfter)
 }
 
-// UnavailableError reports a failed call that had no effect: the store rejected it, or it was a
-// read.
+// UnavailableError reports a failed call that had no effect: the store rejected the call, or the
+// call was a read.
 type UnavailableError struct {
 	Call  string
 	Cause error
--- a/store/wrap.go
+++ b/store/wrap.go
@@ -86,12 +86,13 @@
 	return rec.store.Hosts(ctx)
 }
 
-// ReadOnly is a Store that rejects every write to an underlying store with a *ReadOnlyError.
+// ReadOnly is a Store that passes reads on to an underlying store and rejects every write and
+// lease call with a *ReadOnlyError.
 type ReadOnly struct {
 	Store
 }
 
-// NewReadOnly returns a ReadOnly that passes reads on to sto.
+// NewReadOnly returns a ReadOnly for sto.
 func NewReadOnly(sto Store) ReadOnly {
 	return ReadOnly{Store: sto}
 }
--- a/task/group.go
+++ b/task/group.go
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Group is a set of named goroutines that end together.
+// Group is a set of named goroutines. Run and Wait must be called from the same goroutine.
 type Group struct {
 	log     zerolog.Logger
 	started int
@@ -36,7 +36,7 @@
 	return &Group{log: log, results: make(chan result)}
 }
 
-// Run starts a goroutine. It must not be called after Wait.
+// Run starts a goroutine that calls work. It must not be called after Wait.
 func (grp *Group) Run(name string, work func() error) {
 	grp.started++
 	grp.mutex.Lock()
--- a/task/serve.go
+++ b/task/serve.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Served returns the error of http.Server.Serve, or nil if the server was closed or shut
+// Served returns err, the result of http.Server.Serve, or nil if the server was closed or shut
 // down.
 func Served(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -48,14 +48,14 @@
 	HostName    string
 	Region      string
 	Domain      string
-	// Prefix is the first part of the ids of this client's attempts. It must be unique to
-	// this client.
+	// Prefix begins the id of each of this client's attempts. No two clients may have the
+	// same prefix.
 	Prefix string
 	Random *rand.Rand
 	// KeepAlive enables HTTP keep-alive.
 	KeepAlive bool
-	// CachesLonger makes the client cache the list of addresses for three times the
-	// permitted time.
+	// CachesLonger makes the client cache the list of addresses for three times as long as
+	// its TTL permits.
 	CachesLonger bool
 }
 
@@ -156,7 +156,7 @@
 // Error implements error.
 func (*NoAddressError) Error() string { return "no host returned a list of addresses" }
 
-// Send sends a request, with the permitted retries, until it is served or its deadline
+// Send sends a request and retries it until it is served, may not be retried, or its deadline
 // has passed.
 func (cli *Client) Send(ctx context.Context, req Request) Result {
 	start := time.Now()
@@ -167,14 +167,14 @@
 		att := cli.attempt(ctx, req, req.Deadline-time.Since(start))
 		res.Attempts = append(res.Attempts, att)
 		res.Took = time.Since(start)
-		if len(res.Attempts) > req.Retries || !mayRepeat(req, att) || ctx.Err() != nil {
+		if len(res.Attempts) > req.Retries || !mayRetry(req, att) || ctx.Err() != nil {
 			return res
 		}
 		task.Sleep(ctx, min(retryAfter(att.Header), time.Duration(maxWaitShare*float64(req.Deadline-res.Took))))
 	}
 }
 
-func mayRepeat(req Request, att Attempt) bool {
+func mayRetry(req Request, att Attempt) bool {
 	switch {
 	case att.Served(), att.Status >= 400 && att.Status < 500 && !att.GuaranteesNotRun():
 		return false
@@ -226,7 +226,7 @@
 		att.Err = err
 		return
 	}
-	// Without GetBody, the transport can't resend the body by itself.
+	// Without GetBody the transport never resends a body by itself.
 	htr.GetBody = nil
 	htr.Host = cli.cfg.HostName
 	platform.EncodeRequest(htr.Header, platform.CallerRequest{
@@ -259,8 +259,8 @@
 	att.Body, att.Err = string(first[:num])+string(rest), err
 }
 
-// address returns a random address, excluding those that failed since the list was last
-// fetched. If all have failed, it considers all of them again.
+// address returns a random address of the list, excluding those that failed since the list was
+// last fetched. If all of them have failed, it clears these failures.
 func (cli *Client) address(ctx context.Context) (netip.AddrPort, error) {
 	cli.mutex.Lock()
 	fresh := time.Now().Before(cli.expires)
@@ -292,8 +292,7 @@
 	cli.failed[adr] = true
 }
 
-// longCacheFactor multiplies the time for which clients with CachesLonger cache the list of
-// addresses.
+// longCacheFactor multiplies the TTL of the list of addresses for clients with CachesLonger.
 const longCacheFactor = 3
 
 // refresh requests the list of addresses from up to maxDirectories hosts. If none of them
