--- a/credential/credential.go
+++ b/credential/credential.go
@@ -119,8 +119,8 @@
 	certificate tls.Certificate
 }
 
-// keyPurpose is the context string of the key derivation: keys that are derived from the same
-// secret for other purposes differ.
+// keyPurpose is the context of the key derivation, so that keys derived from the same secret
+// for other purposes differ from these keys.
 const keyPurpose = "lynxwell hosts"
 
 func newIdentity(sec Secret) (identity, error) {
--- a/platformtest/contract_test.go
+++ b/platformtest/contract_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// A write whose reply is lost takes effect, and the writer must get an error that says that the
-// outcome is unknown.
+// A write whose reply is lost takes effect, and the writer must get a
+// *store.UncertainError.
 func TestLostReplyIsUncertain(t *testing.T) {
 	eachStore(t, func(t *testing.T, fix fixture) {
 		fix.memory.SetFaults(platformtest.Faults{LoseReplies: 1})
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -299,15 +299,15 @@
 // answers, the cached list stays in use.
 func (cli *Client) refresh(ctx context.Context) {
 	for _, adr := range cli.cfg.Directories[:min(maxDirectories, len(cli.cfg.Directories))] {
-		addresses, keep, err := cli.queryAddresses(ctx, adr)
+		addresses, ttl, err := cli.queryAddresses(ctx, adr)
 		if err != nil || len(addresses) == 0 {
 			continue
 		}
 		if cli.cfg.CachesLonger {
-			keep *= longCacheFactor
+			ttl *= longCacheFactor
 		}
 		cli.mutex.Lock()
-		cli.addresses, cli.expires = addresses, time.Now().Add(keep)
+		cli.addresses, cli.expires = addresses, time.Now().Add(ttl)
 		clear(cli.failed)
 		cli.mutex.Unlock()
 		return
