--- a/backend/backend.go
+++ b/backend/backend.go
@@ -32,7 +32,7 @@
 // maxIdleConnections bounds the idle connections to each backend server.
 const maxIdleConnections = 64
 
-// chunkBytes bounds the part of an answer that is passed to the sink at once.
+// chunkBytes bounds the size of the parts in which an answer is passed to the sink.
 const chunkBytes = 32 << 10
 
 // ClientConfig configures a Client. Zero values mean the defaults.
@@ -58,9 +58,9 @@
 	return &Client{cfg: cfg, pooled: httpClient(maxIdleConnections), unpooled: httpClient(0)}
 }
 
-func httpClient(idle int) *http.Client {
+func httpClient(maxIdle int) *http.Client {
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &http.Client{Transport: transport.New(idle), CheckRedirect: noRedirect}
+	return &http.Client{Transport: transport.New(maxIdle), CheckRedirect: noRedirect}
 }
 
 // Close closes the idle connections.
@@ -125,7 +125,7 @@
 }
 
 // clientFor returns the client for a request. A request without a body gets a new
-// connection, since the transport retries it on its own if a reused connection is stale.
+// connection, since net/http may send it a second time if a reused connection is stale.
 func (cli *Client) clientFor(req *http.Request) *http.Client {
 	if req.Body == nil || req.Body == http.NoBody {
 		return cli.unpooled
--- a/engine/client.go
+++ b/engine/client.go
@@ -32,7 +32,8 @@
 // maxEventBytes bounds the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-// maxErrorBytes bounds the body that is read of an error response.
+// maxErrorBytes bounds how much is read of the body of an error response, and of the data
+// after doneMark.
 const maxErrorBytes = 64 << 10
 
 // maxIdleConnections bounds the idle connections to each engine.
@@ -101,7 +102,7 @@
 	Answered bool
 	// Whole is set if the answer was received to its end.
 	Whole bool
-	// NotKnown is set if the engine responded with 404: it has no such stream.
+	// NotKnown is set if the engine responded with status 404, since it has no such stream.
 	NotKnown bool
 	// Events counts the events of the answer, including those before a resumption's offset.
 	Events int
@@ -110,7 +111,7 @@
 	// FirstToken and Total are the times from the call to the first event and to the end.
 	FirstToken time.Duration
 	Total      time.Duration
-	// Err is why the answer is incomplete; a *StatusError if the engine sent an error status.
+	// Err is why the answer is incomplete; a *StatusError if the status wasn't 200.
 	Err error
 }
 
@@ -218,7 +219,7 @@
 	}
 }
 
-// next returns the payload of the next event.
+// next returns the payload of the next event and skips lines without data.
 func (rea *eventReader) next() ([]byte, error) {
 	for {
 		line, err := rea.line()
@@ -260,7 +261,7 @@
 	}
 }
 
-// Cancel cancels a request at its engine.
+// Cancel cancels a request at its engine. It ignores the status of the response.
 func (cli *Client) Cancel(ctx context.Context, adr netip.AddrPort, id request.ID) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+adr.String()+streamPath(id), http.NoBody)
 	if err != nil {
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -16,11 +16,11 @@
 
 	HeaderRequestID = "X-Request-Id"
 	HeaderPriority  = "X-Priority"
-	// HeaderOffset is sent with a resumed stream: the offset of the first event sent.
+	// HeaderOffset is the response header with the offset of the first event of a stream.
 	HeaderOffset = "X-Stream-Offset"
 )
 
-// bytesPerToken is an estimate of the length of a token.
+// bytesPerToken is an estimate of the length of a token in bytes.
 const bytesPerToken = 4
 
 // Message is one message of a chat.
@@ -85,8 +85,8 @@
 	Evicted  bool   `json:"evicted"`
 }
 
-// CacheEvents is a page of cache events; Next is the sequence number to read the next page
-// after.
+// CacheEvents is a page of cache events. The next page contains the events with sequence
+// numbers greater than Next.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 	Next   uint64       `json:"next"`
@@ -98,24 +98,24 @@
 	// Call is the method and path of the dispatch.
 	Call     string
 	Priority int
-	// PromptTokens is the length of the prompt, PrefillTokens how many of them were computed
-	// rather than read from the cache.
+	// PromptTokens is the length of the prompt, PrefillTokens the number of its tokens that
+	// were computed rather than read from the cache.
 	PromptTokens  int
 	PrefillTokens int
 	// Finished is set if the answer was computed to its end.
 	Finished bool
 }
 
-// Prompt is the estimated length of a prompt.
+// Prompt is the estimated length of a prompt and of its shared prefix.
 type Prompt struct {
 	Tokens int
-	// PrefixHash identifies the prompt's shared prefix, which is PrefixTokens long; 0 if it
-	// is too short to be cached.
+	// PrefixHash identifies the prompt's shared prefix, which is PrefixTokens long. Both are
+	// 0 if the prefix is too short to be cached.
 	PrefixHash   uint64
 	PrefixTokens int
 }
 
-// minPrefixTokens is the shortest prefix that is cached.
+// minPrefixTokens is the length of the shortest prefix that is cached.
 const minPrefixTokens = 16
 
 // EstimatePrompt estimates a prompt's length. The shared prefix is every message but the last,
@@ -139,8 +139,8 @@
 	return pro
 }
 
-// StreamBody returns the request's body changed to request a stream that ends with a
-// token count. All other fields stay as they are.
+// StreamBody returns the request's body with the fields that request a stream ending with
+// a token count. All other fields stay as they are.
 func StreamBody(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
--- a/peer/client.go
+++ b/peer/client.go
@@ -37,8 +37,8 @@
 }
 
 // State is the answer to FetchState: views, oldest first, and a configuration's
-// head and chunks in the encoding in which the platform stores them. Parts holds the
-// chunks by digest.
+// head and chunks in the encoding in which the platform stores them. Parts maps the
+// digest of each chunk to its data.
 type State struct {
 	Header Header
 	Views  [][]byte
@@ -68,10 +68,11 @@
 	}
 }
 
-// pingConfig returns the HTTP/2 settings that close an unresponsive connection.
-// Ending a session leaves its connection in the pool, and without pings every
-// later session would be opened on that connection. Sessions with heartbeats need no
-// ping: one is sent only after half of the session timeout without a frame.
+// pingConfig returns the HTTP/2 settings that close an unresponsive connection. The
+// end of a session leaves its connection in the pool. Without pings, all later sessions
+// would be opened on that connection even if the peer no longer responds on it. A ping
+// is sent after half of the session timeout without a frame, so a busy session needs
+// none.
 func pingConfig(tim Timing) *http.HTTP2Config {
 	return &http.HTTP2Config{SendPingTimeout: tim.Timeout / 2, PingTimeout: tim.Timeout}
 }
@@ -105,10 +106,10 @@
 }
 
 // Session runs one session with the member and blocks until the session ends. It
-// calls up once, when the first frame arrives and carries the expected epoch, and
-// deliver for each received message, and with a nil message for each frame's header.
-// A member with another epoch ends the session with an *EpochError, a missed
-// heartbeat with a *HeartbeatTimeoutError.
+// calls up once, at the first frame with the expected epoch. For each frame it calls
+// deliver with a nil message for the header, then with each message. It returns an
+// *EpochError if the member has another epoch, and a *HeartbeatTimeoutError if no frame
+// arrives in time.
 func (cli *Client) Session(ctx context.Context, mem view.Member, que *Queue, up func(), deliver func(Received)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -184,8 +185,8 @@
 	return nil
 }
 
-// Vouch sends the member an attestation of what a lost coordinator epoch had
-// granted.
+// Vouch sends the member an attestation of the requests that a lost coordinator epoch
+// had granted or closed.
 func (cli *Client) Vouch(ctx context.Context, mem view.Member, att reservation.Attestation) error {
 	msg := &peerpb.VouchRequest{
 		Header: headerToWire(cli.cfg.Self()), Key: attestationKeyToWire(att.AttestationKey),
@@ -205,7 +206,7 @@
 	return reservation.RevocationAnswer{AttestationKey: attestationKeyFromWire(res.Msg.GetKey()), Revoked: res.Msg.GetReleased()}, nil
 }
 
-// Handover transfers the ledger of this stopping host to the member.
+// Handover transfers the ledger of this host, which is stopping, to the member.
 func (cli *Client) Handover(ctx context.Context, mem view.Member, han reservation.Handover) error {
 	msg := &peerpb.HandoverRequest{
 		Header: headerToWire(cli.cfg.Self()), Stopped: epochsToWire(han.Stopped), Records: recordsToWire(han.Records),
--- a/peer/follow.go
+++ b/peer/follow.go
@@ -12,7 +12,7 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// MirrorUpdate is a set of changes of the store that a host serves to its peers.
+// MirrorUpdate is a set of store changes that a host serves to its peers.
 type MirrorUpdate struct {
 	// Snapshot reports that Changes is a full snapshot, which replaces the receiver's
 	// copy.
@@ -49,10 +49,10 @@
 	return "peer has no copy of the store yet: " + une.Cause.Error()
 }
 
-// Follow requests the changes after the revision from the host at the address. It
-// waits up to the given time for changes. The answer's Confirmed time is to be counted
-// from this call, which precedes the arrival of the request at the peer: the copy is
-// therefore never taken for newer than it is.
+// Follow requests the changes after the revision from the host at the address, and
+// waits up to the given time for them. The caller must count the answer's Confirmed from
+// the start of this call. The peer counted it from the later arrival of the request, so
+// the copy never counts as more recent than it is.
 func (cli *Client) Follow(ctx context.Context, adr netip.AddrPort, after store.Revision, wait time.Duration) (MirrorUpdate, error) {
 	msg := &peerpb.FollowRequest{Header: headerToWire(cli.cfg.Self()), After: uint64(after), WaitUs: wait.Microseconds()}
 	res, err := cli.stub(adr).Follow(ctx, newRequest(cli, msg))
--- a/peer/meter.go
+++ b/peer/meter.go
@@ -25,13 +25,13 @@
 	return met.sent.Load()
 }
 
-// liveness closes connections whose other end has disappeared without closing them.
-// Sessions on such a connection detect this themselves, and earlier, by missed
-// heartbeats.
+// liveness closes connections whose peer has disappeared without closing them. A busy
+// session on such a connection also detects this by missed heartbeats; an idle session
+// would take idleFactor times as long.
 var liveness = transport.Liveness{Limit: 1500 * time.Millisecond}
 
 // dialTimeout bounds the time to connect to another host. It allows for one lost SYN
-// packet, which is sent again after 1 s; a partitioned host doesn't answer at all.
+// packet, which is retransmitted after 1 s; a partitioned host doesn't answer at all.
 const dialTimeout = 2 * time.Second
 
 // Listener wraps lis so that the bytes on its connections are counted.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -8,11 +8,11 @@
 //	cli := peer.NewClient(peer.ClientConfig{Security: sec, Timing: tim, Self: hos.Header})
 //	err := cli.Session(ctx, member, queue, up, deliver) // blocks until the session ends
 //
-// A session is one long-lived bidirectional stream: the gateway's messages go one
-// way and the coordinator's the other, batched into frames. Every frame and every
-// unary request carries a Header with the sender's epoch, view and configuration
-// revision. If a shared key is configured, requests without it are rejected with
-// status 401.
+// A session is one long-lived bidirectional stream between a gateway and a
+// coordinator, on which each side sends its messages batched into frames. Every frame
+// and every unary request carries a Header with the sender's epoch, view and
+// configuration revision. If a shared key is configured, requests without it are
+// rejected with status 401.
 package peer
 
 import (
@@ -27,14 +27,14 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// queueLen is the number of messages that may be queued for one session. The session
-// of a peer that falls further behind is closed.
+// queueLen is the maximum number of messages queued for one session. A session whose
+// peer falls further behind is closed.
 const queueLen = 512
 
 // maxBatch is the maximum number of messages in one frame.
 const maxBatch = 256
 
-// compressMinBytes is the size from which messages are compressed. Compression makes
+// compressMinBytes is the minimum size of compressed messages. Compression makes
 // smaller messages larger.
 const compressMinBytes = 4096
 
@@ -58,15 +58,17 @@
 
 // Timing holds the heartbeat interval and the timeout of sessions.
 type Timing struct {
-	// Heartbeat is the interval between heartbeats of a busy session.
+	// Heartbeat is the interval at which the coordinator sends heartbeats on a busy
+	// session.
 	Heartbeat time.Duration
-	// Timeout is how long a busy session may go without a received frame before it
-	// is considered lost.
+	// Timeout is how long a gateway waits for a frame on a busy session before the
+	// session counts as lost.
 	Timeout time.Duration
 }
 
-// idleFactor multiplies the heartbeat interval and the timeout of a session on which
-// only heartbeats are sent.
+// idleFactor multiplies the heartbeat interval and the timeout of an idle session. The
+// gateway's heartbeat interval and the coordinator's timeout are multiplied on busy
+// sessions too.
 const idleFactor = 6
 
 // busyHeartbeats is how many heartbeat intervals beyond the timeout a session stays
@@ -105,8 +107,8 @@
 	return fmt.Sprintf("no frame from the peer within %s", hte.Timeout)
 }
 
-// EpochError reports that another process than the expected one answered: its epoch
-// differs, for example because the host has restarted.
+// EpochError reports a peer whose epoch isn't the expected one, for example because
+// the host has restarted.
 type EpochError struct {
 	Want request.Epoch
 	Got  request.Epoch
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -112,8 +112,8 @@
 	return request.ID{Prefix: request.Prefix{View: 3, Epoch: 1, Window: 2}, Unique: "u"}
 }
 
-// Guards against a data race or a hang when a session is cancelled while both sides
-// are sending.
+// Guards against a data race or a hang when a session is cancelled while both the gateway
+// and the coordinator are sending.
 func TestSessionEndsWhileBothSidesSend(t *testing.T) {
 	bac := newBackend(5)
 	mem := serve(t, bac)
@@ -147,7 +147,7 @@
 	assert.DeepEqual(t, eer, &peer.EpochError{Want: 6, Got: 5})
 }
 
-func TestPeerWithoutKeyIsRejected(t *testing.T) {
+func TestPeerWithWrongKeyIsRejected(t *testing.T) {
 	mem := serve(t, newBackend(5))
 	cli := newClient(t, "some other key of the same kind")
 	_, err := cli.Probe(t.Context(), mem)
@@ -158,7 +158,7 @@
 	assert.Assert(t, err != nil)
 }
 
-func TestCallsCarryEveryField(t *testing.T) {
+func TestUnaryCallsCarryFields(t *testing.T) {
 	mem := serve(t, newBackend(5))
 	cli := newClient(t, key)
 	fen := reservation.Fence{ID: testID(), Ballot: request.Ballot{Round: 2, Holder: 3}}
--- a/peer/pulse.go
+++ b/peer/pulse.go
@@ -6,19 +6,20 @@
 )
 
 // heartbeat determines when a session sends heartbeats and when it has timed out. A
-// gateway that has sent a message has to learn quickly whether the coordinator is
-// still alive, so the coordinator sends heartbeats at the short interval for a while
-// after each message. All other heartbeats use the long interval, since no component
-// waits for them.
+// gateway that has sent a message must detect a failure of the coordinator quickly, so
+// the session is busy for a while after each message of the gateway, and the coordinator
+// sends its heartbeats at the short interval meanwhile. All other heartbeats use the long
+// interval, since no component waits for them.
 type heartbeat struct {
 	mutex sync.Mutex
 	// atCoordinator is set at the coordinator's end of the session.
 	atCoordinator bool
-	// lastReceived and lastSent are the times of the last received and sent frame.
+	// lastReceived and lastSent are the times of the most recent received and sent
+	// frame.
 	lastReceived time.Time
 	lastSent     time.Time
-	// busySince is when the session last became busy, busyUntil when it becomes idle
-	// again.
+	// busySince is when the session most recently became busy, busyUntil when it becomes
+	// idle again.
 	busySince time.Time
 	busyUntil time.Time
 }
@@ -55,7 +56,7 @@
 	}
 }
 
-// due reports whether a heartbeat is to be sent now, and records it as sent if so.
+// due reports whether a heartbeat must be sent now, and records it as sent if so.
 func (hbt *heartbeat) due(now time.Time, tim Timing) bool {
 	hbt.mutex.Lock()
 	defer hbt.mutex.Unlock()
--- a/peer/server.go
+++ b/peer/server.go
@@ -31,8 +31,8 @@
 	SessionLost(session uint64)
 }
 
-// Backend handles the sessions and calls of peers on a host whose request ids name
-// their gateway.
+// Backend handles the sessions and unary RPCs of other hosts, on hosts whose request ids
+// name the gateway. Other hosts implement only Sessions.
 type Backend interface {
 	Sessions
 	// Fence, Vouch, Unvouch and Handover handle the RPCs of these names.
@@ -47,11 +47,11 @@
 
 // ServerConfig configures a Server.
 type ServerConfig struct {
-	// Backend handles all RPCs except Follow. If it is nil, only sessions, handled by
-	// Sessions, and Probe are served.
+	// Backend handles all RPCs except Follow. If it is nil, Sessions handles Session
+	// and Probe, and the other RPCs are rejected.
 	Backend  Backend
 	Sessions Sessions
-	// Mirror serves the store's changes; nil disables Follow.
+	// Mirror handles Follow; nil disables Follow.
 	Mirror   Mirror
 	Security Security
 	Timing   Timing
@@ -90,9 +90,9 @@
 // unblocker returns a function that aborts blocked reads and writes of the request's
 // stream.
 func unblocker(ctx context.Context) func() {
-	controller, known := ctx.Value(controllerKey{}).(*http.ResponseController)
+	controller, found := ctx.Value(controllerKey{}).(*http.ResponseController)
 	return func() {
-		if !known {
+		if !found {
 			return
 		}
 		past := time.Now().Add(-time.Second)
@@ -110,8 +110,8 @@
 	return &http.Server{Handler: srv.Handler(), Protocols: &protocols, TLSConfig: srv.cfg.Security.TLS, ReadHeaderTimeout: headerTimeout}
 }
 
-// Serve serves the listener, with TLS if it is configured, until the HTTP server is
-// closed.
+// Serve accepts connections from the listener, with TLS if it is configured, until the
+// HTTP server is closed.
 func (srv *Server) Serve(lis net.Listener, server *http.Server) error {
 	if srv.cfg.Security.TLS != nil {
 		return server.ServeTLS(lis, "", "")
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -12,7 +12,7 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// Guards against opening the next session on a connection that no longer transmits
+// Guards against opening the next session on a pooled connection that no longer transmits
 // anything, while new connections to the same host work.
 func TestSessionReconnectsAfterConnectionStalls(t *testing.T) {
 	bac := newBackend(5)
@@ -27,7 +27,7 @@
 		defer close(stopped)
 		for ctx.Err() == nil {
 			attempt, done := context.WithTimeout(ctx, 10*time.Second)
-			// The session ends with an error and is opened again until the test ends.
+			// The session ends with an error and is reopened until the test ends.
 			_ = cli.Session(attempt, mem, peer.NewQueue(), func() { ups <- mem.Epoch }, func(peer.Received) {})
 			done()
 		}
--- a/transport/liveness.go
+++ b/transport/liveness.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Liveness fails TCP connections whose peer stopped responding without closing them. Some
-// connections lose all traffic for good while new ones to the same address work.
+// Liveness fails TCP connections whose peer stopped responding without closing them. A
+// connection can lose all traffic permanently while new ones to the same address work.
 type Liveness struct {
 	// Limit is how long sent data or a keep-alive probe may stay unacknowledged before the
 	// connection fails.
@@ -20,11 +20,12 @@
 
 const (
 	// probeIdle is the time without traffic after which a keep-alive probe is sent, and the
-	// interval of further probes. One second is the shortest that the kernel accepts. Probes
-	// are needed since a waiting reader sends no data that could go unacknowledged.
+	// interval of further probes. One second is the shortest that the kernel accepts. A
+	// connection that only waits for data needs probes, since it sends nothing that could go
+	// unacknowledged.
 	probeIdle = time.Second
-	// probeCount is how many probes, one a second, may go unacknowledged. A shorter Limit
-	// fails the connection sooner.
+	// probeCount is how many probes, one a second, may go unacknowledged if Limit is 0. With
+	// a Limit, TCP_USER_TIMEOUT overrides this count.
 	probeCount = 2
 )
 
@@ -32,7 +33,7 @@
 	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeIdle, Count: probeCount}
 }
 
-// Dialer returns a dialer whose connections fail by the limit.
+// Dialer returns a dialer whose connections fail once the limit is exceeded.
 func (liv Liveness) Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout, KeepAliveConfig: liv.keepAlive(),
@@ -40,7 +41,8 @@
 	}
 }
 
-// Listen returns a TCP listener at the address whose accepted connections fail by the limit.
+// Listen returns a TCP listener at the address whose accepted connections fail once the limit
+// is exceeded.
 func (liv Liveness) Listen(ctx context.Context, adr netip.AddrPort) (net.Listener, error) {
 	cfg := net.ListenConfig{KeepAliveConfig: liv.keepAlive()}
 	lis, err := cfg.Listen(ctx, "tcp", adr.String())
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,6 +1,6 @@
-// Package transport contains what the HTTP clients of engines and backend servers
-// share: connection settings, detection of dead TCP connections, and timeouts for
-// peers that send nothing.
+// Package transport contains what the HTTP clients and servers of a host share:
+// connection settings, detection of dead TCP connections, and timeouts for peers that
+// send nothing.
 //
 // # Usage
 //
@@ -23,16 +23,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// dialTimeout bounds connection establishment, before which nothing is sent.
+// dialTimeout bounds the time to establish a connection. Nothing of a request is sent
+// before.
 const dialTimeout = 2 * time.Second
 
-// New returns a transport that keeps up to idle connections to each address. With 0 it
-// opens a new connection for each call.
-func New(idle int) *http.Transport {
+// New returns a transport that keeps up to maxIdle idle connections to each address. With
+// 0 it opens a new connection for each call.
+func New(maxIdle int) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: idle, IdleConnTimeout: time.Minute,
-		DisableCompression: true, DisableKeepAlives: idle == 0,
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdle, IdleConnTimeout: time.Minute,
+		DisableCompression: true, DisableKeepAlives: maxIdle == 0,
 	}
 }
 
@@ -47,7 +48,7 @@
 	return fmt.Sprintf("peer sent no data for %s", ser.After)
 }
 
-// Watcher cancels a call's context when the peer sends nothing within the time limit.
+// Watcher cancels a call's context if the peer sends nothing within the time limit.
 type Watcher struct {
 	limit  time.Duration
 	timer  *time.Timer
@@ -63,12 +64,13 @@
 	return ctx, wat
 }
 
-// Reset restarts the time limit, as data has been received.
+// Reset restarts the time limit. It is called when data has been received.
 func (wat *Watcher) Reset() {
 	wat.timer.Reset(wat.limit)
 }
 
-// Shorten restarts the time limit once with another duration.
+// Shorten restarts the time limit with another duration, which applies until the next
+// Reset.
 func (wat *Watcher) Shorten(limit time.Duration) {
 	wat.timer.Reset(limit)
 }
@@ -87,8 +89,7 @@
 	return err
 }
 
-// NotSent reports whether a call failed while connecting, so that nothing was
-// sent.
+// NotSent reports whether a call failed while connecting, before any data was sent.
 func NotSent(err error) bool {
 	var oer *net.OpError
 	return errors.As(err, &oer) && oer.Op == "dial"
