--- a/backendtest/backendtest.go
+++ b/backendtest/backendtest.go
@@ -43,7 +43,7 @@
 type Faults struct {
 	// Delay is added to the processing time of every call.
 	Delay time.Duration
-	// DropReplies is how many calls run but get their connection closed without a reply.
+	// DropReplies is how many further calls run without a reply; their connections are closed.
 	DropReplies int
 	// Dead closes every connection without a reply and without running the call.
 	Dead bool
--- a/embedded/caller_test.go
+++ b/embedded/caller_test.go
@@ -92,21 +92,21 @@
 		code    string
 		message string
 	}{
-		"NoKey":        {post(chatPath, chat, "Authorization", ""), 401, "NoKey", "bearer key"},
-		"UnknownKey":   {post(chatPath, chat, "Authorization", "Bearer x"), 401, "UnknownKey", "no client account"},
-		"BadBody":      {post(chatPath, "{"), 400, "BadRequest", "body"},
-		"NoModel":      {post(chatPath, `{"messages": [{}]}`), 400, "BadRequest", "model"},
-		"NoService":    {post(chatPath, strings.Replace(chat, "menus", "maps", 1)), 404, "NoSuchService", `"maps"`},
-		"NotAllowed":   {post(chatPath, strings.Replace(chat, "menus", "hidden", 1)), 403, "ServiceNotAllowed", `"hidden"`},
-		"BadTier":      {post(chatPath, chat, caller.HeaderTier, "Other"), 403, "TierNotAllowed", `"Other"`},
-		"BadDeadline":  {post(chatPath, chat, caller.HeaderDeadline, "soon"), 400, "BadRequest", caller.HeaderDeadline},
-		"BadID":        {post(chatPath, chat, caller.HeaderID, "mine"), 400, "BadRequest", "GET /v1/addresses"},
-		"InventedID":   {post(chatPath, chat, caller.HeaderID, "1-00000000000000ff-1-a"), 400, "PrefixNotHandedOut", "never handed out"},
-		"OnceNoID":     {post("/services/labels/x", "b", caller.HeaderOnce, "true"), 400, "BadRequest", caller.HeaderID},
-		"BadOnce":      {post("/services/labels/x", "b", caller.HeaderOnce, "yes"), 400, "BadRequest", caller.HeaderOnce},
-		"TooLarge":     {post("/services/labels/x", strings.Repeat("b", 101)), 413, "BodyTooLarge", "body"},
-		"ModelIsPlain": {post("/services/menus/x", "b"), 404, "NoSuchService", `"menus"`},
-		"NoPath":       {post("/v2/x", ""), 404, "NoSuchPath", "/v2/x"},
+		"NoKey":             {post(chatPath, chat, "Authorization", ""), 401, "NoKey", "bearer key"},
+		"UnknownKey":        {post(chatPath, chat, "Authorization", "Bearer x"), 401, "UnknownKey", "no client account"},
+		"InvalidBody":       {post(chatPath, "{"), 400, "BadRequest", "body"},
+		"NoModel":           {post(chatPath, `{"messages": [{}]}`), 400, "BadRequest", "model"},
+		"NoService":         {post(chatPath, strings.Replace(chat, "menus", "maps", 1)), 404, "NoSuchService", `"maps"`},
+		"ServiceNotAllowed": {post(chatPath, strings.Replace(chat, "menus", "hidden", 1)), 403, "ServiceNotAllowed", `"hidden"`},
+		"TierNotAllowed":    {post(chatPath, chat, caller.HeaderTier, "Other"), 403, "TierNotAllowed", `"Other"`},
+		"InvalidDeadline":   {post(chatPath, chat, caller.HeaderDeadline, "soon"), 400, "BadRequest", caller.HeaderDeadline},
+		"InvalidID":         {post(chatPath, chat, caller.HeaderID, "mine"), 400, "BadRequest", "GET /v1/addresses"},
+		"InventedID":        {post(chatPath, chat, caller.HeaderID, "1-00000000000000ff-1-a"), 400, "PrefixNotHandedOut", "never handed out"},
+		"OnceWithoutID":     {post("/services/labels/x", "b", caller.HeaderOnce, "true"), 400, "BadRequest", caller.HeaderID},
+		"InvalidOnce":       {post("/services/labels/x", "b", caller.HeaderOnce, "yes"), 400, "BadRequest", caller.HeaderOnce},
+		"TooLarge":          {post("/services/labels/x", strings.Repeat("b", 101)), 413, "BodyTooLarge", "body"},
+		"PlainPathOfModel":  {post("/services/menus/x", "b"), 404, "NoSuchService", `"menus"`},
+		"NoPath":            {post("/v2/x", ""), 404, "NoSuchPath", "/v2/x"},
 	}
 	for name, cas := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -140,15 +140,16 @@
 	assert.Assert(t, strings.HasSuffix(body, "data: [DONE]\n\n"), body)
 }
 
-// A retry gets the same complete answer; another request with the same id is rejected.
+// A retry with the same id and body gets the first answer; a request with the same id and
+// another body is rejected.
 func TestRepeatedIDWithSameAndOtherBody(t *testing.T) {
 	sys := startSystem(t)
 	known, err := load.NewClient(load.ClientConfig{Entries: sys.Entries()}).Addresses(t.Context())
 	assert.NilError(t, err)
 	header := map[string]string{caller.HeaderID: known.Addresses[1].Prefix + "-one"}
 	_, first := clientRequest{http.MethodPost, "/v1/chat/completions", chat, header}.send(t, sys)
-	_, again := clientRequest{http.MethodPost, "/v1/chat/completions", chat, header}.send(t, sys)
-	assert.Equal(t, first, again)
+	_, retried := clientRequest{http.MethodPost, "/v1/chat/completions", chat, header}.send(t, sys)
+	assert.Equal(t, first, retried)
 	rep, _ := clientRequest{http.MethodPost, "/v1/chat/completions", strings.Replace(chat, "safe", "late", 1), header}.send(t, sys)
 	assert.Equal(t, rep.StatusCode, http.StatusUnprocessableEntity)
 	assert.Equal(t, len(sys.Dispatches()), 1)
--- a/embedded/embedded.go
+++ b/embedded/embedded.go
@@ -8,7 +8,7 @@
 //	err = sys.Apply(ctx, set)
 //	addresses := sys.Entries()
 //
-// The demonstration, the benchmark and many tests run against it.
+// The demonstration, the benchmark and tests run against an embedded system.
 package embedded
 
 import (
@@ -55,7 +55,7 @@
 	Backends []backendtest.Config
 	// Timing overrides the default intervals and timeouts of the hosts.
 	Timing settings.Timing
-	// HostsLag is the delay after which changes appear in the platform's list of hosts.
+	// HostsLag is the delay with which changes appear in the platform's list of hosts.
 	HostsLag    time.Duration
 	Gateway     gateway.Config
 	Coordinator coordinator.Config
@@ -64,18 +64,18 @@
 
 // System is a running system.
 type System struct {
-	cfg      Config
-	Platform *platformtest.Memory
-	Engines  []*Engine
-	Backends []*Backend
-	Hosts    []*host.Host
-	settings []settings.Settings
-	platform netip.AddrPort
-	servers  []*http.Server
-	ends     chan error
-	started  int
-	cancel   context.CancelFunc
-	ctx      context.Context
+	cfg        Config
+	Platform   *platformtest.Memory
+	Engines    []*Engine
+	Backends   []*Backend
+	Hosts      []*host.Host
+	settings   []settings.Settings
+	platform   netip.AddrPort
+	servers    []*http.Server
+	exits      chan error
+	goroutines int
+	cancel     context.CancelFunc
+	ctx        context.Context
 }
 
 // Engine is a running fake engine.
@@ -93,11 +93,11 @@
 	Address netip.AddrPort
 }
 
-// Start starts all components and returns when the view of each host contains all other
-// hosts. No configuration is active until Apply is called.
+// Start starts all components and returns when every host has a view of all hosts and is
+// connected to them. No configuration is active until Apply is called.
 func Start(ctx context.Context, cfg Config) (*System, error) {
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	sys := &System{cfg: cfg, cancel: cancel, ctx: running, ends: make(chan error)}
+	sys := &System{cfg: cfg, cancel: cancel, ctx: running, exits: make(chan error)}
 	sys.Platform = platformtest.NewMemory(platformtest.MemoryConfig{HostsLag: cfg.HostsLag})
 	if err := sys.start(ctx); err != nil {
 		sys.Stop()
@@ -157,8 +157,8 @@
 }
 
 func (sys *System) run(work func() error) {
-	sys.started++
-	go func() { sys.ends <- work() }()
+	sys.goroutines++
+	go func() { sys.exits <- work() }()
 }
 
 func listen() (net.Listener, error) {
@@ -167,8 +167,8 @@
 	return lis, errors.Wrap(err, "listen")
 }
 
-// Each process uses its own part of the loopback network, and ports below the range of
-// ephemeral ports, so that its listeners don't conflict with other processes or with
+// Each process uses its own loopback network, derived from its process id, and ports below the
+// range of ephemeral ports, so that its listeners don't conflict with other processes or with
 // outgoing connections.
 const (
 	firstPort      = 7001
@@ -178,8 +178,9 @@
 
 var addressCount atomic.Uint32
 
-// NextAddress returns a loopback address that no other call of NextAddress in this process
-// or in another running process has returned.
+// NextAddress returns a loopback address that differs from all others returned in this process
+// and in other running processes. The addresses of a process repeat after 5,000 calls, and
+// processes whose ids are equal modulo 62,500 share theirs.
 func NextAddress() netip.AddrPort {
 	count := int(addressCount.Add(1)) - 1
 	pid := os.Getpid()
@@ -241,7 +242,7 @@
 	return nil
 }
 
-// Entries returns the clients' addresses of all hosts.
+// Entries returns the addresses at which the hosts serve clients.
 func (sys *System) Entries() []netip.AddrPort {
 	entries := make([]netip.AddrPort, len(sys.settings))
 	for idx, set := range sys.settings {
@@ -258,8 +259,8 @@
 // pollInterval is how often a waiting function checks its condition.
 const pollInterval = 10 * time.Millisecond
 
-// WaitView blocks until every running host has a view with this number of members and is
-// connected to each of them.
+// WaitView blocks until every host has a view with this number of members and is connected to
+// each of them.
 func (sys *System) WaitView(ctx context.Context, members int) error {
 	return sys.wait(ctx, "view", func() bool {
 		for _, hos := range sys.Hosts {
@@ -271,8 +272,8 @@
 	})
 }
 
-// Apply writes the resources through the operators' API and returns when they are active
-// on every host.
+// Apply writes the resources through the operators' API and returns when they are active on
+// every host.
 func (sys *System) Apply(ctx context.Context, set resource.Set) error {
 	cli := sys.Operator(0)
 	defer cli.Close()
@@ -329,11 +330,11 @@
 	}
 	sys.cancel()
 	for _, srv := range sys.servers {
-		// Close always closes the listeners; its other errors don't matter here.
+		// Close always closes the listeners, whatever error it returns.
 		_ = srv.Close()
 	}
-	for range sys.started {
-		<-sys.ends
+	for range sys.goroutines {
+		<-sys.exits
 	}
 }
 
--- a/embedded/slow_test.go
+++ b/embedded/slow_test.go
@@ -11,16 +11,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowClients is the number of stalled clients that are connected at the same time.
-const slowClients = 50
+// stalledClients is the number of stalled clients that are connected at the same time.
+const stalledClients = 50
 
-// Guards against clients that send a part of a request and then stall: they must neither
-// block other clients nor cause a dispatch when their connections are closed.
+// Guards against clients that send part of a request and then stall: they must neither block
+// other clients nor cause a dispatch when they disconnect.
 func TestIncompleteRequestsDoNotBlockOthers(t *testing.T) {
 	sys := startSystem(t)
 	var dialer net.Dialer
 	var stalled []net.Conn
-	for range slowClients {
+	for range stalledClients {
 		con, err := dialer.DialContext(t.Context(), "tcp", sys.Entries()[0].String())
 		assert.NilError(t, err)
 		_, err = fmt.Fprintf(con, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n{\"model\"", accountKey)
@@ -35,8 +35,8 @@
 	assert.Equal(t, len(sys.Dispatches()), 1)
 }
 
-// Guards against reading a chunked body without end: it must be rejected as soon as it
-// exceeds the service's limit.
+// Guards against reading a chunked body endlessly: the host must reject the request as soon
+// as the body exceeds the service's limit.
 func TestEndlessBodyIsRejected(t *testing.T) {
 	sys := startSystem(t)
 	var dialer net.Dialer
--- a/enginetest/engine.go
+++ b/enginetest/engine.go
@@ -52,13 +52,12 @@
 
 // Faults are the faults that the engine currently has.
 type Faults struct {
-	// Slow is the factor by which each step takes longer; 0 stands for 1, as do all values
-	// under 1.
+	// Slow multiplies the duration of each step; 0 and all other values under 1 mean 1.
 	Slow float64
 	// Frozen suspends all work and all answers.
 	Frozen bool
-	// DropReplies is how many dispatches run but get their connection closed
-	// without a reply.
+	// DropReplies is how many further dispatches run without a reply; their connections
+	// are closed.
 	DropReplies int
 	// Dead closes every connection without a reply, cancels all requests and clears the cache.
 	Dead bool
@@ -89,7 +88,7 @@
 	record       *engine.DispatchRecord
 	priority     int
 	model        string
-	mark         string
+	promptDigest string
 	prompt       engine.Prompt
 	answerTokens int
 	// prefill is the pending prefill, in tokens.
@@ -101,7 +100,7 @@
 	cancelled bool
 	endTime   time.Time
 	readers   int
-	// readersChanged is when a reader last came or left.
+	// readersChanged is when a reader most recently connected or disconnected.
 	readersChanged time.Time
 	// changed is closed and replaced at each change of the job.
 	changed chan struct{}
@@ -190,7 +189,8 @@
 	return records
 }
 
-// Mark returns the text that starts every token of the answer to the prompt.
+// Mark returns a digest of the prompt's last message. Every token of the answer starts with
+// it.
 func Mark(messages []engine.Message) string {
 	if len(messages) == 0 {
 		return "none"
@@ -220,7 +220,7 @@
 	}
 }
 
-// Run processes requests until the context is done.
+// Run processes requests until the context is cancelled.
 func (eng *Engine) Run(ctx context.Context) {
 	for {
 		wait, busy := eng.step(time.Now())
@@ -242,8 +242,8 @@
 // idleInterval is the interval at which an idle engine expires streams and records its load.
 const idleInterval = 100 * time.Millisecond
 
-// idleWakeups returns the channel that signals new work, or nil if the engine is busy, since
-// new work must not shorten a step.
+// idleWakeups returns the channel that signals new work. It returns nil if the engine is
+// busy, since new work must not shorten a step.
 func (eng *Engine) idleWakeups(busy bool) <-chan struct{} {
 	if busy {
 		return nil
--- a/enginetest/handler.go
+++ b/enginetest/handler.go
@@ -43,7 +43,8 @@
 	return rou
 }
 
-// applyFaults applies the faults Dead and Frozen before a request is handled.
+// applyFaults closes the connection without a reply while the engine is Dead, and delays
+// requests while it is Frozen.
 func (eng *Engine) applyFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		for {
@@ -105,7 +106,7 @@
 	rec := &engine.DispatchRecord{ID: id, Call: req.Method + " " + req.URL.Path, Priority: priority, PromptTokens: prompt.Tokens}
 	eng.dispatches = append(eng.dispatches, rec)
 	jb = &job{
-		record: rec, priority: priority, model: chat.Model, mark: Mark(chat.Messages),
+		record: rec, priority: priority, model: chat.Model, promptDigest: Mark(chat.Messages),
 		prompt: prompt, answerTokens: wanted, changed: make(chan struct{}), readersChanged: time.Now(),
 	}
 	eng.streams[id] = jb
@@ -207,7 +208,7 @@
 		return from
 	}
 	for ; from < until; from++ {
-		writeEvent(wri, chunkOf(jb, &engine.Message{Role: "assistant", Content: token(jb.mark, from)}))
+		writeEvent(wri, chunkOf(jb, &engine.Message{Role: "assistant", Content: token(jb.promptDigest, from)}))
 	}
 	flush(wri)
 	return from
@@ -242,7 +243,7 @@
 	}
 	text := ""
 	for idx := range jb.answerTokens {
-		text += token(jb.mark, idx)
+		text += token(jb.promptDigest, idx)
 	}
 	chu := chunkOf(jb, nil)
 	chu.Object = "chat.completion"
--- a/enginetest/prefix.go
+++ b/enginetest/prefix.go
@@ -69,7 +69,7 @@
 	pre.addEvent(oldest.hash, true, now)
 }
 
-// addEvent records an event unless it falls into the gap.
+// addEvent records an event, unless it is one of the events that Config.EventGap drops.
 func (pre *prefixCache) addEvent(hash uint64, evicted bool, now time.Time) {
 	pre.sequence++
 	if pre.gap > 0 && pre.sequence%uint64(pre.gap) == 0 {
@@ -82,7 +82,8 @@
 	}
 }
 
-// after returns the events after the sequence number that happened at until or before.
+// after returns the events with greater sequence numbers that were recorded no later than
+// until.
 func (pre *prefixCache) after(sequence uint64, until time.Time) engine.CacheEvents {
 	page := engine.CacheEvents{Events: []engine.CacheEvent{}, Next: sequence}
 	for _, tev := range pre.events {
--- a/upstreamtest/engine.go
+++ b/upstreamtest/engine.go
@@ -1,5 +1,5 @@
-// Package upstreamtest provides a fake of the platform's engines and backend servers
-// that can be made to fail in the ways that real ones do.
+// Package upstreamtest provides a fake engine or backend server of the platform, with
+// injectable faults that real ones have.
 //
 // # Usage
 //
@@ -8,8 +8,8 @@
 //	eng.Fault(upstreamtest.TruncateInEvent, 1) // affects the next request
 //	runs := eng.Runs()                      // the requests that it ran
 //
-// The package spells out the protocol's headers itself rather than using the client's
-// constants, so that tests detect wrong ones.
+// The package defines the protocol's headers itself rather than using the client's
+// constants, so that tests detect wrong constants.
 package upstreamtest
 
 import (
@@ -27,7 +27,7 @@
 
 // The faults of an answer.
 const (
-	// None is a valid answer.
+	// None answers correctly.
 	None Fault = iota
 	// Error runs the request and answers with status 500 and a valid signature.
 	Error
@@ -47,25 +47,27 @@
 	StrayFirst
 	// Unframed sends an answer without a length, which ends when the connection is closed.
 	Unframed
-	// UnframedReset sends such an answer and resets the connection instead of closing it.
+	// UnframedReset sends an answer without a length and resets the connection instead of
+	// closing it.
 	UnframedReset
-	// Unsigned answers with a success without a signature, which is no proof that the request
-	// was run.
+	// Unsigned answers with status 200 but without a signature, so that the answer doesn't
+	// prove that the request ran.
 	Unsigned
 	// Slow delays the answer by slowAnswerDelay.
 	Slow
-	// Early answers before the request's body has been read, and reads it afterwards.
+	// Early answers with status 413 before it has read the request's body, and reads the body
+	// afterwards.
 	Early
 )
 
 // Config configures an Engine.
 type Config struct {
-	// ID is the run of the engine; a request with another one in Expect-Instance is rejected
-	// with status 421.
+	// ID is the id of the engine's run. A request with another id in Expect-Instance is
+	// rejected with status 421.
 	ID      string
 	Service string
-	// Slots is the number of concurrent requests; as many again are queued, and further ones
-	// are rejected. 0 means no limit.
+	// Slots is the number of slots. While twice as many requests are active, further ones are
+	// rejected; all others run at once, without a queue. 0 means no limit.
 	Slots int
 	// Events is the number of events of a stream; 0 makes all answers plain ones.
 	Events int
@@ -80,12 +82,12 @@
 	// none.
 	FailEvery int
 	SlowEvery int
-	// Sound is the number of valid answers before FailEvery and SlowEvery apply.
+	// Sound is the number of requests that run before FailEvery and SlowEvery apply.
 	Sound int
 	// CrashBody is a text in a request's body that makes the engine crash when it runs the
 	// request; empty means none.
 	CrashBody string
-	// Crash is called for such a request and must end the engine.
+	// Crash is called for such a request and must make the engine crash.
 	Crash func()
 }
 
@@ -120,8 +122,8 @@
 	// rateLimit is sent with all answers, in requests per second; nil means none.
 	rateLimit *float64
 	arrivals  []Arrival
-	// coldRate is the request rate per second that the engine survives until coldUntil;
-	// crashed is set once it has received more.
+	// coldRate is the request rate per second that the engine survives until coldUntil.
+	// crashed is set once the engine has received more requests than it survives.
 	coldRate  float64
 	coldUntil time.Time
 	crashed   bool
@@ -157,7 +159,7 @@
 // Slots returns the number of concurrent requests; at least 1.
 func (eng *Engine) Slots() int { return max(1, eng.cfg.Slots) }
 
-// Fault queues a fault for each of the next requests, as many as times.
+// Fault queues the fault for the given number of further requests.
 func (eng *Engine) Fault(flt Fault, times int) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -239,8 +241,8 @@
 	})
 }
 
-// acquire takes a slot or a position in the queue. It returns the request's fault, whether the
-// request is admitted, and the function set by OnNextRequest, if any.
+// acquire counts the request as active until release is called. It returns the request's fault,
+// whether the request is admitted, and the function set by OnNextRequest, if any.
 func (eng *Engine) acquire() (Fault, bool, func()) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -291,17 +293,17 @@
 // slowAnswerDelay is the additional duration of a slow answer.
 const slowAnswerDelay = 400 * time.Millisecond
 
-// PlainBody is the body of a plain answer to a request.
+// PlainBody returns the body of a plain answer to the request with the id.
 func PlainBody(id string) string {
 	return "answer to " + id
 }
 
-// EventText is one event of a stream.
+// EventText returns the event with the number of a stream, as it is sent.
 func EventText(id string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s/%d\n\n", number, id, number)
 }
 
-// StreamBody is the body of a complete stream.
+// StreamBody returns the body of a complete stream.
 func StreamBody(id string, events int) string {
 	var text strings.Builder
 	for num := 1; num <= events; num++ {
--- a/upstreamtest/raw.go
+++ b/upstreamtest/raw.go
@@ -38,7 +38,7 @@
 		return
 	}
 	if flt == Extra || flt == StrayFirst {
-		// The connection stays open, like a keep-alive connection, until the client closes it.
+		// The connection stays open for reuse until the client closes it.
 		_, _ = io.Copy(io.Discard, con)
 	}
 }
--- a/upstreamtest/switch.go
+++ b/upstreamtest/switch.go
@@ -10,11 +10,11 @@
 const (
 	// PathFault takes a FaultRequest by POST.
 	PathFault = "/standin/trouble"
-	// PathRuns answers GET with all values of Engine.Runs.
+	// PathRuns returns the values of Engine.Runs.
 	PathRuns = "/standin/runs"
-	// PathArrivals answers GET with all values of Engine.Arrivals.
+	// PathArrivals returns the values of Engine.Arrivals.
 	PathArrivals = "/standin/arrivals"
-	// PathSignals takes the Signals by POST.
+	// PathSignals takes Signals by POST.
 	PathSignals = "/standin/word"
 	// PathCold takes a Cold by POST.
 	PathCold = "/standin/cold"
@@ -29,9 +29,10 @@
 	Clear bool
 }
 
-// Signals is the set of signals that the engine sends from now on: the body of PathSignals.
+// Signals is the body of PathSignals: the signals that the engine sends from then on.
 type Signals struct {
-	// Draining makes all answers report that the engine is draining; it can't be reset.
+	// Draining makes all answers report that the engine is draining; false doesn't reset
+	// this.
 	Draining bool `json:"Leaves"`
 	// Backoff makes the engine reject all requests with a backoff request of this duration; 0
 	// makes it serve again.
@@ -44,15 +45,15 @@
 func (eng *Engine) serveControl(wri http.ResponseWriter, req *http.Request) bool {
 	switch req.URL.Path {
 	case PathFault:
-		var swi FaultRequest
-		if err := json.NewDecoder(req.Body).Decode(&swi); err != nil {
+		var frq FaultRequest
+		if err := json.NewDecoder(req.Body).Decode(&frq); err != nil {
 			http.Error(wri, err.Error(), http.StatusBadRequest)
 			return true
 		}
-		if swi.Clear {
+		if frq.Clear {
 			eng.Clear()
 		}
-		eng.Fault(swi.Fault, swi.Times)
+		eng.Fault(frq.Fault, frq.Times)
 	case PathCold:
 		var col Cold
 		if err := json.NewDecoder(req.Body).Decode(&col); err != nil {
--- a/upstreamtest/word.go
+++ b/upstreamtest/word.go
@@ -18,12 +18,12 @@
 	At time.Time
 	// Draining is set if the answer reported that the engine is draining.
 	Draining bool `json:"Leaves"`
-	// Backoff is the requested backoff if the engine rejected the request with one; 0
-	// otherwise.
+	// Backoff is the backoff that the engine requested when it rejected the request; 0 if it
+	// requested none.
 	Backoff time.Duration `json:"Pause"`
 	// Rate is the rate limit sent with the answer; nil means none.
 	Rate *float64
-	// Silent is set if no head of an answer was sent, so that no signal was sent either.
+	// Silent is set if the head of an answer was not sent, and therefore no signal either.
 	Silent bool
 	// Crashed is set if the engine crashed on receiving the request or had crashed before.
 	Crashed bool `json:"Fell"`
@@ -53,14 +53,14 @@
 }
 
 // SetRateLimit makes all answers send a rate limit in requests per second, for all hosts
-// together. The engine doesn't enforce it. ClearRateLimit removes the limit.
+// together. The engine doesn't enforce the limit. ClearRateLimit removes the limit.
 func (eng *Engine) SetRateLimit(perSecond float64) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.rateLimit = &perSecond
 }
 
-// ClearRateLimit makes the answers send no rate limit any more.
+// ClearRateLimit removes the rate limit from all further answers.
 func (eng *Engine) ClearRateLimit() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -81,7 +81,7 @@
 	return arr
 }
 
-// recordSilent records that the newest request with the id gets no answer.
+// recordSilent records that the most recent request with the id gets no answer.
 func (eng *Engine) recordSilent(id string) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -93,8 +93,8 @@
 	}
 }
 
-// sendSignals writes the engine's signals to the head of an answer. It reports whether it
-// rejected the request with a backoff request.
+// sendSignals records the request and adds the engine's signals to the head of the answer. It
+// reports whether it rejected the request because of a backoff.
 func (eng *Engine) sendSignals(wri http.ResponseWriter, req *http.Request) bool {
 	arr := eng.recordArrival(req.Header.Get("Request-Id"))
 	if arr.Draining {
@@ -146,8 +146,8 @@
 	For       time.Duration
 }
 
-// MarkCold makes the engine cold: it crashes for good when it receives more requests within
-// one second than it survives.
+// MarkCold makes the engine cold. A cold engine crashes permanently when it receives more
+// requests within one second than it survives.
 func (eng *Engine) MarkCold(col Cold) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -161,7 +161,8 @@
 	return eng.crashed
 }
 
-// survives reports whether the engine survives the newest arrival. The caller holds mutex.
+// survives reports whether the engine survives the most recent arrival. The caller holds the
+// mutex.
 func (eng *Engine) survives(now time.Time) bool {
 	if eng.crashed || !now.Before(eng.coldUntil) {
 		return !eng.crashed
