--- a/transport/transport.go
+++ b/transport/transport.go
@@ -55,7 +55,7 @@
 	cancel context.CancelCauseFunc
 }
 
-// Watch returns a context that is cancelled with a *SilenceError if Reset isn't called
+// Watch returns a context that is cancelled with cause *SilenceError if Reset isn't called
 // within the limit. Stop releases the watcher.
 func Watch(ctx context.Context, limit time.Duration) (context.Context, *Watcher) {
 	ctx, cancel := context.WithCancelCause(ctx)
