--- a/peer/peerpb/peerpbconnect/peer.connect.go
+++ b/peer/peerpb/peerpbconnect/peer.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: peer.proto
 
-// The protocol between the hosts of lynxwell.
+// The protocol between hosts.
 package peerpbconnect
 
 import (
@@ -54,17 +54,17 @@
 
 // PeerServiceClient is a client for the lynxwell.peer.v1.PeerService service.
 type PeerServiceClient interface {
-	// Session carries a gateway's messages one way and a coordinator's the other.
+	// Session is a stream of messages between a gateway and a coordinator.
 	Session(context.Context) *connect.BidiStreamForClient[peerpb.Frame, peerpb.Frame]
 	Fence(context.Context, *connect.Request[peerpb.FenceRequest]) (*connect.Response[peerpb.FenceResponse], error)
 	Vouch(context.Context, *connect.Request[peerpb.VouchRequest]) (*connect.Response[peerpb.VouchResponse], error)
 	Unvouch(context.Context, *connect.Request[peerpb.UnvouchRequest]) (*connect.Response[peerpb.UnvouchResponse], error)
 	Handover(context.Context, *connect.Request[peerpb.HandoverRequest]) (*connect.Response[peerpb.HandoverResponse], error)
-	// FetchState brings views and configuration to a host that is behind.
+	// FetchState returns the views and the configuration that the caller lacks.
 	FetchState(context.Context, *connect.Request[peerpb.FetchStateRequest]) (*connect.Response[peerpb.FetchStateResponse], error)
 	Probe(context.Context, *connect.Request[peerpb.ProbeRequest]) (*connect.Response[peerpb.ProbeResponse], error)
-	// Follow waits for changes of the store that the host has seen, and passes
-	// them on with their age.
+	// Follow waits for store changes that the host has received, and returns
+	// them with their age.
 	Follow(context.Context, *connect.Request[peerpb.FollowRequest]) (*connect.Response[peerpb.FollowResponse], error)
 }
 
@@ -184,17 +184,17 @@
 
 // PeerServiceHandler is an implementation of the lynxwell.peer.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Session carries a gateway's messages one way and a coordinator's the other.
+	// Session is a stream of messages between a gateway and a coordinator.
 	Session(context.Context, *connect.BidiStream[peerpb.Frame, peerpb.Frame]) error
 	Fence(context.Context, *connect.Request[peerpb.FenceRequest]) (*connect.Response[peerpb.FenceResponse], error)
 	Vouch(context.Context, *connect.Request[peerpb.VouchRequest]) (*connect.Response[peerpb.VouchResponse], error)
 	Unvouch(context.Context, *connect.Request[peerpb.UnvouchRequest]) (*connect.Response[peerpb.UnvouchResponse], error)
 	Handover(context.Context, *connect.Request[peerpb.HandoverRequest]) (*connect.Response[peerpb.HandoverResponse], error)
-	// FetchState brings views and configuration to a host that is behind.
+	// FetchState returns the views and the configuration that the caller lacks.
 	FetchState(context.Context, *connect.Request[peerpb.FetchStateRequest]) (*connect.Response[peerpb.FetchStateResponse], error)
 	Probe(context.Context, *connect.Request[peerpb.ProbeRequest]) (*connect.Response[peerpb.ProbeResponse], error)
-	// Follow waits for changes of the store that the host has seen, and passes
-	// them on with their age.
+	// Follow waits for store changes that the host has received, and returns
+	// them with their age.
 	Follow(context.Context, *connect.Request[peerpb.FollowRequest]) (*connect.Response[peerpb.FollowResponse], error)
 }
 
