--- a/entry/age_test.go
+++ b/entry/age_test.go
@@ -22,8 +22,8 @@
 	assert.Equal(t, est.observe("r", 15*time.Second), time.Duration(0), "longer than any usual timeout")
 }
 
-// Clients of one route may differ in their timeouts. A request with the shorter one is a
-// first attempt, not a retry of a client that has already waited.
+// Clients of one route may have different timeouts. A request with the shorter usual timeout is a
+// first attempt, not a retry by a client with the longer one.
 func TestShorterUsualTimeoutIsFirstAttempt(t *testing.T) {
 	est := newWaitEstimator()
 	for range minTimeoutCount {
@@ -35,8 +35,8 @@
 	assert.Equal(t, est.observe("r", 7*time.Second), 5*time.Second)
 }
 
-// Clients that reached a host without power retry after the same time, some of them in the
-// same millisecond. That doesn't make their remaining timeout a usual one.
+// Clients of a host that lost power retry after the same time, some of them in the same millisecond.
+// Their remaining timeout must not become a usual one.
 func TestClusteredRetriesAreNotFirstAttempts(t *testing.T) {
 	est := newWaitEstimator()
 	for range 10 * maxTimeoutCountRatio * minTimeoutCount {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Clients of a route change their timeout: the new one becomes the usual one.
+// When the clients of a route change their timeout, the new timeout becomes a usual one.
 func TestChangedTimeoutBecomesUsual(t *testing.T) {
 	est := newWaitEstimator()
 	for range 100 * halvingCount {
@@ -60,8 +60,7 @@
 	assert.Equal(t, est.observe("r", 4*time.Second), time.Second)
 }
 
-// Whatever timeouts are reported, a request with the known usual timeout counts as a first
-// attempt.
+// Whatever other timeouts clients report, a request with the usual timeout counts as a first attempt.
 func TestFirstAttemptsHaveNoClientWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		est := newWaitEstimator()
@@ -69,8 +68,8 @@
 		for range minTimeoutCount {
 			est.observe("r", clientTimeout)
 		}
-		for range rapid.IntRange(0, 200).Draw(t, "tries") {
-			reported := time.Duration(rapid.Int64Range(-1, int64(clientTimeout/time.Millisecond)).Draw(t, "told")) * time.Millisecond
+		for range rapid.IntRange(0, 200).Draw(t, "requests") {
+			reported := time.Duration(rapid.Int64Range(-1, int64(clientTimeout/time.Millisecond)).Draw(t, "reported")) * time.Millisecond
 			waited := est.observe("r", reported)
 			assert.Assert(t, waited >= 0 && waited <= clientTimeout)
 			assert.Equal(t, est.observe("r", clientTimeout), time.Duration(0))
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -14,16 +14,16 @@
 	"lynxwell.dev/lynxwell/scheduler"
 )
 
-// The coordinator may still grant an engine that this host knows to be deregistered. That
-// costs the request one more reservation and doesn't fail it.
+// The coordinator may still grant an engine that this host knows to be deregistered. The request
+// then needs another reservation, but doesn't fail.
 func TestGrantOfDeregisteredEngineIsSkipped(t *testing.T) {
-	deregistered := fleet.Engine{ID: fleet.EngineID{Name: "gone"}, Service: "plain", Slots: 4, Domain: "here"}
-	remaining := fleet.Engine{ID: fleet.EngineID{Name: "left"}, Service: "plain", Slots: 4, Domain: "there"}
+	deregistered := fleet.Engine{ID: fleet.EngineID{Name: "deregistered"}, Service: "plain", Slots: 4, Domain: "here"}
+	remaining := fleet.Engine{ID: fleet.EngineID{Name: "remaining"}, Service: "plain", Slots: 4, Domain: "there"}
 	for _, tst := range []struct {
 		name   string
 		known  []fleet.Engine
 		engine string
-	}{{"one is left", []fleet.Engine{remaining}, "left"}, {"none is left", nil, ""}} {
+	}{{"another engine remains", []fleet.Engine{remaining}, "remaining"}, {"no engine remains", nil, ""}} {
 		t.Run(tst.name, func(t *testing.T) {
 			hos, err := New(Config{Log: zerolog.Nop()})
 			assert.NilError(t, err)
@@ -49,18 +49,18 @@
 	}
 }
 
-// An estimated duration is no reason to reject a stream: a new one starts wherever a slot
-// is free, and one that has begun resumes there.
+// A stream isn't rejected because of its estimated duration: it starts, or resumes, wherever a
+// slot is free.
 func TestLongStreamIsAdmittedAndResumed(t *testing.T) {
 	eng := fleet.Engine{ID: fleet.EngineID{Name: "busy"}, Service: "model", Slots: 2, Domain: "here"}
 	hos, err := New(Config{Log: zerolog.Nop()})
 	assert.NilError(t, err)
 	hos.broker.handle(scheduler.EnginesChanged{Engines: []fleet.Engine{eng}})
 	hos.snapshot.Store(&snapshot{engines: map[string]fleet.Engine{eng.ID.Name: eng}})
-	send := func(id string, hint int, last int64) *problem {
+	send := func(id string, hint int, lastEvent int64) *problem {
 		now := time.Now()
 		exc := &exchange{
-			host: hos, started: now, deadline: now.Add(time.Second), service: "model", lastEventID: last,
+			host: hos, started: now, deadline: now.Add(time.Second), service: "model", lastEventID: lastEvent,
 			route: route.Route{Kind: route.KindStreaming, LatencyTarget: 200 * time.Millisecond, Public: true},
 		}
 		exc.request.ID, exc.request.PromptTokens, exc.request.HintTokens = id, 10, hint
@@ -68,8 +68,8 @@
 		return pro
 	}
 	assert.Assert(t, send("other", 1, 0) == nil)
-	assert.Assert(t, send("begins", 100_000, 0) == nil)
-	assert.Assert(t, send("goes-on", 100_000, 7) == nil)
+	assert.Assert(t, send("starts", 100_000, 0) == nil)
+	assert.Assert(t, send("resumes", 100_000, 7) == nil)
 }
 
 // BenchmarkRequestLogLine measures the log line of a request, compared with a disabled log.
--- a/entry/barred_test.go
+++ b/entry/barred_test.go
@@ -24,8 +24,8 @@
 	"lynxwell.dev/lynxwell/upstream"
 )
 
-// Signals in an answer belong to the engine that gives it. That may be another engine than
-// the request was sent to, since addresses are reused.
+// Signals in an answer apply to the engine that answers. That may be another engine than the one
+// that the request was sent to, since addresses are reused.
 func TestSignalsBelongToAnsweringEngine(t *testing.T) {
 	const backoff = 3 * time.Second
 	end := upstream.Endpoint{Engine: fleet.EngineID{Name: "e1"}}
@@ -61,8 +61,8 @@
 	return hos
 }
 
-// An engine sends a backoff request while a request still waits for its connection: the latter
-// isn't written to that engine.
+// An engine signals a backoff while a request still waits for a connection to that engine. The
+// request isn't sent.
 func TestRequestWaitingForConnectionIsNotSentToBlockedEngine(t *testing.T) {
 	hos := newTestHost(t, io.Discard)
 	run := fleet.EngineID{Name: "e1"}
@@ -86,7 +86,7 @@
 	return len(data), nil
 }
 
-// A thousand answers with a backoff request are counted, but logged in a few lines.
+// A thousand answers with a backoff signal are logged in a few lines only.
 func TestRepeatedBackoffSignalsLogFewLines(t *testing.T) {
 	var log lineCounter
 	hos := newTestHost(t, &log)
@@ -97,8 +97,8 @@
 	assert.Assert(t, log.lines-before <= 4, log.lines-before)
 }
 
-// An unrecognized header is logged once a service and counted by its name. Engines that
-// invent names fill neither the log nor the memory.
+// An unrecognized header is logged once per service and counted by its name. The numbers of logged
+// and of counted names are bounded, whatever names engines invent.
 func TestUnrecognizedHeadersAreLoggedOnceAndBounded(t *testing.T) {
 	var log lineCounter
 	hos := newTestHost(t, &log)
@@ -117,9 +117,8 @@
 	assert.Assert(t, strings.Contains(text, "UnknownHeaders.Others "), text)
 }
 
-// A grant of an engine that has reported a rate limit to this host is used only while it is
-// fresh and if the scheduler knew of the limit. Otherwise the host returns it and notifies
-// the schedulers.
+// A grant of an engine that has reported a rate limit to this host is used only if the grant is
+// recent and the scheduler knew the limit. Otherwise the host returns the grant.
 func TestGrantOutsideRateLimitIsReturned(t *testing.T) {
 	hos := newTestHost(t, io.Discard)
 	run := fleet.EngineID{Name: "e1"}
@@ -148,8 +147,8 @@
 	assert.NilError(t, hos.checkEngine(fleet.Engine{ID: run}, grant{grantedAt: now}))
 }
 
-// An answer to another host has shown that the rate limit has ended. The scheduler knows this, and
-// this host learns of it with its next grant.
+// An answer to another host has shown that an engine's rate limit has ended. The scheduler knows so,
+// and its next grant ends the limit for this host, too.
 func TestRateLimitEndsWithGrantOfInformedScheduler(t *testing.T) {
 	hos := newTestHost(t, io.Discard)
 	run := fleet.EngineID{Name: "e1"}
@@ -191,22 +190,20 @@
 	hos.broker.linkUp(&link{member: fleet.Member{Name: "h2", Epoch: 7}, queue: que, cancel: func() {}})
 	var sent []string
 	for out, more := que.Take(); more; out, more = que.Take() {
-		if not, isNotice := out.Message.(reservation.EngineNotice); isNotice {
-			sent = append(sent, not.Run.Name+" "+not.Signal.String())
+		if notice, isNotice := out.Message.(reservation.EngineNotice); isNotice {
+			sent = append(sent, notice.Run.Name+" "+notice.Signal.String())
 		}
 	}
 	slices.Sort(sent)
 	assert.DeepEqual(t, sent, []string{"e1 Draining", "e2 Backoff", "e4 RateLimit"})
 }
 
-// Guards against crashes that stay unconfirmed at the coordinator: one client's request
-// crashed eight engines while all three hosts were in session. Crashed engines went on
-// listening for a moment, so their crashes stayed unconfirmed until their entries were
-// deleted. The coordinator had lost the store and saw no deletion. The other hosts confirmed
-// the crashes and held the request, but sent that only to the gateways that had appointed
-// them, of which there were none. Reports must reach coordinators when a crash is
-// confirmed, not only when a request is cleared, and must not depend on the coordinator's
-// own connection to the store.
+// Guards against crashes that stay unconfirmed at a coordinator without the store: one client's
+// request crashed eight engines while all three hosts were in session. The engines listened for a
+// moment after their crashes, so only the deletion of their entries confirmed these, and the
+// coordinator saw no deletion. The other hosts confirmed the crashes, but reported that only to
+// gateways that had appointed them, and there were none. Coordinators must receive a report when a
+// crash is confirmed, not only when a request is cleared.
 func TestCoordinatorReceivesCrashesConfirmedByOtherHosts(t *testing.T) {
 	hos := newTestHost(t, io.Discard)
 	que := peer.NewQueue()
--- a/entry/changes_test.go
+++ b/entry/changes_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// However many hosts change at once, an update is logged in one line of bounded length.
+// However many hosts are registered or deregistered at once, one line of bounded length is logged.
 func TestManyHostChangesLogOneLine(t *testing.T) {
 	var buf bytes.Buffer
 	var mch memberChanges
--- a/entry/cold_test.go
+++ b/entry/cold_test.go
@@ -15,8 +15,8 @@
 	"lynxwell.dev/lynxwell/upstream"
 )
 
-// newColdServiceHost returns a host that knows an engine of a service whose cold engines take
-// a limited rate.
+// newColdServiceHost returns a host that knows one engine of a service that limits the request rate
+// of cold engines.
 func newColdServiceHost(t *testing.T) (*Host, fleet.Engine) {
 	t.Helper()
 	hos := newTestHost(t, io.Discard)
@@ -27,9 +27,9 @@
 	return hos, eng
 }
 
-// A grant of an engine that this host knows to be cold, by its entry or by its own signal, is
-// used only if the scheduler knew that too and granted it a moment ago.
-func TestUninformedGrantOfColdEngineIsReturned(t *testing.T) {
+// A host uses a grant of an engine that it knows to be cold, from the engine's entry or signal, only
+// if the scheduler knew so too and the grant is recent.
+func TestUninformedOrOldGrantOfColdEngineIsReturned(t *testing.T) {
 	hos, eng := newColdServiceHost(t)
 	now := hos.clock.Now()
 	assert.NilError(t, hos.checkEngine(eng, grant{grantedAt: now}))
@@ -43,11 +43,12 @@
 	hos.snapshot.Store(&snapshot{table: hos.snapshot.Load().table, engines: map[string]fleet.Engine{"e1": eng}})
 	assert.NilError(t, hos.checkEngine(eng, grant{grantedAt: now}))
 	hos.notices.apply(upstream.HeadReceived{Endpoint: upstream.Endpoint{Engine: eng.ID}, Head: call.AnswerHead{Cold: time.Minute}})
-	assert.Assert(t, errors.As(hos.checkEngine(eng, grant{grantedAt: now}), &exceeded), "by its own signal")
+	assert.Assert(t, errors.As(hos.checkEngine(eng, grant{grantedAt: now}), &exceeded), "cold by the engine's own signal")
 }
 
 // After an evacuation order is withdrawn the domain's engines count as cold, since they were idle.
-// An order applies whatever its value is, and a complete read of the store without it withdraws it.
+// An order applies whatever its value is, and is withdrawn by a complete read of the store that
+// doesn't contain it.
 func TestEnginesAreColdAfterEvacuationIsWithdrawn(t *testing.T) {
 	wat, _ := newTestWatcher(t)
 	wat.apply(changeUpdate(11, "op/config", []byte(`{"version":1,"services":[{"name":"s","cold_s":3,"cold_per_s":8}]}`)))
--- a/entry/coordinator_test.go
+++ b/entry/coordinator_test.go
@@ -23,8 +23,8 @@
 	return count
 }
 
-// A coordinator that is replaced for a while must drop the reservations that it granted.
-// Otherwise it would count all engines as full when it becomes the coordinator again.
+// A coordinator that is replaced must drop the reservations that it granted. Otherwise it would
+// count the engines as full when it becomes the coordinator again.
 func TestFormerCoordinatorDropsItsReservations(t *testing.T) {
 	slow := upstreamtest.NewEngine(upstreamtest.Config{ID: "m1", Service: entrytest.Model, Slots: 4, Events: 40, Step: 50 * time.Millisecond})
 	sys := start(t, 3, []*upstreamtest.Engine{slow, plainEngine("p1")})
@@ -46,7 +46,7 @@
 	go func() {
 		answer <- sys.Send(t.Context(), gateway, entrytest.Request{ID: "r1", Path: "/stream/", Header: map[string]string{"Token-Counts": "10,40"}})
 	}()
-	sys.WaitUntil("the second host granted", func() bool { return runningRequests(second) == 1 })
+	sys.WaitUntil("the second host has granted the request", func() bool { return runningRequests(second) == 1 })
 	_, err = sys.Store.Put(t.Context(), store.Write{Key: key, Data: entry.Data, Lease: entry.Lease, Blind: true})
 	assert.NilError(t, err)
 	// The second host stays the coordinator until it is deregistered, too.
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -18,13 +18,11 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// Guards against a poison request that moves from engine to engine: an engine crashed every
-// half second, 55 in all within three quarters of a minute, and each crash broke up to six
-// streams of other clients. The client of one request sent it again under a new ID after
-// each failure, to any host, and the request crashed whatever engine ran it, some 0.1 s after
-// it had arrived. A crash counted against the engine alone, and nothing that outlives a request
-// recorded what it did to its engine. Without such a record 20 of 20 attempts of this test
-// reach engines.
+// Guards against a poison request that crashes one engine after the other: a client retried it
+// under a new ID after each failure, and it crashed each engine some 0.1 s after it had arrived.
+// An engine crashed every half second, 55 in all within three quarters of a minute, and each crash
+// broke up to six streams of other clients. Without a record of crashes that outlives the request,
+// 20 of 20 attempts of this test reach engines.
 func TestPoisonRequestIsHeld(t *testing.T) {
 	sys, cra := startWithCrashingEngines(t, 3, entrytest.CrashConfig{})
 	const tries = 20
@@ -75,8 +73,8 @@
 	return entrytest.Answer{}
 }
 
-// The client of a held request learns at once that the request has run, and after which time
-// it may retry. A changed request is another one and is served.
+// The answer to a held request doesn't claim that the request hasn't run, and says after which
+// time the client may retry. A request with another body is served.
 func TestHeldRequestIsRejectedWithRetryAfter(t *testing.T) {
 	sys, cra := startWithCrashingEngines(t, 2, entrytest.CrashConfig{})
 	ans := sendUntilHeld(t, sys, cra)
@@ -91,8 +89,8 @@
 	}
 }
 
-// Streams that an engine's crash interrupts resume on another engine, as after any other
-// crash.
+// Streams that are interrupted when a poison request crashes their engine resume on another engine,
+// as after any other crash.
 func TestStreamsResumeAfterPoisonRequestCrashesTheirEngine(t *testing.T) {
 	sys, cra := startWithCrashingEngines(t, 3, entrytest.CrashConfig{Step: 30 * time.Millisecond})
 	answers := make(chan entrytest.Answer, 12)
@@ -103,7 +101,7 @@
 			})
 		}()
 	}
-	sendPoison(t, sys, sys.Hosts[0], "ends-one")
+	sendPoison(t, sys, sys.Hosts[0], "poison")
 	for range cap(answers) {
 		ans := <-answers
 		assert.NilError(t, ans.Err)
@@ -112,10 +110,10 @@
 	assert.Equal(t, len(cra.Crashes()), 1)
 }
 
-// The record of a poison request reaches the next coordinator.
+// The crash records of a poison request reach the next coordinator.
 func TestCrashRecordsSurviveLossOfCoordinator(t *testing.T) {
 	for lost := range 3 {
-		t.Run(fmt.Sprint("after ", lost+1), func(t *testing.T) {
+		t.Run(fmt.Sprint("poison requests before the loss: ", lost+1), func(t *testing.T) {
 			sys, cra := startWithCrashingEngines(t, 4, entrytest.CrashConfig{})
 			for num := range lost + 1 {
 				cra.WaitForRunning(cra.EngineCount())
@@ -152,28 +150,28 @@
 	assert.Equal(t, len(cra.Arrivals()), arrived)
 }
 
-// While the store is down, hosts learn of crashes from one another.
+// While the store is down, hosts report crashes to one another.
 func TestPoisonRequestIsHeldDuringStoreOutage(t *testing.T) {
 	sys, cra := startWithCrashingEngines(t, 3, entrytest.CrashConfig{SameName: true})
 	sys.Store.SetFaults(platformtest.Faults{Down: true})
 	sendUntilHeld(t, sys, cra)
 	for num := range 6 {
-		ans := sendPoison(t, sys, sys.Hosts[num%3], fmt.Sprintf("away-%d", num))
+		ans := sendPoison(t, sys, sys.Hosts[num%3], fmt.Sprintf("outage-%d", num))
 		assert.Assert(t, strings.Contains(ans.Body, `"Held"`), ans.Body)
 	}
 	assert.Assert(t, len(cra.Arrivals()) <= 3, len(cra.Arrivals()))
 }
 
-// An engine that restarts under its name runs again sooner than a probe or the store shows
-// its crash.
+// An engine that restarts under the same name runs again before a probe or the store shows its
+// crash. The crash must be recorded nevertheless.
 func TestPoisonRequestIsHeldWhenEnginesRestart(t *testing.T) {
 	sys, cra := startWithCrashingEngines(t, 3, entrytest.CrashConfig{SameName: true})
 	sendUntilHeld(t, sys, cra)
 	assert.Assert(t, len(cra.Arrivals()) <= 3, len(cra.Arrivals()))
 }
 
-// Truncated, lost and failed answers, or silence, of an engine that keeps running are no crash.
-func TestFaultsWithoutCrashHoldNothing(t *testing.T) {
+// Truncated, dropped and failed answers of an engine that keeps running are no crash.
+func TestFaultsWithoutCrashDoNotHoldRequest(t *testing.T) {
 	engines := twoOfEach()
 	sys := start(t, 2, engines)
 	num := 0
@@ -183,7 +181,7 @@
 				eng.Fault(fau, 1)
 			}
 			num++
-			sys.Send(t.Context(), sys.Hosts[num%2], entrytest.Request{ID: fmt.Sprintf("trouble-%d", num), Path: "/stream/x", Body: "the same", Header: map[string]string{"Token-Counts": "10,5"}})
+			sys.Send(t.Context(), sys.Hosts[num%2], entrytest.Request{ID: fmt.Sprintf("fault-%d", num), Path: "/stream/x", Body: "the same", Header: map[string]string{"Token-Counts": "10,5"}})
 			for _, eng := range engines[:2] {
 				eng.Clear()
 			}
@@ -194,13 +192,14 @@
 	assert.Assert(t, !strings.Contains(sys.Log(), `"EngineEnded":"Yes"`))
 }
 
-// An engine that is draining, or has deleted its entry, may cut off what it still runs.
+// An engine that is draining, or whose entry is deleted, may end the requests that it still runs.
+// That is no crash.
 func TestPlannedEngineStopIsNoCrash(t *testing.T) {
-	for _, kind := range []string{"draining", "gone"} {
+	for _, kind := range []string{"draining", "deregistered"} {
 		t.Run(kind, func(t *testing.T) {
 			sys, cra := startWithCrashingEngines(t, 1, entrytest.CrashConfig{After: 300 * time.Millisecond})
 			answers := make(chan entrytest.Answer, 1)
-			go func() { answers <- sendPoison(t, sys, sys.Hosts[0], "leaving") }()
+			go func() { answers <- sendPoison(t, sys, sys.Hosts[0], "poison") }()
 			sys.WaitUntil("the request runs", func() bool { return len(cra.Arrivals()) == 1 })
 			engine := cra.Arrivals()[0].Engine
 			if kind == "draining" {
@@ -231,21 +230,21 @@
 	arrived := len(cra.Arrivals())
 	cra.WaitForRunning(cra.EngineCount())
 	sys.WaitUntil("the request runs again", func() bool {
-		sendPoison(t, sys, sys.Hosts[0], fmt.Sprintf("freed-%d", len(cra.Arrivals())))
+		sendPoison(t, sys, sys.Hosts[0], fmt.Sprintf("released-%d", len(cra.Arrivals())))
 		return len(cra.Arrivals()) > arrived
 	})
 }
 
-// Four clients send the poison request at once and all the time, beside the requests of
-// others. It crashes three engines, and one more for each copy that ran before anything was
-// known.
+// Four clients send the poison request concurrently and continually, beside requests of other
+// clients. It crashes at most three engines, and one more for each further copy that ran before the
+// request was held.
 func TestConcurrentPoisonRequestsCrashFewEngines(t *testing.T) {
 	sys, cra := startWithCrashingEngines(t, 4, entrytest.CrashConfig{Step: 5 * time.Millisecond})
 	const clients = 4
-	ends := make(chan struct{}, clients)
+	done := make(chan struct{}, clients)
 	for num := range clients {
 		go func() {
-			defer func() { ends <- struct{}{} }()
+			defer func() { done <- struct{}{} }()
 			for try := range 30 {
 				sendPoison(t, sys, sys.Hosts[(num+try)%len(sys.Hosts)], fmt.Sprintf("many-%d-%d", num, try))
 			}
@@ -261,8 +260,8 @@
 		}
 	}
 	for range clients {
-		<-ends
+		<-done
 	}
 	assert.Assert(t, len(cra.Crashes()) <= 3+clients-1, len(cra.Crashes()))
-	assert.Assert(t, served >= 30, "%d of 40 others were served", served)
+	assert.Assert(t, served >= 30, "%d of 40 other requests were served", served)
 }
--- a/entry/elect_test.go
+++ b/entry/elect_test.go
@@ -23,9 +23,8 @@
 	return hos.broker
 }
 
-// The first candidate was lost and returns while another host leads. All hosts, the first
-// among them, stay with the leader; after the loss of the leader they choose the first
-// candidate.
+// The first candidate was lost and returns while another host is the leader. All hosts keep that
+// leader, and choose the first candidate only after the loss of the leader.
 func TestReturningCandidateFollowsLeader(t *testing.T) {
 	bro := newElectionBroker(t)
 	assert.Equal(t, bro.chooseCoordinator(), bro.host.epoch, "no host is reachable")
@@ -42,7 +41,8 @@
 	assert.Equal(t, bro.chooseCoordinator(), request.Epoch(1))
 }
 
-// A host is the leader, and reports that, while more than half of all hosts appoint it.
+// A host is the leader, and reports so, while it and the hosts that appoint it are more than half of
+// all hosts.
 func TestHostLeadsWhileMajorityAppointsIt(t *testing.T) {
 	const hosts = 5
 	hos, sessions := newHostInFleet(t, hosts)
@@ -70,7 +70,7 @@
 }
 
 // After the loss of all hosts the entries hold the hosts' former epochs. A host that answers with
-// a later epoch is recognized by it before its new entry is read.
+// another epoch is recognized as restarted before its new entry is read.
 func TestRestartedHostIsRecognizedByItsAnswer(t *testing.T) {
 	bro := newElectionBroker(t)
 	mem := bro.candidates()[0]
@@ -93,7 +93,7 @@
 	assert.Equal(t, bro.candidates()[0].Epoch, request.Epoch(3))
 }
 
-// An unreachable candidate is replaced by the next one until it is back.
+// An unreachable candidate is replaced by the next one until a session with the former opens again.
 func TestNextCandidateReplacesUnreachableOne(t *testing.T) {
 	bro := newElectionBroker(t)
 	assert.Equal(t, len(bro.candidates()), coordinatorSessions)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -16,7 +16,7 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// events is the number of events of a test's streams.
+// streamEvents is the number of events of a test's streams.
 const streamEvents = 4
 
 func modelEngine(id string) *upstreamtest.Engine {
@@ -48,7 +48,7 @@
 	return startWith(t, entrytest.Config{Hosts: hosts, Engines: engines})
 }
 
-// startWith starts a system and puts a first configuration in force.
+// startWith starts a system with configuration version 1 and waits until all hosts are ready.
 func startWith(t *testing.T, cfg entrytest.Config) *entrytest.System {
 	t.Helper()
 	sys := entrytest.Start(t, cfg)
@@ -93,12 +93,12 @@
 		request entrytest.Request
 		status  int
 	}{
-		"no route":     {entrytest.Request{ID: "a", Path: "/nowhere/"}, http.StatusNotFound},
-		"unknown key":  {entrytest.Request{ID: "b", Path: "/safe/", Key: "wrong"}, http.StatusUnauthorized},
-		"no id":        {entrytest.Request{Path: "/safe/"}, http.StatusBadRequest},
-		"bad deadline": {entrytest.Request{ID: "c", Path: "/safe/", Header: map[string]string{"Deadline-Ms": "soon"}}, http.StatusBadRequest},
-		"bad tokens":   {entrytest.Request{ID: "d", Path: "/stream/", Header: map[string]string{"Token-Counts": "many"}}, http.StatusBadRequest},
-		"long body":    {entrytest.Request{ID: "e", Path: "/safe/", Body: strings.Repeat("x", 2<<20)}, http.StatusRequestEntityTooLarge},
+		"no route":             {entrytest.Request{ID: "a", Path: "/nowhere/"}, http.StatusNotFound},
+		"unknown key":          {entrytest.Request{ID: "b", Path: "/safe/", Key: "wrong"}, http.StatusUnauthorized},
+		"no request ID":        {entrytest.Request{Path: "/safe/"}, http.StatusBadRequest},
+		"invalid deadline":     {entrytest.Request{ID: "c", Path: "/safe/", Header: map[string]string{"Deadline-Ms": "soon"}}, http.StatusBadRequest},
+		"invalid token counts": {entrytest.Request{ID: "d", Path: "/stream/", Header: map[string]string{"Token-Counts": "many"}}, http.StatusBadRequest},
+		"body too large":       {entrytest.Request{ID: "e", Path: "/safe/", Body: strings.Repeat("x", 2<<20)}, http.StatusRequestEntityTooLarge},
 	}
 	for name, tst := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -113,18 +113,18 @@
 // the request runs at most.
 func TestEngineFaults(t *testing.T) {
 	complete := http.StatusOK
-	const broken = 0
+	const truncated = 0
 	cases := []struct {
-		trouble upstreamtest.Fault
-		name    string
+		fault upstreamtest.Fault
+		name  string
 		// The status by the kind of request; 0 is a truncated answer.
 		stream, resume, safe, unsafe int
 	}{
 		{upstreamtest.Error, "Error", 500, complete, complete, 500},
-		{upstreamtest.Reject, "TurnAway", complete, complete, complete, complete},
-		{upstreamtest.DropAnswer, "Lose", 502, complete, complete, 502},
-		{upstreamtest.Truncate, "Cut", broken, complete, complete, 502},
-		{upstreamtest.TruncateInEvent, "CutInEvent", broken, complete, complete, complete},
+		{upstreamtest.Reject, "Reject", complete, complete, complete, complete},
+		{upstreamtest.DropAnswer, "DropAnswer", 502, complete, complete, 502},
+		{upstreamtest.Truncate, "Truncate", truncated, complete, complete, 502},
+		{upstreamtest.TruncateInEvent, "TruncateInEvent", truncated, complete, complete, complete},
 		{upstreamtest.Extra, "Extra", complete, complete, complete, complete},
 		{upstreamtest.StrayFirst, "StrayFirst", complete, complete, complete, complete},
 		{upstreamtest.Unframed, "Unframed", complete, complete, complete, complete},
@@ -133,7 +133,7 @@
 	for _, tst := range cases {
 		t.Run(tst.name, func(t *testing.T) {
 			for kind, status := range map[string]int{"stream": tst.stream, "resume": tst.resume, "safe": tst.safe, "unsafe": tst.unsafe} {
-				t.Run(kind, func(t *testing.T) { checkFault(t, tst.trouble, kind, status) })
+				t.Run(kind, func(t *testing.T) { checkFault(t, tst.fault, kind, status) })
 			}
 		})
 	}
@@ -169,8 +169,8 @@
 	checkServes(t, sys, kind)
 }
 
-// A stream that breaks has long passed its latency target. It resumes on another engine
-// nevertheless, even on one that runs other streams.
+// A stream that breaks long after its latency target still resumes on another engine, even on
+// one that runs other streams.
 func TestBrokenStreamResumesOnBusyEngine(t *testing.T) {
 	const events = 8
 	var engines []*upstreamtest.Engine
@@ -248,7 +248,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	answers := make(chan entrytest.Answer, 1)
 	go func() { answers <- sys.Send(ctx, sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/stream/"}) }()
-	sys.WaitUntil("the engine runs it", func() bool { return len(eng.Runs()) == 1 })
+	sys.WaitUntil("the engine runs the request", func() bool { return len(eng.Runs()) == 1 })
 	cancel()
 	assert.Assert(t, (<-answers).Err != nil)
 	sys.WaitUntil("the engine's request is canceled", func() bool { return eng.AbandonedRequests() == 1 })
@@ -277,7 +277,7 @@
 	assert.Equal(t, len(engines[0].Runs()), 0)
 }
 
-func TestNewestConfigurationStaysInForce(t *testing.T) {
+func TestNewestConfigurationStaysActive(t *testing.T) {
 	sys := start(t, 2, twoOfEach())
 	send := func(key string) int {
 		return sys.Send(t.Context(), sys.Hosts[1], entrytest.Request{ID: "r", Path: "/safe/", Key: key}).Status
@@ -287,15 +287,15 @@
 	assert.Equal(t, send("second"), http.StatusOK)
 	sys.Configure(entrytest.Configuration{Version: 4})
 	sys.Configure(entrytest.Configuration{Version: 6, Keys: []string{"second", "third"}})
-	sys.WaitUntil("the newest configuration is in force", func() bool { return send("third") == http.StatusOK })
+	sys.WaitUntil("the newest configuration is active", func() bool { return send("third") == http.StatusOK })
 	assert.Equal(t, send(entrytest.Key), http.StatusUnauthorized)
 }
 
 func TestInvalidConfigurationIsRejected(t *testing.T) {
 	cases := map[string]struct{ from, to, field string }{
-		"wrong kind of value": {`"timeout_ms":5000`, `"timeout_ms":"soon"`, "routes"},
-		"unknown kind":        {`"kind":"safe"`, `"kind":"brave"`, "routes[2].kind"},
-		"unknown service":     {`"service":"plain"`, `"service":"nobody"`, "Routes[2].Shares"},
+		"wrong type":      {`"timeout_ms":5000`, `"timeout_ms":"soon"`, "routes"},
+		"unknown kind":    {`"kind":"safe"`, `"kind":"brave"`, "routes[2].kind"},
+		"unknown service": {`"service":"plain"`, `"service":"nobody"`, "Routes[2].Shares"},
 	}
 	for name, tst := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -332,7 +332,7 @@
 	assert.Equal(t, served(), 60)
 	sys.Configure(entrytest.Configuration{Version: 3, Rate: 0.001, Burst: 1000})
 	sys.WaitForVersion(3)
-	// 1000 tokens suffice for 20 requests of 50 tokens, and the last one may cancel a debt.
+	// 1000 tokens suffice for 20 requests of 50 tokens, and the last one may leave a debt.
 	assert.Assert(t, served() <= 21)
 }
 
@@ -368,7 +368,7 @@
 	assert.Assert(t, sys.IsReady(sys.Hosts[0]))
 }
 
-func TestCompactedHistoryIsReadAgain(t *testing.T) {
+func TestHostReadsChangesAfterCompaction(t *testing.T) {
 	sys := start(t, 1, twoOfEach())
 	sys.Store.Compact()
 	sys.Configure(entrytest.Configuration{Version: 7, Keys: []string{"new"}})
@@ -460,29 +460,29 @@
 func TestMetricsCountRequestsByCause(t *testing.T) {
 	sys := start(t, 1, twoOfEach())
 	assert.Equal(t, sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/safe/"}).Status, http.StatusOK)
-	sys.WaitUntil("counted", func() bool { return strings.Contains(sys.Metrics(sys.Hosts[0]), "Requests.Safe.Answered 1") })
+	sys.WaitUntil("the request is counted", func() bool { return strings.Contains(sys.Metrics(sys.Hosts[0]), "Requests.Safe.Answered 1") })
 	for _, name := range []string{"Request.Time.Safe.P99", "EngineConnections 1", "StoreFailures 0", "StoreCalls.GrantLease 1"} {
 		assert.Assert(t, strings.Contains(sys.Metrics(sys.Hosts[0]), name), sys.Metrics(sys.Hosts[0]))
 	}
 }
 
-// A host whose last request must be cut off at the end of the grace period stops at once
-// nevertheless. A process that is killed at the end of the grace period can't log why.
+// A host that cuts off a request at the end of the grace period stops at once after that. A
+// process that is killed at the end of the grace period can't log why.
 func TestStopEndsAtOnceAfterGracePeriod(t *testing.T) {
 	eng := upstreamtest.NewEngine(upstreamtest.Config{ID: "m1", Service: entrytest.Model, Slots: 4, Events: 100, Step: 100 * time.Millisecond})
 	sys := entrytest.Start(t, entrytest.Config{Hosts: 3, Engines: []*upstreamtest.Engine{eng}, Bounds: settings.Bounds{GraceSeconds: 1}})
 	sys.Configure(entrytest.Configuration{Version: 1, Timeout: 20 * time.Second})
 	sys.WaitForReady()
 	// The hosts are the coordinator, the next candidate and another host.
-	for idx, one := range sys.Hosts {
+	for idx, hos := range sys.Hosts {
 		answers := make(chan entrytest.Answer)
 		go func() {
-			answers <- sys.Send(t.Context(), one, entrytest.Request{ID: fmt.Sprint("r", idx), Path: "/stream/", Header: map[string]string{"Token-Counts": "10,20"}})
+			answers <- sys.Send(t.Context(), hos, entrytest.Request{ID: fmt.Sprint("r", idx), Path: "/stream/", Header: map[string]string{"Token-Counts": "10,20"}})
 		}()
 		sys.WaitUntil("the stream has begun", func() bool { return len(eng.Runs()) > idx })
-		assert.Assert(t, one.Drain(t.Context()) != nil)
+		assert.Assert(t, hos.Drain(t.Context()) != nil)
 		started := time.Now()
-		one.Stop()
+		hos.Stop()
 		assert.Assert(t, time.Since(started) < maxStopTime, "%s", time.Since(started))
 		assert.Assert(t, (<-answers).Err != nil)
 	}
@@ -492,12 +492,11 @@
 // leaves for it.
 const maxStopTime = 400 * time.Millisecond
 
-// Guards against requests to a deregistered engine: one host sent it requests for 8.8 s. Only
-// that host's connection to the store was silent, for 5 s. Its peers reported the deleted
-// entry, but the host kept the engine during its own outage and for two seconds more.
-// Deletions are ignored during a store outage, since entries then expire although their
-// engines run. They don't expire while the store serves the other hosts, so the host must
-// apply what its peers report.
+// Guards against requests to a deregistered engine: a host that was cut off from the store for
+// 5 s sent some for 8.8 s, since it ignored deletions during its outage and for two seconds more.
+// While the store is down for all hosts, entries of running engines expire, so deletions are
+// ignored. While the store serves the peers, entries don't expire, and a deletion that the peers
+// report must be applied.
 func TestHostCutOffFromStoreDropsDeregisteredEngines(t *testing.T) {
 	sys := start(t, 3, twoOfEach())
 	sys.Hosts[0].SetStoreCut(true)
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -26,7 +26,7 @@
 	return upstreamtest.NewEngine(upstreamtest.Config{ID: id, Service: entrytest.Plain, Slots: 8, Domain: domain})
 }
 
-// isPublished reports whether operators can read that the domain is closed or empty.
+// isPublished reports whether the store holds a published state of the evacuation.
 func isPublished(sys *entrytest.System) bool {
 	return sys.EvacuationState(evacuatedDomain).State != ""
 }
@@ -42,11 +42,10 @@
 	}
 }
 
-// No host sends a request to a failure domain from the moment on at which operators read that
-// it is closed. When the order is withdrawn, the domain is used again and its published state
-// is deleted.
+// Once the state of an evacuation is published, no host sends a request to the failure domain. When
+// the order is withdrawn, the domain is used again and the published state is deleted.
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
-	remaining, evacuated := engineInDomain("d0", "stays"), engineInDomain(evacuatedDomain, "emptied")
+	remaining, evacuated := engineInDomain("d0", "remaining"), engineInDomain(evacuatedDomain, "evacuated")
 	sys := startWithLongRevocation(t, 3, []*upstreamtest.Engine{remaining, evacuated})
 	sys.WaitUntil("both engines serve", func() bool {
 		sendAll(t, sys, 0, 3)
@@ -66,10 +65,10 @@
 	sys.WaitUntil("the published state is deleted", func() bool { return !isPublished(sys) })
 }
 
-// Hosts that have lost the store, or that it throttles, get the order from their peers.
+// Hosts that are cut off from the store, or throttled by it, receive the order from their peers.
 func TestEvacuationReachesHostsWithoutStore(t *testing.T) {
-	evacuated := engineInDomain(evacuatedDomain, "emptied")
-	sys := startWithLongRevocation(t, 3, []*upstreamtest.Engine{engineInDomain("d0", "stays"), evacuated})
+	evacuated := engineInDomain(evacuatedDomain, "evacuated")
+	sys := startWithLongRevocation(t, 3, []*upstreamtest.Engine{engineInDomain("d0", "remaining"), evacuated})
 	sys.Hosts[1].SetStoreCut(true)
 	sys.Hosts[2].SetStoreThrottled(true)
 	sys.Evacuate(evacuatedDomain, "{}")
@@ -79,10 +78,10 @@
 	assert.Equal(t, len(evacuated.Arrivals()), before)
 }
 
-// Running requests go on to their end. Operators read that the domain is closed, and that it
-// is empty only after that.
+// Running requests finish. Until then the published state of the evacuation is closed, after that
+// empty.
 func TestRunningRequestsFinishInEvacuatedDomain(t *testing.T) {
-	evacuated := upstreamtest.NewEngine(upstreamtest.Config{ID: "emptied", Service: entrytest.Model, Slots: 4, Events: 60, Step: 20 * time.Millisecond, Domain: evacuatedDomain})
+	evacuated := upstreamtest.NewEngine(upstreamtest.Config{ID: "evacuated", Service: entrytest.Model, Slots: 4, Events: 60, Step: 20 * time.Millisecond, Domain: evacuatedDomain})
 	sys := startWithLongRevocation(t, 2, []*upstreamtest.Engine{evacuated})
 	answers := make(chan entrytest.Answer, 1)
 	go func() {
@@ -95,16 +94,16 @@
 	assert.NilError(t, ans.Err)
 	assert.Equal(t, ans.Body, upstreamtest.StreamBody("runs", 60))
 	sys.WaitUntil("the domain is empty", func() bool { return sys.EvacuationState(evacuatedDomain).State == "empty" })
-	refused := sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "later", Path: "/stream/x", Header: map[string]string{"Token-Counts": "10,60"}})
-	assert.Equal(t, refused.Status, http.StatusServiceUnavailable)
+	rejected := sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "later", Path: "/stream/x", Header: map[string]string{"Token-Counts": "10,60"}})
+	assert.Equal(t, rejected.Status, http.StatusServiceUnavailable)
 	assert.Equal(t, len(evacuated.Runs()), 1, "a rejected request must not run")
 }
 
-// While a registered host hasn't confirmed that it enforces the order, nothing is published,
-// and the coordinator's dump names that host.
+// While a registered host hasn't confirmed that it enforces the order, no state is published, and
+// the coordinator's dump names that host.
 func TestEvacuationIsNotPublishedUntilAllHostsConfirm(t *testing.T) {
-	evacuated := engineInDomain(evacuatedDomain, "emptied")
-	sys := startWithLongRevocation(t, 2, []*upstreamtest.Engine{engineInDomain("d0", "stays"), evacuated})
+	evacuated := engineInDomain(evacuatedDomain, "evacuated")
+	sys := startWithLongRevocation(t, 2, []*upstreamtest.Engine{engineInDomain("d0", "remaining"), evacuated})
 	const silent = request.Epoch(4711)
 	sys.RegisterLostHost("silent", silent, nil)
 	sys.WaitUntil("the silent host is known", func() bool { return strings.Contains(sys.Log(), `"EnteredNames":["silent"]`) })
@@ -126,30 +125,30 @@
 	sys.WaitUntil("the state is published", func() bool { return isPublished(sys) })
 }
 
-// The store loses an answer, and then the coordinator is lost. A state that was published is
-// neither lost nor published again.
+// The answer to a write of the state is lost, and then the coordinator. A published state is neither
+// lost nor written again by the next coordinator.
 func TestPublishedEvacuationSurvivesLossOfCoordinator(t *testing.T) {
-	sys := startWithLongRevocation(t, 3, []*upstreamtest.Engine{engineInDomain("d0", "stays"), engineInDomain(evacuatedDomain, "emptied")})
+	sys := startWithLongRevocation(t, 3, []*upstreamtest.Engine{engineInDomain("d0", "remaining"), engineInDomain(evacuatedDomain, "evacuated")})
 	var first *entrytest.Host
 	sys.WaitUntil("one host coordinates", func() bool { first = coordinator(sys); return first != nil })
 	sys.Store.SetFaults(platformtest.Faults{LoseReplies: 1})
 	sys.Evacuate(evacuatedDomain, "{}")
 	sys.WaitUntil("the state is published", func() bool { return isPublished(sys) })
-	order := sys.EvacuationState(evacuatedDomain).Revision
+	revision := sys.EvacuationState(evacuatedDomain).Revision
 	first.Stop()
 	sys.Hosts = hostsWithout(sys.Hosts, first)
 	sys.WaitUntil("another host coordinates", func() bool { return coordinator(sys) != nil })
 	sendAll(t, sys, 0, 5)
 	sys.WaitUntil("the domain is empty", func() bool { return sys.EvacuationState(evacuatedDomain).State == "empty" })
-	assert.Equal(t, sys.EvacuationState(evacuatedDomain).Revision, order)
+	assert.Equal(t, sys.EvacuationState(evacuatedDomain).Revision, revision)
 	assert.Assert(t, strings.Count(sys.Log(), `"State":"Closed"`)+strings.Count(sys.Log(), `"State":"Empty"`) <= 3, "two states, one of them written again after the lost answer")
 }
 
-// Orders with an invalid value or an unknown domain are logged, and apply by their key. An order
-// that is withdrawn and given again is another order.
-func TestUnusualEvacuationOrdersApply(t *testing.T) {
-	evacuated := engineInDomain(evacuatedDomain, "emptied")
-	sys := startWithLongRevocation(t, 2, []*upstreamtest.Engine{engineInDomain("d0", "stays"), evacuated})
+// An order with an invalid value or an unknown failure domain is logged and applies by its key. An
+// order that is written again after it was withdrawn is another order.
+func TestInvalidAndUnknownEvacuationOrdersApply(t *testing.T) {
+	evacuated := engineInDomain(evacuatedDomain, "evacuated")
+	sys := startWithLongRevocation(t, 2, []*upstreamtest.Engine{engineInDomain("d0", "remaining"), evacuated})
 	sys.Evacuate(evacuatedDomain, "\x00 no value")
 	sys.Evacuate("nowhere", "{}")
 	sys.WaitUntil("both states are published", func() bool { return isPublished(sys) && sys.EvacuationState("nowhere").State == "empty" })
@@ -168,8 +167,8 @@
 
 // A host that starts during an evacuation sends no requests to that failure domain.
 func TestStartingHostEnforcesEvacuation(t *testing.T) {
-	evacuated := engineInDomain(evacuatedDomain, "emptied")
-	sys := entrytest.StartWithoutHosts(t, []*upstreamtest.Engine{engineInDomain("d0", "stays"), evacuated})
+	evacuated := engineInDomain(evacuatedDomain, "evacuated")
+	sys := entrytest.StartWithoutHosts(t, []*upstreamtest.Engine{engineInDomain("d0", "remaining"), evacuated})
 	sys.Configure(entrytest.Configuration{Version: 1})
 	sys.Evacuate(evacuatedDomain, "{}")
 	sys.StartHosts(entrytest.Config{Hosts: 2})
@@ -179,8 +178,8 @@
 	sys.WaitUntil("the state is published", func() bool { return isPublished(sys) })
 }
 
-// Cold engines of a failure domain that joins warm ones get no more requests from all hosts
-// together than their cold rate allows, and all of them are used once they are warm.
+// Cold engines that are added beside a warm one get no more requests from all hosts together than
+// their cold rate allows. Once they are warm they get more.
 func TestColdEnginesStayWithinColdRate(t *testing.T) {
 	const perSecond = 6
 	warm := upstreamtest.NewEngine(upstreamtest.Config{ID: "warm", Service: entrytest.Plain, Slots: 1})
--- a/entry/follow_test.go
+++ b/entry/follow_test.go
@@ -13,8 +13,8 @@
 // longWait is longer than any test in this file takes.
 const longWait = time.Minute
 
-// Two hosts that start together may each take the other for the one that reads the store.
-// Neither may wait for the other's changes then.
+// Two hosts that start together may each choose the other as the relay. Neither may then wait for
+// the other's changes.
 func TestFollowerDoesNotWaitForRelayedMirror(t *testing.T) {
 	mir := newMirror(time.Now)
 	mir.replace(nil, 7, time.Now())
--- a/entry/granted_test.go
+++ b/entry/granted_test.go
@@ -19,9 +19,9 @@
 	hos, err := New(Config{Settings: settings.Entry{Name: "host-1", PeerKey: "key between the hosts"}, Log: zerolog.Nop()})
 	assert.NilError(t, err)
 	hos.snapshot.Store(&snapshot{engines: map[string]fleet.Engine{
-		"stays": {ID: fleet.EngineID{Name: "stays"}}, "leaves": {ID: fleet.EngineID{Name: "leaves"}, Draining: true},
+		"ready": {ID: fleet.EngineID{Name: "ready"}}, "draining": {ID: fleet.EngineID{Name: "draining"}, Draining: true},
 	}})
-	for name, want := range map[string]cause{"stays": "", "leaves": causeEngineUnavailable, "gone": causeEngineUnavailable} {
+	for name, want := range map[string]cause{"ready": "", "draining": causeEngineUnavailable, "deregistered": causeEngineUnavailable} {
 		exc := &exchange{host: hos, route: route.Route{Public: true}}
 		_, pro := exc.checkGrant(name, request.ID{Unique: "r1"})
 		if want == "" {
@@ -32,8 +32,8 @@
 	}
 }
 
-// The host and the coordinator may learn in either order that an engine has restarted. The
-// request goes to the later run, and the reservation that the host reports to another
+// Either of the host and the coordinator may be the first to read that an engine has restarted.
+// The request goes to the later run, and the reservation that the host reports to another
 // coordinator names that run.
 func TestGrantOfOtherEngineRunUsesLaterRun(t *testing.T) {
 	former, later := fleet.NewEngineID("e", time.UnixMilli(1000)), fleet.NewEngineID("e", time.UnixMilli(2000))
@@ -43,9 +43,9 @@
 		granted fleet.EngineID
 		want    cause
 	}{
-		{"the host is behind", fleet.Engine{ID: former}, later, ""},
+		{"the host doesn't know the later run", fleet.Engine{ID: former}, later, ""},
 		{"the former run was draining", fleet.Engine{ID: former, Draining: true}, later, ""},
-		{"the coordinator is behind", fleet.Engine{ID: later}, former, ""},
+		{"the coordinator doesn't know the later run", fleet.Engine{ID: later}, former, ""},
 		{"the later run is draining", fleet.Engine{ID: later, Draining: true}, former, causeEngineUnavailable},
 		{"another engine", fleet.Engine{ID: later}, fleet.NewEngineID("f", time.UnixMilli(2000)), causeEngineUnavailable},
 	} {
--- a/entry/lease_test.go
+++ b/entry/lease_test.go
@@ -19,14 +19,14 @@
 	assert.Equal(t, renewInterval(0), time.Second)
 	assert.Equal(t, renewInterval(7), time.Second)
 	for _, hosts := range []int{30, 87, 295} {
-		each := float64(hosts) / renewInterval(hosts).Seconds()
-		assert.Assert(t, each <= fleetRenewalsPerSecond+1, "%d hosts renew %.0f times a second", hosts, each)
+		rate := float64(hosts) / renewInterval(hosts).Seconds()
+		assert.Assert(t, rate <= fleetRenewalsPerSecond+1, "%d hosts renew %.0f times a second", hosts, rate)
 	}
 	assert.Equal(t, renewInterval(5000), maxRenew)
 }
 
-// A lease lasts for three renewals, whatever the fleet's size. A host that knows no other host
-// may be one of many that start at once.
+// A lease lasts for three renewal intervals, whatever the fleet's size. A host that knows no other
+// host may be one of many that start at once, so its lease has the maximum duration.
 func TestLeaseTimeFitsFleetSize(t *testing.T) {
 	for _, hosts := range []int{2, 7, 63, 295, 5000} {
 		assert.Equal(t, leaseDuration(hosts), 3*renewInterval(hosts))
@@ -39,8 +39,8 @@
 	assert.Assert(t, !needsNewLease(leaseDuration(90), leaseDuration(63)))
 }
 
-// A host that rarely renews its lease learns from the deletion of its own entry that the lease
-// may have expired.
+// A host that rarely renews its lease renews it when its own entry is deleted, since the lease may
+// have expired.
 func TestLeaseIsCheckedWhenOwnEntryIsDeleted(t *testing.T) {
 	hos, err := New(Config{Settings: settings.Entry{Name: "self"}, Log: zerolog.Nop()})
 	assert.NilError(t, err)
--- a/entry/mirror_test.go
+++ b/entry/mirror_test.go
@@ -34,15 +34,15 @@
 	for _, hos := range sys.Hosts {
 		assert.Equal(t, sys.Send(t.Context(), hos, entrytest.Request{ID: "r1", Path: "/safe/"}).Status, http.StatusUnauthorized)
 	}
-	// The relay stops. The others read the store themselves until one of them is the relay.
+	// The relay stops. The others read the store themselves until one of them becomes the relay.
 	sys.Hosts[0].Stop()
 	sys.Hosts = sys.Hosts[1:]
 	sys.Configure(entrytest.Configuration{Version: 3})
 	sys.WaitForVersion(3)
 }
 
-// silentMirror never answers, like a host without power. It records the wait that each
-// call requests.
+// silentMirror never answers, like a host without power. It sends the wait that each call requests
+// to waits.
 type silentMirror struct {
 	waits chan time.Duration
 }
@@ -53,8 +53,8 @@
 	return peer.MirrorUpdate{}, ctx.Err()
 }
 
-// Entries of lost hosts remain for some seconds. A starting host finds them first in its
-// failure domain and must not wait for them.
+// Entries of lost hosts remain for some seconds. A starting host whose failure domain's first
+// members are lost must not wait for their answers.
 func TestStartingHostDoesNotWaitForLostHosts(t *testing.T) {
 	sys := entrytest.StartWithoutHosts(t, twoOfEach())
 	sys.Configure(entrytest.Configuration{Version: 1})
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestCompactedHistoryReachesFollowers(t *testing.T) {
+func TestFollowersReceiveChangesAfterCompaction(t *testing.T) {
 	sys := entrytest.Start(t, entrytest.Config{Hosts: 3, Engines: twoOfEach(), OneDomain: true})
 	sys.Configure(entrytest.Configuration{Version: 1})
 	sys.WaitForReady()
@@ -98,7 +98,7 @@
 	sys.WaitForReady()
 }
 
-// A host is ready soon after an outage, not only after the timeout of a watch.
+// A host becomes ready soon after an outage, without waiting for the timeout of a watch.
 func TestHostRecoversSoonAfterStoreOutage(t *testing.T) {
 	sys := start(t, 1, twoOfEach())
 	sys.Store.SetFaults(platformtest.Faults{Silent: true})
@@ -115,8 +115,8 @@
 // a hanging call, a pause and the next call.
 const maxRecoveryTime = 1200 * time.Millisecond
 
-// During a store outage hosts still return addresses to clients, and requests that need no
-// key are served.
+// During a store outage directories still return addresses to clients, and requests that need no key
+// are served.
 func TestAddressesResolveDuringStoreOutage(t *testing.T) {
 	sys := start(t, 2, twoOfEach())
 	sys.Store.SetFaults(platformtest.Faults{Down: true})
@@ -133,7 +133,7 @@
 	}
 }
 
-// A host that is cut off from the store gets changes from its peers.
+// A host that is cut off from the store receives changes from its peers.
 func TestHostCutOffFromStoreFollowsPeers(t *testing.T) {
 	sys := start(t, 2, twoOfEach())
 	sys.Hosts[0].SetStoreCut(true)
@@ -148,8 +148,8 @@
 	})
 }
 
-// Repeated calls of a whole fleet would keep a store down, and each call has a cost. While
-// the store is unreachable, one host of a failure domain calls it often, the others rarely.
+// Retries of a whole fleet would keep the store down, and each call has a cost. While the store is
+// unreachable, one host of a failure domain calls the store often, the others rarely.
 func TestFleetRarelyCallsLostStore(t *testing.T) {
 	const hosts, callsPerSecond = 8, 25
 	sys := entrytest.Start(t, entrytest.Config{Hosts: hosts, Engines: twoOfEach(), OneDomain: true})
@@ -168,8 +168,8 @@
 	assert.Assert(t, time.Since(back) < maxFleetRecoveryTime, "%s", time.Since(back))
 }
 
-// maxFleetRecoveryTime is how long all hosts may take to be ready after an outage: a probe by
-// the host that reads for all, and a call to that host.
+// maxFleetRecoveryTime is how long all hosts may take to become ready after an outage: a probe by
+// the relay, and a call to the relay.
 const maxFleetRecoveryTime = 3 * time.Second
 
 func totalCalls(mem *platformtest.Memory) uint64 {
@@ -183,8 +183,8 @@
 // longOutage is longer than an unconfirmed configuration may be used.
 const longOutage = 5 * time.Second
 
-// Many hosts that start at once must not keep one another from the store. A host that needs
-// several pages within the store's rate limit would otherwise never get them all.
+// Hosts that start at once must all get ready although they share the store's rate limit. Otherwise
+// a host that has to read several pages would never get all of them.
 func TestManyHostsStartWithinStoreRateLimit(t *testing.T) {
 	sys := entrytest.StartWithoutHosts(t, twoOfEach())
 	for idx := range 1600 {
@@ -198,8 +198,8 @@
 	}
 }
 
-// A host whose entry has expired isn't counted by the others. It must not go on as a coordinator
-// beside theirs, which would use up the limits twice.
+// A coordinator whose entry has expired isn't counted by the other hosts. It must be replaced, since
+// two coordinators would grant the limits twice.
 func TestDeregisteredCoordinatorIsReplaced(t *testing.T) {
 	sys := start(t, 3, twoOfEach())
 	coordinatorOf := func(hos *entrytest.Host) string { return hos.Dump().Coordinator }
@@ -221,9 +221,9 @@
 	})
 }
 
-// A host that the store throttles still learns from its peers which engines are draining, well
-// within the two seconds for which these keep serving.
-func TestThrottledHostLearnsOfDrainingEnginesFromPeers(t *testing.T) {
+// A host that the store throttles receives from its peers which engines are draining, well within
+// the two seconds for which draining engines keep serving.
+func TestThrottledHostReceivesDrainingEnginesFromPeers(t *testing.T) {
 	engines := twoOfEach()
 	sys := start(t, 2, engines)
 	sys.Hosts[0].SetStoreThrottled(true)
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -31,7 +31,7 @@
 	return startWith(t, entrytest.Config{Hosts: hosts, Engines: engines, Bounds: settings.Bounds{RevokeMilliseconds: 60_000}})
 }
 
-// sendPlain sends a request to a host, whose name is a prefix of the request's ID.
+// sendPlain sends a request to a host. The request's ID starts with the host's name.
 func sendPlain(t *testing.T, sys *entrytest.System, hos *entrytest.Host, route string, num int) entrytest.Answer {
 	t.Helper()
 	return sys.Send(t.Context(), hos, entrytest.Request{
@@ -50,13 +50,10 @@
 	return from
 }
 
-// Guards against requests to a draining engine: a draining engine got 27 requests in twelve
-// seconds, two of them from a host that had passed on an answer with the signal over two
-// seconds before. The store was down, so the engine's entry reached no host. The coordinator
-// granted the idle engine as before, and the host sent the request there, on a route that is
-// served during an outage. Hosts used only the store's entry and ignored the signals in an
-// engine's answers. With that fault 120 of 120 requests of this test reach the engine, 117 of
-// them after its signal.
+// Guards against hosts that read an engine's draining state only from the store and ignore the
+// signal in its answers. During a store outage a draining engine got 27 requests in twelve seconds,
+// two of them from a host that had forwarded an answer with the signal over two seconds before.
+// With that fault 120 of 120 requests of this test reach the engine, 117 of them after its signal.
 func TestDrainingSignalStopsRequests(t *testing.T) {
 	engines := plainEngines(2)
 	sys := startWithLongRevocation(t, 3, engines)
@@ -74,15 +71,12 @@
 	}
 }
 
-// Guards against requests to an engine during its backoff: a backend server requested a
-// backoff of three seconds from two hosts, and got seven requests from the one and four from the other
-// between half a second later and its end. Other servers of the service failed requests at the
-// same time, and the scheduler ejected them. With three of four engines ejected it uses all of
-// them again, and the server that rejects requests at once looks idle and is chosen first.
-// Hosts ignored the backoff in an engine's answers; an ejection is an estimate that is given up
-// where it would leave too few engines. With that fault 23 of 24 requests of this test reach
-// the server, 11 and 12 from the two hosts, most of them while three of four engines are
-// ejected and used nevertheless.
+// Guards against hosts that ignore the backoff in an engine's answers and rely on its ejection: a
+// backend server that had requested a backoff of three seconds from two hosts got seven requests from
+// the one and four from the other between half a second later and the end of the backoff. An ejection
+// is only an estimate: with three of four engines ejected the scheduler uses all of them again, and
+// one that rejects requests at once looks idle and is chosen first. With that fault 23 of 24 requests
+// of this test reach the engine, 11 and 12 from the two hosts.
 func TestBackoffSignalStopsRequests(t *testing.T) {
 	engines := plainEngines(4)
 	sys := startWithLongRevocation(t, 2, engines)
@@ -102,9 +96,9 @@
 	}
 }
 
-// The backoff applies although the engine is the only one of the service. Requests are rejected
-// at once as not run, with a time to retry. Without that, ten of ten requests of each host
-// reached the engine, and their clients waited for 0.75 s each.
+// A backoff also applies if the engine is the only one of its service: requests are rejected at once
+// as not run, with a Retry-After. Otherwise ten of ten requests of each host reach the engine, and
+// their clients wait for 0.75 s each.
 func TestBackoffSignalOfOnlyEngineStopsRequests(t *testing.T) {
 	engines := plainEngines(1)
 	sys := startWithLongRevocation(t, 2, engines)
@@ -122,16 +116,16 @@
 	}
 }
 
-// A signal is read from the head of every answer, whatever follows. A stream that the engine
-// still writes goes on.
+// The draining signal is read from the head of every answer, whether the answer is complete, failed
+// or broken. A stream that is running continues.
 func TestDrainingSignalIsReadFromEveryAnswer(t *testing.T) {
 	for _, tst := range []struct {
-		name    string
-		route   string
-		trouble upstreamtest.Fault
-		status  int
+		name   string
+		route  string
+		fault  upstreamtest.Fault
+		status int
 	}{
-		{"whole", "unsafe", upstreamtest.None, http.StatusOK},
+		{"complete", "unsafe", upstreamtest.None, http.StatusOK},
 		{"failed", "unsafe", upstreamtest.Error, http.StatusInternalServerError},
 		{"failed, without another engine for a retry", "safe", upstreamtest.Error, http.StatusBadGateway},
 		{"rejected before it ran", "unsafe", upstreamtest.Reject, http.StatusServiceUnavailable},
@@ -140,10 +134,10 @@
 		{"broken stream", "resume", upstreamtest.TruncateInEvent, http.StatusOK},
 	} {
 		t.Run(tst.name, func(t *testing.T) {
-			draining := engineForRoute(tst.route, "leaver")
+			draining := engineForRoute(tst.route, "draining")
 			sys := startWithLongRevocation(t, 1, []*upstreamtest.Engine{draining})
 			draining.StartDraining()
-			draining.Fault(tst.trouble, 1)
+			draining.Fault(tst.fault, 1)
 			first := make(chan entrytest.Answer, 1)
 			go func() { first <- sendPlain(t, sys, sys.Hosts[0], tst.route, 0) }()
 			sys.WaitUntil("the signal is recorded", func() bool { return len(sys.Hosts[0].Dump().Notices) == 1 })
@@ -162,8 +156,8 @@
 	}
 }
 
-// engineForRoute returns an engine for a route. Its streams are slow enough to outlast the start
-// of another engine.
+// engineForRoute returns an engine for a route. Its streams last long enough for the test to start
+// another engine meanwhile.
 func engineForRoute(route, id string) *upstreamtest.Engine {
 	if route != "stream" && route != "resume" {
 		return plainEngine(id)
@@ -171,7 +165,7 @@
 	return upstreamtest.NewEngine(upstreamtest.Config{ID: id, Service: entrytest.Model, Slots: 4, Events: 12, Step: 30 * time.Millisecond})
 }
 
-// engineSignal returns the engine's signal that a host's scheduler has recorded.
+// engineSignal returns the signal of an engine that a host's scheduler has recorded; empty for none.
 func engineSignal(hos *entrytest.Host, engine string) string {
 	for _, svc := range hos.Dump().Scheduler.Services {
 		for _, eng := range svc.Engines {
@@ -183,8 +177,8 @@
 	return ""
 }
 
-// A signal that one host reports keeps all hosts from a draining engine: the coordinator no
-// longer grants that engine, and neither does the next coordinator.
+// One host's report of a draining signal stops the requests of all hosts to that engine: neither the
+// coordinator nor the next one grants the engine any more.
 func TestDrainingSignalReachesOtherHosts(t *testing.T) {
 	engines := plainEngines(2)
 	sys := startWithLongRevocation(t, 4, engines)
@@ -224,8 +218,8 @@
 	assert.Assert(t, !strings.Contains(sys.Log(), "grant returned"), "no grant had to be returned")
 }
 
-// A backoff is timed by the clock that counts suspensions: a host that resumes after its end
-// uses the engine again, and one that resumes before its end doesn't.
+// Suspensions count towards the duration of a backoff: a host that resumes after the end of the
+// backoff uses the engine again, and one that resumes before doesn't.
 func TestBackoffCountsSuspendedTime(t *testing.T) {
 	engines := plainEngines(1)
 	sys := startSuspendable(t, 1, engines)
--- a/entry/presence_test.go
+++ b/entry/presence_test.go
@@ -13,8 +13,8 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-// In a fleet of hundreds of hosts, entries outlast lost hosts by half a minute. Clients must
-// not be sent to these hosts any more once the coordinator has missed their sessions.
+// In a fleet of hundreds of hosts, the entries of lost hosts remain for half a minute. Clients must
+// not be sent to these hosts once the coordinator reports them as unreachable.
 func TestClientsAreNotSentToUnreachableHosts(t *testing.T) {
 	const hosts, lost = 300, 100
 	hos, sessions := newHostInFleet(t, hosts)
--- a/entry/rates_test.go
+++ b/entry/rates_test.go
@@ -24,8 +24,8 @@
 	return int(rateFactor*perSecond*rateWindow.Seconds() + rateSlack)
 }
 
-// maxArrivalsInWindow returns the most requests that reached an engine within one window from
-// hosts that had got an answer of it before.
+// maxArrivalsInWindow returns the most requests that reached an engine within one rateWindow from
+// hosts that had already sent it a request.
 func maxArrivalsInWindow(eng *upstreamtest.Engine, hosts []*entrytest.Host) int {
 	var informed []time.Time
 	for _, hos := range hosts {
@@ -47,13 +47,11 @@
 	return most
 }
 
-// Guards against requests beyond an engine's rate limit: two engines that had reported 1.5 and
-// 2.2 requests a second got 28 and 25 in four seconds, from two and from four hosts that had
-// got the limit, where 14 and 18 are allowed. They answered all of them in time. The
-// coordinator granted both engines as before, by their slots, pending prefills and health.
-// Hosts ignored the rate limit in an engine's answers; the adapter passed the unknown header on
-// to the client and logged nothing. With that fault 117 of 120 requests of this test reach the
-// engine in half a second, since it seems as good as the other one.
+// Guards against hosts that ignore the rate limit in an engine's answers: two engines that had
+// reported 1.5 and 2.2 requests a second got 28 and 25 in four seconds, from two and from four hosts
+// that had received the limit, where 14 and 18 are allowed. They answered all of them in time, and
+// the coordinator considered only slots, pending prefills and health. With that fault 117 of 120
+// requests of this test reach the engine in half a second.
 func TestEngineRateLimitIsRespected(t *testing.T) {
 	const perSecond = 1.5
 	engines := plainEngines(2)
@@ -98,20 +96,20 @@
 	for _, eng := range engines {
 		eng.SetRateLimit(0)
 	}
-	refused := 0
+	rejected := 0
 	for num := range 10 {
 		for _, hos := range sys.Hosts {
 			ans := sendPlain(t, sys, hos, "unsafe", num)
 			if ans.Status == http.StatusOK {
 				continue
 			}
-			refused++
+			rejected++
 			assert.Equal(t, ans.Status, http.StatusServiceUnavailable, ans.Body)
 			assert.Assert(t, strings.Contains(ans.Body, "EnginesLimited"), ans.Body)
 			assert.Assert(t, ans.Header.Get("Retry-After") != "")
 		}
 	}
-	assert.Assert(t, refused >= 14, refused)
+	assert.Assert(t, rejected >= 14, rejected)
 	assert.Assert(t, strings.Contains(sys.Log(), `"Paced":2,"WaitedForRate":true`), "the log names the reason")
 	for _, eng := range engines {
 		eng.ClearRateLimit()
--- a/entry/readers_test.go
+++ b/entry/readers_test.go
@@ -18,8 +18,8 @@
 	return peers
 }
 
-// In a failure domain of fifty hosts, the relays fail one after the other. Each time the next host
-// reads the store for the rest, instead of each host for itself.
+// In a failure domain of fifty hosts, the relays fail one after the other. Each time the next
+// candidate becomes the relay, so that the other hosts don't read the store themselves.
 func TestNextRelayTakesOverWhenFirstFails(t *testing.T) {
 	const hosts = 50
 	now := time.Unix(100, 0)
@@ -36,14 +36,14 @@
 			assert.Equal(t, mem.Epoch, peers[lost].Epoch)
 			rch.recordFailure(now, mem)
 		}
-		reading := 0
+		relays := 0
 		for _, rch := range all[lost+1:] {
 			if _, found := rch.choose(now, peers); !found {
 				assert.Assert(t, rch.isRelay(now, peers))
-				reading++
+				relays++
 			}
 		}
-		assert.Equal(t, reading, 1, "the next candidate is the relay")
+		assert.Equal(t, relays, 1, "the next candidate is the relay")
 	}
 	last := all[hosts-1]
 	mem, _ := last.choose(now, peers)
--- a/entry/refused_test.go
+++ b/entry/refused_test.go
@@ -58,8 +58,9 @@
 	return update{changes: store.Changes{Revision: rev, Changes: []store.Change{{Value: store.Value{Key: key, Data: data, Revision: rev}}}}}
 }
 
-// An entry that is overwritten with an invalid value removes its engine at once, even while
-// expired entries are kept. The other engines stay, and the fault is logged once.
+// An engine whose entry is overwritten with an invalid value is removed at once, even while engines
+// with expired entries are kept. The other engines stay. The fault is logged once, and again only
+// after the entry was valid in between.
 func TestInvalidEngineEntryRemovesEngine(t *testing.T) {
 	wat, log := newTestWatcher(t)
 	wat.directory.HoldRemovals(time.Now().Add(time.Hour))
@@ -97,7 +98,7 @@
 func TestInvalidEntryLogIsBounded(t *testing.T) {
 	wat, log := newTestWatcher(t)
 	for idx := range 2 * maxInvalidKeys {
-		wat.apply(changeUpdate(store.Revision(11+idx), fmt.Sprintf("servers/bad-%d", idx), bytes.Repeat([]byte("x"), 100_000)))
+		wat.apply(changeUpdate(store.Revision(11+idx), fmt.Sprintf("servers/invalid-%d", idx), bytes.Repeat([]byte("x"), 100_000)))
 	}
 	assert.Equal(t, strings.Count(log.String(), "engine entry invalid, engine not used"), maxInvalidKeys)
 	assert.Assert(t, log.Len() < maxInvalidKeys*2000, "%d bytes", log.Len())
@@ -105,7 +106,7 @@
 	assert.Equal(t, engineNames(wat), "e1 e2")
 }
 
-// Arbitrary bytes at any other key change nothing for the valid entries of engines and hosts.
+// Arbitrary bytes at any other key don't affect the valid entries of engines and hosts.
 func TestArbitraryStoreValuesLeaveOtherEntriesUnchanged(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wat, _ := newTestWatcher(t)
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -12,7 +12,7 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// domainRegions are the regions of hosts 0, 1 and 2, which are in failure domains d0 to d2.
+// domainRegions maps the failure domains d0 to d2, which are those of hosts 0, 1 and 2, to regions.
 var domainRegions = map[string]string{"d0": "north", "d1": "south", "d2": "south"}
 
 func startWithRegions(t *testing.T, engines ...*upstreamtest.Engine) *entrytest.System {
@@ -20,8 +20,8 @@
 	return startWith(t, entrytest.Config{Hosts: 3, Engines: engines, Regions: domainRegions})
 }
 
-// Requests of a route with allowed regions run only there, whichever host receives them. The
-// same holds for retries and resumed streams.
+// Requests of a route with allowed regions run only in these regions, whichever host receives them,
+// also when they are retried. A stream isn't sent to an engine in another region either.
 func TestRequestsRunInRegionsOfRoute(t *testing.T) {
 	north, south, other := engineInDomain("d0", "north"), engineInDomain("d1", "south"), engineInDomain("d2", "other")
 	streams := upstreamtest.NewEngine(upstreamtest.Config{ID: "streams", Service: entrytest.Model, Slots: 4, Events: streamEvents, Domain: "d0"})
@@ -42,7 +42,7 @@
 }
 
 // If both the route and the client account have allowed regions, both apply. If no region is
-// left, the request is rejected without having run, and the log names the configuration field.
+// left, the request is rejected before it runs, and the log names the configuration field.
 func TestRouteAndAccountRegionsBothApply(t *testing.T) {
 	north, south := engineInDomain("d0", "north"), engineInDomain("d1", "south")
 	sys := startWithRegions(t, north, south)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Clients get the addresses of hosts in their own region if requests to the host name may be
-// held there, and those of hosts in the allowed regions otherwise.
+// Clients get the addresses of hosts in their own region if the host name's routes allow that
+// region, and those of hosts in the allowed regions otherwise.
 func TestAddressesRespectAllowedRegions(t *testing.T) {
 	sys := startWithRegions(t, engineInDomain("d0", "north"), engineInDomain("d1", "south"))
 	address := func(hosts ...int) []string {
@@ -85,12 +85,12 @@
 	}
 	assert.DeepEqual(t, found("north"), address(0))
 	assert.DeepEqual(t, found("south"), address(1, 2))
-	assert.DeepEqual(t, found("elsewhere"), address(0, 1, 2))
+	assert.DeepEqual(t, found("unknown"), address(0, 1, 2))
 	sys.Configure(entrytest.Configuration{Version: 2, RouteRegions: []string{"south"}})
 	sys.WaitForVersion(2)
 	assert.DeepEqual(t, found("north"), address(1, 2))
 	assert.DeepEqual(t, found("south"), address(1, 2))
-	assert.DeepEqual(t, found("elsewhere"), address(1, 2))
+	assert.DeepEqual(t, found("unknown"), address(1, 2))
 	for _, hos := range sys.Hosts[1:] {
 		hos.Stop()
 		sys.RemoveHost(hos.Settings.Name)
@@ -98,6 +98,6 @@
 	// No host of the allowed region is left. Clients get the hosts of their own region, or none.
 	sys.WaitUntil("the region's hosts are deregistered", func() bool {
 		got := sys.AddressesFor(sys.Hosts[0], "north")
-		return slices.Equal(got, address(0)) && len(sys.AddressesFor(sys.Hosts[0], "elsewhere")) == 0
+		return slices.Equal(got, address(0)) && len(sys.AddressesFor(sys.Hosts[0], "unknown")) == 0
 	})
 }
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -14,7 +14,7 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// endpoint is an address at which the runs of an engine listen, one after the other.
+// endpoint is an address at which the runs of an engine serve, one after the other.
 type endpoint struct {
 	address string
 	handler atomic.Pointer[http.Handler]
@@ -30,8 +30,7 @@
 	return end
 }
 
-// switchTo makes an engine's run receive all further requests. Requests at the former run get
-// no answer, as from a host that is lost.
+// switchTo directs all further requests to an engine's run.
 func (end *endpoint) switchTo(eng *upstreamtest.Engine) {
 	handler := eng.Handler()
 	end.handler.Store(&handler)
@@ -41,8 +40,8 @@
 	return entrytest.EngineState{Service: eng.Service(), Address: end.address, Slots: eng.Slots(), Born: startTime, Sequence: 1}
 }
 
-// The requests of an engine that is lost and restarts under its ID end as soon as the restart
-// is known, long before their deadline. Repeatable requests are served by the new run. Others
+// When an engine is lost and restarts under the same ID, its requests end as soon as the host reads
+// the new entry, long before their deadline. Repeatable requests are served by the new run. Others
 // are rejected as possibly run, and don't run a second time.
 func TestRequestsAtRestartedEngineEndEarly(t *testing.T) {
 	for _, tst := range []struct {
@@ -86,11 +85,11 @@
 	}
 }
 
-// An engine's new run serves whatever state the store is in. While no host can know of the
-// restart, requests go to the same address, and the engine with that ID accepts them.
+// An engine's new run serves while the store is up, slow or down. Until the hosts read the new
+// entry they send requests to the same address, where the new run accepts them under the same ID.
 func TestRestartedEngineServesInAnyStoreState(t *testing.T) {
 	for name, fau := range map[string]platformtest.Faults{
-		"up": {}, "slow": {Delay: 300 * time.Millisecond}, "away": {Down: true},
+		"store up": {}, "store slow": {Delay: 300 * time.Millisecond}, "store down": {Down: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			former, later := plainEngine("p"), plainEngine("p")
@@ -111,7 +110,7 @@
 			sys.Store.SetFaults(platformtest.Faults{})
 			sys.PutEngineState("p", end.state(later, time.Now()))
 			sys.Store.SetFaults(fau)
-			send("entered")
+			send("registered")
 			sys.Store.SetFaults(platformtest.Faults{})
 			send("after")
 			assert.Equal(t, len(former.Runs()), 2)
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -19,11 +19,11 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// rolloutPeriod is long enough for some hundred answers.
+// rolloutPeriod is long enough for a few hundred answers.
 const rolloutPeriod = 4 * time.Second
 
-func versionEngine(id, name string, change func(*upstreamtest.Config)) *upstreamtest.Engine {
-	cfg := upstreamtest.Config{ID: id, Service: entrytest.Plain, Slots: 8, Version: name}
+func versionEngine(id, version string, change func(*upstreamtest.Config)) *upstreamtest.Engine {
+	cfg := upstreamtest.Config{ID: id, Service: entrytest.Plain, Slots: 8, Version: version}
 	change(&cfg)
 	return upstreamtest.NewEngine(cfg)
 }
@@ -113,8 +113,8 @@
 	assert.Equal(t, tra.failed.Load(), int64(0))
 }
 
-// A faulty version is rolled back. It gets no more requests than the bounds allow, and none
-// after that. Repeatable requests that it failed are served by engines of the old version.
+// A faulty version is rolled back. It gets no more requests than the bounds allow, and none after
+// the rollback. Repeatable requests that failed there are served by engines of the old version.
 func TestFaultyVersionIsRolledBack(t *testing.T) {
 	for name, change := range map[string]func(*upstreamtest.Config){
 		"fails":       func(cfg *upstreamtest.Config) { cfg.FailEvery = 2 },
@@ -139,13 +139,13 @@
 	}
 }
 
-// The coordinator may be lost at any step, and the store be down in between. The roll-out goes
-// on and ends once, and the new version never gets more requests than the bounds allow.
+// The coordinator may be lost and the store be down during a roll-out. The roll-out still ends as
+// it would otherwise, and a faulty version gets no more requests than the bounds allow.
 func TestRolloutSurvivesLossOfCoordinator(t *testing.T) {
 	for name, tst := range map[string]struct {
 		change func(*upstreamtest.Config)
 		want   string
-	}{"good": {healthy, "completed"}, "bad": {func(cfg *upstreamtest.Config) { cfg.FailEvery, cfg.Sound = 2, 25 }, "rolled_back"}} {
+	}{"healthy": {healthy, "completed"}, "faulty": {func(cfg *upstreamtest.Config) { cfg.FailEvery, cfg.Sound = 2, 25 }, "rolled_back"}} {
 		t.Run(name, func(t *testing.T) {
 			one, two := versionEngine("new-1", "v2", tst.change), versionEngine("new-2", "v2", tst.change)
 			sys := startRollout(t, 3, one, two)
@@ -180,9 +180,9 @@
 	return left
 }
 
-// An invalid order is ignored. An order whose engines never come ends, and so does one of an
+// An invalid order is ignored. An order for a version without engines ends, and so does one for an
 // unknown service. A second order replaces the first.
-func TestInvalidAndUnreachableRolloutOrders(t *testing.T) {
+func TestRolloutOrdersWithoutEnginesEnd(t *testing.T) {
 	sys := startRollout(t, 1, versionEngine("new-1", "v3", healthy))
 	_, err := sys.Store.Put(t.Context(), store.Write{Key: "op/rollout/" + entrytest.Model, Blind: true, Data: []byte(`{"service":"other","target_version":7}`)})
 	assert.NilError(t, err)
--- a/entry/secret_test.go
+++ b/entry/secret_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// Hosts that start together agree on one secret, whichever of them makes it, and serve.
+// Hosts that start together agree on one secret, whichever of them creates it, and serve requests.
 func TestHostsAgreeOnOneSecret(t *testing.T) {
 	sys := startWithStoredSecret(t, 4, settings.Bounds{})
 	checkServed(t, sys, "r")
@@ -58,9 +58,8 @@
 	assert.Equal(t, strings.Contains(sys.Log(), string(rin.Current)), false)
 }
 
-// A peer without the hosts' secret can neither open a session with a host nor read the store
-// through it, and is counted: a peer with a key of its own, one with another secret, and one
-// without a certificate.
+// A peer without the hosts' secret can't read the store through a host, and is counted. The peer has
+// a fixed key, another secret with or without verification of the host, or no certificate.
 func TestUnauthenticatedPeerIsRefused(t *testing.T) {
 	sys := startWithStoredSecret(t, 2, settings.Bounds{})
 	other, err := credential.NewKeyRing(time.Now())
@@ -91,10 +90,10 @@
 	checkServed(t, sys, "r")
 }
 
-// The secret is rotated several times, each time while a host other than the coordinator has
-// lost the store. Hosts that start later know the newest secret. No session is refused and
-// every request is served.
-func TestSecretRotationInterruptsNothing(t *testing.T) {
+// The secret is rotated several times, each time while a host other than the coordinator is cut off
+// from the store. A host that starts later reads the newest secret. No peer is refused and every
+// request is served.
+func TestSecretRotationRefusesNoPeersOrRequests(t *testing.T) {
 	sys := startWithStoredSecret(t, 3, settings.Bounds{RenewSecretSeconds: 0.6})
 	first, _ := storedKeyRing(t, sys)
 	for round := range 4 {
@@ -119,8 +118,8 @@
 	}
 }
 
-// The coordinator restores a secret that is deleted from the store or overwritten. Meanwhile
-// hosts use the secrets that they know, even while the store is down.
+// The coordinator restores a secret that is deleted from the store or overwritten. Until then hosts
+// use the secrets that they have read, also while the store is down.
 func TestLostSecretIsRestored(t *testing.T) {
 	sys := startWithStoredSecret(t, 2, settings.Bounds{RenewSecretSeconds: 2})
 	rin, _ := storedKeyRing(t, sys)
@@ -132,7 +131,7 @@
 		_, err := sys.Store.Put(t.Context(), wri)
 		assert.NilError(t, err)
 		sys.Store.SetFaults(platformtest.Faults{Down: true})
-		checkServed(t, sys, "away")
+		checkServed(t, sys, "outage")
 		sys.Store.SetFaults(platformtest.Faults{})
 		sys.WaitUntil("the secret is restored", func() bool {
 			val, err := sys.Store.Get(t.Context(), platform.RingKey())
--- a/entry/share_test.go
+++ b/entry/share_test.go
@@ -13,7 +13,7 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// Two partitions of the hosts together never get more than the limits.
+// Two partitions of the hosts together never use more than the limits.
 func TestPartitionedHostsShareLimits(t *testing.T) {
 	for hosts := 1; hosts <= 12; hosts++ {
 		for group := 1; group < hosts; group++ {
@@ -28,8 +28,8 @@
 	assert.Equal(t, limitDivisor(0, 1), 1.0)
 }
 
-// newHostInFleet returns a host that schedules for itself in a fleet of that many hosts, and
-// the sessions of the other hosts, none of which has appointed it yet.
+// newHostInFleet returns a host in a fleet of the given number of hosts, and the sessions that the
+// other hosts have opened with it. None of them has appointed it yet.
 func newHostInFleet(t *testing.T, hosts int) (*Host, []uint64) {
 	t.Helper()
 	hos, err := New(Config{Log: zerolog.Nop()})
@@ -47,8 +47,9 @@
 	return hos, sessions
 }
 
-// A fleet that is idle for a while counts as many hosts as before. Hundreds of hosts have few
-// requests each, and the first requests after a pause must not find limits for one host alone.
+// Hosts that have appointed the coordinator count for its share of the limits, also while they send
+// no requests. Otherwise the first requests of hundreds of hosts after an idle period would get the
+// limits of one host.
 func TestIdleGatewaysCountForLimitDivisor(t *testing.T) {
 	const hosts = 300
 	hos, sessions := newHostInFleet(t, hosts)
--- a/entry/spending_test.go
+++ b/entry/spending_test.go
@@ -25,8 +25,8 @@
 	assert.Equal(t, adb.debt, 0.0)
 }
 
-// The debt from before the start is that of all hosts and is paid first. A host that learns of
-// more hosts reports a smaller share of it.
+// The debt from before the start is that of all hosts together and is paid first. The more hosts a
+// host knows, the smaller the share that it reports.
 func TestInitialDebtIsReportedByHostShare(t *testing.T) {
 	start := time.Unix(100, 0)
 	adb := &accountDebt{startDebt: 600, startDebtLeft: 600, rate: 120, hosts: 2, settledAt: start}
@@ -59,7 +59,7 @@
 	hos.broker.reportDebts(7)
 	assert.Assert(t, !lost)
 	assert.Equal(t, lin.queue.Len(), maxReportedDebts)
-	// The bound also applies to a report that is repeated because there are more hosts.
+	// The bound also applies to the report that is sent again because there are more hosts.
 	hos.broker.coordinator = 7
 	hos.broker.membership.members = make([]fleet.Member, 3)
 	hos.broker.updateDebts(time.Now())
--- a/entry/steady_test.go
+++ b/entry/steady_test.go
@@ -122,12 +122,10 @@
 	return strings.Count(sim.log.String(), "coordinator changed")
 }
 
-// Hosts that start at once reach the first two candidates in any order, and the messages that
-// report the leader cross one another. Within a second all hosts must have the same coordinator
-// and not change it any more; until then each host may change it a few times. Without a minimum
-// term of coordinators, hosts keep changing them in response to one another without end: six
-// hosts made 14,000 changes a second, used all their processors for that, and rejected two
-// requests in three.
+// Guards against hosts that change their coordinator without end: six hosts made 14,000 changes a
+// second, used all their processors for that, and rejected two requests in three. Hosts that start
+// at once reach the first two candidates in any order, and without a minimum term of coordinators
+// each change causes others. Within a second all hosts must agree on one coordinator for good.
 func TestSimultaneousStartConvergesOnOneCoordinator(t *testing.T) {
 	for seed := range uint64(150) {
 		synctest.Test(t, func(t *testing.T) {
--- a/entry/suspension_test.go
+++ b/entry/suspension_test.go
@@ -13,30 +13,29 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// startSuspendable starts hosts whose clocks a test may suspend.
+// startSuspendable starts hosts whose suspension a test can simulate through their clocks.
 func startSuspendable(t *testing.T, hosts int, engines []*upstreamtest.Engine) *entrytest.System {
 	t.Helper()
 	return startWith(t, entrytest.Config{Hosts: hosts, Engines: engines, Suspendable: true})
 }
 
-// Guards against a revoked key that is served after a suspension. A host may be suspended for
-// seconds, which the monotonic clock doesn't count. When it resumes, its snapshot of the store
-// looks fresh. A key that was revoked meanwhile would be served until the next answer of the
-// store, which may take arbitrarily long if the host is cut off. The age of a snapshot must
-// therefore not be measured by the monotonic clock alone.
+// Guards against a revoked key that is accepted after a suspension of some seconds. The monotonic
+// clock doesn't count these, so the resumed host's snapshot of the store would look fresh, and a key
+// that was revoked meanwhile would be accepted until the store answers, which may take arbitrarily
+// long. The age of a snapshot must therefore not be measured by the monotonic clock alone.
 func TestKeyRevokedDuringSuspensionIsRejected(t *testing.T) {
 	engines := twoOfEach()
 	sys := startSuspendable(t, 1, engines)
 	hos := sys.Hosts[0]
-	for _, noticed := range []bool{false, true} {
-		t.Run(fmt.Sprint("noticed ", noticed), func(t *testing.T) {
+	for _, detected := range []bool{false, true} {
+		t.Run(fmt.Sprint("suspension detected: ", detected), func(t *testing.T) {
 			sys.WaitForReady()
 			hos.SetStoreCut(true)
 			hos.Clock.Suspend(10 * time.Second)
-			if noticed {
-				sys.WaitUntil("the suspension is noticed", func() bool { return strings.Contains(sys.Log(), "host was suspended") })
+			if detected {
+				sys.WaitUntil("the suspension is detected", func() bool { return strings.Contains(sys.Log(), "host was suspended") })
 			}
-			id := fmt.Sprint("revoked-", noticed)
+			id := fmt.Sprint("revoked-", detected)
 			ans := sys.Send(t.Context(), hos, entrytest.Request{ID: id, Path: "/unsafe/x"})
 			assert.Equal(t, ans.Status, http.StatusServiceUnavailable, ans.Body)
 			assert.Equal(t, len(runsOf(engines, id)), 0)
@@ -45,7 +44,7 @@
 	}
 }
 
-// A deadline that passes while the host is suspended has passed when it resumes.
+// A deadline that passes while the host is suspended ends the request as soon as the host resumes.
 func TestDeadlinePassesDuringSuspension(t *testing.T) {
 	engines := twoOfEach()
 	sys := startSuspendable(t, 1, engines)
@@ -64,8 +63,8 @@
 	assert.Assert(t, time.Since(started) < 3*time.Second, "the request must not wait beyond its deadline")
 }
 
-// A host that was suspended for longer than its sessions last ends all of them. The hosts open
-// their sessions anew, and requests are served.
+// A host that was suspended for longer than the timeout of its sessions ends all of them. Then the
+// hosts open new sessions, and requests are served.
 func TestSessionsEndAfterSuspension(t *testing.T) {
 	sys := startSuspendable(t, 3, twoOfEach())
 	for _, hos := range sys.Hosts {
@@ -81,7 +80,7 @@
 
 // The age of a snapshot includes the time of a suspension, also for hosts that read the store
 // through the suspended host.
-func TestSuspendedHostRelaysNoStaleSnapshotAsFresh(t *testing.T) {
+func TestSnapshotAgeIncludesSuspension(t *testing.T) {
 	sys := startSuspendable(t, 2, twoOfEach())
 	for _, hos := range sys.Hosts {
 		hos.SetStoreCut(true)
@@ -95,8 +94,8 @@
 	}
 }
 
-// A hold counts the time of suspensions. It is still in force after one that is shorter than the
-// hold, and ends after a second one.
+// Suspensions count towards the duration of a hold: the request is still held after one that is
+// shorter than the hold, and is released after a second one.
 func TestHoldCountsSuspendedTime(t *testing.T) {
 	sys := entrytest.Start(t, entrytest.Config{Hosts: 1, Suspendable: true})
 	cra := sys.AddCrashingEngines(entrytest.CrashConfig{Engines: 6, Events: streamEvents, After: 10 * time.Millisecond, Lapse: 50 * time.Millisecond, Back: 150 * time.Millisecond})
--- a/entry/unread_test.go
+++ b/entry/unread_test.go
@@ -10,8 +10,8 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// Keys and configuration fields that nothing acts on are logged once by name and counted.
-// Invented names don't fill the log.
+// Unrecognized keys and configuration fields are logged once by name and counted. The number of
+// logged names is bounded.
 func TestUnrecognizedKeysAndFieldsAreLogged(t *testing.T) {
 	wat, log := newTestWatcher(t)
 	config := `{"version":%d,"colour":1,"services":[{"name":"s","tls":false}]}`
--- a/entrytest/crash.go
+++ b/entrytest/crash.go
@@ -35,20 +35,20 @@
 	// from a crash until the engine's next run starts.
 	Lapse time.Duration
 	Back  time.Duration
-	// SameName gives the next run the same name and another start time. Its entry isn't
-	// deleted then.
+	// SameName gives the next run the same name and another start time. The entry of a crashed
+	// engine isn't deleted then.
 	SameName bool
 }
 
 // CrashingEngines is a group of engines of the service Model that crash when they run a poison
-// request. A crashed engine closes its connections and its listener, its entry stays until
-// it expires, and some time later another run starts.
+// request. A crashed engine closes its connections and its listener. Its entry is deleted
+// CrashConfig.Lapse later, and its next run starts CrashConfig.Back after the crash.
 type CrashingEngines struct {
 	sys *System
 	cfg CrashConfig
 
 	mutex sync.Mutex
-	// sites are the addresses at which engines run, one engine each at a time.
+	// sites are the addresses at which engines run, one run each at a time.
 	sites    []*crashSite
 	arrivals []Arrival
 	crashes  []time.Time
@@ -62,7 +62,7 @@
 	ID     string
 	Engine string
 	At     time.Time
-	// Beside is the number of other requests that the engine was running.
+	// Beside is the number of requests without PoisonBody that the engine was running.
 	Beside int
 }
 
@@ -236,24 +236,25 @@
 	cra.sys.WaitUntil("engines run again", func() bool {
 		cra.mutex.Lock()
 		defer cra.mutex.Unlock()
-		up := 0
+		running := 0
 		for _, sit := range cra.sites {
 			if !sit.crashed {
-				up++
+				running++
 			}
 		}
-		return up >= count
+		return running >= count
 	})
 }
 
-// InterruptedRequests returns how many other requests were interrupted by crashes.
+// InterruptedRequests returns how many requests without PoisonBody crashes have interrupted.
 func (cra *CrashingEngines) InterruptedRequests() int {
 	cra.mutex.Lock()
 	defer cra.mutex.Unlock()
 	return cra.interrupted
 }
 
-// readBody returns the request's body and lets it be read again.
+// readBody returns the request's body and replaces it by a copy, so that the handler can read
+// it again.
 func readBody(req *http.Request) (string, error) {
 	body, err := io.ReadAll(req.Body)
 	req.Body = io.NopCloser(bytes.NewReader(body))
--- a/entrytest/entrytest.go
+++ b/entrytest/entrytest.go
@@ -43,7 +43,7 @@
 
 // The services, the host name and the keys of every System.
 const (
-	// Model is a service that streams its answers, Plain one that sends them as a whole.
+	// Model is a service that streams its answers, Plain one that doesn't.
 	Model = "model"
 	Plain = "plain"
 	// HostName is the host name of all routes.
@@ -73,7 +73,7 @@
 	StoredSecret bool
 	// Suspendable gives each host its own clocks, which a test may suspend.
 	Suspendable bool
-	// MetricsTaken makes the metrics address of each host be in use already.
+	// MetricsTaken opens a listener at each host's metrics address before the host starts.
 	MetricsTaken bool
 }
 
@@ -97,9 +97,9 @@
 	Clock *clocktest.Source
 }
 
-// SetStoreThrottled sets whether the store rejects the host's calls by its rate limit.
-func (hos *Host) SetStoreThrottled(refused bool) {
-	hos.storeThrottled.Store(refused)
+// SetStoreThrottled sets whether the store answers the host's calls with 429 Too Many Requests.
+func (hos *Host) SetStoreThrottled(throttled bool) {
+	hos.storeThrottled.Store(throttled)
 }
 
 // SetStoreCut sets whether the host's connection to the store is cut.
@@ -110,7 +110,7 @@
 // startStoreProxy starts a proxy of the store for the host and returns its address.
 func (sys *System) startStoreProxy(hos *Host) netip.AddrPort {
 	handler := platformtest.NewServer(sys.Store).Handler()
-	front := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
+	proxy := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		if hos.storeCut.Load() {
 			panic(http.ErrAbortHandler)
 		}
@@ -120,8 +120,8 @@
 		}
 		handler.ServeHTTP(wri, req)
 	}))
-	sys.t.Cleanup(front.Close)
-	return netip.MustParseAddrPort(front.Listener.Addr().String())
+	sys.t.Cleanup(proxy.Close)
+	return netip.MustParseAddrPort(proxy.Listener.Addr().String())
 }
 
 // Log collects the log output of all hosts.
@@ -165,7 +165,7 @@
 	return sys
 }
 
-// StartHosts starts cfg.Hosts more hosts.
+// StartHosts starts cfg.Hosts hosts, named host-0, host-1 and so on.
 func (sys *System) StartHosts(cfg Config) {
 	sys.t.Helper()
 	for idx := range cfg.Hosts {
@@ -173,8 +173,8 @@
 	}
 }
 
-// RegisterLostHost registers a host that is lost or hardly answers: its address serves nothing
-// but the mirror.
+// RegisterLostHost registers a host that isn't running: its peer address answers only the calls
+// that read mir.
 func (sys *System) RegisterLostHost(name string, epoch request.Epoch, mir peer.Mirror) {
 	sys.t.Helper()
 	srv := peer.NewServer(peer.ServerConfig{Mirror: mir, Security: peer.Security{Key: PeerKey}}).HTTPServer()
@@ -207,7 +207,7 @@
 
 func (sys *System) startHost(idx int, cfg Config) {
 	sys.t.Helper()
-	one := &Host{}
+	host := &Host{}
 	domain := fmt.Sprintf("d%d", idx)
 	if cfg.OneDomain {
 		domain = "d0"
@@ -227,7 +227,7 @@
 		Name: fmt.Sprintf("host-%d", idx), Domain: domain, Regions: cfg.Regions,
 		CallerAddress: embedded.NextAddress(), ReadyAddress: embedded.NextAddress(), DirectoryAddress: embedded.NextAddress(),
 		PeerAddress: embedded.NextAddress(), MetricsAddress: metrics,
-		StoreAddress: sys.startStoreProxy(one),
+		StoreAddress: sys.startStoreProxy(host),
 		PeerKey:      peerKey, Bounds: cfg.Bounds,
 	})
 	assert.NilError(sys.t, err)
@@ -235,8 +235,8 @@
 	assert.NilError(sys.t, err)
 	var source clock.Source
 	if cfg.Suspendable {
-		one.Clock = clocktest.NewSource()
-		source = one.Clock
+		host.Clock = clocktest.NewSource()
+		source = host.Clock
 	}
 	hos, err := entry.New(entry.Config{
 		Clock: source, Settings: set, Log: zerolog.New(sys.log).With().Timestamp().Logger(),
@@ -244,8 +244,8 @@
 	})
 	assert.NilError(sys.t, err)
 	assert.NilError(sys.t, hos.Start(sys.t.Context()))
-	one.Host, one.Settings = hos, set
-	sys.Hosts = append(sys.Hosts, one)
+	host.Host, host.Settings = hos, set
+	sys.Hosts = append(sys.Hosts, host)
 	sys.t.Cleanup(hos.Stop)
 }
 
@@ -280,7 +280,8 @@
 	}
 }
 
-// WaitForReady waits until each host is ready and returns the addresses of all hosts.
+// WaitForReady waits until each host is ready and its directory returns the addresses of all
+// hosts.
 func (sys *System) WaitForReady() {
 	sys.t.Helper()
 	for _, hos := range sys.Hosts {
@@ -363,7 +364,7 @@
 	Err error
 }
 
-// Send sends a request to a host, with Key if the request has none.
+// Send sends a request to a host, with the API key Key if the request has none.
 func (sys *System) Send(ctx context.Context, hos *Host, req Request) Answer {
 	sys.t.Helper()
 	method := http.MethodGet
--- a/entrytest/writes.go
+++ b/entrytest/writes.go
@@ -29,7 +29,7 @@
 	Cold time.Duration
 	// Born is the start of the engine's run; the zero time leaves it out.
 	Born time.Time
-	// Sequence numbers the entries that one run writes, from 1 on.
+	// Sequence numbers the entries that one run writes, from 1 on; 0 means 1.
 	Sequence uint64
 }
 
@@ -65,13 +65,14 @@
 	sys.put(EngineKey(id), string(EngineEntry(sta)))
 }
 
-// OrderRollout writes an operator's order of a roll-out.
+// OrderRollout writes an operator's order to roll out a version of a service.
 func (sys *System) OrderRollout(service, version string, period time.Duration) {
 	sys.t.Helper()
 	sys.put("op/rollout/"+service, fmt.Sprintf(`{"service":%q,"target_version":%q,"period_s":%g}`, service, version, period.Seconds()))
 }
 
-// RolloutState returns the published state of a service's roll-out; empty for none.
+// RolloutState returns the published state and target version of a service's roll-out; both are
+// empty if none is published.
 func (sys *System) RolloutState(service string) (state, version string) {
 	sys.t.Helper()
 	val, err := sys.Store.Get(sys.t.Context(), "status/rollout/"+service)
@@ -86,7 +87,7 @@
 	return published.State, published.Version
 }
 
-// Evacuate writes an operator's order to evacuate a failure domain, with any value.
+// Evacuate writes an operator's order to evacuate a failure domain. The value may be invalid.
 func (sys *System) Evacuate(domain, value string) {
 	sys.t.Helper()
 	assert.NilError(sys.t, sys.Store.Write(store.Write{Key: EvacuationKey(domain), Data: []byte(value), Blind: true}))
@@ -110,7 +111,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// EvacuationState returns the published state of an evacuation; the zero value for none.
+// EvacuationState returns the published state of an evacuation; the zero value if none is
+// published.
 func (sys *System) EvacuationState(domain string) EvacuationState {
 	sys.t.Helper()
 	val := sys.Store.Peek(EvacuationStateKey(domain))
@@ -146,9 +148,9 @@
 // Configuration holds what a test sets in the configuration; zero fields have defaults.
 type Configuration struct {
 	Version uint64
-	// Attempts is to how many engines a request may be sent; 0 means 2.
+	// Attempts is the number of engines that a request may be sent to; 0 means 2.
 	Attempts int
-	// Timeout is how long a request may be held; 0 means 5 s.
+	// Timeout is the time limit of a request; 0 means 5 s.
 	Timeout time.Duration
 	// Aim is the latency target of all routes; 0 means 2 s.
 	Aim time.Duration
@@ -163,7 +165,7 @@
 	RouteRegions   []string
 	AccountRegions []string
 	// ColdFor is how long engines are cold after their start, ColdRate the requests a second
-	// that each may get meanwhile; 0 means that engines are never cold.
+	// that each may get while it is cold; ColdRate 0 means that engines are never cold.
 	ColdFor  time.Duration
 	ColdRate float64
 }
@@ -183,7 +185,7 @@
 		con.Keys = []string{Key}
 	}
 	var routes []string
-	for _, rou := range []struct{ name, kind, service, more string }{
+	for _, rou := range []struct{ name, kind, service, fields string }{
 		{"stream", "streaming", Model, `,"sticky":true,"gap_aim_ms":400`},
 		{"resume", "streaming", Model, `,"sticky":true,"resumable":true,"gap_aim_ms":400`},
 		{"safe", "safe", Plain, ""},
@@ -191,10 +193,10 @@
 		{"public", "safe", Plain, `,"public":true`},
 	} {
 		if con.RouteRegions != nil {
-			rou.more += `,"allowed_regions":` + jsonList(con.RouteRegions)
+			rou.fields += `,"allowed_regions":` + jsonList(con.RouteRegions)
 		}
 		routes = append(routes, fmt.Sprintf(`{"name":%q,"hostname":%q,"path_prefix":"/%s/","kind":%q,"timeout_ms":%d,"target_latency_ms":%d,"priority":1,"service":%q,"max_attempts":%d%s}`,
-			rou.name, HostName, rou.name, rou.kind, con.Timeout.Milliseconds(), con.Aim.Milliseconds(), rou.service, con.Attempts, rou.more))
+			rou.name, HostName, rou.name, rou.kind, con.Timeout.Milliseconds(), con.Aim.Milliseconds(), rou.service, con.Attempts, rou.fields))
 	}
 	if con.NoRoutes {
 		routes = nil
