--- a/entry/steady_test.go
+++ b/entry/steady_test.go
@@ -124,8 +124,9 @@
 
 // Guards against hosts that change their coordinator without end: six hosts made 14,000 changes a
 // second, used all their processors for that, and rejected two requests in three. Hosts that start
-// at once reach the first two candidates in any order, and without a minimum term of coordinators
-// each change causes others. Within a second all hosts must agree on one coordinator for good.
+// at once reach the first two candidates in any order, and their reports of the leader cross one
+// another, so that without a minimum term of coordinators each change causes others. Within a second
+// and a few changes each, all hosts must have the same coordinator and keep it.
 func TestSimultaneousStartConvergesOnOneCoordinator(t *testing.T) {
 	for seed := range uint64(150) {
 		synctest.Test(t, func(t *testing.T) {
