--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -70,8 +70,8 @@
 	exc.notifyReaders()
 }
 
-// Data implements backend.Sink: it appends to the answer. Beyond MaxStoredBytes it blocks
-// until the slowest reader has read some of the stored data.
+// Data implements backend.Sink: it appends to the answer. When more than MaxStoredBytes are
+// stored, it discards the data that every reader has read, and blocks while there is none.
 func (exc *Exchange) Data(data []byte) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
@@ -87,15 +87,15 @@
 
 // trim discards the data that every reader has read, and reports whether there was any.
 func (exc *Exchange) trim() bool {
-	seen := exc.base + len(exc.stored)
+	minOffset := exc.base + len(exc.stored)
 	for _, offset := range exc.readers {
-		seen = min(seen, offset)
+		minOffset = min(minOffset, offset)
 	}
-	if seen == exc.base {
+	if minOffset == exc.base {
 		return false
 	}
-	exc.stored = append([]byte(nil), exc.stored[seen-exc.base:]...)
-	exc.base = seen
+	exc.stored = append([]byte(nil), exc.stored[minOffset-exc.base:]...)
+	exc.base = minOffset
 	return true
 }
 
--- a/caller/output.go
+++ b/caller/output.go
@@ -32,8 +32,8 @@
 	abort bool
 }
 
-// apply writes the new part of the answer. It returns the result if the answer has
-// ended, and nil otherwise.
+// apply writes the new part of the answer. It returns the result if the answer has ended or
+// the client has disconnected, and nil otherwise.
 func (out *output) apply(prg Progress) *result {
 	if prg.Trimmed {
 		return out.fail(gateway.Final{Cause: gateway.CauseAnswerExpired, Outcome: request.Ran})
@@ -104,9 +104,9 @@
 	return &result{status: http.StatusOK, code: "Whole", outcome: request.Ran}
 }
 
-// fail sends a final answer to the client. If part of the answer has already been sent,
-// it aborts the connection, so that the client can't take that part for a complete
-// answer.
+// fail sends a final answer to the client. If part of an answer has already been sent, fail
+// adds an error event to an event stream, and in any case has the connection aborted, so
+// that the client can't take that part for a complete answer.
 func (out *output) fail(fin gateway.Final) *result {
 	pro := problemOf(fin)
 	res := &result{status: pro.status, code: string(fin.Cause), outcome: fin.Outcome}
--- a/caller/read.go
+++ b/caller/read.go
@@ -18,7 +18,7 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// The defaults for services and requests that don't set a value.
+// The defaults for services and requests that don't set a value, and the maximum deadline.
 const (
 	defaultMaxBodyBytes = 1 << 20
 	defaultDeadline     = 60 * time.Second
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -69,7 +69,7 @@
 }
 
 // copyFlushed copies the body to the client and flushes after each read, so that streamed events
-// aren't delayed.
+// aren't delayed. It fails if the client reads nothing for writeTimeout.
 func copyFlushed(wri http.ResponseWriter, body io.Reader) error {
 	controller := http.NewResponseController(wri)
 	buf := make([]byte, relayBufferBytes)
--- a/caller/server.go
+++ b/caller/server.go
@@ -250,7 +250,6 @@
 	_, _ = wri.Write(buf.Bytes())
 }
 
-// isDone reports whether the context has ended.
 func isDone(ctx context.Context) bool {
 	return ctx.Err() != nil
 }
--- a/host/actions.go
+++ b/host/actions.go
@@ -62,7 +62,7 @@
 	case gateway.SendAttestation:
 		lop.sendAttestation(now, act)
 	case gateway.SendRevocation:
-		lop.revokeAttestation(now, act)
+		lop.sendRevocation(now, act)
 	}
 }
 
@@ -81,22 +81,22 @@
 }
 
 // deliverDecision passes the gateway's decision to the waiting client request.
-func (lop *loop) deliverDecision(num gateway.CallerID, dec caller.Decision) {
-	arr := lop.pending[num]
+func (lop *loop) deliverDecision(clientID gateway.CallerID, dec caller.Decision) {
+	arr := lop.pending[clientID]
 	if arr == nil {
 		return
 	}
-	delete(lop.pending, num)
+	delete(lop.pending, clientID)
 	arr.decision <- dec
 }
 
 // jobOf returns the job of a request id. The first client request with the id creates the
 // job and supplies its work.
-func (lop *loop) jobOf(id request.ID, num gateway.CallerID) *job {
+func (lop *loop) jobOf(id request.ID, clientID gateway.CallerID) *job {
 	jb := lop.jobs[id]
 	if jb == nil {
 		jb = &job{exchange: caller.NewExchange()}
-		if arr := lop.pending[num]; arr != nil {
+		if arr := lop.pending[clientID]; arr != nil {
 			jb.work, jb.priority = arr.work, arr.rank
 		}
 		lop.jobs[id] = jb
@@ -104,8 +104,8 @@
 	return jb
 }
 
-// runner dispatches a request to an engine, or resumes reading its answer from the engine,
-// and returns the result.
+// runner dispatches a request to an engine, or reads the answer to a request that the engine
+// has already received, and returns the result.
 type runner func(ctx context.Context, id request.ID, engine string, jb *job) gateway.Result
 
 // runJob starts a runner for the request and reports its result to the gateway.
@@ -143,7 +143,8 @@
 	}
 }
 
-// dropAnswer drops the retained answer of a request, if the request still has a job.
+// dropAnswer drops the retained answer of a request, if the request still has a job. An answer
+// that a client is reading stays in memory, but no longer counts in retainedBytes.
 func (lop *loop) dropAnswer(id request.ID) {
 	jb := lop.jobs[id]
 	if jb == nil {
@@ -198,7 +199,7 @@
 	})
 }
 
-func (lop *loop) revokeAttestation(now time.Time, act gateway.SendRevocation) {
+func (lop *loop) sendRevocation(now time.Time, act gateway.SendRevocation) {
 	if act.To.Epoch == lop.host.epoch {
 		ans := lop.coordinator.RevokeAttestation(act.Revocation)
 		lop.gatewayEvent(now, gateway.RevocationAnswered{Attester: act.To.Epoch, Answer: ans})
--- a/host/callerbackend.go
+++ b/host/callerbackend.go
@@ -31,8 +31,8 @@
 }
 
 // prefixOf returns the prefix of the request ids that a member's gateway issues. The prefix
-// of another member is known once that member has reported its window and a view that
-// contains it. This host's own prefix is withheld while the host drains.
+// of another member is known once the member has sent a header, if the member belongs to the
+// newest view that both hosts have. This host's own prefix is withheld while the host drains.
 func (hos *Host) prefixOf(mem view.Member) (request.Prefix, bool) {
 	if mem.Epoch == hos.epoch {
 		return hos.prefix(), !hos.draining.Load()
@@ -48,8 +48,8 @@
 	return request.Prefix{View: number, Epoch: mem.Epoch, Window: hea.Window}, true
 }
 
-// wasMember reports whether the epoch is a member of the view with the number, if the history
-// still has that view.
+// wasMember reports whether the epoch is a member of the view with the given number. It returns
+// false if the history doesn't contain that view.
 func (hos *Host) wasMember(number uint64, epo request.Epoch) bool {
 	hos.shared.mutex.Lock()
 	defer hos.shared.mutex.Unlock()
@@ -89,7 +89,7 @@
 }
 
 // awaitDecision passes an event about a client's request to the gateway and waits for the
-// gateway's decision.
+// gateway's decision. If the context ends first, it withdraws the request from the loop.
 func (hos *Host) awaitDecision(ctx context.Context, arr gateway.Arrived, evt gateway.Event, work caller.Work) (caller.Decision, error) {
 	waiting := &arrival{work: work, rank: arr.Spec.Rank, decision: make(chan caller.Decision, 1)}
 	hos.loop.post(func(now time.Time) {
--- a/host/catchup.go
+++ b/host/catchup.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// fetchPastViews fetches the views that preceded this host's start from a peer, since
-// requests with ids issued in those views may still arrive. It returns false if the fetch
-// must be repeated.
+// fetchPastViews asks the active peers one after the other for the views that preceded this
+// host's start, since requests with ids issued in those views may still arrive. It returns
+// false if no peer answered or the views could not be applied; watchPlatform then tries again.
 func (hos *Host) fetchPastViews(ctx context.Context) bool {
 	if hos.shared.view().Number <= 1 {
 		return true
--- a/host/configuration.go
+++ b/host/configuration.go
@@ -241,11 +241,11 @@
 	return err
 }
 
-// activate applies the written configuration on this host. If that fails, the host applies
-// the configuration when its watch of the platform reports the new head.
+// activate applies the written configuration on this host. If that fails, watchPlatform
+// applies the configuration when it next reads the platform.
 func (wrc *writer) activate(ctx context.Context, hea resource.Head) {
 	if err := wrc.host.applyHead(ctx, hea, wrc.host.chunkFromPlatform); err != nil {
-		wrc.host.log.Warn().Err(err).Uint64("Revision", hea.Revision).Msg("configuration written, but applying it on this host failed; waiting for the watch")
+		wrc.host.log.Warn().Err(err).Uint64("Revision", hea.Revision).Msg("configuration written, but applying it on this host failed; retrying when the host next reads the platform")
 	}
 }
 
--- a/host/drain.go
+++ b/host/drain.go
@@ -85,8 +85,9 @@
 	return errors.Wrap(hos.servers[0].Shutdown(ctx), "shut down the client-facing server")
 }
 
-// handOver sends the ledger to successorCount other hosts, in different failure domains if
-// possible, so that they can answer fences for the requests that this host granted.
+// handOver sends the ledger to at most successorCount other hosts, in different failure domains
+// if possible, so that they can answer fences for the requests that this host granted. A failed
+// transfer is only logged.
 func (hos *Host) handOver(ctx context.Context) {
 	han, err := callLoop(ctx, hos.loop, func(time.Time) reservation.Handover { return hos.loop.coordinator.Handover() })
 	if err != nil {
@@ -101,7 +102,7 @@
 			sent++
 		}
 	}
-	hos.log.Warn().Int("Given", sent).Msg("ledger handed over to fewer hosts than required")
+	hos.log.Warn().Int("Given", sent).Msg("no more hosts to hand the ledger over to; only hosts that received the ledger can answer fences for this host's grants")
 }
 
 func (hos *Host) handOverTo(ctx context.Context, mem view.Member, han reservation.Handover) bool {
--- a/host/dump.go
+++ b/host/dump.go
@@ -101,6 +101,7 @@
 	for epo, inb := range lop.inbound {
 		dum.Gateways = append(dum.Gateways, GatewayDump{Name: inb.name, Epoch: epo, Queued: inb.queue.Len()})
 	}
+	// Shifted right by one bit, two epochs differ by no more than an int can hold.
 	slices.SortFunc(dum.Peers, func(one, two PeerDump) int { return int(one.Epoch>>1) - int(two.Epoch>>1) })
 	slices.SortFunc(dum.Gateways, func(one, two GatewayDump) int { return int(one.Epoch>>1) - int(two.Epoch>>1) })
 	return dum
--- a/host/host.go
+++ b/host/host.go
@@ -213,7 +213,8 @@
 	hos.log.Info().Msg("host stopped")
 }
 
-// spawn runs short-lived work in a goroutine of its own. The work posts its result to the loop.
+// spawn runs short-lived work in a goroutine of its own. Done's channel
+// stays open until the work has ended.
 func (hos *Host) spawn(work func()) {
 	hos.spawnedCount.Add(1)
 	hos.spawned.Go(func() {
--- a/host/loop.go
+++ b/host/loop.go
@@ -23,16 +23,16 @@
 // loop owns both decision cores and the state that their actions change. Only the goroutine
 // that executes run accesses that state.
 type loop struct {
-	host        *Host
-	inbox       chan func(now time.Time)
-	stopped     chan struct{}
-	gateway     *gateway.Core
-	coordinator *coordinator.Core
-	jobs        map[request.ID]*job
-	pending     map[gateway.CallerID]*arrival
-	outbound    map[request.Epoch]*outbound
-	inbound     map[request.Epoch]*inbound
-	inboundByID map[uint64]*inbound
+	host            *Host
+	inbox           chan func(now time.Time)
+	stopped         chan struct{}
+	gateway         *gateway.Core
+	coordinator     *coordinator.Core
+	jobs            map[request.ID]*job
+	pending         map[gateway.CallerID]*arrival
+	outbound        map[request.Epoch]*outbound
+	inbound         map[request.Epoch]*inbound
+	inboundByNumber map[uint64]*inbound
 	// retainedBytes is the total size of the retained answers in bytes. retainedOrder holds
 	// the ids of their requests, oldest first.
 	retainedBytes int
@@ -63,7 +63,8 @@
 	member view.Member
 	queue  *peer.Queue
 	cancel context.CancelFunc
-	up     bool
+	// up is set once the coordinator's first frame has arrived.
+	up bool
 }
 
 // inbound is a gateway's session with this coordinator.
@@ -87,16 +88,16 @@
 		coordinatorConfig.Retention = (gateway.WindowsKept + 1) * gatewayConfig.Window
 	}
 	return &loop{
-		host:        hos,
-		inbox:       make(chan func(time.Time), inboxLen),
-		stopped:     make(chan struct{}),
-		gateway:     gateway.New(gatewayConfig),
-		coordinator: coordinator.New(coordinatorConfig),
-		jobs:        make(map[request.ID]*job),
-		pending:     make(map[gateway.CallerID]*arrival),
-		outbound:    make(map[request.Epoch]*outbound),
-		inbound:     make(map[request.Epoch]*inbound),
-		inboundByID: make(map[uint64]*inbound),
+		host:            hos,
+		inbox:           make(chan func(time.Time), inboxLen),
+		stopped:         make(chan struct{}),
+		gateway:         gateway.New(gatewayConfig),
+		coordinator:     coordinator.New(coordinatorConfig),
+		jobs:            make(map[request.ID]*job),
+		pending:         make(map[gateway.CallerID]*arrival),
+		outbound:        make(map[request.Epoch]*outbound),
+		inbound:         make(map[request.Epoch]*inbound),
+		inboundByNumber: make(map[uint64]*inbound),
 	}
 }
 
--- a/host/membership.go
+++ b/host/membership.go
@@ -28,6 +28,7 @@
 const proposalStagger = 150 * time.Millisecond
 
 // minBackoff and maxBackoff bound the exponential backoff after a failed call to the platform.
+// minBackoff is also the wait after a failed fetch from a peer.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
@@ -181,7 +182,7 @@
 	}
 	if snp.configFound {
 		if err := hos.applyConfigValue(ctx, snp.config); err != nil {
-			hos.log.Warn().Err(err).Msg("applying the configuration stored on the platform failed")
+			hos.log.Warn().Err(err).Msg("applying the configuration stored on the platform failed; the active configuration stays in use")
 		}
 	}
 	return rev, hos.propose(ctx, snp)
--- a/host/monitor.go
+++ b/host/monitor.go
@@ -9,25 +9,25 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// reportInterval is the interval at which a host polls the engines that it coordinates.
+// pollInterval is the interval at which a host polls the engines that it coordinates.
 // hostsInterval is the minimum interval at which the host reads the platform's list of hosts.
 const (
-	reportInterval = 500 * time.Millisecond
-	hostsInterval  = 2 * time.Second
+	pollInterval  = 500 * time.Millisecond
+	hostsInterval = 2 * time.Second
 )
 
-// reportTimeout bounds the poll of one engine, which reads its load and its cache events.
-const reportTimeout = time.Second
+// pollTimeout bounds the poll of one engine, which reads its load and its cache events.
+const pollTimeout = time.Second
 
 // monitorEngines polls the engines that this host coordinates for their load, their cache
 // events and whether they are draining, until the context ends.
 func (hos *Host) monitorEngines(ctx context.Context) error {
 	mon := &monitor{host: hos, sequences: make(map[string]uint64), draining: make(map[string]bool)}
-	ticker := time.NewTicker(reportInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		mon.readHosts(ctx)
-		if err := mon.readEngines(ctx); err != nil {
+		if err := mon.pollEngines(ctx); err != nil {
 			return err
 		}
 		select {
@@ -75,8 +75,8 @@
 	failed   bool
 }
 
-// readEngines polls all engines that this host coordinates, each in a goroutine of its own.
-func (mon *monitor) readEngines(ctx context.Context) error {
+// pollEngines polls all engines that this host coordinates, each in a goroutine of its own.
+func (mon *monitor) pollEngines(ctx context.Context) error {
 	names, err := callLoop(ctx, mon.host.loop, func(time.Time) []string {
 		return mon.host.loop.coordinator.EngineNames()
 	})
@@ -92,7 +92,7 @@
 		}
 		started++
 		after := mon.sequences[name]
-		go func() { readings <- mon.read(ctx, eng, after) }()
+		go func() { readings <- mon.pollEngine(ctx, eng, after) }()
 	}
 	for range started {
 		mon.apply(<-readings)
@@ -100,8 +100,8 @@
 	return nil
 }
 
-func (mon *monitor) read(ctx context.Context, eng resource.Engine, after uint64) engineReading {
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+func (mon *monitor) pollEngine(ctx context.Context, eng resource.Engine, after uint64) engineReading {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	rea := engineReading{engine: eng, next: after}
 	loa, err := mon.host.engines.Load(ctx, eng.Address)
@@ -130,6 +130,8 @@
 	return rea
 }
 
+// apply reports a reading to the coordinator. An engine that the platform's list shows as
+// draining is reported as draining even if the poll failed.
 func (mon *monitor) apply(rea engineReading) {
 	name := rea.engine.Name
 	mon.sequences[name] = rea.next
--- a/host/operatorbackend.go
+++ b/host/operatorbackend.go
@@ -64,8 +64,8 @@
 	return hos.peers.Probe(ctx, mem)
 }
 
-// resourceStatus returns the conditions of a resource: whether every host has applied the
-// resource's current revision, and for an engine whether the engine gets new work.
+// resourceStatus returns the status of a resource. The conditions are whether every host has
+// applied the resource's current revision, and for an engine whether the engine gets new work.
 func resourceStatus(ent resource.Entry, sta operator.Status) operator.ResourceStatus {
 	key := ent.Resource.Key()
 	res := operator.ResourceStatus{
--- a/host/peerbackend.go
+++ b/host/peerbackend.go
@@ -47,7 +47,7 @@
 // SessionLost implements peer.Backend.
 func (hos *Host) SessionLost(session uint64) {
 	hos.loop.post(func(now time.Time) {
-		if inb := hos.loop.inboundByID[session]; inb != nil {
+		if inb := hos.loop.inboundByNumber[session]; inb != nil {
 			hos.loop.inboundLost(now, inb)
 		}
 	})
--- a/host/sessions.go
+++ b/host/sessions.go
@@ -139,11 +139,11 @@
 		previous.cancel()
 	}
 	lop.inbound[inb.gateway] = inb
-	lop.inboundByID[inb.number] = inb
+	lop.inboundByNumber[inb.number] = inb
 }
 
 func (lop *loop) inboundMessage(now time.Time, number uint64, rec peer.Received) {
-	inb := lop.inboundByID[number]
+	inb := lop.inboundByNumber[number]
 	if inb == nil || rec.Message == nil {
 		return
 	}
@@ -151,7 +151,7 @@
 }
 
 func (lop *loop) inboundLost(now time.Time, inb *inbound) {
-	delete(lop.inboundByID, inb.number)
+	delete(lop.inboundByNumber, inb.number)
 	if lop.inbound[inb.gateway] != inb {
 		return
 	}
