--- a/cmd/addressescmd.go
+++ b/cmd/addressescmd.go
@@ -36,7 +36,7 @@
 
 func (com *addressesCmd) run(ctx context.Context, str streams) error {
 	if !com.opts.entry.IsValid() {
-		return &usageError{flag: "--entry", reason: "want IP:PORT"}
+		return &usageError{name: "--entry", reason: "want IP:PORT"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, com.opts.timeout)
 	defer cancel()
--- a/cmd/applycmd.go
+++ b/cmd/applycmd.go
@@ -65,7 +65,7 @@
 	var err error
 	switch file {
 	case "":
-		return resource.Set{}, &usageError{flag: "--file", reason: "want a file, or - for standard input"}
+		return resource.Set{}, &usageError{name: "--file", reason: "want a file, or - for standard input"}
 	case "-":
 		data, err = io.ReadAll(str.in)
 	default:
--- a/cmd/benchcmd.go
+++ b/cmd/benchcmd.go
@@ -68,7 +68,7 @@
 	case com.capacity.Used:
 		return com.runCapacity(ctx, str, log)
 	default:
-		return &usageError{flag: "bench", reason: "want overhead or capacity"}
+		return &usageError{name: "bench", reason: "want overhead or capacity"}
 	}
 }
 
--- a/cmd/checkcmd.go
+++ b/cmd/checkcmd.go
@@ -39,7 +39,7 @@
 
 func (com *checkCmd) run(_ context.Context, str streams) error {
 	if com.opts.settings == "" && com.opts.configuration == "" {
-		return &usageError{flag: "check", reason: "want --settings, --configuration or both"}
+		return &usageError{name: "check", reason: "want --settings, --configuration or both"}
 	}
 	if com.opts.settings != "" {
 		if _, err := settings.LoadEntry(com.opts.settings); err != nil {
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -124,15 +124,16 @@
 	return exitFailure
 }
 
-// usageError reports an invalid flag, argument or environment variable, or an invalid
-// LogLevel in the settings.
+// usageError reports an invalid flag, argument or environment variable, an invalid LogLevel,
+// or a command without the flags that it requires.
 type usageError struct {
-	flag   string
+	// name is the name of the flag, argument, variable, setting or command.
+	name   string
 	reason string
 }
 
 func (uer *usageError) Error() string {
-	return uer.flag + ": " + uer.reason
+	return uer.name + ": " + uer.reason
 }
 
 func newSubcommand(name, description, examples string) *flaggy.Subcommand {
@@ -152,7 +153,7 @@
 	}
 	lev, err := zerolog.ParseLevel(level)
 	if err != nil {
-		return zerolog.Nop(), &usageError{flag: "LogLevel", reason: err.Error()}
+		return zerolog.Nop(), &usageError{name: "LogLevel", reason: err.Error()}
 	}
 	zerolog.TimeFieldFormat = timeFormat
 	return zerolog.New(out).Level(lev).With().Timestamp().Logger(), nil
--- a/cmd/deletecmd.go
+++ b/cmd/deletecmd.go
@@ -34,7 +34,7 @@
 func (com *deleteCmd) run(ctx context.Context, str streams) error {
 	kin, err := resource.ParseKind(com.opts.kind)
 	if err != nil {
-		return &usageError{flag: "KIND", reason: err.Error()}
+		return &usageError{name: "KIND", reason: err.Error()}
 	}
 	cli, err := com.opts.client()
 	if err != nil {
--- a/cmd/dumpcmd.go
+++ b/cmd/dumpcmd.go
@@ -46,7 +46,7 @@
 	if com.opts.address != "" {
 		adr, err := netip.ParseAddrPort(com.opts.address)
 		if err != nil {
-			return &usageError{flag: "HOST", reason: err.Error()}
+			return &usageError{name: "HOST", reason: err.Error()}
 		}
 		com.opts.host = adr
 	}
@@ -106,7 +106,7 @@
 func printIndented(str streams, raw []byte) error {
 	var pretty bytes.Buffer
 	if err := json.Indent(&pretty, raw, "", "  "); err != nil {
-		return errors.Wrap(err, "indent dump")
+		return errors.Wrap(err, "host's answer is not valid JSON")
 	}
 	pretty.WriteByte('\n')
 	_, err := pretty.WriteTo(str.out)
--- a/cmd/entrycmd.go
+++ b/cmd/entrycmd.go
@@ -53,7 +53,7 @@
 		file = os.Getenv(platform.SettingsVariable)
 	}
 	if file == "" {
-		return &usageError{flag: "--settings", reason: "want a file"}
+		return &usageError{name: "--settings", reason: "want a file, here or in the environment variable LYNXWELL_SETTINGS"}
 	}
 	set, err := settings.LoadEntry(file)
 	if err != nil {
--- a/cmd/evacuationcmd.go
+++ b/cmd/evacuationcmd.go
@@ -49,7 +49,7 @@
 
 func (com *evacuationCmd) run(ctx context.Context, str streams) error {
 	if !com.opts.entry.IsValid() {
-		return &usageError{flag: "--entry", reason: "want the metrics address of a host"}
+		return &usageError{name: "--entry", reason: "want the metrics address of a host"}
 	}
 	tick := time.NewTicker(evacuationInterval)
 	defer tick.Stop()
@@ -76,7 +76,7 @@
 	}
 	var dum entry.Dump
 	if err := json.Unmarshal(raw, &dum); err != nil {
-		return false, errors.Wrap(err, "decode state")
+		return false, errors.Wrap(err, "decode host dump")
 	}
 	found, empty := false, true
 	for _, evd := range dum.Evacuations {
@@ -117,7 +117,7 @@
 	return err
 }
 
-// printCold prints the cold engines and the limits on their request rates.
+// printCold prints the cold engines, their rate limits and this host's share of each limit.
 func printCold(out io.Writer, dum entry.Dump) error {
 	var text strings.Builder
 	for _, svc := range dum.Scheduler.Services {
@@ -125,7 +125,7 @@
 			if eng.ColdFor == "" || eng.Rate == nil {
 				continue
 			}
-			fmt.Fprintf(&text, "%s of %s is cold for %s: at most %g requests per second, %g granted by this host\n", eng.ID, svc.Name, eng.ColdFor, eng.Rate.PerSecond, eng.Rate.Own)
+			fmt.Fprintf(&text, "%s of %s is cold for %s: at most %g requests per second, of which this host may grant %g\n", eng.ID, svc.Name, eng.ColdFor, eng.Rate.PerSecond, eng.Rate.Own)
 		}
 	}
 	_, err := io.WriteString(out, text.String())
--- a/cmd/evacuationcmd_test.go
+++ b/cmd/evacuationcmd_test.go
@@ -23,10 +23,10 @@
 	t.Helper()
 	calls := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
-		now := published[min(calls, len(published)-1)]
+		state := published[min(calls, len(published)-1)]
 		calls++
-		evd := evacuation.Dump{Domain: "d1", Order: 7, State: "Ordered", Told: now, Running: 2}
-		if now == "" {
+		evd := evacuation.Dump{Domain: "d1", Order: 7, State: "Ordered", Told: state, Running: 2}
+		if state == "" {
 			evd.Missing = []string{"00000000000000aa"}
 		}
 		cold := scheduler.EngineDump{ID: fleet.EngineID{Name: "e1"}, ColdFor: "2s", Rate: &scheduler.RateDump{PerSecond: 8, Own: 4}}
@@ -44,7 +44,7 @@
 	com.opts.entry = startEvacuatingHost(t, "")
 	var out bytes.Buffer
 	assert.NilError(t, com.run(t.Context(), streams{out: &out}))
-	for _, want := range []string{"d1: Ordered (order 7)", "2 running", "waiting for 1 hosts, epochs 00000000000000aa", "e1 of menus is cold for 2s: at most 8 requests per second, 4 granted by this host"} {
+	for _, want := range []string{"d1: Ordered (order 7)", "2 running", "waiting for 1 hosts, epochs 00000000000000aa", "e1 of menus is cold for 2s: at most 8 requests per second, of which this host may grant 4"} {
 		assert.Assert(t, strings.Contains(out.String(), want), out.String())
 	}
 	com.opts.domain = "d2"
--- a/cmd/getcmd.go
+++ b/cmd/getcmd.go
@@ -41,7 +41,7 @@
 func (com *getCmd) run(ctx context.Context, str streams) error {
 	if com.opts.kind != "" {
 		if _, err := resource.ParseKind(com.opts.kind); err != nil {
-			return &usageError{flag: "KIND", reason: err.Error()}
+			return &usageError{name: "KIND", reason: err.Error()}
 		}
 	}
 	cli, err := com.opts.client()
--- a/cmd/heldcmd.go
+++ b/cmd/heldcmd.go
@@ -45,7 +45,7 @@
 
 func (com *heldCmd) run(ctx context.Context, str streams) error {
 	if !com.opts.entry.IsValid() {
-		return &usageError{flag: "--entry", reason: "want the metrics address of a host"}
+		return &usageError{name: "--entry", reason: "want the metrics address of a host"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, com.opts.timeout)
 	defer cancel()
@@ -58,7 +58,7 @@
 	}
 	var dum entry.Dump
 	if err := json.Unmarshal(raw, &dum); err != nil {
-		return errors.Wrap(err, "decode state")
+		return errors.Wrap(err, "decode host dump")
 	}
 	return printCases(str.out, dum)
 }
@@ -67,7 +67,7 @@
 func (com *heldCmd) release(ctx context.Context, str streams) error {
 	dig, err := call.ParseDigest(com.opts.digest)
 	if err != nil {
-		return &usageError{flag: "--free", reason: err.Error()}
+		return &usageError{name: "--free", reason: err.Error()}
 	}
 	target := url.URL{Scheme: "http", Host: com.opts.entry.String(), Path: entry.PathFree, RawQuery: url.Values{"digest": {dig.String()}}.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target.String(), http.NoBody)
--- a/cmd/hostoptions.go
+++ b/cmd/hostoptions.go
@@ -50,12 +50,12 @@
 	if text := os.Getenv(envHost); !opt.host.IsValid() && text != "" {
 		adr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return &usageError{flag: envHost, reason: err.Error()}
+			return &usageError{name: envHost, reason: err.Error()}
 		}
 		opt.host = adr
 	}
 	if !opt.host.IsValid() {
-		return &usageError{flag: "--host", reason: "want IP:PORT"}
+		return &usageError{name: "--host", reason: "want IP:PORT, here or in the environment variable LYNXWELL_HOST"}
 	}
 	if opt.keyFile == "" {
 		opt.keyFile = os.Getenv(envKeyFile)
@@ -68,7 +68,7 @@
 		opt.key = strings.TrimRight(string(data), "\r\n")
 	}
 	if opt.key == "" {
-		return &usageError{flag: "--key-file", reason: "want a file with the operators' key, or --key with the key itself"}
+		return &usageError{name: "--key-file", reason: "want a file with the operators' key, or --key with the key itself"}
 	}
 	return nil
 }
--- a/cmd/loadcmd.go
+++ b/cmd/loadcmd.go
@@ -88,10 +88,10 @@
 	case "resumable":
 		req.Kind, req.Resumable = route.KindStreaming, true
 	default:
-		return req, &usageError{flag: "--kind", reason: "want unsafe, safe, streaming or resumable"}
+		return req, &usageError{name: "--kind", reason: "want unsafe, safe, streaming or resumable"}
 	}
 	if opt.path == "" || opt.hostName == "" || len(opt.directories) == 0 {
-		return req, &usageError{flag: "load", reason: "want --directory, --host-name and --path"}
+		return req, &usageError{name: "load", reason: "want --directory, --host-name and --path"}
 	}
 	return req, nil
 }
@@ -105,7 +105,7 @@
 	for _, text := range com.opts.directories {
 		adr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return &usageError{flag: "--directory", reason: err.Error()}
+			return &usageError{name: "--directory", reason: err.Error()}
 		}
 		directories = append(directories, adr)
 	}
@@ -158,14 +158,14 @@
 // The maximum value of the latency histograms in microseconds (ten minutes), and their
 // precision: three significant digits.
 const (
-	maxMicros = int64(10 * time.Minute / time.Microsecond)
-	digits    = 3
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // report prints the outcomes and latencies of the requests.
 func report(str streams, results []visitor.Result, latencyTarget time.Duration) error {
-	first := hdrhistogram.New(1, maxMicros, digits)
-	complete := hdrhistogram.New(1, maxMicros, digits)
+	first := hdrhistogram.New(1, maxMicros, significantDigits)
+	complete := hdrhistogram.New(1, maxMicros, significantDigits)
 	outcomes := make(map[string]int)
 	inTime := 0
 	for _, res := range results {
--- a/cmd/lossescmd.go
+++ b/cmd/lossescmd.go
@@ -34,7 +34,7 @@
 
 func (com *lossesCmd) run(_ context.Context, str streams) error {
 	if com.opts.window < 0 {
-		return &usageError{flag: "--window", reason: "want a duration of 0s or more"}
+		return &usageError{name: "--window", reason: "want a duration of 0s or more"}
 	}
 	los := story.NewLosses(com.opts.window)
 	if err := readLogs(los, com.opts.logs, str.in); err != nil {
@@ -43,7 +43,8 @@
 	return los.Write(str.out)
 }
 
-// logReader collects lines from one log after the other: a story.Timeline or a story.Losses.
+// logReader collects the lines of one or more logs. It is implemented by story.Timeline and
+// story.Losses.
 type logReader interface {
 	Read(log io.Reader) error
 }
--- a/cmd/rolloutcmd.go
+++ b/cmd/rolloutcmd.go
@@ -49,7 +49,7 @@
 
 func (com *rolloutCmd) run(ctx context.Context, str streams) error {
 	if !com.opts.entry.IsValid() {
-		return &usageError{flag: "--entry", reason: "want the metrics address of a host"}
+		return &usageError{name: "--entry", reason: "want the metrics address of a host"}
 	}
 	tick := time.NewTicker(rolloutInterval)
 	defer tick.Stop()
@@ -76,7 +76,7 @@
 	}
 	var dum entry.Dump
 	if err := json.Unmarshal(raw, &dum); err != nil {
-		return false, errors.Wrap(err, "decode state")
+		return false, errors.Wrap(err, "decode host dump")
 	}
 	found, ended := false, true
 	for _, svc := range dum.Scheduler.Services {
--- a/cmd/servecmd.go
+++ b/cmd/servecmd.go
@@ -17,7 +17,8 @@
 	"lynxwell.dev/lynxwell/store"
 )
 
-// startTimeout is the time limit for the start of the daemon.
+// startTimeout is the time limit for the start of the daemon, and the time for its stop beyond
+// the drain limit.
 const startTimeout = 15 * time.Second
 
 // serveCmd implements the serve command, which runs the daemon.
@@ -44,7 +45,7 @@
 
 func (com *serveCmd) run(ctx context.Context, str streams) error {
 	if com.opts.settings == "" {
-		return &usageError{flag: "--settings", reason: "want a file"}
+		return &usageError{name: "--settings", reason: "want a file"}
 	}
 	set, err := settings.Load(com.opts.settings)
 	if err != nil {
@@ -75,15 +76,15 @@
 
 // runApp starts an application, waits until the context is done, and stops it.
 func runApp(ctx context.Context, app *fx.App) error {
-	starting, cancel := context.WithTimeout(context.WithoutCancel(ctx), startTimeout)
+	startCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), startTimeout)
 	defer cancel()
-	if err := app.Start(starting); err != nil {
+	if err := app.Start(startCtx); err != nil {
 		return errors.Wrap(err, "start")
 	}
 	<-ctx.Done()
-	stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), app.StopTimeout())
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), app.StopTimeout())
 	defer cancel()
-	return errors.Wrap(app.Stop(stopping), "stop")
+	return errors.Wrap(app.Stop(stopCtx), "stop")
 }
 
 func newStore(set settings.Settings, log zerolog.Logger) store.Store {
@@ -104,9 +105,9 @@
 	lic.Append(fx.Hook{
 		OnStart: hos.Start,
 		OnStop: func(ctx context.Context) error {
-			draining, cancel := context.WithTimeout(ctx, set.Timing.DrainLimit.Std())
+			drainCtx, cancel := context.WithTimeout(ctx, set.Timing.DrainLimit.Std())
 			defer cancel()
-			err := hos.Drain(draining)
+			err := hos.Drain(drainCtx)
 			hos.Stop()
 			return err
 		},
--- a/cmd/standincmd.go
+++ b/cmd/standincmd.go
@@ -47,7 +47,7 @@
 		backend:  newSubcommand("backend", "run a fake of a plain service's backend server", "    lynxwell standin backend --listen 127.0.0.1:7300 --name kitchen-1"),
 	}
 	com.upstream = newSubcommand("upstream", "run a fake of an engine or backend server of the users' platform", "    lynxwell standin upstream --listen 127.0.0.1:7400 --id m1 --service model --events 8")
-	com.upstream.String(&com.opts.upCfg.ID, "i", "id", "id of the engine's run, the name of its entry in the store")
+	com.upstream.String(&com.opts.upCfg.ID, "i", "id", "id of the engine's run, which names the engine's entry in the store")
 	com.upstream.String(&com.opts.upCfg.Service, "", "service", "service of the engine")
 	com.upstream.Int(&com.opts.upCfg.Slots, "", "slots", "maximum number of concurrent requests; 0 is unlimited")
 	com.upstream.Int(&com.opts.upCfg.Events, "", "events", "number of events in a stream; 0 answers without a stream")
@@ -93,16 +93,16 @@
 		com.opts.upCfg.Crash = func() { os.Exit(exitFailure) }
 		return serveStandin(ctx, str, com.opts.listen, upstreamtest.NewEngine(com.opts.upCfg).Handler())
 	default:
-		return &usageError{flag: "standin", reason: "want platform, engine, backend or upstream"}
+		return &usageError{name: "standin", reason: "want platform, engine, backend or upstream"}
 	}
 }
 
 func (com *standinCmd) runEngine(ctx context.Context, str streams) error {
 	eng := enginetest.New(com.opts.engineCfg)
-	working, cancel := context.WithCancel(ctx)
+	engineCtx, cancel := context.WithCancel(ctx)
 	end := make(chan struct{})
 	go func() {
-		eng.Run(working)
+		eng.Run(engineCtx)
 		close(end)
 	}()
 	err := serveStandin(ctx, str, com.opts.listen, eng.Handler())
@@ -112,10 +112,10 @@
 }
 
 // serveStandin serves until the context is done. It prints the listen address, because
-// the system chooses the port if the --listen flag gives port 0.
+// the operating system chooses the port if the --listen flag gives port 0.
 func serveStandin(ctx context.Context, str streams, adr netip.AddrPort, handler http.Handler) error {
 	if !adr.IsValid() {
-		return &usageError{flag: "--listen", reason: "want IP:PORT"}
+		return &usageError{name: "--listen", reason: "want IP:PORT"}
 	}
 	var cfg net.ListenConfig
 	lis, err := cfg.Listen(ctx, "tcp", adr.String())
