--- a/host/callerbackend.go
+++ b/host/callerbackend.go
@@ -89,7 +89,7 @@
 }
 
 // awaitDecision passes an event about a client's request to the gateway and waits for the
-// gateway's decision. If the context ends first, it withdraws the request from the loop.
+// gateway's decision. If the context ends first, it detaches the client from the request.
 func (hos *Host) awaitDecision(ctx context.Context, arr gateway.Arrived, evt gateway.Event, work caller.Work) (caller.Decision, error) {
 	waiting := &arrival{work: work, rank: arr.Spec.Rank, decision: make(chan caller.Decision, 1)}
 	hos.loop.post(func(now time.Time) {
--- a/host/dispatch.go
+++ b/host/dispatch.go
@@ -91,8 +91,9 @@
 	return res
 }
 
-// finishModel completes the exchange of an answered request, or cancels the request on its
-// engine if the context has ended, and returns the result for the gateway.
+// finishModel ends the exchange if the engine sent a complete answer or an error response, or
+// cancels the request on its engine if the context has ended. It returns the result for the
+// gateway.
 func (hos *Host) finishModel(ctx context.Context, id request.ID, adr netip.AddrPort, res engine.Result, start time.Time, jb *job) gateway.Result {
 	var ser *engine.StatusError
 	switch {
--- a/host/monitor.go
+++ b/host/monitor.go
@@ -38,8 +38,9 @@
 	}
 }
 
-// monitor polls engines and the platform's list of hosts. sequences holds the next position
-// in the cache events of each engine, draining the engines that the list reports as draining.
+// monitor polls engines and the platform's list of hosts. sequences holds, by engine, the
+// sequence number after which to read the next cache events. draining holds the engines that
+// the list reports as draining.
 type monitor struct {
 	host      *Host
 	sequences map[string]uint64
@@ -71,8 +72,9 @@
 	engine   resource.Engine
 	reported coordinator.EngineReported
 	changed  coordinator.CacheChanged
-	next     uint64
-	failed   bool
+	// next is the sequence number after which to read the next cache events.
+	next   uint64
+	failed bool
 }
 
 // pollEngines polls all engines that this host coordinates, each in a goroutine of its own.
