--- a/fleet/notices.go
+++ b/fleet/notices.go
@@ -26,9 +26,9 @@
 	limits map[EngineID]ReceivedLimit
 	// coldUntil holds the end of each run's warm-up.
 	coldUntil map[EngineID]time.Time
-	// lastRegistered holds, for each run with a notice, the later of the time at which it was last
+	// lastSeen holds, for each run with a notice, the later of the time at which it was last
 	// found registered and the time of its latest notice.
-	lastRegistered map[EngineID]time.Time
+	lastSeen map[EngineID]time.Time
 }
 
 // ReceivedLimit is a rate limit and the time at which the run last sent it.
@@ -41,7 +41,7 @@
 func NewNotices() *Notices {
 	return &Notices{
 		final: make(map[EngineID]Signal), backoffUntil: make(map[EngineID]time.Time),
-		limits: make(map[EngineID]ReceivedLimit), coldUntil: make(map[EngineID]time.Time), lastRegistered: make(map[EngineID]time.Time),
+		limits: make(map[EngineID]ReceivedLimit), coldUntil: make(map[EngineID]time.Time), lastSeen: make(map[EngineID]time.Time),
 	}
 }
 
@@ -53,7 +53,7 @@
 	if not.Signal == nil {
 		return false
 	}
-	ntc.lastRegistered[not.Run] = now
+	ntc.lastSeen[not.Run] = now
 	switch sig := not.Signal.(type) {
 	case Draining, Replaced:
 		_, known := ntc.final[not.Run]
@@ -118,7 +118,7 @@
 // Current returns the notices in force, in no particular order.
 func (ntc *Notices) Current(now time.Time) []Notice {
 	var current []Notice
-	for run := range ntc.lastRegistered {
+	for run := range ntc.lastSeen {
 		if sig := ntc.BlockingSignal(now, run); sig != nil {
 			current = append(current, Notice{Run: run, Signal: sig})
 		}
@@ -132,22 +132,23 @@
 	return current
 }
 
-// Prune drops expired notices, and those of runs that have been unregistered for some time.
+// Prune drops expired notices, and those of runs that have been unregistered for at least
+// unregisteredRetention and have no backoff in force.
 func (ntc *Notices) Prune(now time.Time, isRegistered func(EngineID) bool) {
 	expired := func(_ EngineID, until time.Time) bool { return !now.Before(until) }
 	maps.DeleteFunc(ntc.backoffUntil, expired)
 	maps.DeleteFunc(ntc.coldUntil, expired)
-	for run, last := range ntc.lastRegistered {
+	for run, last := range ntc.lastSeen {
 		_, final := ntc.final[run]
 		_, backoff := ntc.backoffUntil[run]
 		_, limited := ntc.limits[run]
 		switch {
 		case !final && !backoff && !limited && ntc.ColdFor(now, run) == 0:
-			delete(ntc.lastRegistered, run)
+			delete(ntc.lastSeen, run)
 		case isRegistered(run):
-			ntc.lastRegistered[run] = now
+			ntc.lastSeen[run] = now
 		case now.Sub(last) >= unregisteredRetention && !backoff:
-			delete(ntc.lastRegistered, run)
+			delete(ntc.lastSeen, run)
 			delete(ntc.final, run)
 			delete(ntc.limits, run)
 		}
--- a/pace/line.go
+++ b/pace/line.go
@@ -11,21 +11,21 @@
 	priorWeight = 3.0
 	// priorTokens is the prompt length of the second of these points, that of a medium prompt.
 	priorTokens = 4000
-	// errorFloor is added to the measured time that an error is divided by, so that the noise in
-	// the times of short prompts doesn't dominate the fit: the network round trip alone varies by
-	// some milliseconds.
+	// errorFloor is added to the measured time by which the error of an observation is divided, so
+	// that the noise in the times of short prompts doesn't dominate the fit: the network round trip
+	// alone varies by some milliseconds.
 	errorFloor = 30 * time.Millisecond
-	// minToken is the lower bound of the learned time per token, minOverhead that of the learned
-	// fixed part.
-	minToken    = time.Microsecond
-	minOverhead = time.Millisecond
+	// minTokenTime is the lower bound of the learned time per token, and minOverhead that of the
+	// learned fixed part.
+	minTokenTime = time.Microsecond
+	minOverhead  = time.Millisecond
 )
 
 // linearFit fits the time to the first event as a fixed part plus a part per token, by least
 // squares of the relative errors with exponentially decreasing weights.
 type linearFit struct {
 	overhead  time.Duration
-	token     time.Duration
+	tokenTime time.Duration
 	sumWeight float64
 	sumX      float64
 	sumY      float64
@@ -35,9 +35,9 @@
 
 // newLinearFit returns a fit that starts with the given fixed part and part per token.
 func newLinearFit(overhead, token time.Duration) linearFit {
-	fit := linearFit{overhead: max(minOverhead, overhead), token: max(minToken, token)}
+	fit := linearFit{overhead: max(minOverhead, overhead), tokenTime: max(minTokenTime, token)}
 	fit.add(0, fit.overhead, priorWeight)
-	fit.add(priorTokens, fit.overhead+priorTokens*fit.token, priorWeight)
+	fit.add(priorTokens, fit.overhead+priorTokens*fit.tokenTime, priorWeight)
 	return fit
 }
 
@@ -64,7 +64,8 @@
 	fit.sumXY += weight * tokens * millis
 }
 
-// solve updates both parts. They stay unchanged if all observations have the same prompt length.
+// solve updates the fixed part and the part per token. Both stay unchanged if all observations
+// have the same prompt length.
 func (fit *linearFit) solve() {
 	det := fit.sumWeight*fit.sumXX - fit.sumX*fit.sumX
 	if det <= 0 {
@@ -72,6 +73,6 @@
 	}
 	slope := (fit.sumWeight*fit.sumXY - fit.sumX*fit.sumY) / det
 	base := (fit.sumY - slope*fit.sumX) / fit.sumWeight
-	fit.token = max(minToken, time.Duration(slope*float64(time.Millisecond)))
+	fit.tokenTime = max(minTokenTime, time.Duration(slope*float64(time.Millisecond)))
 	fit.overhead = max(minOverhead, time.Duration(base*float64(time.Millisecond)))
 }
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -53,7 +53,8 @@
 	factorGain = 0.15
 	// referenceGain is the weight of a new measurement in the reference's event time.
 	referenceGain = 0.05
-	// minEvents is the number of events from which an answer is used as a measurement.
+	// minEvents is the number of events from which an answer is used as a measurement of the
+	// event time.
 	minEvents = 8
 	// maxWeight bounds the weight of an engine's profile, including those of other hosts.
 	maxWeight = 10
@@ -71,7 +72,7 @@
 type Service struct {
 	prefill linearFit
 	event   float64
-	// answers is the number of answers observed.
+	// answers is the number of answers whose prefill was observed.
 	answers int
 }
 
@@ -82,7 +83,7 @@
 
 // Reference returns the current reference.
 func (svc *Service) Reference() Reference {
-	return Reference{Overhead: svc.prefill.overhead, Token: svc.prefill.token, Event: time.Duration(svc.event)}
+	return Reference{Overhead: svc.prefill.overhead, Token: svc.prefill.tokenTime, Event: time.Duration(svc.event)}
 }
 
 // Engine is the speed model of one engine.
@@ -128,7 +129,8 @@
 	return eng
 }
 
-// Known reports whether the engine has any measurements.
+// Known reports whether the engine has any measurements, including those of its initial or
+// adopted profile.
 func (eng *Engine) Known() bool { return eng.prefill.weight+eng.event.weight > 0 }
 
 // updateBlend updates the blended factors. Without measurements of one factor, the other one is
@@ -159,7 +161,7 @@
 
 // PrefillTime predicts the prefill time of a number of tokens, without the overhead.
 func (eng *Engine) PrefillTime(tokens int) time.Duration {
-	return time.Duration(effectiveTokens(tokens) * float64(eng.service.prefill.token) * eng.prefillFactor)
+	return time.Duration(effectiveTokens(tokens) * float64(eng.service.prefill.tokenTime) * eng.prefillFactor)
 }
 
 // Overhead predicts the time to the first event without the prefill.
@@ -180,7 +182,7 @@
 	}
 	eng.service.answers++
 	fit := &eng.service.prefill
-	predicted := float64(fit.overhead) + effectiveTokens(tokens)*float64(fit.token)
+	predicted := float64(fit.overhead) + effectiveTokens(tokens)*float64(fit.tokenTime)
 	eng.prefill.observe(math.Log(float64(took) / predicted))
 	eng.updateBlend()
 	if eng.prefill.weight >= minAnswers {
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -131,8 +131,9 @@
 }
 
 // Do sends the call and returns the answer as soon as its head has arrived; the body is
-// read from Answer.Body. Cancelling ctx aborts the call until the answer is closed. The error
-// is a *NotSentError if no byte was sent, and a *BrokenError otherwise.
+// read from Answer.Body. Until the answer is closed, cancelling ctx aborts the call. The error
+// is a *NotSentError if the call failed before writing began, so that no byte was sent, and a
+// *BrokenError otherwise.
 func (cli *Client) Do(ctx context.Context, cal Call) (*Answer, error) {
 	con := cli.takeIdle(cal.Endpoint)
 	if con == nil {
@@ -176,8 +177,8 @@
 )
 
 // Probe reports whether the endpoint accepts connections. Concurrent probes of one address
-// share one connection attempt: when an engine crashes, all its requests probe the address at
-// once.
+// share one connection attempt: when an engine crashes, all calls to it fail and probe its address
+// at the same time.
 func (cli *Client) Probe(ctx context.Context, end Endpoint) Probe {
 	found, _, _ := cli.probes.Do(end.Address.String(), func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
@@ -197,8 +198,8 @@
 	return pro
 }
 
-// EndedByPeer reports whether a call failed because the peer closed or reset its
-// connection, or because the engine has restarted.
+// EndedByPeer reports whether a call failed because the peer closed or reset the connection,
+// or because the engine was restarted.
 func EndedByPeer(err error) bool {
 	var ree *RunEndedError
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) ||
@@ -285,6 +286,8 @@
 	} else {
 		err := write()
 		exc.written <- err
+		// After a failed write of a body, the answer is read nevertheless: the engine may have
+		// answered and closed the connection without reading the body.
 		if err != nil && len(cal.Body) == 0 {
 			return nil, err
 		}
@@ -292,12 +295,12 @@
 	return exc.read(cal, req, sent)
 }
 
-// read reads answers until one carries the call's id. A successful answer must carry an id; an
-// error status without an id is accepted, since an engine that couldn't parse the request doesn't
-// know its id.
+// read reads answers until one carries the call's id, and skips informational answers and those to
+// other requests. An answer with a status below 400 must carry an id. An answer with an error status
+// and no id is accepted, since an engine that couldn't parse the request doesn't know the id.
 func (exc *exchange) read(cal Call, req *http.Request, sent time.Time) (*Answer, error) {
-	var stray string
-	for range maxStrayAnswers {
+	var strayID string
+	for range maxAnswersPerCall {
 		//nolint:bodyclose // Answer.Close closes the connection or returns it to the idle ones.
 		rep, err := http.ReadResponse(exc.connection.reader, req)
 		if err != nil {
@@ -307,20 +310,20 @@
 			continue
 		}
 		head := exc.client.cfg.Decode(rep.StatusCode, rep.Header)
-		own := head.ID == "" || head.ID == cal.ID
-		exc.client.cfg.HeadReceived(HeadReceived{Endpoint: cal.Endpoint, Head: head, Sent: sent, Stray: !own})
+		matches := head.ID == "" || head.ID == cal.ID
+		exc.client.cfg.HeadReceived(HeadReceived{Endpoint: cal.Endpoint, Head: head, Sent: sent, Stray: !matches})
 		if head.ID == "" && rep.StatusCode < http.StatusBadRequest {
 			return nil, &StrayError{}
 		}
-		if own {
-			return &Answer{Status: rep.StatusCode, Header: rep.Header, Head: head, Body: rep.Body, response: rep, exchange: exc, afterStray: stray != ""}, nil
+		if matches {
+			return &Answer{Status: rep.StatusCode, Header: rep.Header, Head: head, Body: rep.Body, response: rep, exchange: exc, afterStray: strayID != ""}, nil
 		}
-		stray = head.ID
+		strayID = head.ID
 		if _, err := io.Copy(io.Discard, io.LimitReader(rep.Body, maxStrayBytes)); err != nil {
 			return nil, err
 		}
 	}
-	return nil, &StrayError{ID: stray}
+	return nil, &StrayError{ID: strayID}
 }
 
 // Answer is an engine's answer. The body is read from Body; Close must be called.
--- a/upstream/connection.go
+++ b/upstream/connection.go
@@ -43,7 +43,8 @@
 	return time.Unix(0, con.lastReceived.Load())
 }
 
-// endRun aborts pending writes and limits further reads to the bytes that have already arrived.
+// endRun records that the engine run has ended: it aborts pending writes and limits further reads to
+// the bytes that have already arrived.
 func (con *connection) endRun() {
 	con.runEnded.Store(true)
 	// SetDeadline fails only on a closed connection.
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -9,7 +9,7 @@
 //	ans, err := cli.Do(ctx, upstream.Call{Endpoint: end, ID: id, Method: http.MethodPost, ...})
 //	var nse *upstream.NotSentError // errors.As(err, &nse): no byte was sent
 //	defer ans.Close()
-//	body, err := io.ReadAll(ans.Body) // or upstream.NewEventReader(ans.Body).Next()
+//	body, err := ans.ReadAll(limit) // or upstream.NewEventReader(ans.Body), then ans.MarkComplete()
 //
 // A call is sent at most once: this package never retries.
 package upstream
@@ -35,7 +35,8 @@
 	// Dialed, if not nil, is called for each new connection.
 	Dialed func()
 	// HeadReceived, if not nil, is called with the head of each answer of an engine before
-	// any of the answer is passed on, including answers that belong to another request.
+	// any of the answer is passed on. This includes answers that belong to another request, but
+	// not informational answers (status 1xx).
 	HeadReceived func(HeadReceived)
 }
 
@@ -50,9 +51,9 @@
 	idleMargin = 1200 * time.Millisecond
 	// bufferBytes is enough for an answer's head and a few events.
 	bufferBytes = 4 << 10
-	// maxStrayAnswers bounds the number of answers read for a call, including skipped answers
+	// maxAnswersPerCall bounds the number of answers read for a call, including skipped answers
 	// to other requests and informational ones.
-	maxStrayAnswers = 4
+	maxAnswersPerCall = 4
 	// maxStrayBytes bounds the body of a skipped answer.
 	maxStrayBytes = 1 << 20
 	// smallBodyBytes is the largest body that is written before the answer is read. A larger
@@ -112,7 +113,8 @@
 // Unwrap returns the cause.
 func (nse *NotSentError) Unwrap() error { return nse.Cause }
 
-// BrokenError reports a call that was sent, at least in part, and received no valid answer.
+// BrokenError reports a call that received no valid answer after writing to the engine had begun,
+// so that the engine may have received the request.
 type BrokenError struct {
 	Address netip.AddrPort
 	Cause   error
@@ -120,7 +122,7 @@
 
 // Error returns the address and the cause.
 func (ber *BrokenError) Error() string {
-	return "upstream: " + ber.Address.String() + ": request sent, no valid answer: " + ber.Cause.Error()
+	return "upstream: " + ber.Address.String() + ": request may have been sent, no valid answer: " + ber.Cause.Error()
 }
 
 // Unwrap returns the cause.
@@ -137,16 +139,16 @@
 	return "engine run " + ree.Endpoint.Engine.String() + " ended: the engine was restarted"
 }
 
-// StrayError reports that all answers read belong to other requests, or that a successful
-// answer has no request id.
+// StrayError reports that all answers read belong to other requests, or that an answer with a
+// status below 400 has no request id.
 type StrayError struct {
-	// ID is the request id of the last answer read; empty for a successful answer without one.
+	// ID is the request id of the last answer read; empty if that answer has none.
 	ID string
 }
 
 // Error returns the request id of the last answer.
 func (ser *StrayError) Error() string {
-	return "answer does not match the request: got request id " + ser.ID
+	return "answer does not match the request: the request id of the answer (empty if it has none) is " + ser.ID
 }
 
 // AnswerTooLargeError reports an answer body over the size limit.
