--- a/evacuation/board.go
+++ b/evacuation/board.go
@@ -80,12 +80,12 @@
 	return missing
 }
 
-// state returns the progress of an order; runs is the number of requests running in its domain.
-func (trk *Tracker) state(ord Order, runs int) State {
+// state returns the progress of an order; running is the number of requests running in its domain.
+func (trk *Tracker) state(ord Order, running int) State {
 	switch {
 	case len(trk.hosts) == 0 || len(trk.missing(ord)) > 0:
 		return StateOrdered
-	case runs > 0:
+	case running > 0:
 		return StateClosed
 	default:
 		return StateEmpty
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -14,8 +14,8 @@
 	FormerBad  int
 	NewGood    int
 	NewBad     int
-	// Loaded is the number of the new version's answers under the load that it will have after
-	// the roll-out.
+	// Loaded is the number of the new version's answers under the load that the version will have
+	// after the roll-out.
 	Loaded int
 }
 
@@ -126,7 +126,7 @@
 
 // recentDecay is the time constant of the decaying weights of the old version's recent answers.
 // It is short so that a failure of the whole service or of the hosts, which isn't the new
-// version's fault, raises the old version's share of bad answers after a few of them.
+// version's fault, raises the old version's share of bad answers after a few bad answers.
 const recentDecay = 150 * time.Millisecond
 
 // cusum is the cumulative sum of a route's log-likelihood steps, with the old version's recent
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -19,28 +19,29 @@
 )
 
 const (
-	// exposureMargin is the part of Config.Share that is used before the version is known to be
+	// shareFraction is the part of Config.Share that is used before the version is known to be
 	// healthy. The rest covers the requests that a version which becomes faulty late gets until
 	// this is detected, and requests that are counted here but never reach an engine.
-	exposureMargin = 0.6
-	// slackMargin is the part of Config.Slack that is used. The slack provides the first answers
+	shareFraction = 0.6
+	// slackFraction is the part of Config.Slack that is used. The slack provides the first answers
 	// of a version before many requests have arrived.
-	slackMargin = 0.5
-	// moveAfter is the part of the period after which requests move to a version that is known to
-	// be healthy: some versions become faulty only after a while, and streams need seconds to
-	// end. A version that becomes faulty later than that may get more requests than users allow.
-	moveAfter = 0.7
-	// decideAfter is the part of the period after which a version with too few answers for the
-	// test is accepted or rolled back by the evidence gathered so far.
-	decideAfter = 0.85
+	slackFraction = 0.5
+	// moveAfterFraction is the part of the period after which requests move to a version that is
+	// known to be healthy: some versions become faulty only after a while, and streams need seconds
+	// to end. A version that becomes faulty later than that may get more requests than users allow.
+	moveAfterFraction = 0.7
+	// decideAfterFraction is the part of the period after which a version with too few answers for
+	// the test is accepted or rolled back by the evidence gathered so far. The cutover to an accepted
+	// version doesn't begin earlier either.
+	decideAfterFraction = 0.85
 	// cutoverTime is how long the engines of the old version continue to run repeatable
 	// requests after the cutover began.
 	cutoverTime = 700 * time.Millisecond
 	// minAnswers is the minimum number of the new version's answers for accepting it after
-	// decideAfter.
+	// decideAfterFraction.
 	minAnswers = 10
 	// minLoadedAnswers is the number of answers under load that a version needs to be accepted
-	// before decideAfter.
+	// before decideAfterFraction.
 	minLoadedAnswers = 20
 	// minRouteAnswers is the number of answers, of both versions, from which a version must be
 	// known to be healthy on the route. Fewer answers prove nothing about the route.
@@ -79,7 +80,7 @@
 	phase  phase
 	began  time.Time
 	// ownReserved is the number of requests that the ledger reserves for this host to grant to
-	// the new version, and ownGranted how many of them it has granted.
+	// the new version, and ownGranted how many of them this host has granted.
 	ownReserved int
 	ownGranted  int
 	// sinceCanary is the number of requests granted since the last canary request.
@@ -92,10 +93,11 @@
 	baseline     latencyBaseline
 	// cusums holds the cumulative sums by route.
 	cusums map[string]*cusum
-	// ledgerRequestedAt and stateRequestedAt are when Advance last returned a write of each.
+	// ledgerRequestedAt is when Advance last returned a write of the ledger, and stateRequestedAt
+	// when it last returned a write of the state.
 	ledgerRequestedAt time.Time
 	stateRequestedAt  time.Time
-	// requestedState is the state in the most recent of these writes of the state.
+	// requestedState is the state in the write of the state that Advance returned last.
 	requestedState State
 	// cutoverAt is when phaseCutover began.
 	cutoverAt time.Time
@@ -126,7 +128,7 @@
 }
 
 // ApplyStored applies what the store holds now. A final state in the store takes precedence
-// over this host's state, since a roll-out has only one.
+// over this host's state, since a roll-out has only one final state.
 func (rol *Rollout) ApplyStored(sto StoredState) {
 	if sto.Ledger.Order != sto.Order.Revision {
 		sto.Ledger = Ledger{Order: sto.Order.Revision, Version: sto.Order.Version}
@@ -227,8 +229,8 @@
 	rol.evaluate(now, ans, bad)
 }
 
-// evaluate rolls the new version back if its answers are worse than the old version's or have
-// become worse.
+// evaluate applies an answer to the cumulative sum of its route. It rolls the new version back if the
+// answers of that version are worse than those of the old version, or have become worse.
 func (rol *Rollout) evaluate(now time.Time, ans Answer, bad bool) {
 	tal := rol.totals()
 	csm := rol.cusums[ans.Route]
@@ -272,14 +274,14 @@
 			rol.finish(StateCompleted, "the new version is healthy")
 		}
 	case rol.phase == phaseMoving:
-		if fle.Pinned == 0 && elapsed >= decideAfter {
+		if fle.Pinned == 0 && elapsed >= decideAfterFraction {
 			rol.phase, rol.cutoverAt = phaseCutover, now
 		}
-	case elapsed < moveAfter:
+	case elapsed < moveAfterFraction:
 		rol.reason = "minimum canary period not over"
 	case hasSlots && rol.isProven():
 		rol.phase, rol.reason = phaseMoving, "proved"
-	case elapsed < decideAfter:
+	case elapsed < decideAfterFraction:
 		rol.reason = "not yet known to be healthy"
 	case fle.NewSlots == 0:
 		rol.finish(StateRolledBack, "no engines of the new version")
@@ -322,7 +324,7 @@
 
 // allowance returns the maximum number of canary requests that may have been reserved by now.
 func (rol *Rollout) allowance() int {
-	return int(exposureMargin*rol.cfg.Share*float64(rol.totals().Requests) + slackMargin*rol.cfg.Slack)
+	return int(shareFraction*rol.cfg.Share*float64(rol.totals().Requests) + slackFraction*rol.cfg.Slack)
 }
 
 // Write is a write to the store under the condition that its key has the given revision.
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -135,7 +135,8 @@
 	// answer counts only if it had failed or was already slow.
 	Canceled bool
 	// Elapsed is the duration of the answer, and Expected the duration on an engine of reference
-	// speed. If either is zero, the duration isn't tested.
+	// speed or, for a request without a prompt, the mean duration on engines of the old version.
+	// If either is zero, the duration isn't tested.
 	Elapsed  time.Duration
 	Expected time.Duration
 	// Loaded reports whether the engine had as many requests to run as the engines of the old
@@ -145,6 +146,7 @@
 
 // Fleet describes the engines of a service.
 type Fleet struct {
+	// OldSlots and NewSlots are the slots of the engines of each version that aren't draining.
 	OldSlots int
 	NewSlots int
 	// Running is the number of requests running on engines of the old version.
