--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -37,12 +37,13 @@
 const (
 	// LevelClear is the level of a request without a recorded crash.
 	LevelClear Level = iota
-	// LevelWatched is the level of a request that ran on an engine that crashed. All requests
-	// that ran there at the time are watched, and nearly all of them are harmless: a watched
-	// request is scheduled like any other, except that it isn't run twice at the same time.
+	// LevelWatched is the level of a request that ran on an engine that crashed or may have
+	// crashed. All requests that ran there at the time are watched, and nearly all of them are
+	// harmless: a watched request is scheduled like any other, except that it isn't run twice at
+	// the same time.
 	LevelWatched
-	// LevelSuspected is the level of a request that ran on several engines that crashed. It
-	// runs exclusively on its engine.
+	// LevelSuspected is the level of a request that ran on several engines that crashed, or whose
+	// hold has expired. It runs exclusively on its engine.
 	LevelSuspected
 	// LevelHeld is the level of a request that isn't run.
 	LevelHeld
@@ -130,7 +131,8 @@
 	Subject
 	// Engine is the engine run that crashed.
 	Engine string
-	// Exclusive reports whether the engine ran nothing else.
+	// Exclusive reports whether the engine ran nothing else, or whether the request was that of a
+	// restricted traffic source and was granted the engine less than NewRequestAge before.
 	Exclusive bool
 	// RunTime is how long the engine had been running the request.
 	RunTime time.Duration
@@ -143,7 +145,7 @@
 	// recorded under the same run, from 0.
 	Engine string
 	Again  int
-	// Alone reports whether the engine ran nothing else.
+	// Alone reports whether any host observed the crash with Observation.Exclusive set.
 	Alone bool
 	// seenAt is when this host detected the crash or received a report of it.
 	seenAt time.Time
@@ -180,9 +182,10 @@
 	}
 }
 
-// addCrash records a crash and reports whether it changes the case. The same crash of an engine
+// addCrash records a crash and reports whether the case has changed. The same crash of an engine
 // run may be reported by several hosts, each of which had a request with this digest there.
-// If the request began to run after the known crash was seen, this is another crash.
+// If the request began to run after a recorded crash of the run was detected, the observation is
+// another crash.
 func (cas *Case) addCrash(now time.Time, obs Observation) bool {
 	cra := Crash{Engine: obs.Engine, Alone: obs.Exclusive, seenAt: now}
 	for idx, known := range cas.Crashes {
@@ -199,8 +202,7 @@
 	return true
 }
 
-// mergeCrash records a crash that another host reported, and reports whether it changes the
-// case.
+// mergeCrash records a crash that another host reported, and reports whether the case has changed.
 func (cas *Case) mergeCrash(now time.Time, cra Crash) bool {
 	for idx, known := range cas.Crashes {
 		if known.Engine == cra.Engine && known.Again == cra.Again {
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -137,7 +137,7 @@
 	return true
 }
 
-// clearFromPeer clears a request because another host has cleared it.
+// clearFromPeer clears a request because another host has cleared or released it.
 func (reg *Registry) clearFromPeer(now time.Time, dig call.Digest, kin Kind) {
 	if reg.clear(now, dig, kin) {
 		reg.changes[len(reg.changes)-1].FromPeer = true
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -211,7 +211,7 @@
 	assert.Equal(t, reg.Level(startTime.Add(time.Minute), digest(1)), quarantine.LevelClear, "released by another host")
 }
 
-// A report that another host sent before the clearing of the request reached it must not restore
+// A report that another host sent before it received the clearing of the request must not restore
 // the case.
 func TestClearedRequestIgnoresEarlierReports(t *testing.T) {
 	reg := heldRegistry(t)
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -44,7 +44,8 @@
 	Case Case
 	// Report is sent to other hosts.
 	Report Report
-	// FromPeer reports whether another host caused the change by its report.
+	// FromPeer reports whether another host has cleared or released the request. It isn't set for
+	// the other kinds of changes, even if the report of another host caused them.
 	FromPeer bool
 }
 
@@ -118,8 +119,8 @@
 	return all
 }
 
-// Reports returns reports of the cases at the lowest level or above, those of the highest level
-// first, limit at most.
+// Reports returns reports of at most limit cases of the level lowest or above, those of the highest
+// level first.
 func (reg *Registry) Reports(now time.Time, lowest Level, limit int) []Report {
 	if len(reg.cases) == 0 {
 		return nil
--- a/reservation/fence.go
+++ b/reservation/fence.go
@@ -23,7 +23,8 @@
 	FenceStateClosed
 	// FenceStateSuperseded means that a higher ballot holds the request.
 	FenceStateSuperseded
-	// FenceStateForgotten means that the request is older than the ledger's records.
+	// FenceStateForgotten means that the state of the request can't be determined from the ledger,
+	// for example because the request is older than the ledger's records.
 	FenceStateForgotten
 	// FenceStateBystander means that the host may not grant the request and knows of no grant.
 	FenceStateBystander
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -35,7 +35,8 @@
 	ID      request.ID
 	Ballot  request.Ballot
 	Service string
-	// Tier is the name of the tier, Rank its rank. The highest rank is served first.
+	// Tier is the name of the tier. Rank orders the waiting reservations: package coordinator
+	// serves the highest rank first, package scheduler the lowest.
 	Tier string
 	Rank int
 	// Account is the name of the client account, Weight its share relative to other accounts.
@@ -129,7 +130,7 @@
 	// ReasonFull means that the queue is full and holds no reservation of a lower rank; another
 	// coordinator may have room.
 	ReasonFull Reason = iota + 1
-	// ReasonMoved means that the host coordinates no engine of the service.
+	// ReasonMoved means that the host coordinates no engine of the service, or is draining.
 	ReasonMoved
 	// ReasonExpired means that the deadline can no longer be met.
 	ReasonExpired
@@ -137,11 +138,14 @@
 	ReasonClosed
 	// ReasonFenced means that another gateway holds the request.
 	ReasonFenced
-	// ReasonForgotten means that the id is older than the coordinator's records.
+	// ReasonForgotten means that the id is older than the coordinator's records, or that the
+	// coordinator doesn't know whether the request was closed.
 	ReasonForgotten
-	// ReasonNotGranter means that the host may not grant the request.
+	// ReasonNotGranter means that the host may not grant requests to the gateway, doesn't have the
+	// view that the id names, or has handed over its ledger.
 	ReasonNotGranter
-	// ReasonOverload means that no engine has a free slot in time.
+	// ReasonOverload means that no engine has a free slot in time, or that the request's traffic
+	// source is paused for longer than the request may wait.
 	ReasonOverload
 	// ReasonLimit means that the client account has exhausted its limit.
 	ReasonLimit
@@ -157,7 +161,8 @@
 	// ReasonRate means that all remaining engines have sent a rate limit, and requests ahead of
 	// this one use it up before its deadline.
 	ReasonRate
-	// ReasonRegion means that no engine of the service is in an allowed region.
+	// ReasonRegion means that no engine of the service that accepts requests is in an allowed
+	// region.
 	ReasonRegion
 )
 
@@ -198,14 +203,16 @@
 	Engine string
 	// Dispatched is false if the engine certainly never received the request.
 	Dispatched bool
-	// Failed is set if the engine aborted its answer or couldn't be reached.
+	// Failed is set if the engine couldn't be reached, aborted its answer, or sent an invalid answer
+	// or one with a status of 500 or above.
 	Failed bool
 	// Rejected is set if the engine rejected the request.
 	Rejected bool
 	// Throttled is set if the engine requested a backoff instead of answering, or rejected the
 	// request because of its rate limit. Neither is a sign of the engine's health.
 	Throttled bool
-	// Answered is set if the engine's answer is complete, even if it is an error.
+	// Answered is set if the engine's answer is complete, even if it is an error, and Throttled
+	// isn't set.
 	Answered bool
 	// PrefillTokens, DecodeTokens, FirstToken and Total are measurements of the run: the tokens
 	// processed in each phase, and the times to the first token and to the end.
@@ -291,8 +298,10 @@
 	quarantine.Report
 }
 
-// Hold lists all grants that the gateway holds from the coordinator. It is the first message of a
-// session. Grants that it doesn't list were never dispatched and never will be.
+// Hold lists the requests whose slots the gateway holds on grants of the coordinator, or on engines
+// that the coordinator took over. It is sent at the start of a session, after an Adopt for each slot
+// that another coordinator granted. The coordinator releases the gateway's slots that aren't listed:
+// their grants were lost with an earlier session and are never dispatched.
 type Hold struct {
 	IDs []request.ID
 }
