--- a/soak/check.go
+++ b/soak/check.go
@@ -37,7 +37,7 @@
 	for _, hos := range sys.hosts {
 		directories = append(directories, hos.set.DirectoryAddress)
 	}
-	each := make(chan []sentRequest)
+	perVisitor := make(chan []sentRequest)
 	for num := range visitorCount {
 		random := rand.New(rand.NewPCG(seed, uint64(num)+2))
 		vis := visitor.New(visitor.Config{
@@ -46,14 +46,14 @@
 		})
 		go func() {
 			defer vis.Close()
-			each <- sendRequests(ctx, vis, random)
+			perVisitor <- sendRequests(ctx, vis, random)
 		}()
 	}
 	all := make(chan []sentRequest, 1)
 	go func() {
 		var sent []sentRequest
 		for range visitorCount {
-			sent = append(sent, <-each...)
+			sent = append(sent, <-perVisitor...)
 		}
 		all <- sent
 	}()
@@ -72,15 +72,15 @@
 		if random.IntN(2) == 0 {
 			req.Body = strings.Repeat("x", random.IntN(40_000))
 		}
-		// A request that was started is completed, so that its outcome is known.
+		// The end of the context does not cancel a request, so that its outcome is known.
 		sent = append(sent, sentRequest{request: req, result: vis.Send(context.WithoutCancel(ctx), req)})
 	}
 	return sent
 }
 
 const (
-	// retireBound is the time after which a retired engine receives no requests. It includes
-	// every fault that may delay a host in that time.
+	// retireBound is the time after which a retired engine receives no requests. It allows for
+	// every fault that may delay a host meanwhile.
 	retireBound = 6 * time.Second
 	// revokeBound is the time after which a revoked key is no longer accepted.
 	revokeBound = 5 * time.Second
@@ -93,7 +93,7 @@
 	crashed := 0
 	for _, eng := range sys.engines {
 		if eng.hasCrashed() {
-			// Its records of runs are lost with the process.
+			// The engine's records of its runs are lost with the process.
 			crashed++
 			continue
 		}
@@ -104,11 +104,11 @@
 			}
 		}
 	}
-	known := make(map[string]bool)
+	sentIDs := make(map[string]bool)
 	served := 0
 	for _, snd := range sent {
 		for _, att := range snd.result.Attempts {
-			known[att.ID] = true
+			sentIDs[att.ID] = true
 			sys.checkAttempt(snd.request, att, runs[att.ID])
 		}
 		if snd.result.Last().Served() {
@@ -122,26 +122,26 @@
 		sys.t.Errorf("the poison request crashed %d engines, which is more than allowed", crashed)
 	}
 	for id := range runs {
-		assert.Check(sys.t, known[id], "an engine ran %s, which no visitor sent", id)
+		assert.Check(sys.t, sentIDs[id], "an engine ran %s, which no visitor sent", id)
 	}
 	sys.t.Logf("%d of %d requests served", served, len(sent))
 }
 
 func (sys *system) checkAttempt(req visitor.Request, att visitor.Attempt, runs []upstreamtest.Run) {
 	sys.t.Helper()
-	once := req.Kind == route.KindUnsafe || (req.Kind == route.KindStreaming && !req.Resumable)
-	if once && len(runs) > 1 {
-		sys.t.Errorf("%s (%s) ran %d times, allowed once", att.ID, req.Path, len(runs))
+	atMostOnce := req.Kind == route.KindUnsafe || (req.Kind == route.KindStreaming && !req.Resumable)
+	if atMostOnce && len(runs) > 1 {
+		sys.t.Errorf("%s (%s) ran %d times, allowed at most once", att.ID, req.Path, len(runs))
 	}
-	if once && att.GuaranteesNotRun() && len(runs) > 0 {
-		sys.t.Errorf("%s (%s) got status %d, which promises that it did not run, but it ran", att.ID, req.Path, att.Status)
+	if atMostOnce && att.GuaranteesNotRun() && len(runs) > 0 {
+		sys.t.Errorf("%s (%s) got status %d, which guarantees that the request did not run, but it ran", att.ID, req.Path, att.Status)
 	}
 	if len(runs) > 2 {
-		sys.t.Errorf("%s ran on %d engines, allowed 2", att.ID, len(runs))
+		sys.t.Errorf("%s ran %d times, allowed at most 2", att.ID, len(runs))
 	}
 	want := upstreamtest.PlainBody(att.ID)
 	if req.Kind == route.KindStreaming {
-		want = upstreamtest.StreamBody(att.ID, events)
+		want = upstreamtest.StreamBody(att.ID, streamEvents)
 	}
 	if att.Served() && att.Body != want {
 		sys.t.Errorf("%s (%s) got %q as a complete answer", att.ID, req.Path, att.Body)
@@ -150,11 +150,11 @@
 		sys.t.Errorf("%s (%s) got %q, which is no prefix of the expected answer", att.ID, req.Path, att.Body)
 	}
 	sys.mutex.Lock()
-	revoked := sys.revoked[req.Key]
+	revokedAt := sys.revokedAt[req.Key]
 	sys.mutex.Unlock()
 	for _, run := range runs {
-		if !revoked.IsZero() && run.At.After(revoked.Add(revokeBound)) {
-			sys.t.Errorf("%s ran %s after its key was revoked", att.ID, run.At.Sub(revoked))
+		if !revokedAt.IsZero() && run.At.After(revokedAt.Add(revokeBound)) {
+			sys.t.Errorf("%s ran %s after its key was revoked", att.ID, run.At.Sub(revokedAt))
 		}
 		if run.Account != entrytest.Account || run.Key != "" {
 			sys.t.Errorf("%s ran for account %q with key %q; an engine must not receive the key", att.ID, run.Account, run.Key)
@@ -162,10 +162,12 @@
 	}
 }
 
-// lastRequests is the number of requests per template that each host must serve after the faults.
-const lastRequests = 3
+// finalRequests is the number of requests per template that each host must serve after the faults
+// are cleared.
+const finalRequests = 3
 
-// checkServing checks that every host serves all requests once the faults are cleared.
+// checkServing checks that every host serves finalRequests requests of each template. It runs
+// after the faults are cleared.
 func (sys *system) checkServing(seed uint64) {
 	sys.t.Helper()
 	for num, hos := range sys.hosts {
@@ -175,7 +177,7 @@
 		})
 		for _, req := range requestTemplates {
 			req.Key, req.Deadline, req.Retries = entrytest.Key, 3*time.Second, 3
-			for range lastRequests {
+			for range finalRequests {
 				res := vis.Send(sys.t.Context(), req)
 				if att := res.Last(); !att.Served() {
 					sys.t.Errorf("after the faults were cleared, %s by %s got status %d, error %v: %s", req.Path, hos.set.Name, att.Status, att.Err, att.Body)
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// maxCrashes bounds the engines that the poison request may crash in a run: three until it
-	// is identified, and three more if hosts are killed, frozen or partitioned before one of
-	// them has reported its findings to another host or to the store.
+	// maxCrashes bounds the engines that the poison request may crash in a run: three until the
+	// request is identified, and three more if hosts are killed, frozen or partitioned before one
+	// of them has reported the crashes to another host or to the store.
 	maxCrashes = 6
-	// poisonInterval is the time between two attempts with the poison request.
+	// poisonInterval is the interval at which the poison request is sent.
 	poisonInterval = 200 * time.Millisecond
 )
 
-// sendPoison starts a visitor that repeats a poison request, which crashes engines, until the
-// context is done. The returned channel is closed when the visitor has stopped.
+// sendPoison starts a visitor that sends the poison request, whose body crashes engines, every
+// poisonInterval until the context is done. The returned channel is closed when the visitor has
+// stopped.
 func (sys *system) sendPoison(ctx context.Context, seed uint64) <-chan struct{} {
 	var directories []netip.AddrPort
 	for _, hos := range sys.hosts {
@@ -33,9 +34,9 @@
 		Directories: directories, HostName: entrytest.HostName, Domain: "d0", Prefix: fmt.Sprintf("s%d-culprit", seed), Random: rand.New(rand.NewPCG(seed, 77)),
 	})
 	req := visitor.Request{Path: "/stream/", Kind: route.KindStreaming, PromptTokens: 100, MaxTokens: 50, Key: entrytest.Key, Body: entrytest.PoisonBody, Deadline: 2 * time.Second}
-	end := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(end)
+		defer close(stopped)
 		defer vis.Close()
 		tick := time.NewTicker(poisonInterval)
 		defer tick.Stop()
@@ -48,7 +49,7 @@
 			}
 		}
 	}()
-	return end
+	return stopped
 }
 
 // replaceCrashed deletes the store entry of each crashed engine and starts another engine in
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -10,7 +10,7 @@
 	"lynxwell.dev/lynxwell/upstreamtest"
 )
 
-// spareKey is a client key that some configurations accept in addition to entrytest.Key.
+// spareKey is a client key that some configurations list in addition to entrytest.Key.
 const spareKey = "key-of-nurses"
 
 // injectFault injects one random fault. Earlier faults may still be in effect.
@@ -72,7 +72,7 @@
 	hos.recordDisturbance()
 }
 
-// recordDisturbance records that the host is killed, stopped, started, frozen or resumed now.
+// recordDisturbance records that the host is being killed, stopped, started, frozen or resumed.
 func (hos *host) recordDisturbance() {
 	hos.disturbances = append(hos.disturbances, time.Now())
 }
@@ -106,7 +106,8 @@
 	sys.control(eng, upstreamtest.PathFault, req)
 }
 
-// retireEngine drains an engine, or deregisters it without draining, and starts a replacement.
+// retireEngine registers a random engine as draining, or deletes its entry without draining, and
+// starts a replacement.
 func (sys *system) retireEngine() {
 	eng := sys.engines[sys.random.IntN(len(sys.engines))]
 	if !eng.retiredAt.IsZero() || eng.hasCrashed() {
@@ -127,13 +128,13 @@
 	defer sys.mutex.Unlock()
 	if len(sys.keys) == 1 {
 		sys.keys = []string{entrytest.Key, spareKey}
-		delete(sys.revoked, spareKey)
+		delete(sys.revokedAt, spareKey)
 		sys.configure()
 		return
 	}
 	sys.keys = sys.keys[:1]
 	sys.configure()
-	sys.revoked[spareKey] = time.Now()
+	sys.revokedAt[spareKey] = time.Now()
 }
 
 // clearFaults clears all faults and restarts the hosts that were stopped.
@@ -141,7 +142,7 @@
 	sys.restoreLinks()
 	sys.post(sys.store, platformtest.PathFaults, platformtest.Faults{})
 	for _, eng := range sys.engines {
-		// An engine that received few requests has faults left to apply.
+		// An engine that received few requests may have faults left that it has not applied yet.
 		if !eng.hasCrashed() {
 			sys.control(eng, upstreamtest.PathFault, upstreamtest.FaultRequest{Clear: true})
 		}
--- a/soak/places.go
+++ b/soak/places.go
@@ -20,19 +20,19 @@
 	// statePollInterval is the interval at which the published evacuation state is read.
 	statePollInterval = 50 * time.Millisecond
 	// coldFor is the warm-up time of an engine; coldRate is the rate, in requests per second,
-	// that a cold engine withstands.
+	// that a cold engine survives.
 	coldFor  = 2 * time.Second
 	coldRate = 6
 )
 
 // closedPeriod is a period in which the failure domain was published to operators as closed. A
-// zero end means that it still is.
+// zero end means that the period has not ended.
 type closedPeriod struct {
 	start, end time.Time
 }
 
-// changeEvacuation orders the evacuation of a failure domain or, with a probability of one in
-// three, withdraws an order that is in force. The engines of a reopened domain start cold.
+// changeEvacuation orders the evacuation of evacuatedDomain if no order is in force, and otherwise
+// withdraws the order with a probability of one third. The engines of a reopened domain are cold.
 func (sys *system) changeEvacuation() {
 	switch {
 	case sys.orderedAt.IsZero():
@@ -44,7 +44,8 @@
 	}
 }
 
-// recordClosed starts a closed period when the published state first answers the current order.
+// recordClosed starts a closed period when the published state first names the revision of the
+// current order.
 func (sys *system) recordClosed() {
 	if sys.orderedAt.IsZero() || sys.inClosedPeriod {
 		return
@@ -79,13 +80,14 @@
 	sys.put(store.Write{Key: entrytest.EvacuationKey(evacuatedDomain), Delete: true, Blind: true})
 }
 
-// markCold makes an engine cold and registers it as cold.
+// markCold makes an engine cold for coldFor, in which it survives no more than coldRate, and
+// registers it as cold.
 func (sys *system) markCold(eng *engine) {
 	sys.control(eng, upstreamtest.PathCold, upstreamtest.Cold{PerSecond: coldRate, For: coldFor})
 	sys.registerCold(eng, false, coldFor)
 }
 
-// readStore returns the value under the key in the store, as operators read it.
+// readStore returns the value of the key in the store, regardless of the store's faults.
 func (sys *system) readStore(key string) store.Value {
 	sys.t.Helper()
 	req, err := http.NewRequestWithContext(sys.t.Context(), http.MethodGet, "http://"+sys.store.String()+platformtest.PathValue+"?key="+key, http.NoBody)
@@ -98,8 +100,8 @@
 	return val
 }
 
-// checkEvacuations checks that no request reached an engine of a failure domain while it was
-// published as closed, and that no cold engine was overloaded.
+// checkEvacuations checks that no request reached an engine of a failure domain while the domain
+// was published as closed, and that no cold engine crashed under its load.
 func (sys *system) checkEvacuations() {
 	sys.t.Helper()
 	sys.t.Logf("the domain was published as closed %d times", len(sys.closedPeriods))
@@ -110,7 +112,7 @@
 		arrivals := readList[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals)
 		for _, arr := range arrivals {
 			if arr.Crashed {
-				sys.t.Errorf("cold engine %s crashed: it received more requests than it withstands", eng.id)
+				sys.t.Errorf("cold engine %s crashed: it received more requests than a cold engine survives", eng.id)
 			}
 			if eng.domain != evacuatedDomain {
 				continue
--- a/soak/rates.go
+++ b/soak/rates.go
@@ -8,10 +8,10 @@
 	"lynxwell.dev/lynxwell/visitor"
 )
 
-// The users' bounds on rate limits: from rateGrace after an engine first sent a rate limit, it
-// receives in each rateWindow at most rateFactor times the limit plus rateSlack requests. Only
-// the requests that a host sent at least rateReportDelay after it had passed on an answer with a
-// rate limit are counted. The counts of all hosts are added up.
+// The users' bounds on rate limits: from rateGrace after an engine first sent a rate limit, the
+// engine receives in each rateWindow at most rateFactor times the limit plus rateSlack requests.
+// Requests of all hosts count, but of each host only those that arrived at least rateReportDelay
+// after the host had passed on an answer with a rate limit.
 const (
 	rateGrace       = 3 * time.Second
 	rateReportDelay = 500 * time.Millisecond
@@ -20,34 +20,36 @@
 	rateSlack       = 5
 )
 
-// rateLimits are the limits that engines send, in requests per second. Visitors send more.
+// rateLimits are the limits that engines send, in requests per second. The visitors' load exceeds
+// them.
 var rateLimits = []float64{0, 0.5, 1.5, 3}
 
-// changeRateLimit makes an engine send a rate limit in its answers, or end it. The engine serves
-// all requests in either case.
+// changeRateLimit makes a random engine send a rate limit in its answers. If the engine already
+// sends one, it stops doing so with a probability of one half. It serves all requests in any case.
 func (sys *system) changeRateLimit() {
 	eng := sys.engines[sys.rateRandom.IntN(len(sys.engines))]
 	if eng.signalsBackoff {
-		// A change of its signals would clear its backoff.
+		// Setting the rate limit replaces all signals, and would end the backoff request.
 		return
 	}
-	if eng.rate != nil && sys.rateRandom.IntN(2) == 0 {
+	if eng.rateLimit != nil && sys.rateRandom.IntN(2) == 0 {
 		return
 	}
-	if eng.rate != nil {
-		eng.rate = nil
+	if eng.rateLimit != nil {
+		eng.rateLimit = nil
 	} else {
-		eng.rate = &rateLimits[sys.rateRandom.IntN(len(rateLimits))]
+		eng.rateLimit = &rateLimits[sys.rateRandom.IntN(len(rateLimits))]
 	}
-	sys.setSignals(eng, upstreamtest.Signals{Rate: eng.rate, Draining: eng.signalsDraining})
+	sys.setSignals(eng, upstreamtest.Signals{Rate: eng.rateLimit, Draining: eng.signalsDraining})
 }
 
-// checkRates checks the requests that an engine received against the rate limits it had sent.
-func (sys *system) checkRates(eng *engine, by map[netip.AddrPort][]upstreamtest.Arrival, attempts map[string]visitor.Attempt) {
+// checkRates checks the requests that an engine received against the rate limits that the engine
+// had sent.
+func (sys *system) checkRates(eng *engine, byHost map[netip.AddrPort][]upstreamtest.Arrival, attempts map[string]visitor.Attempt) {
 	sys.t.Helper()
 	var counted []upstreamtest.Arrival
 	for _, hos := range sys.hosts {
-		counted = append(counted, hos.sentAfterRateLimit(by[hos.set.CallerAddress], attempts)...)
+		counted = append(counted, hos.sentAfterRateLimit(byHost[hos.set.CallerAddress], attempts)...)
 	}
 	for _, spa := range rateSpans(readList[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals)) {
 		allowed := int(rateFactor*spa.rate*rateWindow.Seconds() + rateSlack)
@@ -66,8 +68,9 @@
 	}
 }
 
-// sentAfterRateLimit returns the requests that a host sent to an engine at least rateReportDelay
-// after it had passed on an answer with a rate limit. A disturbance of the host starts over.
+// sentAfterRateLimit returns the requests from a host that arrived at an engine at least
+// rateReportDelay after the host had passed on an answer with a rate limit. After a disturbance,
+// the host must pass on such an answer again.
 func (hos *host) sentAfterRateLimit(arrivals []upstreamtest.Arrival, attempts map[string]visitor.Attempt) []upstreamtest.Arrival {
 	var reportedAt time.Time
 	var after []upstreamtest.Arrival
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,6 +1,6 @@
 // Package soak runs the real programs as separate processes, injects faults from
-// outside, in series and overlapping, and checks the results that clients and
-// engines see.
+// outside, which may overlap, and checks the results that clients and engines
+// observe.
 //
 // # Usage
 //
@@ -40,22 +40,23 @@
 
 const (
 	defaultHosts = 3
-	// perService is the number of engines of each of the two services.
-	perService = 3
+	// enginesPerService is the number of engines of each of the two services.
+	enginesPerService = 3
 	// faultCount is the number of faults in a run; meanFaultInterval is the mean time between
 	// two of them.
 	faultCount        = 8
 	meanFaultInterval = 500 * time.Millisecond
-	// visitorCount is the number of visitors, each a client of its own.
+	// visitorCount is the number of visitors, each a separate client.
 	visitorCount = 6
-	// settleTime is the time for recovery before the last requests.
+	// settleTime is the time for recovery after the faults are cleared, and again after the
+	// evacuation is withdrawn.
 	settleTime = 3 * time.Second
-	// startLimit bounds the start and every wait for a condition.
-	startLimit = 20 * time.Second
-	// slots is the number of concurrent requests that an engine registers with.
-	slots = 4
-	// events is the number of events in a stream.
-	events = 5
+	// conditionTimeout bounds every wait for a condition, such as the start of a host.
+	conditionTimeout = 20 * time.Second
+	// engineSlots is the number of concurrent requests in an engine's store entry.
+	engineSlots = 4
+	// streamEvents is the number of events in a stream.
+	streamEvents = 5
 )
 
 // Config holds the parameters of a run. Hosts is the number of hosts; 0 stands for 3.
@@ -70,13 +71,13 @@
 	dir    string
 	random *rand.Rand
 	// signalRandom selects the signals of engines, rateRandom their rate limits, and
-	// evacuationRandom the evacuations of a failure domain. They are sources of their own, so
-	// that the faults of a seed do not depend on them.
+	// evacuationRandom the withdrawals of evacuations. They are separate sources, so that the
+	// faults of a seed, which random selects, do not depend on them.
 	signalRandom     *rand.Rand
 	rateRandom       *rand.Rand
 	evacuationRandom *rand.Rand
 	// orderedAt is the time of the evacuation order in force, zero for none. inClosedPeriod is
-	// set once the domain was published as closed under this order. closedPeriods lists the
+	// set once the domain has been published as closed under this order. closedPeriods lists all
 	// periods in which the domain was published as closed.
 	orderedAt      time.Time
 	inClosedPeriod bool
@@ -85,10 +86,12 @@
 	hosts          []*host
 	// engines holds every engine that was started, including crashed and retired ones.
 	engines []*engine
+	// version and keys belong to the latest configuration in the store.
 	version uint64
 	keys    []string
 	mutex   sync.Mutex
-	revoked map[string]time.Time
+	// revokedAt maps each revoked client key to the time of its revocation.
+	revokedAt map[string]time.Time
 }
 
 type host struct {
@@ -110,16 +113,16 @@
 	sequence uint64
 	// retiredAt is the time at which its entry was deleted or began to drain; zero before.
 	retiredAt time.Time
-	// crashed is closed when its process has exited; replaced is set once another engine was
+	// crashed is closed when its process has exited; replaced is set once another engine has been
 	// started in its place.
 	crashed  chan struct{}
 	replaced bool
-	// signalsDraining is set while its answers carry the draining signal, signalsBackoff while
-	// it rejects requests with a backoff request.
+	// signalsDraining is set once its answers carry the draining signal, signalsBackoff while
+	// the engine rejects requests with a backoff request.
 	signalsDraining bool
 	signalsBackoff  bool
-	// rate is the rate limit that its answers carry, in requests per second; nil for none.
-	rate *float64
+	// rateLimit is the limit that its answers carry, in requests per second; nil for none.
+	rateLimit *float64
 }
 
 // hasCrashed reports whether the engine's process has exited.
@@ -143,7 +146,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	sent := sys.startVisitors(ctx, cfg.Seed)
 	poison := sys.sendPoison(ctx, cfg.Seed)
-	for range perService {
+	for range enginesPerService {
 		sys.changeRateLimit()
 	}
 	for range faultCount {
@@ -170,7 +173,7 @@
 }
 
 // wait waits for the duration, so that faults take effect, and polls the evacuation state
-// meanwhile. It waits for at most four mean fault intervals and settleTime.
+// meanwhile. The wait is at most four mean fault intervals plus settleTime.
 func (sys *system) wait(dur time.Duration) {
 	end := time.After(min(dur, 4*meanFaultInterval+settleTime))
 	tick := time.NewTicker(statePollInterval)
@@ -187,9 +190,9 @@
 
 func start(t *testing.T, cfg Config) *system {
 	t.Helper()
-	sys := &system{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(cfg.Seed, 1)), signalRandom: rand.New(rand.NewPCG(cfg.Seed, 55)), rateRandom: rand.New(rand.NewPCG(cfg.Seed, 89)), evacuationRandom: rand.New(rand.NewPCG(cfg.Seed, 144)), revoked: make(map[string]time.Time)}
+	sys := &system{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(cfg.Seed, 1)), signalRandom: rand.New(rand.NewPCG(cfg.Seed, 55)), rateRandom: rand.New(rand.NewPCG(cfg.Seed, 89)), evacuationRandom: rand.New(rand.NewPCG(cfg.Seed, 144)), revokedAt: make(map[string]time.Time)}
 	_, sys.store = processtest.StartFake(t, sys.dir, "store", "platform")
-	for idx := range perService {
+	for idx := range enginesPerService {
 		sys.addEngine(fmt.Sprintf("m%d", idx), entrytest.Model)
 		sys.addEngine(fmt.Sprintf("p%d", idx), entrytest.Plain)
 	}
@@ -205,7 +208,7 @@
 	return sys
 }
 
-// saveLogs copies the logs of a failed run to the directory in LYNXWELL_SOAK_LOGS.
+// saveLogs copies the logs of a failed run into the directory that LYNXWELL_SOAK_LOGS names.
 func (sys *system) saveLogs() {
 	root := os.Getenv("LYNXWELL_SOAK_LOGS")
 	if !sys.t.Failed() || root == "" {
@@ -221,7 +224,7 @@
 	sys.t.Helper()
 	args := []string{"upstream", "--id", id, "--service", service}
 	if service == entrytest.Model {
-		args = append(args, "--events", fmt.Sprint(events), "--step", "20ms", "--crash-body", entrytest.PoisonBody)
+		args = append(args, "--events", fmt.Sprint(streamEvents), "--step", "20ms", "--crash-body", entrytest.PoisonBody)
 	}
 	pro, adr := processtest.StartFake(sys.t, sys.dir, "engine-"+id, args...)
 	eng := &engine{id: id, service: service, domain: openDomain, address: adr, crashed: make(chan struct{})}
@@ -234,7 +237,7 @@
 	}()
 	sys.engines = append(sys.engines, eng)
 	if sys.version > 0 {
-		// An engine that starts under traffic is cold.
+		// An engine that is added to the running system starts cold.
 		sys.markCold(eng)
 		return
 	}
@@ -248,7 +251,7 @@
 func (sys *system) registerCold(eng *engine, draining bool, cold time.Duration) {
 	eng.sequence++
 	entry := entrytest.EngineEntry(entrytest.EngineState{
-		Service: eng.service, Address: eng.address.String(), Slots: slots, Draining: draining, Domain: eng.domain, Cold: cold, Sequence: eng.sequence,
+		Service: eng.service, Address: eng.address.String(), Slots: engineSlots, Draining: draining, Domain: eng.domain, Cold: cold, Sequence: eng.sequence,
 	})
 	sys.put(store.Write{Key: entrytest.EngineKey(eng.id), Blind: true, Data: entry})
 }
@@ -271,7 +274,8 @@
 	assert.NilError(sys.t, sys.tryPost(adr, path, body))
 }
 
-// tryPost returns an error if there was no answer; any answer but status 200 fails the test.
+// tryPost posts a JSON body. It returns an error if there was no answer, and fails the test on any
+// status but 200.
 func (sys *system) tryPost(adr netip.AddrPort, path string, body any) error {
 	sys.t.Helper()
 	data, err := json.Marshal(body)
@@ -287,12 +291,12 @@
 	return nil
 }
 
-// control posts a body to a control path of an engine. The poison request may crash the engine
-// at the same moment; a failed call is accepted if the engine has crashed.
+// control posts a body to a control path of an engine. A call without an answer is accepted if the
+// engine has crashed, since the poison request may crash it at the same moment.
 func (sys *system) control(eng *engine, path string, body any) {
 	sys.t.Helper()
 	if err := sys.tryPost(eng.address, path, body); err != nil {
-		sys.waitUntil(eng.id+" has crashed, since its control path does not answer", eng.hasCrashed)
+		sys.waitUntil(eng.id+" has crashed, as its control path does not answer", eng.hasCrashed)
 	}
 }
 
@@ -332,19 +336,19 @@
 
 func (sys *system) waitUntil(condition string, holds func() bool) {
 	sys.t.Helper()
-	limit := time.After(startLimit)
+	limit := time.After(conditionTimeout)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for !holds() {
 		select {
 		case <-tick.C:
 		case <-limit:
-			sys.t.Fatalf("condition not met within %s: %s", startLimit, condition)
+			sys.t.Fatalf("condition not met within %s: %s", conditionTimeout, condition)
 		}
 	}
 }
 
-// runs returns the requests that an engine ran.
+// runs returns the runs that an engine recorded.
 func (sys *system) runs(eng *engine) []upstreamtest.Run {
 	return readList[upstreamtest.Run](sys, eng, upstreamtest.PathRuns)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,18 +19,18 @@
 
 // regressions maps seeds that failed once to the cause of the failure.
 var regressions = map[uint64]string{
-	97004: "under other work of three times the machine's processors no host got an update from the store for four seconds, in 8 runs of 50; passes alone, since no guarantee covers that load",
-	97016: "overload as with 97004: two concurrent runs stalled for three seconds in the middle of a stream",
-	98015: "the poison request crashed eight engines: the coordinator had lost the store and saw no entry deleted, and the other hosts did not report their findings to it",
-	96013: "fault of the soak test: it posted a fault to an engine at the moment at which the poison request crashed that engine",
-	96042: "fault of the soak test as with 96013, on posting a signal",
-	91033: "a retired engine got requests for 8.8 s from the one host whose link to the store was silent: the host kept the engine although its peers had reported it deregistered",
-	71015: "fault of the soak test: an engine that hung had sent no answer, and the host's 504 was taken for the engine's draining signal",
+	97004: "in 8 soak runs of 50, beside other work for three times the machine's processors, no host got an update from the store for four seconds; no guarantee covers that load, and the seed passes without it",
+	97016: "overload as with 97004: two concurrent soak runs stalled for three seconds in the middle of a stream",
+	98015: "the poison request crashed eight engines: the coordinator had lost the store and saw no entry deleted, and the other hosts did not report the crashes to it",
+	96013: "fault in the soak test: the test posted a fault to an engine at the moment at which the poison request crashed that engine",
+	96042: "fault in the soak test as with 96013, on posting a signal",
+	91033: "a retired engine got requests for 8.8 s from the one host whose link to the store was silent: the host kept the engine although its peers had reported the engine as deregistered",
+	71015: "fault in the soak test: an engine that hung had sent no answer, and the test took the host's 504 for an answer with the engine's draining signal",
 }
 
 // openSeeds maps seeds that failed once, for a cause that is not fixed yet, to the failure.
 var openSeeds = map[uint64]string{
-	94006: "a stream that other visitors send too was held as a poison request: it had run on two engines together with the poison request that crashed them, and most likely alone on a third engine that aborted its answer and was crashed by the poison request within ten seconds",
+	94006: "a stream that other visitors send too was held as a poison request: the stream had run on two engines together with the poison request that crashed them, and most likely alone on a third engine, which aborted its answer and was crashed by the poison request within ten seconds",
 }
 
 func TestOpenSeeds(t *testing.T) {
--- a/soak/words.go
+++ b/soak/words.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// drainSignalBound is the users' bound on the time after which a host that has passed on an
-	// engine's draining signal sends no more requests to the engine.
+	// drainSignalBound is the time that the users' requirements allow a host, after it has passed
+	// on an engine's draining signal to a client, to stop sending requests to the engine.
 	drainSignalBound = 2 * time.Second
-	// backoffBound and maxInBackoff are the users' bounds on backoff requests: from backoffBound
-	// after an engine asked a host to back off until the end of the backoff, the host sends it at
-	// most maxInBackoff requests.
-	backoffBound = 500 * time.Millisecond
-	maxInBackoff = 2
+	// backoffGrace and maxRequestsInBackoff are the users' bounds on requests during a backoff: from
+	// backoffGrace after an engine asked a host to back off until the end of the backoff, the host
+	// sends the engine at most maxRequestsInBackoff requests.
+	backoffGrace         = 500 * time.Millisecond
+	maxRequestsInBackoff = 2
 	// maxBackoff is the longest backoff that an engine requests.
 	maxBackoff = 3 * time.Second
 )
 
-// changeSignals makes an engine send a draining signal, which its store entry does not show, or
-// a backoff request in its answers. Before that, each engine that asks for backoff serves again
-// with a probability of one half.
+// changeSignals makes a random engine send a draining signal, which its store entry does not
+// show, or a backoff request in its answers. Before that, each engine that sends a backoff request
+// stops doing so with a probability of one half.
 func (sys *system) changeSignals() {
 	for _, eng := range sys.engines {
 		if eng.signalsBackoff && sys.signalRandom.IntN(2) == 0 {
@@ -37,15 +37,15 @@
 	}
 	if sys.signalRandom.IntN(4) == 0 {
 		eng.signalsDraining = true
-		sys.setSignals(eng, upstreamtest.Signals{Draining: true, Rate: eng.rate})
+		sys.setSignals(eng, upstreamtest.Signals{Draining: true, Rate: eng.rateLimit})
 		sys.addEngine(fmt.Sprintf("%s-%d", eng.id, len(sys.engines)), eng.service)
 		return
 	}
 	eng.signalsBackoff = true
-	sys.setSignals(eng, upstreamtest.Signals{Rate: eng.rate, Backoff: time.Second + time.Duration(sys.signalRandom.Int64N(int64(maxBackoff-time.Second)))})
+	sys.setSignals(eng, upstreamtest.Signals{Rate: eng.rateLimit, Backoff: time.Second + time.Duration(sys.signalRandom.Int64N(int64(maxBackoff-time.Second)))})
 }
 
-// clearBackoffs makes all engines serve again.
+// clearBackoffs ends the backoff requests of all engines, so that they serve again.
 func (sys *system) clearBackoffs() {
 	for _, eng := range sys.engines {
 		if eng.signalsBackoff {
@@ -56,7 +56,7 @@
 
 func (sys *system) clearBackoff(eng *engine) {
 	eng.signalsBackoff = false
-	sys.setSignals(eng, upstreamtest.Signals{Rate: eng.rate})
+	sys.setSignals(eng, upstreamtest.Signals{Rate: eng.rateLimit})
 }
 
 func (sys *system) setSignals(eng *engine, sig upstreamtest.Signals) {
@@ -68,7 +68,7 @@
 }
 
 // checkSignals checks the requests that each engine received from each host against the signals
-// that it had sent to that host before.
+// that the engine had sent to that host before.
 func (sys *system) checkSignals(sent []sentRequest) {
 	sys.t.Helper()
 	attempts := make(map[string]visitor.Attempt)
@@ -83,21 +83,21 @@
 			// Its records of arrivals are lost with the process.
 			continue
 		}
-		by := make(map[netip.AddrPort][]upstreamtest.Arrival)
+		byHost := make(map[netip.AddrPort][]upstreamtest.Arrival)
 		for _, arr := range readList[upstreamtest.Arrival](sys, eng, upstreamtest.PathArrivals) {
 			if arr.Draining || arr.Backoff > 0 || arr.Rate != nil {
 				signaled++
 			}
 			if att, known := attempts[arr.ID]; known {
-				by[att.Address] = append(by[att.Address], arr)
+				byHost[att.Address] = append(byHost[att.Address], arr)
 			}
 		}
 		for _, hos := range sys.hosts {
-			arrivals := by[hos.set.CallerAddress]
+			arrivals := byHost[hos.set.CallerAddress]
 			sys.checkDraining(eng, hos, arrivals, attempts)
 			sys.checkBackoffs(eng, hos, arrivals)
 		}
-		sys.checkRates(eng, by, attempts)
+		sys.checkRates(eng, byHost, attempts)
 	}
 	sys.t.Logf("%d answers carried engine signals", signaled)
 }
@@ -112,7 +112,7 @@
 		for _, arr := range arrivals {
 			late := attempts[arr.ID].Sent.Sub(passedOnAt)
 			if late > drainSignalBound && !hos.disturbedDuring(first.At, arr.At) {
-				sys.t.Errorf("host %s sent %s to engine %s, %s after it had passed on the engine's draining signal", hos.set.Name, arr.ID, eng.id, late)
+				sys.t.Errorf("host %s sent %s to engine %s, %s after the host had passed on the engine's draining signal", hos.set.Name, arr.ID, eng.id, late)
 			}
 		}
 		return
@@ -126,11 +126,11 @@
 		}
 		count := 0
 		for _, arr := range arrivals {
-			if since := arr.At.Sub(backoff.At); since > backoffBound && since < backoff.Backoff {
+			if since := arr.At.Sub(backoff.At); since > backoffGrace && since < backoff.Backoff {
 				count++
 			}
 		}
-		if count > maxInBackoff {
+		if count > maxRequestsInBackoff {
 			sys.t.Errorf("host %s sent %d requests to engine %s during a requested backoff of %s", hos.set.Name, count, eng.id, backoff.Backoff)
 		}
 	}
