--- a/modeltest/choice.go
+++ b/modeltest/choice.go
@@ -13,7 +13,7 @@
 
 // Choice is one possible next step of a World.
 type Choice struct {
-	// Name describes the step in the trace of a failure.
+	// Name describes the step. Failures list the names of the steps taken.
 	Name string
 	// Fault is set if the step is a fault.
 	Fault bool
@@ -32,9 +32,9 @@
 // Choices returns all possible next steps, in a fixed order.
 func (wor *World) Choices() []Choice {
 	var all []Choice
-	all = append(all, wor.arrivals()...)
-	all = append(all, wor.deliveries()...)
-	all = append(all, wor.answers()...)
+	all = append(all, wor.arrivalChoices()...)
+	all = append(all, wor.deliveryChoices()...)
+	all = append(all, wor.queryChoices()...)
 	all = append(all, wor.relayChoices()...)
 	all = append(all, wor.runChoices()...)
 	all = append(all, wor.hostChoices()...)
@@ -44,10 +44,10 @@
 	return all
 }
 
-func (wor *World) arrivals() []Choice {
+func (wor *World) arrivalChoices() []Choice {
 	var all []Choice
 	for _, id := range wor.ids {
-		if wor.repeats[id] > wor.cfg.MaxRepeats {
+		if wor.attempts[id] > wor.cfg.MaxRepeats {
 			continue
 		}
 		for _, hst := range wor.hosts {
@@ -55,7 +55,7 @@
 				continue
 			}
 			all = append(all, Choice{Name: fmt.Sprintf("arrive %s at host-%d", id.Unique, hst.number), take: func() {
-				wor.repeats[id]++
+				wor.attempts[id]++
 				wor.callers++
 				wor.handleAtGateway(hst, wor.arrivalOf(id))
 			}})
@@ -64,9 +64,9 @@
 	return all
 }
 
-// deliveries returns the delivery of the next message of each session, in each direction, and the
-// detection of broken sessions.
-func (wor *World) deliveries() []Choice {
+// deliveryChoices returns the delivery of the next message of each session, in each direction, and
+// the detection of broken sessions.
+func (wor *World) deliveryChoices() []Choice {
 	var all []Choice
 	for _, ses := range wor.sessions {
 		gat, cor := wor.running(ses.gat), wor.running(ses.cor)
@@ -110,8 +110,9 @@
 	return all
 }
 
-// answers returns the queries that arrive, are answered, or fail because their target is down.
-func (wor *World) answers() []Choice {
+// queryChoices returns the delivery of each query and of each answer, and the failure of each
+// query whose target is down or frozen.
+func (wor *World) queryChoices() []Choice {
 	var all []Choice
 	for _, que := range wor.queries {
 		sender := wor.running(que.from)
@@ -119,21 +120,21 @@
 		switch {
 		case sender == nil:
 		case answered:
-			all = append(all, Choice{Name: fmt.Sprintf("answer from %d reaches %d", que.to, que.from), take: func() { wor.answer(que, sender) }})
+			all = append(all, Choice{Name: fmt.Sprintf("answer from %d reaches %d", que.to, que.from), take: func() { wor.deliverAnswer(que, sender) }})
 		case wor.running(que.to) != nil:
-			all = append(all, Choice{Name: fmt.Sprintf("query from %d reaches %d", que.from, que.to), take: func() { wor.ask(que) }})
+			all = append(all, Choice{Name: fmt.Sprintf("query from %d reaches %d", que.from, que.to), take: func() { wor.deliverQuery(que) }})
 		default:
-			all = append(all, Choice{Name: fmt.Sprintf("query from %d can't reach %d", que.from, que.to), take: func() { wor.fail(que, sender) }})
+			all = append(all, Choice{Name: fmt.Sprintf("query from %d can't reach %d", que.from, que.to), take: func() { wor.failQuery(que, sender) }})
 		}
 	}
 	return all
 }
 
-func (wor *World) drop(que *query) {
+func (wor *World) dropQuery(que *query) {
 	wor.queries = slices.DeleteFunc(wor.queries, func(other *query) bool { return other == que })
 }
 
-func (wor *World) ask(que *query) {
+func (wor *World) deliverQuery(que *query) {
 	hst := wor.host(que.to)
 	switch {
 	case que.fence != nil:
@@ -142,15 +143,15 @@
 		wor.coordinatorActions(hst, actions)
 	case que.attestation != nil:
 		hst.cor.Attest(wor.now, *que.attestation)
-		wor.drop(que)
+		wor.dropQuery(que)
 	case que.revocation != nil:
 		ans := hst.cor.RevokeAttestation(*que.revocation)
 		que.revocationAnswer = &ans
 	}
 }
 
-func (wor *World) answer(que *query, sender *simHost) {
-	wor.drop(que)
+func (wor *World) deliverAnswer(que *query, sender *simHost) {
+	wor.dropQuery(que)
 	if que.answer != nil {
 		wor.handleAtGateway(sender, gateway.FenceAnswered{Ballot: que.fence.Ballot, Answer: *que.answer})
 		return
@@ -158,9 +159,9 @@
 	wor.handleAtGateway(sender, gateway.RevocationAnswered{Attester: que.to, Answer: *que.revocationAnswer})
 }
 
-// fail ends a query without an answer, whether or not it arrived.
-func (wor *World) fail(que *query, sender *simHost) {
-	wor.drop(que)
+// failQuery ends a query without an answer, whether or not the target has received the query.
+func (wor *World) failQuery(que *query, sender *simHost) {
+	wor.dropQuery(que)
 	switch {
 	case que.fence != nil:
 		wor.handleAtGateway(sender, gateway.FenceFailed{ID: que.fence.ID, Ballot: que.fence.Ballot, Peer: que.to})
@@ -237,7 +238,8 @@
 	wor.handleAtGateway(hst, gateway.EngineDone{ID: rnn.id, Result: res})
 }
 
-// hostChoices returns the steps that hosts take on their own, and the recoveries from faults.
+// hostChoices returns the steps of hosts apart from messages: recoveries from faults, views,
+// connections, ends of planned stops and the passage of time.
 func (wor *World) hostChoices() []Choice {
 	var all []Choice
 	for _, hst := range wor.hosts {
@@ -263,8 +265,8 @@
 
 func (wor *World) runningChoices(hst *simHost) []Choice {
 	var all []Choice
-	if hst.known < len(wor.views) {
-		all = append(all, Choice{Name: fmt.Sprintf("host-%d receives view %d", hst.number, hst.known+1), take: func() { wor.deliverView(hst) }})
+	if hst.receivedViews < len(wor.views) {
+		all = append(all, Choice{Name: fmt.Sprintf("host-%d receives view %d", hst.number, hst.receivedViews+1), take: func() { wor.deliverView(hst) }})
 	}
 	for _, other := range wor.hosts {
 		if other == hst || wor.running(other.epoch) == nil || wor.session(hst.epoch, other.epoch) != nil || !wor.knows(hst, other) {
@@ -280,10 +282,10 @@
 
 // knows reports whether the host's latest view contains the other host's current epoch.
 func (wor *World) knows(hst, other *simHost) bool {
-	if hst.known == 0 {
+	if hst.receivedViews == 0 {
 		return false
 	}
-	_, member := wor.views[hst.known-1].Member(other.epoch)
+	_, member := wor.views[hst.receivedViews-1].Member(other.epoch)
 	return member
 }
 
@@ -308,7 +310,7 @@
 	return count != len(latest.Members)
 }
 
-// timeStep is the time that one step of the clock advances.
+// timeStep is the time by which one step advances the clock.
 const timeStep = 4 * time.Second
 
 func (wor *World) advanceTime() {
@@ -321,7 +323,7 @@
 	}
 }
 
-// faultChoices returns the faults: kills, freezes, broken sessions, lost answers and planned stops.
+// faultChoices returns the faults: kills, freezes, planned stops, broken sessions and lost queries.
 func (wor *World) faultChoices() []Choice {
 	var all []Choice
 	for _, hst := range wor.hosts {
@@ -344,13 +346,13 @@
 	}
 	for _, que := range wor.queries {
 		if sender := wor.running(que.from); sender != nil {
-			all = append(all, Choice{Name: fmt.Sprintf("query %d-%d gets lost", que.from, que.to), Fault: true, take: func() { wor.fail(que, sender) }})
+			all = append(all, Choice{Name: fmt.Sprintf("query %d-%d gets lost", que.from, que.to), Fault: true, take: func() { wor.failQuery(que, sender) }})
 		}
 	}
 	return all
 }
 
-// breakSession breaks a session. With lose, its messages in transit are lost.
+// breakSession breaks a session. If lose is set, the messages in transit are lost.
 func (wor *World) breakSession(ses *session, lose bool) {
 	ses.broken = true
 	if lose {
@@ -378,13 +380,14 @@
 			ses.corLost, ses.toCor = true, nil
 		}
 	}
-	wor.sweep()
+	wor.removeLostSessions()
 	wor.runs = slices.DeleteFunc(wor.runs, func(rnn *run) bool { return rnn.host == hst.epoch })
 	wor.queries = slices.DeleteFunc(wor.queries, func(que *query) bool { return que.from == hst.epoch })
 	wor.relays = slices.DeleteFunc(wor.relays, func(rel *relay) bool { return rel.from == hst.epoch })
 }
 
-// freeze suspends a host without its knowledge: it keeps its state, and its sessions break.
+// freeze suspends a host, which does not notice the suspension and keeps its state. Its sessions
+// break.
 func (wor *World) freeze(hst *simHost) {
 	hst.frozen = true
 	wor.breakAll(hst.epoch)
@@ -396,7 +399,8 @@
 	wor.handleAtCoordinator(hst, coordinator.Drain{})
 }
 
-// completeStop hands the host's ledger over to up to two running hosts and ends the process.
+// completeStop hands the host's ledger over to up to two running hosts that are not draining, and
+// ends the host.
 func (wor *World) completeStop(hst *simHost) {
 	han := hst.cor.Handover()
 	recipients := 0
--- a/modeltest/explore.go
+++ b/modeltest/explore.go
@@ -4,35 +4,36 @@
 
 // Exploration is the result of Explore.
 type Exploration struct {
-	// States is the number of distinct states visited, Steps the number of choices taken.
+	// States is the number of distinct states visited, Steps the number of choices taken,
+	// without those of replays.
 	States int
 	Steps  int
-	// TerminalStates is the number of states without a next step.
+	// TerminalStates is the number of visited states without a next step.
 	TerminalStates int
 	// Complete is set if every state within the bounds was visited.
 	Complete bool
-	// MaxDepth is the length of the longest path, in choices.
+	// MaxDepth is the length of the longest path to a visited state, in choices.
 	MaxDepth int
 }
 
-// Explore takes every choice in every reachable state, up to maxStates states. An
-// error for a violation contains the path that led to it.
+// Explore takes every choice in every reachable state, up to maxStates states. The
+// error for a violated invariant lists the steps that led to it.
 func Explore(cfg Config, maxStates int) (Exploration, error) {
-	exp := &explorer{cfg: cfg, max: maxStates, seen: make(map[uint64]bool)}
+	exp := &explorer{cfg: cfg, maxStates: maxStates, seen: make(map[uint64]bool)}
 	err := exp.visit(NewWorld(cfg), nil)
 	exp.result.States = len(exp.seen)
-	exp.result.Complete = err == nil && !exp.full
+	exp.result.Complete = err == nil && !exp.limitReached
 	return exp.result, err
 }
 
 // explorer visits the states depth first. A World can't be copied, so the explorer
 // returns to a branch by replaying its path from the initial state.
 type explorer struct {
-	cfg    Config
-	max    int
-	seen   map[uint64]bool
-	full   bool
-	result Exploration
+	cfg          Config
+	maxStates    int
+	seen         map[uint64]bool
+	limitReached bool
+	result       Exploration
 }
 
 func (exp *explorer) visit(wor *World, path []int) error {
@@ -40,8 +41,8 @@
 	if exp.seen[fingerprint] {
 		return nil
 	}
-	if len(exp.seen) >= exp.max {
-		exp.full = true
+	if len(exp.seen) >= exp.maxStates {
+		exp.limitReached = true
 		return nil
 	}
 	exp.seen[fingerprint] = true
@@ -51,7 +52,7 @@
 		exp.result.TerminalStates++
 	}
 	for idx := range count {
-		if exp.full {
+		if exp.limitReached {
 			return nil
 		}
 		next := wor
--- a/modeltest/explore_test.go
+++ b/modeltest/explore_test.go
@@ -11,8 +11,8 @@
 
 var exploreStates = flag.Int("explore.states", 1500, "maximum number of states that the exhaustive exploration visits")
 
-// Explores one request with three hosts, each gateway and coordinator, two
-// attempts of the client and up to two faults.
+// Explores one request with two attempts of the client and up to two faults. Each of the
+// three hosts runs a gateway and a coordinator.
 func TestExploreOneRequestKeepsInvariants(t *testing.T) {
 	cases := map[string]modeltest.Config{
 		"NoFault":   {Domains: []string{"a", "b", "c"}, Engines: 2, MaxRepeats: 1},
@@ -28,9 +28,9 @@
 	}
 }
 
-// Grants come only from outside the gateway's failure domain. The loss of a whole
-// domain therefore never takes a request's gateway together with all hosts that may
-// have granted it, and a repeat must not get the outcome Unknown.
+// Guards against grants from the gateway's own failure domain: the loss of the domain would
+// then take a request's gateway together with the host that granted the request, and a retry
+// would get the outcome Unknown.
 func TestLossOfDomainLeavesOutcomeCertain(t *testing.T) {
 	wor := modeltest.NewWorld(modeltest.Config{Domains: []string{"a", "a", "b", "c"}, MaxFaults: 2, MaxRepeats: 1, Timeouts: true})
 	take(t, wor, "arrive x at host-1")
@@ -40,7 +40,7 @@
 	take(t, wor, "coordinator 4001 loses 1001")
 	for wor.Summary().Dispatched == 0 && wor.Summary().Unknown == 0 {
 		if !takeFirst(wor, "arrive x at host-1", "arrive x at host-2") {
-			t.Fatal("no step is left, and the request has neither run nor got an outcome")
+			t.Fatal("no step is left, but the request has neither run nor got the outcome Unknown")
 		}
 		assert.NilError(t, wor.Check())
 	}
--- a/modeltest/fingerprint.go
+++ b/modeltest/fingerprint.go
@@ -10,19 +10,19 @@
 // ignoredFields holds the names of the fields that do not influence later steps.
 var ignoredFields = map[string]bool{"steps": true, "shed": true, "callers": true, "actions": true, "cfg": true, "conf": true, "shares": true}
 
-// Fingerprint returns a hash that is the same for two worlds in the same state.
+// Fingerprint returns a hash of the state. Worlds in the same state have the same hash.
 func (wor *World) Fingerprint() uint64 {
 	fin := &fingerprinter{visited: make(map[uintptr]uint64)}
 	return fin.value(reflect.ValueOf(wor))
 }
 
-// fingerprinter hashes values by content. Its field visited maps each pointer that was followed to
-// its position in the order of visits.
+// fingerprinter hashes values by content.
 type fingerprinter struct {
+	// visited maps each pointer that was followed to its position in the order of visits.
 	visited map[uintptr]uint64
 }
 
-func sum(parts ...uint64) uint64 {
+func hashNumbers(parts ...uint64) uint64 {
 	hsh := fnv.New64a()
 	var raw [8]byte
 	for _, part := range parts {
@@ -32,7 +32,7 @@
 	return hsh.Sum64()
 }
 
-func sumText(text string) uint64 {
+func hashText(text string) uint64 {
 	hsh := fnv.New64a()
 	_, _ = hsh.Write([]byte(text))
 	return hsh.Sum64()
@@ -54,7 +54,7 @@
 	case reflect.Float32, reflect.Float64:
 		return uint64(val.Float() * 1e6)
 	case reflect.String:
-		return sumText(val.String())
+		return hashText(val.String())
 	case reflect.Interface:
 		return fin.interfaceValue(val)
 	case reflect.Pointer:
@@ -74,17 +74,17 @@
 	if val.IsNil() {
 		return 0
 	}
-	return sum(sumText(val.Elem().Type().String()), fin.value(val.Elem()))
+	return hashNumbers(hashText(val.Elem().Type().String()), fin.value(val.Elem()))
 }
 
-// pointer hashes the target of a pointer on the first visit, and its order of visit after that, so
-// that a cycle ends.
+// pointer hashes the target of a pointer on the first visit, and the position of that visit on
+// later ones, so that a cycle ends.
 func (fin *fingerprinter) pointer(val reflect.Value) uint64 {
 	if val.IsNil() {
 		return 0
 	}
 	if number, known := fin.visited[val.Pointer()]; known {
-		return sum(number)
+		return hashNumbers(number)
 	}
 	fin.visited[val.Pointer()] = uint64(len(fin.visited) + 1)
 	return fin.value(val.Elem())
@@ -93,8 +93,9 @@
 func (fin *fingerprinter) structValue(val reflect.Value) uint64 {
 	typ := val.Type()
 	if typ == timeType {
-		// Hashes the wall-clock fields of time.Time; the times here are whole seconds.
-		return sum(val.Field(0).Uint(), uint64(val.Field(1).Int()))
+		// Fields 0 and 1, wall and ext, hold the instant, as the times here have no monotonic clock
+		// reading. The location does not matter.
+		return hashNumbers(val.Field(0).Uint(), uint64(val.Field(1).Int()))
 	}
 	parts := make([]uint64, 0, val.NumField())
 	for idx := range val.NumField() {
@@ -102,7 +103,7 @@
 			parts = append(parts, fin.value(val.Field(idx)))
 		}
 	}
-	return sum(parts...)
+	return hashNumbers(parts...)
 }
 
 func (fin *fingerprinter) list(val reflect.Value) uint64 {
@@ -111,16 +112,16 @@
 	for idx := range val.Len() {
 		parts = append(parts, fin.value(val.Index(idx)))
 	}
-	return sum(parts...)
+	return hashNumbers(parts...)
 }
 
-// mapValue hashes a map independently of its iteration order. Each entry gets its own
-// fingerprinter, so that the order does not change the numbers of visited pointers.
+// mapValue hashes a map independently of the iteration order. Each entry gets its own
+// fingerprinter, so that the order does not change the positions of visited pointers.
 func (fin *fingerprinter) mapValue(val reflect.Value) uint64 {
 	total := uint64(val.Len())
 	for iter := val.MapRange(); iter.Next(); {
 		entry := &fingerprinter{visited: make(map[uintptr]uint64)}
-		total += sum(entry.value(iter.Key()), entry.value(iter.Value()))
+		total += hashNumbers(entry.value(iter.Key()), entry.value(iter.Value()))
 	}
 	return total
 }
--- a/modeltest/main_test.go
+++ b/modeltest/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// defaults holds the values of flags that were not given. They make a plain run reproducible.
+// defaults holds the values of flags that are not given, so that a plain run is reproducible.
 var defaults = map[string]string{"rapid.seed": "20261202", "rapid.checks": "300", "rapid.nofailfile": "true"}
 
 func TestMain(m *testing.M) {
--- a/modeltest/shed.go
+++ b/modeltest/shed.go
@@ -7,7 +7,7 @@
 	"lynxwell.dev/lynxwell/request"
 )
 
-// recordSheds records and checks the requests that the host's gateway has just shed.
+// recordSheds records and checks the requests that the host's gateway has shed since the last call.
 func (wor *World) recordSheds(hst *simHost) {
 	for _, req := range hst.gat.Dump(wor.now).InFlight {
 		if req.Cause == gateway.CauseShed && !wor.shed[req.ID] {
@@ -17,6 +17,7 @@
 	}
 }
 
+// rankOf returns the rank of a request, by default 10.
 func (wor *World) rankOf(id request.ID) int {
 	if rank := wor.cfg.Ranks[id.Unique]; rank > 0 {
 		return rank
@@ -24,8 +25,8 @@
 	return 10
 }
 
-// checkShed records a violation if a request is shed while a coordinator that its gateway
-// reaches keeps a request of a lower rank in its queue.
+// checkShed records a violation if a request is shed while a coordinator that the request's
+// gateway reaches has a request of a lower rank in its queue.
 func (wor *World) checkShed(hst *simHost, id request.ID) {
 	for _, other := range wor.hosts {
 		if wor.running(other.epoch) == nil || !wor.reaches(hst, other) {
@@ -49,7 +50,7 @@
 	return ses != nil && !ses.broken
 }
 
-// isOrphaned reports whether a waiting reservation only waits for its removal: its request
+// isOrphaned reports whether a queued reservation is obsolete and awaits its removal: its request
 // has an outcome already, or its gateway is down or frozen.
 func (wor *World) isOrphaned(id request.ID, gat request.Epoch) bool {
 	_, hasOutcome := wor.reported[id]
--- a/modeltest/world.go
+++ b/modeltest/world.go
@@ -1,6 +1,6 @@
 // Package modeltest simulates the gateway and coordinator cores of a few hosts,
 // without network or clock: messages are queued in memory, and a fault can occur
-// at any step. It is for model checks only.
+// at any step. It is for model checking only.
 //
 // # Usage
 //
@@ -9,8 +9,8 @@
 //	wor.Take(cho)
 //	err := wor.Check() // the invariants, after every step
 //
-// Every possible next step is a Choice; a test draws one at random or tries them
-// all. The same choices always lead to the same state.
+// Every possible next step is a Choice; a test takes a random one, or explores all
+// of them. The same choices always lead to the same state.
 package modeltest
 
 import (
@@ -37,10 +37,11 @@
 	Uniques []string
 	// Ranks maps the unique part of a request's id to its rank; 0 stands for 10.
 	Ranks map[string]int
-	// Slots is the number of slots of each engine, 0 stands for 2. MaxWaiting bounds each queue.
+	// Slots is the number of slots of each engine; 0 stands for 2. MaxWaiting is the maximum
+	// length of each queue; with 0, sheds aren't checked.
 	Slots      int
 	MaxWaiting int
-	// MaxFaults bounds the number of faults, MaxRepeats the number of repeats of each request.
+	// MaxFaults bounds the number of faults, MaxRepeats the number of retries of each request.
 	MaxFaults  int
 	MaxRepeats int
 	// Restarts allows killed and stopped hosts to restart.
@@ -65,10 +66,11 @@
 	relays   []*relay
 	runs     []*run
 	faults   int
-	repeats  map[request.ID]int
+	// attempts counts the arrivals of each request from clients.
+	attempts map[request.ID]int
 	ids      []request.ID
 	// dispatched counts the dispatches that reached an engine, by request id; reported
-	// holds the final outcomes that clients received.
+	// holds the outcomes that clients received, see recordOutcome.
 	dispatched map[request.ID]int
 	reported   map[request.ID]request.Outcome
 	callers    gateway.CallerID
@@ -88,20 +90,24 @@
 	alive    bool
 	frozen   bool
 	draining bool
-	known    int
+	// receivedViews is the number of published views that the host has received.
+	receivedViews int
 }
 
 // session is a session of a gateway with a coordinator. It queues messages in each direction.
 type session struct {
 	gat, cor request.Epoch
-	broken   bool
-	gatLost  bool
-	corLost  bool
-	toCor    []reservation.Message
-	toGat    []reservation.Message
+	// broken is set once the session has failed, gatLost and corLost once the gateway and the
+	// coordinator have detected that.
+	broken  bool
+	gatLost bool
+	corLost bool
+	toCor   []reservation.Message
+	toGat   []reservation.Message
 }
 
-// query is a fence, an attestation or the revocation of one in transit, or its answer.
+// query is a fence, an attestation or the revocation of an attestation in transit. A fence or
+// revocation that has reached its target carries the answer back.
 type query struct {
 	from, to         request.Epoch
 	fence            *reservation.Fence
@@ -116,11 +122,12 @@
 	arrived gateway.Arrived
 	from    request.Epoch
 	to      request.Epoch
-	// moved is set if another host fenced the request; a failed relay then has the outcome Unknown.
+	// moved is set if another host fenced the request. The failure of such a relay is not
+	// reported to the gateway.
 	moved bool
 }
 
-// run is a dispatch, or the resumption of one, at a host.
+// run is a dispatch by a host, or the resumption of a dispatch.
 type run struct {
 	host   request.Epoch
 	id     request.ID
@@ -129,11 +136,11 @@
 	sent bool
 }
 
-// hostEpochs is the distance between the epochs of two hosts.
-const hostEpochs = 1000
+// epochStride separates the epochs of two hosts: the first epoch of host 2 is 2001.
+const epochStride = 1000
 
-// deadline is the remaining time of each request on arrival.
-const deadline = 10 * time.Second
+// requestTimeout is the time from the arrival of a request to its deadline.
+const requestTimeout = 10 * time.Second
 
 // NewWorld returns a World in which all hosts run, have the first view and are
 // connected.
@@ -149,7 +156,7 @@
 	}
 	wor := &World{
 		cfg: cfg, now: time.Unix(1000, 0), conf: configuration(cfg),
-		repeats: make(map[request.ID]int), dispatched: make(map[request.ID]int), reported: make(map[request.ID]request.Outcome), shed: make(map[request.ID]bool),
+		attempts: make(map[request.ID]int), dispatched: make(map[request.ID]int), reported: make(map[request.ID]request.Outcome), shed: make(map[request.ID]bool),
 	}
 	for num, domain := range cfg.Domains {
 		wor.hosts = append(wor.hosts, &simHost{number: num + 1, domain: domain})
@@ -164,7 +171,7 @@
 			wor.open(hst, other)
 		}
 	}
-	wor.settle()
+	wor.deliverInitialMessages()
 	wor.now = wor.now.Add(time.Second)
 	for _, hst := range wor.hosts {
 		wor.handleAtCoordinator(hst, coordinator.Tick{})
@@ -176,8 +183,9 @@
 	return wor
 }
 
-// settle delivers the messages that were sent to coordinators on opening the sessions.
-func (wor *World) settle() {
+// deliverInitialMessages delivers the messages that gateways sent to coordinators when the
+// sessions were opened.
+func (wor *World) deliverInitialMessages() {
 	for _, ses := range wor.sessions {
 		for _, msg := range ses.toCor {
 			wor.handleAtCoordinator(wor.host(ses.cor), coordinator.Received{From: ses.gat, Message: msg})
@@ -200,19 +208,19 @@
 	return resource.NewConfiguration(1, entries)
 }
 
-// start starts a host's process with a new epoch.
+// start starts a host with new cores and a new epoch.
 func (wor *World) start(hst *simHost) {
 	hst.starts++
-	hst.epoch = request.Epoch(hst.number*hostEpochs + hst.starts)
+	hst.epoch = request.Epoch(hst.number*epochStride + hst.starts)
 	hst.gat = gateway.New(gateway.Config{Self: hst.epoch, Started: wor.now, Window: time.Hour})
 	hst.cor = coordinator.New(coordinator.Config{Self: hst.epoch, Retention: 4 * time.Hour})
-	hst.alive, hst.frozen, hst.draining, hst.known = true, false, false, 0
+	hst.alive, hst.frozen, hst.draining, hst.receivedViews = true, false, false, 0
 	wor.handleAtGateway(hst, gateway.ConfigurationChanged{Configuration: wor.conf})
 	wor.handleAtCoordinator(hst, coordinator.ConfigurationChanged{Configuration: wor.conf})
 	wor.handleAtGateway(hst, gateway.PeerUp{Peer: hst.epoch})
 }
 
-// publish adds a view of the running hosts.
+// publish adds a view of the hosts that are alive, including frozen ones.
 func (wor *World) publish() {
 	vie := view.View{Number: uint64(len(wor.views) + 1)}
 	for _, hst := range wor.hosts {
@@ -229,12 +237,13 @@
 
 // deliverView delivers the next published view to a host.
 func (wor *World) deliverView(hst *simHost) {
-	vie := wor.views[hst.known]
-	hst.known++
+	vie := wor.views[hst.receivedViews]
+	hst.receivedViews++
 	wor.handleAtCoordinator(hst, coordinator.ViewChanged{View: vie})
 	wor.handleAtGateway(hst, gateway.ViewChanged{View: vie})
 }
 
+// host returns the host with the epoch, or nil if no host has it any more.
 func (wor *World) host(epo request.Epoch) *simHost {
 	for _, hst := range wor.hosts {
 		if hst.epoch == epo {
@@ -253,6 +262,7 @@
 	return hst
 }
 
+// session returns the session that the gateway has not lost, or nil.
 func (wor *World) session(gat, cor request.Epoch) *session {
 	for _, ses := range wor.sessions {
 		if ses.gat == gat && ses.cor == cor && !ses.gatLost {
@@ -284,7 +294,7 @@
 		wor.handleAtCoordinator(hst, coordinator.HostLost{Host: ses.cor})
 		wor.handleAtGateway(hst, gateway.PeerLost{Peer: ses.cor})
 	}
-	wor.sweep()
+	wor.removeLostSessions()
 }
 
 func (wor *World) loseAtCoordinator(ses *session) {
@@ -293,11 +303,11 @@
 	if hst := wor.host(ses.cor); hst != nil && hst.alive {
 		wor.handleAtCoordinator(hst, coordinator.GatewayLost{Gateway: ses.gat})
 	}
-	wor.sweep()
+	wor.removeLostSessions()
 }
 
-// sweep removes the sessions whose loss both ends have detected.
-func (wor *World) sweep() {
+// removeLostSessions removes the sessions whose loss both ends have detected.
+func (wor *World) removeLostSessions() {
 	wor.sessions = slices.DeleteFunc(wor.sessions, func(ses *session) bool { return ses.gatLost && ses.corLost })
 }
 
@@ -326,7 +336,7 @@
 	case gateway.Resume:
 		wor.runs = append(wor.runs, &run{host: hst.epoch, id: act.ID, resume: true})
 	case gateway.Send:
-		wor.toCoordinator(hst, act)
+		wor.sendToCoordinator(hst, act)
 	case gateway.SendFence:
 		fen := act.Fence
 		wor.queries = append(wor.queries, &query{from: hst.epoch, to: act.To.Epoch, fence: &fen})
@@ -350,6 +360,8 @@
 	}
 }
 
+// finish records the final outcome of a request, or relays the request to the gateway that has
+// taken it over.
 func (wor *World) finish(hst *simHost, fin gateway.Finish) {
 	if fin.Final.Cause != gateway.CauseMoved {
 		wor.recordOutcome(fin.ID, fin.Final)
@@ -361,13 +373,15 @@
 	wor.relays = append(wor.relays, &relay{arrived: arr, from: hst.epoch, to: fin.Final.Holder.Epoch, moved: true})
 }
 
+// recordOutcome records an outcome that a client received. NotRun is not replaced, since Check
+// compares it with the dispatches.
 func (wor *World) recordOutcome(id request.ID, fin gateway.Final) {
 	if wor.reported[id] != request.NotRun {
 		wor.reported[id] = fin.Outcome
 	}
 }
 
-func (wor *World) toCoordinator(hst *simHost, snd gateway.Send) {
+func (wor *World) sendToCoordinator(hst *simHost, snd gateway.Send) {
 	if snd.To == hst.epoch {
 		wor.handleAtCoordinator(hst, coordinator.Received{From: hst.epoch, Message: snd.Message})
 		return
@@ -400,10 +414,11 @@
 	}
 }
 
+// arrivalOf returns the arrival of a request from the client with the number callers.
 func (wor *World) arrivalOf(id request.ID) gateway.Arrived {
 	rank := wor.rankOf(id)
 	return gateway.Arrived{Caller: wor.callers, ID: id, Spec: gateway.Spec{
-		Service: "menus", Tier: fmt.Sprint(rank), Rank: rank, Account: "care", PromptTokens: 10, MaxTokens: 10, Remaining: deadline,
+		Service: "menus", Tier: fmt.Sprint(rank), Rank: rank, Account: "care", PromptTokens: 10, MaxTokens: 10, Remaining: requestTimeout,
 	}}
 }
 
--- a/modeltest/world_test.go
+++ b/modeltest/world_test.go
@@ -9,8 +9,8 @@
 	"lynxwell.dev/lynxwell/modeltest"
 )
 
-// randomWalk takes up to the number of steps, each drawn by rapid from the choices, and checks the
-// invariants after each.
+// randomWalk takes up to the given number of steps, each drawn by rapid from the possible choices,
+// and checks the invariants after each step.
 func randomWalk(t *rapid.T, cfg modeltest.Config, steps int) *modeltest.World {
 	wor := modeltest.NewWorld(cfg)
 	for range steps {
@@ -33,7 +33,7 @@
 		"ThreeDomains": {
 			Domains: []string{"a", "b", "c"}, MaxFaults: 4, MaxRepeats: 4, Restarts: true, DialErrors: true, Timeouts: true,
 		},
-		"TwoHostsADomain": {
+		"TwoHostsInOneDomain": {
 			Domains: []string{"a", "a", "b", "c"}, MaxFaults: 4, MaxRepeats: 4, Uniques: []string{"x", "y"}, Timeouts: true,
 		},
 		"PlannedStops": {
