--- a/processtest/faults_test.go
+++ b/processtest/faults_test.go
@@ -20,11 +20,11 @@
 
 var long = flag.Bool("long", false, "run every pair of faults instead of the short set")
 
-// fault is a fault of the system: begin injects it, end clears it.
+// fault is a fault that a test injects into the system and clears again.
 type fault struct {
-	name  string
-	begin func(sys *processtest.System)
-	end   func(sys *processtest.System)
+	name   string
+	inject func(sys *processtest.System)
+	clear  func(sys *processtest.System)
 }
 
 func noAction(*processtest.System) {}
@@ -62,16 +62,16 @@
 	},
 }
 
-// shortPairs holds the pairs of faults in the short set, as indexes into faults.
+// shortPairs holds the pairs of faults that run without the flag long, as indexes into faults.
 var shortPairs = [][2]int{{0, 3}, {0, 1}, {2, 4}}
 
-// quickTiming holds timeouts that detect faults fast enough for a short test.
+// quickTiming holds timeouts short enough that hosts detect a fault within a test.
 var quickTiming = settings.Timing{
 	Lease: format.Duration(2 * time.Second), Heartbeat: format.Duration(100 * time.Millisecond),
 	PeerTimeout: format.Duration(500 * time.Millisecond),
 }
 
-// kinds returns a small mixed load.
+// kinds returns a small load of two kinds of model requests and one of plain requests.
 func kinds() []load.Kind {
 	seconds := format.Duration(time.Second)
 	return []load.Kind{
@@ -97,27 +97,27 @@
 	})
 }
 
-// runUnderFaults runs the load, injects the faults after a quarter of the requests and
-// clears them after two thirds. It returns the report of the load.
+// runUnderFaults runs the load, injects the faults once a quarter of the requests have
+// ended, clears them once two thirds have ended, and returns the report of the load.
 func runUnderFaults(t *testing.T, sys *processtest.System, injected ...fault) load.Report {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	clients := map[string]*load.Client{processtest.AccountName: sys.Caller(load.ClientConfig{Seed: 1})}
-	began, cleared := false, false
+	started, cleared := false, false
 	ends, err := load.Run(ctx, load.Config{
 		Clients: clients, Kinds: kinds(), For: 4 * time.Second, Seed: 1,
 		Progress: func(cou load.Counts) {
-			if !began && cou.Ended > cou.Sent/4 {
-				began = true
+			if !started && cou.Ended > cou.Sent/4 {
+				started = true
 				for _, fau := range injected {
-					fau.begin(sys)
+					fau.inject(sys)
 				}
 			}
 			if !cleared && cou.Ended > cou.Sent*2/3 {
 				cleared = true
 				for _, fau := range injected {
-					fau.end(sys)
+					fau.clear(sys)
 				}
 			}
 		},
@@ -125,7 +125,7 @@
 	assert.NilError(t, err)
 	for _, end := range ends {
 		if !end.Own {
-			t.Logf("%s %v: code %q, outcome %q, %d repeats, error %v", end.Kind.Name, end.Answer.IDs, end.Answer.Code, end.Answer.Outcome, end.Answer.Repeats, end.Answer.Err)
+			t.Logf("%s %v: code %q, outcome %q, %d retries, error %v", end.Kind.Name, end.Answer.IDs, end.Answer.Code, end.Answer.Outcome, end.Answer.Repeats, end.Answer.Err)
 		}
 	}
 	return load.Summarize(ends, load.AuditRun(ends, sys.Dispatches()))
@@ -138,7 +138,7 @@
 	assert.Equal(t, rep.Audit.Mixed, 0)
 	assert.Equal(t, len(rep.Audit.FalselyNotRun), 0, "requests reported as not run that ran: %v", rep.Audit.FalselyNotRun)
 	for _, tir := range rep.Tiers {
-		t.Logf("%s: sent %d, complete %d, given up %d, lost %d, repeats %d", tir.Tier, tir.Sent, tir.Whole, tir.GivenUp, tir.Lost, tir.Repeats)
+		t.Logf("%s: sent %d, complete %d, given up %d, lost %d, retries %d", tir.Tier, tir.Sent, tir.Whole, tir.GivenUp, tir.Lost, tir.Repeats)
 	}
 	t.Logf("codes %v, dispatches %d for %d requests", rep.Codes, rep.Audit.Dispatches, rep.Audit.Requests)
 }
--- a/processtest/hold_test.go
+++ b/processtest/hold_test.go
@@ -19,8 +19,8 @@
 	"lynxwell.dev/lynxwell/resource"
 )
 
-// Guards against requests lost in a rolling restart: every host is restarted in turn,
-// under load from clients that never refresh the addresses on their own.
+// Guards against requests lost in a rolling restart: every host is restarted in turn
+// under load from a client that does not refresh its addresses when they expire.
 func TestRollingRestartLosesNoRequest(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
@@ -48,9 +48,9 @@
 	}
 }
 
-// Guards against a dependency on the platform: during its outage, a host that starts
-// gets the configuration from its peers, and the load succeeds under the kill of a host,
-// but for at most two requests per tier.
+// Guards against a dependency on the platform: during its outage, a starting host must
+// get the configuration from its peers. When another host is killed under load, all but
+// at most two requests per tier must succeed.
 func TestPlatformOutageKeepsServing(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
@@ -73,7 +73,7 @@
 const configurationLimit = 4 * time.Second
 
 // Guards against a stale configuration on a host that is partitioned from the
-// platform: each revision must be in force there within the limit, too.
+// platform: each revision must be in force on that host, too, within the limit.
 func TestConfigurationReachesPartitionedHost(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
@@ -104,8 +104,8 @@
 }
 
 // Guards against lost updates: operators change resources at different hosts at the
-// same time while the platform loses replies. Every accepted change must be in force,
-// each with a revision of its own.
+// same time while the platform loses replies. Every accepted change must come into force,
+// and no two may share a revision.
 func TestConcurrentOperatorsLoseNoChange(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
@@ -149,8 +149,8 @@
 	assert.Equal(t, len(distinct), len(accepted), "two changes share a revision")
 }
 
-// Two operators change the same revision of a resource: the second must get a conflict
-// that names the field and the newer revision.
+// Guards against a lost update: of two operators that change the same revision of a
+// resource, the second must get a conflict with the field and the newer revision.
 func TestConflictNamesField(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
@@ -172,12 +172,12 @@
 	})
 }
 
-// drainingLimit is the time for which an engine may still receive requests after it
-// has started to drain.
+// drainingLimit is the time for which an engine may receive requests after it has
+// started to drain.
 const drainingLimit = 2 * time.Second
 
-// Guards against dispatches to a draining engine: it must receive no request later
-// than drainingLimit after it has started to drain.
+// Guards against dispatches to a draining engine: the engine must receive no request
+// later than drainingLimit after it has started to drain.
 func TestDrainingEngineReceivesNoRequest(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
@@ -209,8 +209,8 @@
 }
 
 // Guards against double runs of a request that arrives at every host at the same
-// time: each client must get the complete answer, and the engines must run it once.
-func TestConcurrentRepeatsRunOnce(t *testing.T) {
+// time: each copy must be answered with status 200, and the engines must run one.
+func TestConcurrentRetriesRunOnce(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
 	const requests = 10
--- a/processtest/link.go
+++ b/processtest/link.go
@@ -16,13 +16,15 @@
 	target  netip.AddrPort
 	lis     net.Listener
 	mutex   sync.Mutex
-	cut     bool
-	// silentOut drops the bytes sent to the target, silentBack those sent back.
+	// cut closes new connections at once.
+	cut bool
+	// silentOut drops the bytes sent to the target, silentBack those sent by the target.
 	silentOut  bool
 	silentBack bool
 	delay      time.Duration
-	open       map[net.Conn]bool
-	// mute holds the connections on which all bytes are dropped for good.
+	// open holds both connections of each proxied pair.
+	open map[net.Conn]bool
+	// mute holds the connections to which no bytes are written any more.
 	mute map[net.Conn]bool
 }
 
@@ -73,15 +75,15 @@
 	lnk.cut, lnk.silentOut, lnk.silentBack, lnk.delay = false, false, false, 0
 }
 
-// Silence drops the bytes sent to the target, those sent back, or both. Connections
-// stay open.
+// Silence drops the bytes sent to the target, those sent by the target, or both.
+// Connections stay open.
 func (lnk *Link) Silence(out, back bool) {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
 	lnk.silentOut, lnk.silentBack = out, back
 }
 
-// SilenceOpen drops all bytes on the connections that are open now, for good. New
+// SilenceOpen permanently drops all bytes on the connections that are open now. New
 // connections work.
 func (lnk *Link) SilenceOpen() {
 	lnk.mutex.Lock()
@@ -91,14 +93,15 @@
 	}
 }
 
-// Delay delays each chunk of bytes by the duration.
+// Delay delays each chunk of bytes by the duration, in both directions.
 func (lnk *Link) Delay(wait time.Duration) {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
 	lnk.delay = wait
 }
 
-// Reset closes all connections; new ones work.
+// Reset closes all connections and ends a cut, silence or delay, so that new connections
+// work.
 func (lnk *Link) Reset() {
 	lnk.Cut()
 	lnk.Restore()
@@ -120,7 +123,8 @@
 	}
 }
 
-// add registers both sides of a connection. It returns false while the link is cut.
+// add registers the connections from the client and to the target. While the link is cut,
+// it closes the second and returns false.
 func (lnk *Link) add(con, out net.Conn) bool {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
@@ -135,7 +139,8 @@
 // pipeBytes is the size of the buffer of a pipe.
 const pipeBytes = 16 << 10
 
-// pipe forwards bytes until either side is closed.
+// pipe forwards bytes in one direction until either connection is closed; outward means to
+// the target.
 func (lnk *Link) pipe(to, from net.Conn, outward bool) {
 	defer to.Close()
 	defer from.Close()
@@ -149,7 +154,7 @@
 }
 
 // pass forwards, delays or drops bytes according to the link's current state. It returns
-// false if the other side is closed.
+// false if the bytes can't be written.
 func (lnk *Link) pass(to net.Conn, data []byte, outward bool) bool {
 	lnk.mutex.Lock()
 	silent, wait := lnk.silentBack, lnk.delay
