--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -1,13 +1,13 @@
-// Command mutate checks that the tests detect the removal of guards: it removes
-// each guard from a copy of the sources in turn and runs the tests that must
-// fail without it.
+// Command mutate checks that the tests detect the removal of guards. In a copy of
+// the sources it removes one guard at a time and runs the tests that must fail
+// without that guard.
 //
 // # Usage
 //
 //	go run ./tools/mutate            # every guard
 //	go run ./tools/mutate -only Fence
 //
-// It prints a table, and exits with 1 if a removal isn't detected.
+// It prints a table, and exits with code 1 if a removal isn't detected.
 package main
 
 import (
@@ -25,9 +25,9 @@
 type mutation struct {
 	// name describes the guard.
 	name string
-	// old is replaced by new in the file. It must occur in it exactly once.
+	// old is replaced by new in the file, which must contain old exactly once.
 	file, old, new string
-	// test holds the arguments of go test.
+	// test holds the arguments of go test that run the tests.
 	test []string
 }
 
@@ -69,7 +69,7 @@
 		fmt.Printf("| %s | `go test %s` | %s |\n", mut.name, strings.Join(mut.test, " "), line)
 	}
 	if undetected > 0 {
-		return fmt.Errorf("%d removals weren't detected", undetected)
+		return fmt.Errorf("%d removals of guards weren't detected", undetected)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 }
 
 // try applies the mutation, runs its tests and reverts the mutation. It returns
-// whether the tests failed, and the line of their output with the reason.
+// whether the tests failed, and the line of their output that names the reason.
 func try(ctx context.Context, dir string, mut mutation) (bool, string, error) {
 	path := filepath.Join(dir, mut.file)
 	data, err := os.ReadFile(path)
@@ -105,7 +105,7 @@
 		return false, "", err
 	}
 	if strings.Count(string(data), mut.old) != 1 {
-		return false, "", fmt.Errorf("%s: the code of the guard doesn't occur exactly once in %s", mut.name, mut.file)
+		return false, "", fmt.Errorf("%s: the guard's code must occur exactly once in %s", mut.name, mut.file)
 	}
 	changed := strings.Replace(string(data), mut.old, mut.new, 1)
 	if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
@@ -122,7 +122,8 @@
 	return testErr != nil, reason(string(out)), os.WriteFile(path, data, 0o600)
 }
 
-// reason returns the line of a test's output that describes the failure.
+// reason returns the line of a test's output that describes the failure: the violation that
+// a model test reports, or else the last line of a test file.
 func reason(out string) string {
 	last := ""
 	for line := range strings.Lines(out) {
--- a/tools/mutate/mutations.go
+++ b/tools/mutate/mutations.go
@@ -4,7 +4,8 @@
 // than in a plain test run.
 var model = []string{"./modeltest", "-run", "TestModel", "-rapid.checks=6000", "-rapid.shrinktime=1s"}
 
-// cores selects the unit tests of the gateway and coordinator cores and the exhaustive checks.
+// cores selects the unit tests of the gateway and coordinator cores and the exhaustive
+// exploration.
 var cores = []string{"./gateway", "./coordinator", "./modeltest", "-run", "Test[^M]"}
 
 // signals selects the tests of engine signals.
@@ -22,19 +23,19 @@
 		"	if _, closed := gat.orders[domain]; closed {\n		return false\n	}\n	gat.writing", "	gat.writing", placement,
 	},
 	{
-		"Place: the state of an order is published once all hosts enforce it", "evacuation/board.go",
+		"Place: the state of an order is published only once all hosts enforce the order", "evacuation/board.go",
 		"len(trk.hosts) == 0 || len(trk.missing(ord)) > 0", "len(trk.hosts) == 0", placement,
 	},
 	{
-		"Place: a host enforces an order once none of its requests to the domain is still to be written", "evacuation/gate.go",
+		"Place: a host reports an order as enforced only once all its requests to the domain are written", "evacuation/gate.go",
 		"		if gat.writing[domain] == 0 {\n", "		if gat.writing[domain] >= 0 {\n", placement,
 	},
 	{
-		"Place: the published state of an earlier order doesn't stand for the current one", "evacuation/board.go",
+		"Place: the published state of an earlier order isn't taken for that of the current one", "evacuation/board.go",
 		"sta.Published.Revision > 0 && sta.Published.Order == sta.Order.Revision {\n		return", "sta.Published.Revision > 0 {\n		return", placement,
 	},
 	{
-		"Place: two publishers don't publish a state twice", "evacuation/board.go",
+		"Place: a host publishes a state only if no other host has published one since its read", "evacuation/board.go",
 		"Expect: sta.Published.Revision}", "}", placement,
 	},
 	{
@@ -46,7 +47,7 @@
 		"	if pla.closed[ene.Domain] {\n		return false\n	}\n", "", placement,
 	},
 	{
-		"Place: a read of the store without the order withdraws it", "entry/evacuations.go",
+		"Place: an order that a complete read of the store lacks is withdrawn", "entry/evacuations.go",
 		"		if !given[domain] {\n", "		if false {\n", placement,
 	},
 	{
@@ -146,7 +147,7 @@
 		" || ans.Head.HasRate\n", "\n", rates,
 	},
 	{
-		"Word: a host checks the engine of a grant again", "entry/reserve.go",
+		"Word: a host checks the engine on receiving a grant", "entry/reserve.go",
 		"		if err := hos.checkEngine(eng, exc.grant); err != nil {", "		if err := hos.checkEngine(eng, exc.grant); false && err != nil {", signals,
 	},
 	{
@@ -166,7 +167,7 @@
 		"	return sig.blocksAll(now) || now.Before(sig.backoffUntil[gateway])\n", "	return sig.blocksAll(now)\n", signals,
 	},
 	{
-		"Word: a single request at a time probes an engine after its backoff", "scheduler/notice.go",
+		"Word: only one request at a time probes an engine after its backoff", "scheduler/notice.go",
 		" || sig.probing(now)\n", "\n", signals,
 	},
 	{
@@ -178,7 +179,7 @@
 		"	case rel.Throttled:\n		ene.health.recordUnknown()\n", "", signals,
 	},
 	{
-		"Fence: a promise refuses lower ballots", "coordinator/ledger.go",
+		"Fence: a ledger that has promised a ballot refuses lower ones", "coordinator/ledger.go",
 		"	case bal.Less(rec.ballot):\n		return reservation.ReasonFenced, rec.ballot.Holder\n", "", model,
 	},
 	{
@@ -191,15 +192,15 @@
 		"	case rec != nil && rec.state == reservation.FenceStateGranted:\n		ans.State, ans.Ballot, ans.Engine = rec.state, rec.ballot, rec.engine\n", "", model,
 	},
 	{
-		"Domain rule: grants come from outside the gateway's domain", "view/view.go",
+		"Domain rule: grants come only from outside the gateway's domain", "view/view.go",
 		"		if mem.Domain != own.Domain {", "		if mem.Domain != own.Domain || true {", cores,
 	},
 	{
-		"Epoch check: grants of a lost epoch are refused", "gateway/choose.go",
+		"Epoch check: a gateway accepts no grant of a lost epoch", "gateway/choose.go",
 		"	if gat.lost[epo] != nil {\n		return false\n	}\n	vie, known", "	vie, known", cores,
 	},
 	{
-		"Epoch check: a grant counts only from the coordinator asked", "gateway/close.go",
+		"Epoch check: a gateway accepts a grant only from the coordinator that it asked", "gateway/close.go",
 		"ent.phase == phaseWaiting && ent.coordinator == from &&", "ent.phase == phaseWaiting &&", cores,
 	},
 	{
@@ -211,11 +212,11 @@
 		"			records = append(records, rec)\n", "			_ = rec\n", model,
 	},
 	{
-		"Vouching: an attestation that a fence relied on isn't revoked", "coordinator/ledger.go",
+		"Vouching: an attestation that a fence has relied on can't be revoked", "coordinator/ledger.go",
 		"	case known.fenced:\n		ans.Revoked = false\n", "", cores,
 	},
 	{
-		"Close: NotRun is reported only on the answer of a granter", "gateway/close.go",
+		"Close: NotRun is reported only after a granter has answered", "gateway/close.go",
 		"	ent.reserved = now\n	clear(ent.refused)\n	gat.askToClose(now, ent)\n", "	ent.reserved = now\n	gat.finish(ent, fin)\n", model,
 	},
 	{
@@ -236,7 +237,7 @@
 		"	for _, tiq := range slices.Backward(que.tiers) {", "	for _, tiq := range que.tiers {", cores,
 	},
 	{
-		"Revisions: only a higher one is put in force", "host/configuration.go",
+		"Revisions: a host puts only a higher revision in force", "host/configuration.go",
 		"	if con.Revision <= lop.host.Configuration().Revision {\n		return\n	}\n", "",
 		[]string{"./host"},
 	},
