--- a/operator/server.go
+++ b/operator/server.go
@@ -31,9 +31,9 @@
 type Backend interface {
 	// Configuration returns the configuration in force on this host.
 	Configuration() resource.Configuration
-	// Change writes a change to the platform. It returns a
+	// Change writes a change to the platform's store. Its error is a
 	// *resource.ConflictError, a *resource.CheckError, a *NotDecidedError or
-	// one of the platform's errors.
+	// one of the store's errors.
 	Change(ctx context.Context, cha resource.Change) (ChangeResult, error)
 	// Status queries all hosts and returns their merged status.
 	Status(ctx context.Context) Status
@@ -88,7 +88,7 @@
 	want := []byte("Bearer " + srv.cfg.Key)
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(req.Header.Get("Authorization")), want) != 1 {
-			writeJSON(wri, http.StatusUnauthorized, ErrorBody{Code: CodeUnauthorized, Message: "Authorization: want \"Bearer\" and the operators' key"})
+			writeJSON(wri, http.StatusUnauthorized, ErrorBody{Code: CodeUnauthorized, Message: "Authorization: want the operators' bearer key"})
 			return
 		}
 		next.ServeHTTP(wri, req)
@@ -116,7 +116,7 @@
 	writeJSON(wri, http.StatusOK, EntryList{Revision: con.Revision, Entries: []resource.Entry{ent}})
 }
 
-// editWire is an EditBody whose Spec isn't decoded yet.
+// editWire is an EditBody whose Spec isn't decoded yet, because its type depends on Kind.
 type editWire struct {
 	Kind   resource.Kind
 	Name   string
@@ -137,7 +137,7 @@
 		return resource.Change{}, err
 	}
 	if raw.ID == "" {
-		return resource.Change{}, &format.FieldError{File: "change", Field: "ID", Reason: "want an id that you choose, found none"}
+		return resource.Change{}, &format.FieldError{File: "change", Field: "ID", Reason: "want an id of your choice"}
 	}
 	cha := resource.Change{ID: raw.ID}
 	for idx, edi := range raw.Edits {
@@ -164,7 +164,7 @@
 		return resource.Edit{}, err
 	}
 	if res.Key() != edi.Key {
-		return resource.Edit{}, &format.FieldError{File: "change", Field: path + ".Spec.Name", Reason: "must equal the Kind and Name of the edit"}
+		return resource.Edit{}, &format.FieldError{File: "change", Field: path + ".Spec.Name", Reason: "must be the edit's Name"}
 	}
 	edi.Resource = res
 	return edi, nil
@@ -226,7 +226,7 @@
 	writeJSON(wri, http.StatusOK, srv.cfg.Backend.Status(req.Context()))
 }
 
-// serveWatch streams the status, one JSON value per line, each time it changes.
+// serveWatch streams the status as JSON lines: the current one, and then each changed one.
 func (srv *Server) serveWatch(wri http.ResponseWriter, req *http.Request) {
 	wri.Header().Set("Content-Type", "application/jsonl")
 	ticker := time.NewTicker(watchInterval)
--- a/resource/check.go
+++ b/resource/check.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxSlots bounds Engine.Slots, to catch typing errors.
+// maxSlots bounds Engine.Slots, so that mistyped values are rejected.
 const maxSlots = 4096
 
 // digestLen is the length of a SHA-256 digest in bytes.
@@ -54,8 +54,8 @@
 	return chk.problems
 }
 
-// check collects the problems of a configuration. digests maps the key digests seen so far
-// to the client account that lists them.
+// check collects the problems of a configuration. digests maps each key digest seen so far
+// to the client account that lists it.
 type check struct {
 	con      Configuration
 	digests  map[string]Key
@@ -105,9 +105,9 @@
 	}
 	for _, digest := range acc.KeyDigests {
 		raw, err := hex.DecodeString(digest)
-		chk.require(err == nil && len(raw) == digestLen, key, "KeyDigests", "want SHA-256 digests of 64 hexadecimal digits each")
+		chk.require(err == nil && len(raw) == digestLen, key, "KeyDigests", "want SHA-256 digests of 64 hexadecimal digits")
 		other, taken := chk.digests[digest]
-		chk.require(!taken, key, "KeyDigests", "digest already listed by client account "+other.Name+"; want each digest only once")
+		chk.require(!taken, key, "KeyDigests", "a key of "+other.Name+" stands here too")
 		chk.digests[digest] = key
 	}
 	chk.require(acc.Weight >= 0, key, "Weight", "want 0 or more")
