--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -32,7 +32,7 @@
 	// SettleTime is how long a new coordinator of an engine waits for the gateways to
 	// report the slots that their requests occupy.
 	SettleTime time.Duration
-	// FloorTime is how long a queue that refused a reservation accepts no
+	// FloorTime is how long a queue that refused a reservation as full accepts no
 	// reservation of a lower rank.
 	FloorTime time.Duration
 	// OrphanTime is how long a slot stays occupied after its gateway was lost.
@@ -140,7 +140,8 @@
 	return ans, cor.actions
 }
 
-// dropFenced removes a fenced request from the queues and refuses it.
+// dropFenced removes a fenced request from the queues and refuses its reservation, if
+// that has a lower ballot than the fence.
 func (cor *Core) dropFenced(id request.ID) {
 	for _, svc := range cor.services {
 		wai := svc.queue.byID[id]
--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -120,8 +120,9 @@
 	assert.DeepEqual(t, messages(har.receive(reserveOf("same", 20))), []string{"Refuse same Full"})
 }
 
-// After a refusal of a rank, no lower rank may be queued for the floor time even if the
-// queue has room: the gateway of the refused request may be about to shed it.
+// After a reservation was refused as full, none of a lower rank may be queued for the floor
+// time even if the queue has room: the gateway of the refused request may be about to shed
+// that request.
 func TestFloorRefusesLowerTiers(t *testing.T) {
 	har := newHarness(harnessConfig{slots: 1, maxWaiting: 1})
 	har.receive(reserveOf("running", 10))
--- a/coordinator/engine.go
+++ b/coordinator/engine.go
@@ -29,8 +29,8 @@
 	engine resource.Engine
 	// slots is this host's share of the engine's slots.
 	slots int
-	// deputy is set if the host grants only to gateways in the failure domain of the
-	// engine's coordinator.
+	// deputy is set if another host is the engine's main coordinator. This host's slots
+	// let the gateways in that host's failure domain use the engine, too.
 	deputy bool
 	held   map[request.ID]*heldSlot
 	// prefill and decode are the estimated speeds, in tokens per second.
--- a/coordinator/ledger.go
+++ b/coordinator/ledger.go
@@ -54,7 +54,8 @@
 }
 
 // Check returns 0 if the request may be queued or granted under the ballot,
-// otherwise the reason and, for ReasonFenced, the gateway epoch that holds it.
+// otherwise the reason and, for ReasonFenced, the epoch of the gateway that holds the
+// request.
 func (led *Ledger) Check(id request.ID, bal request.Ballot) (reservation.Reason, request.Epoch) {
 	if led.isForgotten(id) {
 		return reservation.ReasonForgotten, 0
@@ -103,7 +104,8 @@
 }
 
 // Close records that the request never runs. It returns 0, or the reason why the
-// request can't be closed and, for ReasonFenced, the gateway epoch that holds it.
+// request can't be closed and, for ReasonFenced, the epoch of the gateway that holds
+// the request.
 func (led *Ledger) Close(now time.Time, id request.ID, bal request.Ballot) (reservation.Reason, request.Epoch) {
 	reason, holder := led.Check(id, bal)
 	if reason != 0 {
@@ -233,6 +235,8 @@
 	}
 }
 
+// merge adds the records of another host. A reported grant replaces any record; other
+// reported states replace only a promise.
 func (led *Ledger) merge(now time.Time, records []reservation.Record) {
 	for _, rep := range records {
 		rec := led.touch(now, rep.ID, rep.Ballot)
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -116,7 +116,8 @@
 	return max(0, least)
 }
 
-// delay returns the predicted wait of a reservation at the end of the queue.
+// delay returns the predicted wait of a reservation at the end of the queue. Running
+// requests are assumed to be half finished.
 func (svc *serviceState) delay() time.Duration {
 	slots := svc.slots()
 	if slots == 0 {
@@ -265,8 +266,8 @@
 }
 
 // dropLower drops one reservation below the rank and reports whether there was one.
-// The dropped request isn't closed: its gateway asks the service's other coordinators
-// first.
+// The dropped request isn't closed: its gateway reserves it at the service's other
+// coordinators first.
 func (cor *Core) dropLower(now time.Time, svc *serviceState, rank int) bool {
 	wai := svc.queue.lowestBelow(rank)
 	if wai == nil {
@@ -431,8 +432,8 @@
 	}
 }
 
-// reconcileHeld releases the gateway's slots that it doesn't list: their grants were lost
-// with an earlier session.
+// reconcileHeld releases the slots that this host granted to the gateway but the gateway
+// doesn't list: their grants were lost with an earlier session.
 func (cor *Core) reconcileHeld(now time.Time, from request.Epoch, hol reservation.Hold) {
 	for _, ens := range cor.engines {
 		for id, held := range ens.held {
--- a/gateway/arrive.go
+++ b/gateway/arrive.go
@@ -68,7 +68,8 @@
 	return ent
 }
 
-// admit checks a new request against the account's limits, then reserves a slot for it.
+// admit checks a new request against the account's limits, then reserves a slot for the
+// request.
 func (gat *Core) admit(now time.Time, ent *entry) {
 	if gat.draining {
 		gat.close(now, ent, Final{Cause: CauseDraining, Outcome: request.NotRun, Retry: true})
@@ -107,7 +108,7 @@
 }
 
 // mayBeAlive reports whether the process that owns an id may still answer: its epoch
-// isn't recorded as lost, and the newest view with its host has the same epoch.
+// isn't recorded as lost, and the newest view that lists its host lists the same epoch.
 func (gat *Core) mayBeAlive(owner view.Member) bool {
 	if gat.lost[owner.Epoch] != nil {
 		return false
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -97,7 +97,8 @@
 
 // reserve sends the reservation to the best candidate among the coordinators. If there is
 // none and some have refused, the coordinators that haven't refused are asked to evict a
-// reservation of a lower rank.
+// reservation of a lower rank. If none has refused, the request waits for a candidate, or
+// is closed if the view of its id is too old for any.
 func (gat *Core) reserve(now time.Time, ent *entry) {
 	gat.table.enter(ent, phaseWaiting)
 	ent.coordinator = 0
@@ -159,6 +160,8 @@
 	return best
 }
 
+// isCandidate reports whether the reservation may be sent to the coordinator now. A fresh
+// floor above the request's rank is recorded as a refusal.
 func (gat *Core) isCandidate(now time.Time, epo request.Epoch, ent *entry) bool {
 	if ent.hasRefused(epo) || !gat.mayAcceptGrant(epo, ent) {
 		return false
@@ -225,7 +228,8 @@
 }
 
 // missingPrefixCost returns the prefill time of the prefix on an engine that
-// doesn't have it cached.
+// doesn't have it cached. Without a prefix, the least cost prefers the preferred
+// coordinator among equal ones.
 func missingPrefixCost(spec Spec) time.Duration {
 	if spec.PrefixHash == 0 {
 		return time.Nanosecond
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -12,7 +12,8 @@
 //
 // The gateway whose epoch is in a request's id owns the request. The request is
 // dispatched only on a grant from a coordinator outside that gateway's failure
-// domain, so that no single failure loses both records of it.
+// domain, unless all hosts are in one domain. The loss of one domain then never loses
+// both the gateway's and the coordinator's record of a request.
 package gateway
 
 import (
--- a/gateway/entry.go
+++ b/gateway/entry.go
@@ -57,8 +57,9 @@
 	// or fence) started.
 	coordinator request.Epoch
 	reserved    time.Time
-	// refused maps the coordinators that refused the reservation, were asked for an
-	// eviction, or can't close the request to the earliest possible time of the refusal.
+	// refused holds the coordinators that refused the reservation, were asked for an
+	// eviction, or can't close the request, each with the earliest time at which that may
+	// have happened.
 	refused map[request.Epoch]time.Time
 	// overflow is set once another coordinator has dropped a reservation of a lower
 	// rank for this request, which may then exceed the queue's bound.
@@ -113,7 +114,7 @@
 	}
 }
 
-// attestedRecord returns the request's record in an attestation for the lost
+// attestedRecord returns the request's record in an attestation about the lost
 // coordinator epoch, and false if there is none.
 func (ent *entry) attestedRecord(lost request.Epoch) (reservation.Record, bool) {
 	rec := reservation.Record{ID: ent.id, Ballot: ent.ballot}
--- a/gateway/event.go
+++ b/gateway/event.go
@@ -52,7 +52,8 @@
 	ID request.ID
 }
 
-// RelayFailed reports that the other gateway sent no part of an answer.
+// RelayFailed reports that the gateway to which a request was relayed sent no part of an
+// answer.
 type RelayFailed struct {
 	Arrived
 	To request.Epoch
--- a/gateway/fence.go
+++ b/gateway/fence.go
@@ -171,6 +171,8 @@
 	return all
 }
 
+// hasStopped reports whether a host has answered that it took over the ledger of the
+// stopped granter.
 func (att *fenceAttempt) hasStopped(granter request.Epoch) bool {
 	for _, ans := range att.answers {
 		if slices.Contains(ans.Successions, granter) {
--- a/gateway/vouch.go
+++ b/gateway/vouch.go
@@ -123,8 +123,8 @@
 	gat.retryUnassigned(now)
 }
 
-// sendHeld reports to a coordinator, as the first message of a session, the slots that the
-// gateway holds on the coordinator's grants or on engines that it now coordinates.
+// sendHeld reports to a coordinator, at the start of a session, the slots that the gateway
+// holds on the coordinator's grants or on engines that the coordinator now coordinates.
 func (gat *Core) sendHeld(epo request.Epoch) {
 	hol := reservation.Hold{}
 	for _, ent := range sortedByID(gat.table.byID) {
@@ -143,7 +143,7 @@
 }
 
 // retryRevocations asks the attesters to revoke their attestations about epochs that are
-// reachable again.
+// reachable again. The grants of an epoch without attestations are accepted again.
 func (gat *Core) retryRevocations() {
 	for _, epo := range slices.Sorted(maps.Keys(gat.lost)) {
 		los := gat.lost[epo]
--- a/scheduler/apart.go
+++ b/scheduler/apart.go
@@ -12,8 +12,8 @@
 
 const (
 	// isolationPeriod is how long an engine stays isolated after it was last reserved for suspect
-	// requests. Clients with a timeout of ten seconds retry within a third of it, and the answers
-	// in progress at the engine take some seconds too.
+	// requests. Clients with a timeout of ten seconds retry within a third of that timeout, and the
+	// answers in progress at the engine take some seconds too.
 	isolationPeriod = 5 * time.Second
 	// minEnginesToIsolate is the minimum number of engines of a service for isolation: one of
 	// two would be half of the service.
@@ -21,7 +21,7 @@
 	// enginesPerIsolated is the number of engines for each isolated engine beyond the first.
 	enginesPerIsolated = 16
 	// crashMemory is how long a crashed engine gets no suspect requests: its entry stays registered
-	// for three heartbeats, and it looks idle.
+	// for three heartbeats, and until then the engine looks idle.
 	crashMemory = 10 * time.Second
 	// crashHoldOff is how long a crashed engine is granted nothing. It refuses connections, and a
 	// request that meets three such engines is refused. Engines restart within seconds, and one
@@ -30,8 +30,8 @@
 )
 
 // chooseIsolated returns an engine for a request that may crash it, so that as few other requests
-// as possible are affected. If there is none, it may isolate the engine that will be idle first,
-// for the request to run there later.
+// as possible are affected. If there is none, chooseIsolated may isolate the engine that will be
+// idle first, so that the request can run there later.
 func (cor *Core) chooseIsolated(now time.Time, svc *service, wai *waiter, han handling) candidate {
 	if len(svc.engines) < minEnginesToIsolate {
 		return cor.choose(now, svc, wai)
@@ -85,8 +85,9 @@
 	return true
 }
 
-// eligibleEngines returns the engines on which a request may run exclusively. It leaves out
-// canaries, engines that the request excludes, and those that are regarded as crashed.
+// eligibleEngines returns the engines that a suspect request may be granted once they are idle
+// enough. Canaries, blocked and ejected engines, engines that the request excludes, and those
+// that crashed within crashMemory are left out.
 func (cor *Core) eligibleEngines(now time.Time, svc *service, wai *waiter) []*engine {
 	acc := svc.access(now, wai.reserve)
 	acc.canary = nil
@@ -166,14 +167,14 @@
 	return ene.crashed && now.Sub(ene.crashedAt) < crashMemory
 }
 
-// isDown reports whether the engine crashed so recently that nothing listens at its address: it
-// is still registered and looks idle.
+// isDown reports whether the engine crashed so recently that nothing listens at its address,
+// while its entry is still registered and makes it look idle.
 func (ene *engine) isDown(now time.Time) bool {
 	return ene.crashed && now.Sub(ene.crashedAt) < crashHoldOff
 }
 
-// mayExcludeDown reports whether crashed engines may be excluded. They may not if all engines of
-// the service would be, since a host may mistake a broken link for a crash.
+// mayExcludeDown reports whether engines that are down may be excluded. They may not if every
+// engine of the service is draining or down, since a host may mistake a broken link for a crash.
 func (svc *service) mayExcludeDown(now time.Time) bool {
 	return slices.ContainsFunc(svc.engines, func(ene *engine) bool { return !ene.isDraining() && !ene.isDown(now) })
 }
--- a/scheduler/cold.go
+++ b/scheduler/cold.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// markCold marks an engine cold until a time. It does nothing if the configuration sets no rate
-// for cold engines of the service.
+// markCold marks an engine cold until a time. It does nothing if the engine is already marked cold
+// for as long, or if the configuration sets no rate for cold engines of the service.
 func (cor *Core) markCold(now time.Time, ene *engine, until time.Time) {
 	if !until.After(now) || ene.limiter != nil && !until.After(ene.limiter.coldUntil) {
 		return
--- a/scheduler/cold_sim_test.go
+++ b/scheduler/cold_sim_test.go
@@ -56,9 +56,9 @@
 	}
 	var all []fleet.Engine
 	for _, other := range sim.engines {
-		one := other.Engine
-		one.ColdUntil = hos.cold[one.ID.Name]
-		all = append(all, one)
+		entry := other.Engine
+		entry.ColdUntil = hos.cold[entry.ID.Name]
+		all = append(all, entry)
 	}
 	sim.apply(hos, hos.har.core.Handle(sim.now, scheduler.EnginesChanged{Engines: all}))
 }
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -38,8 +38,8 @@
 	return eng
 }
 
-// countGrants sends the given number of requests at the given interval, answers the engine's
-// grants at once, and returns how many there were.
+// countGrants sends the given number of requests at the given interval, answers those that are
+// granted to the engine at once, and returns their number.
 func (har *harness) countGrants(engine string, times int, interval time.Duration) int {
 	count := 0
 	for num := range times {
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -167,8 +167,8 @@
 	if pos > 0 || len(ene.prefills) == 0 {
 		return
 	}
-	// The engine began with the next prefill when it finished this one, some steps before the
-	// first event.
+	// The engine began with the next prefill when it finished this one, which was the model's overhead
+	// before the first event arrived. The prefill of a run granted since then counts from now.
 	ene.prefillSince = now
 	if began := now.Add(-ene.model.Overhead()); began.After(ene.prefills[0].grantedAt) {
 		ene.prefillSince = began
@@ -282,11 +282,11 @@
 
 // finishProbability returns the probability that a stream ends before its deadline. It takes the
 // client's length hint as the median of a log-normal distribution.
-func (ene *engine) finishProbability(first time.Duration, answerTokens int, remaining time.Duration) float64 {
+func (ene *engine) finishProbability(firstEvent time.Duration, answerTokens int, remaining time.Duration) float64 {
 	if answerTokens <= 0 {
 		return 1
 	}
-	available := remaining - first
+	available := remaining - firstEvent
 	if available <= 0 {
 		return 0
 	}
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -48,7 +48,7 @@
 			served++
 		}
 	}
-	// A third of the burst, widened by a quarter of the slack of 1000.
+	// A third of the sum of the burst and a quarter of the slack of 1000.
 	assert.Assert(t, served >= 38 && served <= 39, "%d", served)
 }
 
--- a/scheduler/line.go
+++ b/scheduler/line.go
@@ -17,7 +17,7 @@
 	gateway       request.Epoch
 	arrivalNumber uint64
 	since         time.Time
-	// until is when the request is refused.
+	// until is when the request is refused if it is still waiting.
 	until time.Time
 	// normalAt is the version of the quarantine, plus one, at which the request was found to need
 	// no special handling; 0 for none.
@@ -28,7 +28,7 @@
 	// request arrived, so that the target can't be met any more. In overload, such requests would
 	// take capacity from those that can meet theirs.
 	late bool
-	// rateLimited is set if only a rate limit kept an engine from being granted.
+	// rateLimited is set once an engine was passed over only because of its rate limit.
 	rateLimited bool
 }
 
@@ -122,8 +122,9 @@
 	return float64(hash.Sum32()%1000) / 1000
 }
 
-// serve grants engines to the waiting requests in the order of the queue, and refuses those that
-// have reached their maximum wait.
+// serve grants engines to the waiting requests in the order of the queue. It refuses requests that
+// are held, that can't be granted an engine before their maximum wait ends, or whose maximum wait
+// has ended.
 func (cor *Core) serve(now time.Time, svc *service) {
 	if len(svc.waiting) == 0 {
 		return
@@ -173,12 +174,12 @@
 	cor.release(now, reservation.Release{ID: id})
 }
 
-// queueScan is what one pass over the queue has found about free capacity. Thousands of requests
-// may wait, so what applies to all requests of a gateway is determined once.
+// queueScan records, during one pass over the queue, which requests found no engine. Thousands of
+// requests may wait, so the search isn't repeated for requests that would find none either.
 type queueScan struct {
 	// full is set if a request without special handling found no engine. fullByGateway is the
 	// same for single gateways that have a backoff from an engine in force, or that send nothing
-	// to some failure domains: their requests may find no engine where others do.
+	// to some failure domains: their requests may find no engine while those of others do.
 	full          bool
 	fullByGateway map[request.Epoch]bool
 	// fullByScope is the same for requests that are limited to some regions, by scope.
--- a/scheduler/listing.go
+++ b/scheduler/listing.go
@@ -7,6 +7,8 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
+// applyEngines replaces the engines by the registered ones. Engines that were known before keep
+// their state; the state of deregistered ones is dropped.
 func (cor *Core) applyEngines(now time.Time, engines []fleet.Engine) {
 	for _, svc := range cor.services {
 		svc.engines, svc.signaledEngines, svc.limitedEngines, svc.blockCache = svc.engines[:0], 0, 0, blockCache{}
--- a/scheduler/notice.go
+++ b/scheduler/notice.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// applyBackoff blocks a gateway for the requested time, and the other gateways for a while if
-// the request is new. A repeated notice, such as one sent to a new coordinator or with a
+// applyBackoff blocks a gateway for the requested time. A new request also blocks the other
+// gateways for the time that the scope sets. A repeated notice, such as one sent to a new coordinator or with a
 // returned grant, carries no new information.
 func (sig *signalState) applyBackoff(now time.Time, from request.Epoch, left time.Duration, scope BackoffScope) {
 	until := now.Add(left)
@@ -239,7 +239,8 @@
 // and invalidated by each new signal: thousands of requests of hundreds of gateways may wait for
 // the end of hundreds of backoffs (BenchmarkManyWaitingUnderBackoff).
 type blockCache struct {
-	// available is set if some engine has no signals in force, computed if the cache is valid.
+	// available is set if some engine is open and has no signals in force, computed if the cache is
+	// valid.
 	available bool
 	computed  bool
 	byGateway map[request.Epoch]blockPeriod
@@ -249,8 +250,8 @@
 type blockPeriod struct {
 	// blocked is false if an engine is available.
 	blocked bool
-	// temporary is set if one of the engines is blocked only until a time; otherwise all are
-	// draining.
+	// temporary is set if one of the engines is blocked only until a time, the earliest of which is
+	// until; otherwise all are draining.
 	temporary bool
 	until     time.Time
 	// othersUntil is the end of the period for gateways that didn't receive a backoff request: a
@@ -312,8 +313,8 @@
 	return blk
 }
 
-// refuseBlocked refuses a request at once if all its engines are draining, or in backoff beyond
-// its maximum wait, and reports whether it did.
+// refuseBlocked refuses a request at once if all engines that it may run on are draining, or in
+// backoff beyond its maximum wait, and reports whether it did.
 func (cor *Core) refuseBlocked(now time.Time, svc *service, wai *waiter) bool {
 	if svc.signaledEngines == 0 {
 		return false
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -59,9 +59,9 @@
 
 // The requests of a gateway to which all domains are closed wait without blocking those of others.
 func TestClosedDomainDoesNotBlockOtherGateways(t *testing.T) {
-	one := engineInDomain("d0", "a")
-	one.Slots = 1
-	har := newHarness(one)
+	eng := engineInDomain("d0", "a")
+	eng.Slots = 1
+	har := newHarness(eng)
 	har.handle(scheduler.DomainsClosed{Gateway: peerEpoch, Domains: []string{"d0"}})
 	assert.Equal(t, har.reserveAndAnswer("waits"), "")
 	assert.Equal(t, grantedEngine(har.reserveFrom(77, plainReservation("other")), "other"), "a")
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -123,7 +123,7 @@
 	return reservation.Refuse{ID: res.ID, Ballot: res.Ballot, Reason: reservation.ReasonHeld, RetryAfter: left}, true
 }
 
-// recordStart counts the run by its digest.
+// recordStart counts the run by its digest, and an exclusive run at its engine and service.
 func (cor *Core) recordStart(rnn *run) {
 	if rnn.subject.Digest != (call.Digest{}) {
 		cor.runningByDigest[rnn.subject.Digest]++
--- a/scheduler/quarantine_test.go
+++ b/scheduler/quarantine_test.go
@@ -26,7 +26,8 @@
 	return res
 }
 
-// reportCrash reports, as the request's gateway does, that an engine crashed under a request.
+// reportCrash reports, as the request's gateway does, that an engine crashed while it ran the
+// request.
 func (har *harness) reportCrash(res reservation.Reserve, engine string) {
 	har.handle(scheduler.Received{From: peerEpoch, Message: reservation.EngineCrashed{
 		ID: res.ID, Observation: quarantine.Observation{Subject: res.Subject(), Engine: engine},
@@ -47,17 +48,17 @@
 	return all
 }
 
-// A request that ran on an engine when it crashed doesn't run twice at the same time afterwards, so
-// that it crashes at most one engine at a time.
+// After an engine has crashed, each request that it ran runs at most once at a time, so that a poison
+// request among them crashes at most one engine at a time.
 func TestWatchedRequestRunsOnceAtATime(t *testing.T) {
 	har := newHarness(newModelEngines(6)...)
 	first := sameRequest("poison", "one")
 	har.reportCrash(first, grantedEngine(har.reserve(first), "one"))
 	assert.Assert(t, grantedEngine(har.reserve(sameRequest("poison", "two")), "two") != "")
 	assert.Equal(t, grantedEngine(har.reserve(sameRequest("poison", "three")), "three"), "")
-	assert.Assert(t, grantedEngine(har.reserve(sameRequest("other", "four")), "four") != "", "other requests don't wait for it")
+	assert.Assert(t, grantedEngine(har.reserve(sameRequest("other", "four")), "four") != "", "other requests don't wait for the watched one")
 	har.answerInFull(sameRequest("poison", "two"))
-	assert.Assert(t, grantedEngine(har.sends, "three") != "", "it was answered, so its copies run as usual")
+	assert.Assert(t, grantedEngine(har.sends, "three") != "", "the request was answered, so its copies run as usual")
 }
 
 // A suspected request runs exclusively on an engine, so that a crash loses nothing else. While no
--- a/scheduler/rate.go
+++ b/scheduler/rate.go
@@ -165,7 +165,7 @@
 	lim.grants = append(lim.grants, rateGrant{gateway: gateway, at: now})
 }
 
-// refund returns the token of a grant whose request wasn't sent.
+// refund puts back the token of a grant whose request wasn't sent.
 func (lim *rateLimiter) refund(gateway request.Epoch) {
 	lim.tokens++
 	for idx, grt := range lim.grants {
@@ -256,9 +256,9 @@
 	}
 }
 
-// recordUnlimited records an answer without a rate limit; with one, the gateway would have sent a
-// notice first. It ends a limit that was signaled before the run was granted. Inherited runs are
-// ignored, since their answers may be older than the limit.
+// recordUnlimited ends the engine's signaled limit if the answered run was granted after the
+// signal: the answer carried no limit, since the gateway would have sent a notice of it first.
+// Inherited runs are ignored, since their answers may be older than the limit.
 func (cor *Core) recordUnlimited(now time.Time, rnn *run) {
 	lim := rnn.engine.limiter
 	if lim != nil && !rnn.inherited && rnn.grantedAt.After(lim.signaledAt) {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -142,7 +142,7 @@
 	Ejected     int
 	EjectedUsed bool
 	// RateLimited is the number of the service's engines that have signaled a rate limit or are
-	// cold. WaitedForRate is set if only these limits kept the request from being granted.
+	// cold. WaitedForRate is set if an engine was passed over only because of such a limit.
 	// PerSecond is the rate limit of the granted engine in requests per second, RecentGrants the
 	// number of requests that it was granted in the last four seconds; both are 0 without a
 	// limit. Cold is set if the engine is cold.
@@ -181,8 +181,8 @@
 	// occupancyGain is the weight of a new measurement in the estimated occupancy. It is small
 	// since answer lengths vary a hundredfold.
 	occupancyGain = 0.05
-	// lengthHintDeviation is the standard deviation of the clients' answer length hints, in
-	// doublings.
+	// lengthHintDeviation is the standard deviation of answer lengths from the clients' hints, in
+	// doublings (base-2 logarithm).
 	lengthHintDeviation = 0.72
 	// missedDeadlineCost is the cost of a stream that certainly misses its deadline, added to
 	// the time to the first token. It keeps long answers off engines too slow to complete them.
@@ -213,7 +213,7 @@
 	// maxRetryBase caps the remaining time that these fractions apply to: bursts are over within
 	// five seconds.
 	maxRetryBase = 15 * time.Second
-	// cacheShare is the fraction of an engine's memory assumed to hold cached prompt parts.
+	// cacheShare is the fraction of an engine's cache size assumed to hold cached prompt parts.
 	// Running requests need the rest.
 	cacheShare = 0.6
 	// defaultCacheTokens is the cache size of an engine for which none is configured.
