--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -450,6 +450,9 @@
 	}
 }
 
+// evict drops a reservation of a lower rank for a request that other coordinators refused. If
+// there is none, the floor is raised to the request's rank: the gateway may be about to shed
+// the request.
 func (cor *Core) evict(now time.Time, from request.Epoch, evi reservation.Evict) {
 	svc := cor.services[evi.Service]
 	ans := reservation.Evicted{ID: evi.ID}
--- a/scheduler/rate_sim_test.go
+++ b/scheduler/rate_sim_test.go
@@ -36,7 +36,8 @@
 	rateNetworkDelay  = time.Millisecond
 	rateTickInterval  = 10 * time.Millisecond
 	rateLeaseInterval = 500 * time.Millisecond
-	rateSentAt        = 2 * time.Second
+	// rateSentAt is when the engines begin to send their rate limits.
+	rateSentAt = 2 * time.Second
 	// From rateGrace after a rate limit was first sent, an engine may get in each rateWindow at most
 	// rateFactor times what its limit allows plus rateSlack requests. Only requests of hosts that
 	// have known the limit for rateKnown count. From rateRecovery after the limits' end no request
