--- a/backendtest/backendtest.go
+++ b/backendtest/backendtest.go
@@ -5,8 +5,8 @@
 //	srv := backendtest.New(backendtest.Config{Name: "kitchen-1"})
 //	http.Serve(lis, srv.Handler())
 //
-// The server answers each call with an Echo of it as JSON, and lists all calls
-// received at GET /standin/dispatches.
+// The server answers each call with an Echo of it as JSON, and lists the calls that it
+// has run or is running at GET /standin/dispatches.
 package backendtest
 
 import (
@@ -28,7 +28,7 @@
 	PathFaults = "/standin/faults"
 	// PathDraining takes a JSON boolean by POST: whether the server is draining.
 	PathDraining = "/standin/leaving"
-	// PathDispatches answers GET with all calls received.
+	// PathDispatches answers GET with the values of Server.Dispatches.
 	PathDispatches = "/standin/dispatches"
 )
 
@@ -45,7 +45,8 @@
 	Delay time.Duration
 	// DropReplies is how many further calls run without a reply; their connections are closed.
 	DropReplies int
-	// Dead closes every connection without a reply and without running the call.
+	// Dead closes the connection of each call without a reply and without running the call.
+	// Load reports and the control paths still work.
 	Dead bool
 }
 
@@ -74,7 +75,7 @@
 	return &Server{cfg: cfg}
 }
 
-// Dispatches returns all calls received, in order of arrival.
+// Dispatches returns the calls that the server has run or is running, in order of arrival.
 func (srv *Server) Dispatches() []engine.DispatchRecord {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -90,7 +90,7 @@
 		timing: settings.Timing{Heartbeat: format.Duration(cfg.Heartbeat)}, log: cfg.Log,
 	})
 	if err != nil {
-		return nil, errors.Wrapf(err, "%d hosts", hosts)
+		return nil, errors.Wrapf(err, "start a system of %d hosts", hosts)
 	}
 	defer sys.Stop()
 	if err := sleep(ctx, settleTime); err != nil {
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -27,7 +27,8 @@
 }
 
 // OverheadRow is one measurement: the same request sent directly to fake engines and
-// through lynxwell. Rates are in requests per second.
+// through lynxwell. Rates are in requests per second; P50 and P99 are percentiles of the time
+// to the complete answer.
 type OverheadRow struct {
 	InFlight   int
 	DirectRate float64
@@ -61,15 +62,15 @@
 	for _, inFlight := range cfg.InFlight {
 		direct, err := closedLoop(ctx, engines, inFlight, cfg.For)
 		if err != nil {
-			return nil, errors.Wrap(err, "direct")
+			return nil, errors.Wrap(err, "send requests directly to engines")
 		}
 		through, err := closedLoop(ctx, sys.Entries(), inFlight, cfg.For)
 		if err != nil {
-			return nil, errors.Wrap(err, "through lynxwell")
+			return nil, errors.Wrap(err, "send requests through lynxwell")
 		}
 		rows = append(rows, OverheadRow{
 			InFlight: inFlight, DirectRate: direct.rate(cfg.For), Rate: through.rate(cfg.For),
-			DirectP50: direct.quantile(50), P50: through.quantile(50), DirectP99: direct.quantile(99), P99: through.quantile(99),
+			DirectP50: direct.percentile(50), P50: through.percentile(50), DirectP99: direct.percentile(99), P99: through.percentile(99),
 		})
 	}
 	return rows, nil
@@ -80,8 +81,8 @@
 	histogram *hdrhistogram.Histogram
 }
 
-func (lat latencies) quantile(quantile float64) time.Duration {
-	return time.Duration(lat.histogram.ValueAtQuantile(quantile)) * time.Microsecond
+func (lat latencies) percentile(percent float64) time.Duration {
+	return time.Duration(lat.histogram.ValueAtQuantile(percent)) * time.Microsecond
 }
 
 func (lat latencies) rate(length time.Duration) float64 {
@@ -91,7 +92,8 @@
 // maxMicros is the maximum value of the histograms, in microseconds.
 const maxMicros = 60_000_000
 
-// closedLoop keeps inFlight requests in flight to the addresses for the given time.
+// closedLoop keeps inFlight requests in flight to the addresses for the given time, and
+// returns an error if any of them failed.
 func closedLoop(ctx context.Context, addresses []netip.AddrPort, inFlight int, length time.Duration) (latencies, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: inFlight, IdleConnTimeout: time.Minute, DisableCompression: true}
 	cli := &http.Client{Transport: transport}
@@ -152,7 +154,7 @@
 		return err
 	}
 	if rep.StatusCode != http.StatusOK {
-		return errors.Newf("status %d: %s", rep.StatusCode, data)
+		return errors.Newf("got status %d, want 200: %s", rep.StatusCode, data)
 	}
 	return nil
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -165,18 +165,18 @@
 
 // Run starts the system, sends the load and returns the report.
 func Run(ctx context.Context, cfg Config) (load.Report, error) {
-	starting, cancel := context.WithTimeout(ctx, startTimeout)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	fmt.Fprintf(cfg.Progress, "starting %d hosts in %d failure domains, %d engines, %d backend servers\n",
 		hostCount, domainCount, len(Engines()), len(Backends()))
-	sys, err := embedded.Start(starting, embedded.Config{
+	sys, err := embedded.Start(startCtx, embedded.Config{
 		Hosts: hostCount, Domains: domainCount, Engines: Engines(), Backends: Backends(), Log: cfg.Log,
 	})
 	if err != nil {
 		return load.Report{}, err
 	}
 	defer sys.Stop()
-	if err := sys.Apply(starting, Resources(sys)); err != nil {
+	if err := sys.Apply(startCtx, Resources(sys)); err != nil {
 		return load.Report{}, err
 	}
 	fmt.Fprintf(cfg.Progress, "configuration in force on all hosts; sending requests for %s\n", cfg.For)
@@ -205,8 +205,8 @@
 	}
 }
 
-// FailedError reports a run in which some request didn't get its own complete answer or was
-// dispatched twice.
+// FailedError reports a run in which some request didn't get its own complete answer, was
+// dispatched twice or was falsely reported as NotRun.
 type FailedError struct {
 	Tier   string
 	Reason string
@@ -216,8 +216,8 @@
 	return fmt.Sprintf("demo failed: tier %s: %s", fer.Tier, fer.Reason)
 }
 
-// Check returns a *FailedError unless each request got its own complete answer and was dispatched
-// once.
+// Check returns a *FailedError unless each request got its own complete answer, no request was
+// dispatched twice and none was falsely reported as NotRun.
 func Check(rep load.Report) error {
 	for _, tir := range rep.Tiers {
 		if tir.Whole != tir.Sent {
--- a/engine/client.go
+++ b/engine/client.go
@@ -29,7 +29,8 @@
 	"lynxwell.dev/lynxwell/transport"
 )
 
-// maxEventBytes bounds the size of one event of a stream.
+// maxEventBytes bounds the size of one event of a stream, and of the response to Load and
+// CacheEvents.
 const maxEventBytes = 1 << 20
 
 // maxErrorBytes bounds how much is read of the body of an error response, and of the data
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -102,7 +102,8 @@
 	// were computed rather than read from the cache.
 	PromptTokens  int
 	PrefillTokens int
-	// Finished is set if the answer was computed to its end.
+	// Finished is set if an engine computed the answer to its end; it is always set for a
+	// backend server.
 	Finished bool
 }
 
--- a/enginetest/engine.go
+++ b/enginetest/engine.go
@@ -189,8 +189,8 @@
 	return records
 }
 
-// Mark returns a digest of the prompt's last message. Every token of the answer starts with
-// it.
+// Mark returns a digest of the prompt's last message, or "none" for a prompt without messages.
+// Every token of the answer starts with the digest.
 func Mark(messages []engine.Message) string {
 	if len(messages) == 0 {
 		return "none"
@@ -201,16 +201,16 @@
 
 // Answer returns the complete answer to the prompt, with the given number of tokens.
 func Answer(messages []engine.Message, tokens int) string {
-	mark := Mark(messages)
+	digest := Mark(messages)
 	text := ""
 	for idx := range tokens {
-		text += token(mark, idx)
+		text += token(digest, idx)
 	}
 	return text
 }
 
-func token(mark string, idx int) string {
-	return fmt.Sprintf("%s.%d ", mark, idx)
+func token(digest string, idx int) string {
+	return fmt.Sprintf("%s.%d ", digest, idx)
 }
 
 func (eng *Engine) signalWork() {
--- a/load/client.go
+++ b/load/client.go
@@ -32,7 +32,9 @@
 	"lynxwell.dev/lynxwell/transport"
 )
 
-// The retry policy of a client.
+// The retry policy of a client: retryDelay is the delay between two attempts,
+// addressRetryDelay the delay after a failure to get the list of addresses, and maxAttempts
+// the maximum number of attempts of a request.
 const (
 	retryDelay        = 50 * time.Millisecond
 	addressRetryDelay = 200 * time.Millisecond
@@ -183,13 +185,20 @@
 	// Outcome is the most recent outcome reported to the client; it is empty for a complete
 	// answer.
 	Outcome request.Outcome
-	Code    string
+	// Code is the error code of the most recent error answer; it is empty for a complete
+	// answer.
+	Code string
 	// Told maps each id to the most recent outcome reported for it.
-	Told       map[request.ID]request.Outcome
-	Repeats    int
+	Told map[request.ID]request.Outcome
+	// Repeats counts the attempts that got no answer from the host or an incomplete one, and
+	// those that were retried after the outcome Unknown.
+	Repeats int
+	// FirstToken and Total are the times from Request.Intended to the first byte of a complete
+	// answer's body and to the return of Send.
 	FirstToken time.Duration
 	Total      time.Duration
-	Err        error
+	// Err is why the last attempt got no complete answer; it is nil after an error answer.
+	Err error
 }
 
 // Send sends the request and retries it as documented until there is a final
--- a/load/run.go
+++ b/load/run.go
@@ -136,7 +136,9 @@
 	// own complete answer.
 	PrefillTokens int
 	WastedTokens  int
-	WastedByTier  map[string]int
+	// WastedByTier is WastedTokens by tier. Dispatches under ids that no request of the run
+	// used count under the empty tier.
+	WastedByTier map[string]int
 }
 
 // AuditRun returns the audit of a run.
--- a/modeltest/fingerprint.go
+++ b/modeltest/fingerprint.go
@@ -83,8 +83,8 @@
 	if val.IsNil() {
 		return 0
 	}
-	if number, known := fin.visited[val.Pointer()]; known {
-		return hashNumbers(number)
+	if position, known := fin.visited[val.Pointer()]; known {
+		return hashNumbers(position)
 	}
 	fin.visited[val.Pointer()] = uint64(len(fin.visited) + 1)
 	return fin.value(val.Elem())
--- a/modeltest/world.go
+++ b/modeltest/world.go
@@ -414,7 +414,7 @@
 	}
 }
 
-// arrivalOf returns the arrival of a request from the client with the number callers.
+// arrivalOf returns the arrival of a request from the client whose id is wor.callers.
 func (wor *World) arrivalOf(id request.ID) gateway.Arrived {
 	rank := wor.rankOf(id)
 	return gateway.Arrived{Caller: wor.callers, ID: id, Spec: gateway.Spec{
--- a/operator/client.go
+++ b/operator/client.go
@@ -109,9 +109,10 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// Change writes a change. If no reply arrives, it sends the change again under
-// the same id, so that the change takes effect at most once. It returns a
-// *NotDecidedError if the result is still unknown after the last attempt.
+// Change writes a change. If no reply arrives or the reply has CodeNotDecided, it
+// sends the change again under the same id, so that the change takes effect at
+// most once. It returns a *NotDecidedError if the result is still unknown after the
+// last attempt or when the context is done.
 func (cli *Client) Change(ctx context.Context, cha ChangeBody) (ChangeResult, error) {
 	var res ChangeResult
 	var err error
@@ -153,8 +154,8 @@
 	return raw, err
 }
 
-// Watch calls handle with each new status until handle returns false, the stream
-// ends or the context is done.
+// Watch calls handle with each new status. It returns nil once handle returns false,
+// and an error if the stream ends or the context is done before.
 func (cli *Client) Watch(ctx context.Context, handle func(Status) bool) error {
 	rep, err := cli.do(ctx, http.MethodGet, PathWatch, nil)
 	if err != nil {
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -80,7 +80,9 @@
 	Reached  bool
 	View     uint64
 	Revision uint64
-	// Problem describes why the host isn't ready; it is empty if the host is ready.
+	// Problem describes why the host wasn't reached or isn't ready. Of the hosts that were
+	// reached, only the one that answers the request reports whether it is ready; for the
+	// others Problem is empty.
 	Problem string `json:",omitempty"`
 }
 
--- a/platformtest/memory.go
+++ b/platformtest/memory.go
@@ -76,6 +76,8 @@
 	expires time.Time
 }
 
+// laggedState is an entry of the host list before and after its most recent change; nil means no
+// entry.
 type laggedState struct {
 	before, after *store.HostState
 	at            time.Time
@@ -170,7 +172,8 @@
 // has disconnected.
 const maxSilence = 4 * time.Second
 
-// waitSilently blocks until the context ends or maxSilence has passed, and returns an outage.
+// waitSilently blocks until the context ends or maxSilence has passed, and returns a
+// *store.UnavailableError.
 func waitSilently(ctx context.Context, kind string) error {
 	limit := time.NewTimer(maxSilence)
 	defer limit.Stop()
@@ -476,10 +479,10 @@
 
 func (mem *Memory) listHosts() []store.HostState {
 	var hosts []store.HostState
-	for _, cha := range mem.hosts {
-		state := cha.after
-		if mem.cfg.Now().Sub(cha.at) < mem.cfg.HostsLag {
-			state = cha.before
+	for _, lag := range mem.hosts {
+		state := lag.after
+		if mem.cfg.Now().Sub(lag.at) < mem.cfg.HostsLag {
+			state = lag.before
 		}
 		if state != nil {
 			hosts = append(hosts, *state)
--- a/processtest/faults_test.go
+++ b/processtest/faults_test.go
@@ -105,7 +105,7 @@
 	defer cancel()
 	clients := map[string]*load.Client{processtest.AccountName: sys.Caller(load.ClientConfig{Seed: 1})}
 	started, cleared := false, false
-	ends, err := load.Run(ctx, load.Config{
+	results, err := load.Run(ctx, load.Config{
 		Clients: clients, Kinds: kinds(), For: 4 * time.Second, Seed: 1,
 		Progress: func(cou load.Counts) {
 			if !started && cou.Ended > cou.Sent/4 {
@@ -123,12 +123,12 @@
 		},
 	})
 	assert.NilError(t, err)
-	for _, end := range ends {
-		if !end.Own {
-			t.Logf("%s %v: code %q, outcome %q, %d retries, error %v", end.Kind.Name, end.Answer.IDs, end.Answer.Code, end.Answer.Outcome, end.Answer.Repeats, end.Answer.Err)
+	for _, res := range results {
+		if !res.Own {
+			t.Logf("%s %v: code %q, outcome %q, %d retries, error %v", res.Kind.Name, res.Answer.IDs, res.Answer.Code, res.Answer.Outcome, res.Answer.Repeats, res.Answer.Err)
 		}
 	}
-	return load.Summarize(ends, load.AuditRun(ends, sys.Dispatches()))
+	return load.Summarize(results, load.AuditRun(results, sys.Dispatches()))
 }
 
 // checkInvariants checks the guarantees that hold under every fault.
--- a/processtest/hold_test.go
+++ b/processtest/hold_test.go
@@ -38,10 +38,10 @@
 		}
 	}()
 	clients := map[string]*load.Client{processtest.AccountName: sys.Caller(load.ClientConfig{Seed: 1, KeepForever: true})}
-	ends, err := load.Run(ctx, load.Config{Clients: clients, Kinds: kinds(), For: 10 * time.Second, Seed: 1})
+	results, err := load.Run(ctx, load.Config{Clients: clients, Kinds: kinds(), For: 10 * time.Second, Seed: 1})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, <-restarted, []int{0, 0, 0, 0})
-	rep := load.Summarize(ends, load.AuditRun(ends, sys.Dispatches()))
+	rep := load.Summarize(results, load.AuditRun(results, sys.Dispatches()))
 	checkInvariants(t, rep)
 	for _, tir := range rep.Tiers {
 		assert.Equal(t, tir.Whole, tir.Sent, "tier %s, codes %v", tir.Tier, rep.Codes)
@@ -186,7 +186,7 @@
 	var mutex sync.Mutex
 	var drainedAt time.Time
 	before, after := 0, 0
-	ends, err := load.Run(t.Context(), load.Config{
+	results, err := load.Run(t.Context(), load.Config{
 		Clients: clients, Kinds: kinds(), For: 6 * time.Second, Seed: 2,
 		Progress: func(cou load.Counts) {
 			mutex.Lock()
@@ -205,7 +205,7 @@
 	t.Logf("%d dispatches until %s after the engine started to drain, %d at the end", before, drainingLimit, after)
 	assert.Assert(t, before > 0)
 	assert.Equal(t, after, before)
-	checkInvariants(t, load.Summarize(ends, load.AuditRun(ends, sys.Dispatches())))
+	checkInvariants(t, load.Summarize(results, load.AuditRun(results, sys.Dispatches())))
 }
 
 // Guards against double runs of a request that arrives at every host at the same
--- a/processtest/link.go
+++ b/processtest/link.go
@@ -61,8 +61,9 @@
 	clear(lnk.open)
 }
 
-// Restore ends a cut, silence or delay. It closes the open connections of a silenced
-// link, since bytes are missing in their streams.
+// Restore ends a cut, silence or delay; connections that SilenceOpen has silenced stay so.
+// It closes the open connections of a link that Silence has silenced, since bytes are
+// missing in their streams.
 func (lnk *Link) Restore() {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
@@ -124,7 +125,7 @@
 }
 
 // add registers the connections from the client and to the target. While the link is cut,
-// it closes the second and returns false.
+// it closes the connection to the target and returns false.
 func (lnk *Link) add(con, out net.Conn) bool {
 	lnk.mutex.Lock()
 	defer lnk.mutex.Unlock()
--- a/story/losses.go
+++ b/story/losses.go
@@ -60,7 +60,7 @@
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		if lin, known := parseLine(lines.Bytes()); known && lin.text(fieldMessage) == messageRequest {
+		if lin, valid := parseLine(lines.Bytes()); valid && lin.text(fieldMessage) == messageRequest {
 			los.add(lin)
 		}
 	}
--- a/story/story.go
+++ b/story/story.go
@@ -40,9 +40,8 @@
 	fieldTook    = "Took"
 )
 
-// lookback is the length of the time before a request's start from which other
-// lines are included, because a host may act on information that is some seconds
-// old.
+// lookback is how far before a request's start lines without a request are included,
+// because a host may act on information that is some seconds old.
 const lookback = 5 * time.Second
 
 // line is one parsed log line.
@@ -94,8 +93,8 @@
 }
 
 func (tli *Timeline) add(raw []byte) {
-	lin, known := parseLine(raw)
-	if !known {
+	lin, valid := parseLine(raw)
+	if !valid {
 		return
 	}
 	tli.linesRead++
--- a/upstreamtest/engine.go
+++ b/upstreamtest/engine.go
@@ -379,16 +379,16 @@
 	id := req.Header.Get("Request-Id")
 	prompt, _, _ := strings.Cut(req.Header.Get("Token-Counts"), ",")
 	tokens, _ := strconv.Atoi(prompt)
-	first, _ := strconv.Atoi(req.Header.Get("Last-Event-Id"))
+	received, _ := strconv.Atoi(req.Header.Get("Last-Event-Id"))
 	wri.Header().Set("Content-Type", "text/event-stream")
 	if !wait(req, time.Duration(tokens)*eng.cfg.Reading) {
 		eng.recordSilent(id)
 		eng.recordAbandoned()
 		return
 	}
-	for num := first + 1; num <= eng.cfg.Events; num++ {
+	for num := received + 1; num <= eng.cfg.Events; num++ {
 		event := EventText(id, num)
-		middle := num == first+1+(eng.cfg.Events-first)/2
+		middle := num == received+1+(eng.cfg.Events-received)/2
 		if middle && flt == Truncate {
 			panic(http.ErrAbortHandler)
 		}
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -156,8 +156,8 @@
 // Error implements error.
 func (*NoAddressError) Error() string { return "no host returned a list of addresses" }
 
-// Send sends a request and retries it until it is served, may not be retried, or its deadline
-// has passed.
+// Send sends a request and retries it until it is served, may not be retried, its retries are
+// used up, or its deadline has passed.
 func (cli *Client) Send(ctx context.Context, req Request) Result {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline)
@@ -296,7 +296,7 @@
 const longCacheFactor = 3
 
 // refresh requests the list of addresses from up to maxDirectories hosts. If none of them
-// answers, the cached list stays in use.
+// returns an address, the cached list stays in use.
 func (cli *Client) refresh(ctx context.Context) {
 	for _, adr := range cli.cfg.Directories[:min(maxDirectories, len(cli.cfg.Directories))] {
 		addresses, ttl, err := cli.queryAddresses(ctx, adr)
@@ -328,7 +328,7 @@
 	}
 	defer rep.Body.Close()
 	if rep.StatusCode != http.StatusOK {
-		return nil, 0, errors.Newf("status %d", rep.StatusCode)
+		return nil, 0, errors.Newf("list of addresses: got status %d, want 200", rep.StatusCode)
 	}
 	data, err := io.ReadAll(io.LimitReader(rep.Body, maxAnswerBytes))
 	if err != nil {
