--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -25,7 +25,8 @@
 	Hosts []int
 	// Rates are the request rates to measure, in requests per second per host; 0 is idle.
 	Rates []float64
-	// Accounts is the number of client accounts in the configuration.
+	// Accounts is the number of client accounts in the configuration, in addition to the one
+	// that sends the requests.
 	Accounts int
 	// For is the length of each measurement.
 	For time.Duration
--- a/enginetest/engine.go
+++ b/enginetest/engine.go
@@ -42,7 +42,7 @@
 	LoadLag time.Duration
 	// EventLag is the delay of cache events, default 500 ms.
 	EventLag time.Duration
-	// EventGap is n to drop every n-th cache event; 0 drops none.
+	// EventGap drops every n-th cache event, where n is its value; 0 drops none.
 	EventGap int
 	// Retention is how long a finished stream can be resumed, default 2 min.
 	Retention time.Duration
--- a/load/client.go
+++ b/load/client.go
@@ -72,7 +72,8 @@
 	random    *rand.Rand
 	known     caller.Addresses
 	fetchedAt time.Time
-	count     uint64
+	// idCount is the number of ids that nextUnique has generated.
+	idCount uint64
 	// salt makes the request ids of clients with equal seeds distinct.
 	salt uint32
 	// failedAt maps an address to the time of its last failure.
@@ -288,8 +289,8 @@
 func (cli *Client) nextUnique() string {
 	cli.mutex.Lock()
 	defer cli.mutex.Unlock()
-	cli.count++
-	return fmt.Sprintf("%x.%d", cli.salt, cli.count)
+	cli.idCount++
+	return fmt.Sprintf("%x.%d", cli.salt, cli.idCount)
 }
 
 // pick returns a random address that isn't last and hasn't failed within avoidDuration,
--- a/load/kind.go
+++ b/load/kind.go
@@ -41,10 +41,11 @@
 	Once bool
 }
 
-// sample is one request of a kind with the expected answer.
+// sample is one request of a kind with the data from which its expected answer is derived.
 type sample struct {
-	kind     Kind
-	request  Request
+	kind    Kind
+	request Request
+	// messages is the prompt of a model request, text the body of a plain request.
 	messages []engine.Message
 	text     string
 }
@@ -69,14 +70,14 @@
 }
 
 func (kin Kind) messages(random *rand.Rand, number int) []engine.Message {
-	own := fmt.Sprintf("%s %d %08x ", kin.Name, number, random.Uint32())
-	own += filler(max(0, (kin.PromptTokens-kin.SharedTokens)*bytesPerToken-len(own)))
+	uniqueText := fmt.Sprintf("%s %d %08x ", kin.Name, number, random.Uint32())
+	uniqueText += filler(max(0, (kin.PromptTokens-kin.SharedTokens)*bytesPerToken-len(uniqueText)))
 	if kin.SharedTokens == 0 {
-		return []engine.Message{{Role: "user", Content: own}}
+		return []engine.Message{{Role: "user", Content: uniqueText}}
 	}
 	prefix := fmt.Sprintf("%s home %d ", kin.Service, random.IntN(max(1, kin.SharedPrefixes)))
 	prefix += filler(max(0, kin.SharedTokens*bytesPerToken-len(prefix)))
-	return []engine.Message{{Role: "system", Content: prefix}, {Role: "user", Content: own}}
+	return []engine.Message{{Role: "system", Content: prefix}, {Role: "user", Content: uniqueText}}
 }
 
 func filler(length int) string {
--- a/load/report.go
+++ b/load/report.go
@@ -22,7 +22,8 @@
 type Report struct {
 	Tiers []TierReport
 	Audit Audit
-	// Codes counts the requests without their own complete answer, by kind and error code.
+	// Codes counts the requests without their own complete answer. A key is the kind, a space and
+	// the error code: NotOwn for an unexpected complete answer, NoAnswer if there is no code.
 	Codes map[string]int
 }
 
@@ -111,7 +112,7 @@
 	}
 	aud := rep.Audit
 	for _, code := range slices.Sorted(maps.Keys(rep.Codes)) {
-		fmt.Fprintf(out, "without a complete answer: %d %s\n", rep.Codes[code], code)
+		fmt.Fprintf(out, "without their own complete answer: %d %s\n", rep.Codes[code], code)
 	}
 	_, err := fmt.Fprintf(out, "dispatches: %d for %d requests, %d dispatched twice, %d mixed-up answers, %d falsely reported as NotRun\nprefill: %d tokens, %d wasted (%.2f%%)\n",
 		aud.Dispatches, aud.Requests, len(aud.Doubled), aud.Mixed, len(aud.FalselyNotRun),
--- a/modeltest/world.go
+++ b/modeltest/world.go
@@ -73,10 +73,13 @@
 	// holds the outcomes that clients received, see recordOutcome.
 	dispatched map[request.ID]int
 	reported   map[request.ID]request.Outcome
-	callers    gateway.CallerID
-	steps      int
-	shed       map[request.ID]bool
-	violation  error
+	// callers is the id of the most recent client; ids count up from 1.
+	callers gateway.CallerID
+	steps   int
+	// shed holds the requests that a gateway has shed, violation the most recent violation of the
+	// order in which requests are shed.
+	shed      map[request.ID]bool
+	violation error
 }
 
 // simHost is a host with its gateway and coordinator cores.
--- a/platformtest/memory.go
+++ b/platformtest/memory.go
@@ -38,9 +38,10 @@
 	Silent bool
 	// Delay is added to every call.
 	Delay time.Duration
-	// LoseReplies is the number of subsequent writes that take effect without a reply.
+	// LoseReplies is the number of subsequent writes and lease calls that take effect without a
+	// reply.
 	LoseReplies int
-	// CallsPerSecond is the rate limit; 0 is no limit.
+	// CallsPerSecond is the rate limit; 0 is no limit. A limit under 1 rejects every call.
 	CallsPerSecond float64
 }
 
@@ -54,21 +55,24 @@
 
 // Memory is an in-memory store.Store. It is safe for concurrent use.
 type Memory struct {
-	cfg      MemoryConfig
-	mutex    sync.Mutex
-	values   map[string]store.Value
+	cfg    MemoryConfig
+	mutex  sync.Mutex
+	values map[string]store.Value
+	// deleted maps each deleted key to the revision of its deletion.
 	deleted  map[string]store.Revision
 	revision store.Revision
 	// compacted is the revision up to which the history has been dropped.
-	compacted  store.Revision
-	leases     map[store.LeaseID]*lease
-	lastID     store.LeaseID
-	hosts      map[string]laggedState
-	faults     Faults
+	compacted store.Revision
+	leases    map[store.LeaseID]*lease
+	lastID    store.LeaseID
+	hosts     map[string]laggedState
+	faults    Faults
+	// tokens is the number of tokens in the rate limit's bucket at refilledAt.
 	tokens     float64
 	refilledAt time.Time
 	counts     map[string]uint64
-	changed    chan struct{}
+	// changed is closed and replaced at each change of the store or of the faults.
+	changed chan struct{}
 }
 
 type lease struct {
@@ -201,7 +205,7 @@
 	return 0
 }
 
-// loseReply returns a *store.UncertainError if the reply of the current write is to be lost.
+// loseReply returns a *store.UncertainError if the reply of the current call is to be lost.
 func (mem *Memory) loseReply(kind string) error {
 	if mem.faults.LoseReplies == 0 {
 		return nil
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -45,9 +45,12 @@
 type Config struct {
 	// Directories are the addresses that serve the list of addresses, the nearest first.
 	Directories []netip.AddrPort
-	HostName    string
-	Region      string
-	Domain      string
+	// HostName is the host name of the requested routes, sent in the Host header and in the query
+	// for the list of addresses.
+	HostName string
+	// Region and Domain are the client's region and failure domain, sent in the same query.
+	Region string
+	Domain string
 	// Prefix begins the id of each of this client's attempts. No two clients may have the
 	// same prefix.
 	Prefix string
@@ -74,7 +77,9 @@
 type Request struct {
 	// Path is the path and query.
 	Path string
-	Key  string
+	// Key is the client's API key; empty for none.
+	Key string
+	// Body is the body of a POST request; a request without one is a GET.
 	Body string
 	Kind route.Kind
 	// Resumable allows a streaming request to be retried like a safe one.
