--- a/clocktest/source.go
+++ b/clocktest/source.go
@@ -16,8 +16,9 @@
 
 // Source is a fake of the operating system's clocks. It is safe for concurrent use.
 type Source struct {
-	start     time.Time
-	mutex     sync.Mutex
+	start time.Time
+	mutex sync.Mutex
+	// suspended is the total of all suspensions, shift the total of all shifts of the wall clock.
 	suspended time.Duration
 	shift     time.Duration
 	// stopped is set if the monotonic clock returns monotonic, which Advance increases, instead
@@ -25,7 +26,8 @@
 	stopped   bool
 	monotonic time.Duration
 	bootReads int
-	err       error
+	// err is the error of each read of the boot-time clock.
+	err error
 }
 
 // NewSource returns a source whose clocks follow the real time.
--- a/engine/client.go
+++ b/engine/client.go
@@ -250,10 +250,10 @@
 	}
 }
 
-var usagePrefix = []byte(`"usage":{`)
+var usageMember = []byte(`"usage":{`)
 
 func recordUsage(res *Result, data []byte) {
-	if !bytes.Contains(data, usagePrefix) {
+	if !bytes.Contains(data, usageMember) {
 		return
 	}
 	var chu Chunk
--- a/enginetest/handler.go
+++ b/enginetest/handler.go
@@ -99,15 +99,15 @@
 	priority, _ := strconv.Atoi(req.Header.Get(engine.HeaderPriority))
 	id := req.Header.Get(engine.HeaderRequestID)
 	prompt := engine.EstimatePrompt(chat.Messages)
-	wanted := chat.MaxTokens
-	orInt(&wanted, defaultAnswerTokens)
+	answerTokens := chat.MaxTokens
+	orInt(&answerTokens, defaultAnswerTokens)
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	rec := &engine.DispatchRecord{ID: id, Call: req.Method + " " + req.URL.Path, Priority: priority, PromptTokens: prompt.Tokens}
 	eng.dispatches = append(eng.dispatches, rec)
 	jb = &job{
 		record: rec, priority: priority, model: chat.Model, promptDigest: Mark(chat.Messages),
-		prompt: prompt, answerTokens: wanted, changed: make(chan struct{}), readersChanged: time.Now(),
+		prompt: prompt, answerTokens: answerTokens, changed: make(chan struct{}), readersChanged: time.Now(),
 	}
 	eng.streams[id] = jb
 	eng.waiting = append(eng.waiting, jb)
--- a/processtest/hold_test.go
+++ b/processtest/hold_test.go
@@ -185,7 +185,7 @@
 	draining := sys.Engines[0]
 	var mutex sync.Mutex
 	var drainedAt time.Time
-	before, after := 0, 0
+	atLimit, atEnd := 0, 0
 	results, err := load.Run(t.Context(), load.Config{
 		Clients: clients, Kinds: kinds(), For: 6 * time.Second, Seed: 2,
 		Progress: func(cou load.Counts) {
@@ -195,16 +195,16 @@
 			case drainedAt.IsZero() && cou.Ended > cou.Sent/4:
 				drainedAt = time.Now()
 				sys.Post(draining.Address, enginetest.PathDraining, true)
-			case !drainedAt.IsZero() && before == 0 && time.Since(drainedAt) > drainingLimit:
-				before = len(sys.DispatchesOf(draining))
+			case !drainedAt.IsZero() && atLimit == 0 && time.Since(drainedAt) > drainingLimit:
+				atLimit = len(sys.DispatchesOf(draining))
 			}
 		},
 	})
 	assert.NilError(t, err)
-	after = len(sys.DispatchesOf(draining))
-	t.Logf("%d dispatches until %s after the engine started to drain, %d at the end", before, drainingLimit, after)
-	assert.Assert(t, before > 0)
-	assert.Equal(t, after, before)
+	atEnd = len(sys.DispatchesOf(draining))
+	t.Logf("%d dispatches until %s after the engine started to drain, %d at the end", atLimit, drainingLimit, atEnd)
+	assert.Assert(t, atLimit > 0)
+	assert.Equal(t, atEnd, atLimit)
 	checkInvariants(t, load.Summarize(results, load.AuditRun(results, sys.Dispatches())))
 }
 
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -33,7 +33,8 @@
 	// many hosts are tried.
 	directoryTimeout = time.Second
 	maxDirectories   = 3
-	// connectTimeout bounds the TLS handshake of a new connection.
+	// connectTimeout bounds the TLS handshake of a new connection. It has no effect on
+	// connections without TLS, which are the only ones that the client opens.
 	connectTimeout = time.Second
 	// maxWaitShare is the maximum wait before a retry, as a fraction of the remaining time.
 	maxWaitShare = 1.0 / 3
