--- a/format/format.go
+++ b/format/format.go
@@ -44,7 +44,7 @@
 
 // Decode decodes one JSON value with comments from data into target, a pointer
 // to a struct. It returns a *FieldError for a syntax error, an unknown or
-// duplicate name, or a value of the wrong type; file is the file name in it.
+// duplicate name, or a value of the wrong type; file is the file name that the error reports.
 func Decode(file string, data []byte, target any) error {
 	root, err := hujson.Parse(data)
 	if err != nil {
