--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -25,7 +25,8 @@
 	Hosts []int
 	// Rates are the request rates to measure, in requests per second per host; 0 is idle.
 	Rates []float64
-	// Accounts is the number of client accounts in the configuration.
+	// Accounts is the number of client accounts in the configuration, in addition to the one
+	// that sends the requests.
 	Accounts int
 	// For is the length of each measurement.
 	For time.Duration
@@ -90,7 +91,7 @@
 		timing: settings.Timing{Heartbeat: format.Duration(cfg.Heartbeat)}, log: cfg.Log,
 	})
 	if err != nil {
-		return nil, errors.Wrapf(err, "%d hosts", hosts)
+		return nil, errors.Wrapf(err, "start a system of %d hosts", hosts)
 	}
 	defer sys.Stop()
 	if err := sleep(ctx, settleTime); err != nil {
--- a/engine/client.go
+++ b/engine/client.go
@@ -29,7 +29,8 @@
 	"lynxwell.dev/lynxwell/transport"
 )
 
-// maxEventBytes bounds the size of one event of a stream.
+// maxEventBytes bounds the size of one event of a stream, and of the response to Load and
+// CacheEvents.
 const maxEventBytes = 1 << 20
 
 // maxErrorBytes bounds how much is read of the body of an error response, and of the data
@@ -249,10 +250,10 @@
 	}
 }
 
-var usagePrefix = []byte(`"usage":{`)
+var usageMember = []byte(`"usage":{`)
 
 func recordUsage(res *Result, data []byte) {
-	if !bytes.Contains(data, usagePrefix) {
+	if !bytes.Contains(data, usageMember) {
 		return
 	}
 	var chu Chunk
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -33,7 +33,8 @@
 	// many hosts are tried.
 	directoryTimeout = time.Second
 	maxDirectories   = 3
-	// connectTimeout bounds the TLS handshake of a new connection.
+	// connectTimeout bounds the TLS handshake of a new connection. It has no effect on
+	// connections without TLS, which are the only ones that the client opens.
 	connectTimeout = time.Second
 	// maxWaitShare is the maximum wait before a retry, as a fraction of the remaining time.
 	maxWaitShare = 1.0 / 3
@@ -45,9 +46,12 @@
 type Config struct {
 	// Directories are the addresses that serve the list of addresses, the nearest first.
 	Directories []netip.AddrPort
-	HostName    string
-	Region      string
-	Domain      string
+	// HostName is the host name of the requested routes, sent in the Host header and in the query
+	// for the list of addresses.
+	HostName string
+	// Region and Domain are the client's region and failure domain, sent in the same query.
+	Region string
+	Domain string
 	// Prefix begins the id of each of this client's attempts. No two clients may have the
 	// same prefix.
 	Prefix string
@@ -74,7 +78,9 @@
 type Request struct {
 	// Path is the path and query.
 	Path string
-	Key  string
+	// Key is the client's API key; empty for none.
+	Key string
+	// Body is the body of a POST request; a request without one is a GET.
 	Body string
 	Kind route.Kind
 	// Resumable allows a streaming request to be retried like a safe one.
@@ -156,8 +162,8 @@
 // Error implements error.
 func (*NoAddressError) Error() string { return "no host returned a list of addresses" }
 
-// Send sends a request and retries it until it is served, may not be retried, or its deadline
-// has passed.
+// Send sends a request and retries it until it is served, may not be retried, its retries are
+// used up, or its deadline has passed.
 func (cli *Client) Send(ctx context.Context, req Request) Result {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline)
@@ -296,7 +302,7 @@
 const longCacheFactor = 3
 
 // refresh requests the list of addresses from up to maxDirectories hosts. If none of them
-// answers, the cached list stays in use.
+// returns an address, the cached list stays in use.
 func (cli *Client) refresh(ctx context.Context) {
 	for _, adr := range cli.cfg.Directories[:min(maxDirectories, len(cli.cfg.Directories))] {
 		addresses, ttl, err := cli.queryAddresses(ctx, adr)
@@ -328,7 +334,7 @@
 	}
 	defer rep.Body.Close()
 	if rep.StatusCode != http.StatusOK {
-		return nil, 0, errors.Newf("status %d", rep.StatusCode)
+		return nil, 0, errors.Newf("list of addresses: got status %d, want 200", rep.StatusCode)
 	}
 	data, err := io.ReadAll(io.LimitReader(rep.Body, maxAnswerBytes))
 	if err != nil {
