--- a/clock/clock.go
+++ b/clock/clock.go
@@ -60,7 +60,7 @@
 	Failed func(error)
 }
 
-// Clock is a clock that advances by the length of each suspension as well. It is safe for
+// Clock follows the monotonic clock and adds the length of each suspension. It is safe for
 // concurrent use.
 type Clock struct {
 	cfg Config
@@ -130,7 +130,7 @@
 }
 
 // checkSuspension reads the boot-time clock and, if the host was suspended, advances the clock by
-// the suspension, adjusts the timers and reports the suspension.
+// the suspension, resets the timers of all deadlines and reports the suspension.
 func (clk *Clock) checkSuspension(divergence int64) {
 	clk.divergence.Store(divergence)
 	boot, err := clk.cfg.Source.Boot()
--- a/clock/deadline.go
+++ b/clock/deadline.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// deadline cancels a context at the time at of the clock.
+// deadline cancels a context when the clock reaches the time at.
 type deadline struct {
 	at     time.Time
 	timer  *time.Timer
--- a/credential/credential.go
+++ b/credential/credential.go
@@ -73,7 +73,7 @@
 	return "key ring: " + fer.Field + ": " + fer.Reason
 }
 
-// Check returns a *FieldError for an invalid field, or nil.
+// Check returns a *FieldError for an invalid field, or nil if all fields are valid.
 func (rin KeyRing) Check() error {
 	if len(rin.Current) != secretBytes {
 		return &FieldError{Field: "Current", Reason: "want 32 bytes"}
@@ -99,7 +99,8 @@
 
 // Renewal returns the key ring after the next step of its rotation, and whether that step
 // is due. A next secret is added once the time since the last change reaches the interval
-// every, and becomes the current one 5 minutes later, or after that interval if it is shorter.
+// every. It becomes the current one 5 minutes later, or one interval later if the interval is
+// shorter.
 func (rin KeyRing) Renewal(now time.Time, every time.Duration) (KeyRing, bool, error) {
 	age := now.Sub(rin.Changed)
 	switch {
--- a/credential/credential_test.go
+++ b/credential/credential_test.go
@@ -33,28 +33,28 @@
 // handshake performs a TLS handshake over a pipe and returns the errors of both sides.
 func handshake(t testing.TB, client, server *tls.Config) (clientErr, serverErr error) {
 	t.Helper()
-	one, two := net.Pipe()
-	defer one.Close()
-	defer two.Close()
-	assert.NilError(t, one.SetDeadline(time.Now().Add(5*time.Second)))
-	assert.NilError(t, two.SetDeadline(time.Now().Add(5*time.Second)))
+	clientEnd, serverEnd := net.Pipe()
+	defer clientEnd.Close()
+	defer serverEnd.Close()
+	assert.NilError(t, clientEnd.SetDeadline(time.Now().Add(5*time.Second)))
+	assert.NilError(t, serverEnd.SetDeadline(time.Now().Add(5*time.Second)))
 	served := make(chan error, 1)
 	go func() {
-		con := tls.Server(two, server)
+		con := tls.Server(serverEnd, server)
 		err := con.HandshakeContext(t.Context())
 		if err == nil {
 			_, err = con.Write([]byte("x"))
 		}
-		_ = two.Close()
+		_ = serverEnd.Close()
 		served <- err
 	}()
-	con := tls.Client(one, client)
+	con := tls.Client(clientEnd, client)
 	clientErr = con.HandshakeContext(t.Context())
 	if clientErr == nil {
 		var buf [1]byte
 		_, clientErr = io.ReadFull(con, buf[:])
 	}
-	_ = one.Close()
+	_ = clientEnd.Close()
 	return clientErr, <-served
 }
 
@@ -71,7 +71,7 @@
 	assert.DeepEqual(t, second.Current, first.Current)
 	_, due, err = second.Renewal(start.Add(time.Hour+time.Minute), time.Hour)
 	assert.NilError(t, err)
-	assert.Assert(t, !due, "next secret activated before all hosts have it")
+	assert.Assert(t, !due, "next secret activated before the activation delay has passed")
 	third, due, err := second.Renewal(start.Add(2*time.Hour), time.Hour)
 	assert.NilError(t, err)
 	assert.Assert(t, due)
@@ -88,8 +88,8 @@
 		{"first", "third", false},
 	} {
 		for _, pair := range [][2]string{{tst.one, tst.two}, {tst.two, tst.one}} {
-			client, server := handshake(t, newAuthenticator(t, rings[pair[0]]).TLS(), newAuthenticator(t, rings[pair[1]]).TLS())
-			assert.Equal(t, client == nil && server == nil, tst.accepted, "%v: %v, %v", pair, client, server)
+			clientErr, serverErr := handshake(t, newAuthenticator(t, rings[pair[0]]).TLS(), newAuthenticator(t, rings[pair[1]]).TLS())
+			assert.Equal(t, clientErr == nil && serverErr == nil, tst.accepted, "%v: client error %v, server error %v", pair, clientErr, serverErr)
 		}
 	}
 }
@@ -125,8 +125,8 @@
 // Before a key ring is loaded, every peer must be rejected.
 func TestHostWithoutSecretRejectsAllPeers(t *testing.T) {
 	empty := credential.NewAuthenticator(credential.Config{})
-	client, server := handshake(t, newAuthenticator(t, newKeyRing(t)).TLS(), empty.TLS())
-	assert.Assert(t, client != nil && server != nil)
+	clientErr, serverErr := handshake(t, newAuthenticator(t, newKeyRing(t)).TLS(), empty.TLS())
+	assert.Assert(t, clientErr != nil && serverErr != nil)
 	_, found := empty.KeyRing()
 	assert.Assert(t, !found)
 }
@@ -155,7 +155,7 @@
 			return
 		}
 		if (credential.NewAuthenticator(credential.Config{}).SetKeyRing(rin) == nil) != (rin.Check() == nil) {
-			t.Fatalf("%+v", rin)
+			t.Fatalf("SetKeyRing and Check disagree on whether the key ring is valid: %+v", rin)
 		}
 	})
 }
@@ -164,8 +164,8 @@
 func BenchmarkHandshake(b *testing.B) {
 	cfg := newAuthenticator(b, newKeyRing(b)).TLS()
 	for b.Loop() {
-		if client, server := handshake(b, cfg, cfg); client != nil || server != nil {
-			b.Fatal(client, server)
+		if clientErr, serverErr := handshake(b, cfg, cfg); clientErr != nil || serverErr != nil {
+			b.Fatal(clientErr, serverErr)
 		}
 	}
 }
--- a/embedded/embedded.go
+++ b/embedded/embedded.go
@@ -167,9 +167,9 @@
 	return lis, errors.Wrap(err, "listen")
 }
 
-// Each process uses its own loopback network, derived from its process id, and ports below the
-// range of ephemeral ports, so that its listeners don't conflict with other processes or with
-// outgoing connections.
+// NextAddress uses a loopback network per process, derived from the process id, and ports below
+// the range of ephemeral ports, so that listeners at these addresses conflict neither with those
+// of other processes nor with outgoing connections.
 const (
 	firstPort      = 7001
 	addressesPerIP = 20
@@ -178,9 +178,9 @@
 
 var addressCount atomic.Uint32
 
-// NextAddress returns a loopback address that differs from all others returned in this process
-// and in other running processes. The addresses of a process repeat after 5,000 calls, and
-// processes whose ids are equal modulo 62,500 share theirs.
+// NextAddress returns a loopback address that isn't used elsewhere in this process or in another
+// one. It is unique with two exceptions: the addresses of a process repeat after 5,000 calls, and
+// processes whose ids are equal modulo 62,500 get the same addresses.
 func NextAddress() netip.AddrPort {
 	count := int(addressCount.Add(1)) - 1
 	pid := os.Getpid()
@@ -262,7 +262,7 @@
 // WaitView blocks until every host has a view with this number of members and is connected to
 // each of them.
 func (sys *System) WaitView(ctx context.Context, members int) error {
-	return sys.wait(ctx, "view", func() bool {
+	return sys.wait(ctx, "every host to be connected to all members of its view", func() bool {
 		for _, hos := range sys.Hosts {
 			if !hos.Connected(members) {
 				return false
@@ -281,7 +281,7 @@
 	if err != nil {
 		return err
 	}
-	return sys.wait(ctx, "configuration", func() bool {
+	return sys.wait(ctx, "the new configuration to be active on every host", func() bool {
 		for _, hos := range sys.Hosts {
 			if hos.Configuration().Revision < res.Revision {
 				return false
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -18,8 +18,8 @@
 	return request.ID{Prefix: pre, Unique: wid.GetUnique()}
 }
 
-// ballotToWire omits the zero ballot: ballotFromWire restores it from the request
-// id, since its holder is the gateway that the id names.
+// ballotToWire returns nil for a ballot of round 0. The holder of such a ballot is the
+// gateway that the request id names, so ballotFromWire restores the ballot from the id.
 func ballotToWire(bal request.Ballot) *peerpb.Ballot {
 	if bal.Round == 0 {
 		return nil
--- a/peer/convertcase.go
+++ b/peer/convertcase.go
@@ -9,8 +9,8 @@
 	"lynxwell.dev/lynxwell/reservation"
 )
 
-// digestFromWire returns the zero digest for data of another length: a host that sends
-// one uses a kind of digest that this version doesn't know.
+// digestFromWire returns the zero digest for data of another length: a host that sends such
+// data uses a kind of digest that this version doesn't know.
 func digestFromWire(raw []byte) call.Digest {
 	var dig call.Digest
 	if len(raw) == len(dig) {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -66,9 +66,9 @@
 	Timeout time.Duration
 }
 
-// idleFactor multiplies the heartbeat interval and the timeout of an idle session. The
-// gateway's heartbeat interval and the coordinator's timeout are multiplied on busy
-// sessions too.
+// idleFactor multiplies the heartbeat interval and the timeout of an idle session. On a busy
+// session, the gateway's heartbeat interval and the coordinator's timeout are multiplied as
+// well.
 const idleFactor = 6
 
 // busyHeartbeats is how many heartbeat intervals beyond the timeout a session stays
--- a/peer/pulse.go
+++ b/peer/pulse.go
@@ -7,9 +7,10 @@
 
 // heartbeat determines when a session sends heartbeats and when it has timed out. A
 // gateway that has sent a message must detect a failure of the coordinator quickly, so
-// the session is busy for a while after each message of the gateway, and the coordinator
-// sends its heartbeats at the short interval meanwhile. All other heartbeats use the long
-// interval, since no component waits for them.
+// each message of the gateway makes the session busy for Timing.Timeout plus
+// busyHeartbeats heartbeat intervals. While the session is busy, the coordinator sends
+// its heartbeats at the short interval. All other heartbeats use the long interval, since
+// no component waits for them.
 type heartbeat struct {
 	mutex sync.Mutex
 	// atCoordinator is set at the coordinator's end of the session.
--- a/peer/server.go
+++ b/peer/server.go
@@ -20,9 +20,9 @@
 	// Header returns this host's header, which is sent with every frame and unary
 	// answer.
 	Header() Header
-	// SessionUp is called when a gateway has opened a session. The queue takes the
-	// messages to send on it, and cancel ends it. SessionUp returns the session's
-	// number.
+	// SessionUp is called when a gateway has opened a session. Messages put into the queue
+	// are sent on the session, and cancel ends the session. SessionUp returns the
+	// session's number.
 	SessionUp(from Header, que *Queue, cancel context.CancelFunc) uint64
 	// SessionMessage is called for each message of a session, and with a nil message
 	// for each frame's header.
@@ -31,8 +31,8 @@
 	SessionLost(session uint64)
 }
 
-// Backend handles the sessions and unary RPCs of other hosts, on hosts whose request ids
-// name the gateway. Other hosts implement only Sessions.
+// Backend handles the sessions and the unary RPCs of other hosts. A host implements Backend
+// if its request ids name the gateway, and otherwise only Sessions.
 type Backend interface {
 	Sessions
 	// Fence, Vouch, Unvouch and Handover handle the RPCs of these names.
@@ -40,8 +40,8 @@
 	Vouch(ctx context.Context, att reservation.Attestation) error
 	Unvouch(ctx context.Context, rev reservation.Revocation) (reservation.RevocationAnswer, error)
 	Handover(ctx context.Context, han reservation.Handover) error
-	// State returns the views from viewsFrom on and, if it is newer than
-	// aboveRevision, the configuration.
+	// State returns the views with numbers of at least viewsFrom, and the configuration
+	// if its revision is above aboveRevision.
 	State(ctx context.Context, viewsFrom, aboveRevision uint64) (State, error)
 }
 
@@ -70,8 +70,8 @@
 	return &Server{cfg: cfg}
 }
 
-// Handler returns the HTTP handler. If a shared key is configured, it rejects requests
-// without it with status 401.
+// Handler returns the HTTP handler. If a shared key is configured, the handler rejects
+// requests that don't carry the key with status 401.
 func (srv *Server) Handler() http.Handler {
 	_, handler := peerpbconnect.NewPeerServiceHandler(srv, connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressMinBytes))
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
@@ -110,7 +110,7 @@
 	return &http.Server{Handler: srv.Handler(), Protocols: &protocols, TLSConfig: srv.cfg.Security.TLS, ReadHeaderTimeout: headerTimeout}
 }
 
-// Serve accepts connections from the listener, with TLS if it is configured, until the
+// Serve accepts connections from the listener, with TLS if TLS is configured, until the
 // HTTP server is closed.
 func (srv *Server) Serve(lis net.Listener, server *http.Server) error {
 	if srv.cfg.Security.TLS != nil {
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -26,10 +26,10 @@
 	go func() {
 		defer close(stopped)
 		for ctx.Err() == nil {
-			attempt, done := context.WithTimeout(ctx, 10*time.Second)
+			sessionCtx, cancelSession := context.WithTimeout(ctx, 10*time.Second)
 			// The session ends with an error and is reopened until the test ends.
-			_ = cli.Session(attempt, mem, peer.NewQueue(), func() { ups <- mem.Epoch }, func(peer.Received) {})
-			done()
+			_ = cli.Session(sessionCtx, mem, peer.NewQueue(), func() { ups <- mem.Epoch }, func(peer.Received) {})
+			cancelSession()
 		}
 	}()
 	defer func() {
--- a/peer/tls_test.go
+++ b/peer/tls_test.go
@@ -45,8 +45,8 @@
 	return file
 }
 
-// newFiles returns a host's PEM files with a certificate signed by the authority.
-func newFiles(t *testing.T, authority *x509.Certificate, signer *ecdsa.PrivateKey, authorityFile string) *settings.TLSFiles {
+// newTLSFiles returns a host's PEM files with a certificate signed by the authority.
+func newTLSFiles(t *testing.T, authority *x509.Certificate, signer *ecdsa.PrivateKey, authorityFile string) *settings.TLSFiles {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -63,7 +63,7 @@
 	}
 }
 
-func tlsClient(t *testing.T, files *settings.TLSFiles) *peer.Client {
+func newTLSClient(t *testing.T, files *settings.TLSFiles) *peer.Client {
 	t.Helper()
 	cfg, err := files.Config()
 	assert.NilError(t, err)
@@ -74,7 +74,7 @@
 
 func TestMutualTLSWithoutPeerKey(t *testing.T) {
 	authority, signer, file := newAuthority(t)
-	cfg, err := newFiles(t, authority, signer, file).Config()
+	cfg, err := newTLSFiles(t, authority, signer, file).Config()
 	assert.NilError(t, err)
 	var lcf net.ListenConfig
 	lis, err := lcf.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -89,12 +89,12 @@
 	})
 	mem := view.Member{Name: "host", Epoch: 5, PeerAddress: netip.MustParseAddrPort(lis.Addr().String())}
 
-	hea, err := tlsClient(t, newFiles(t, authority, signer, file)).Probe(t.Context(), mem)
+	hea, err := newTLSClient(t, newTLSFiles(t, authority, signer, file)).Probe(t.Context(), mem)
 	assert.NilError(t, err)
 	assert.Equal(t, hea.View, uint64(3))
 
 	other, otherSigner, _ := newAuthority(t)
-	_, err = tlsClient(t, newFiles(t, other, otherSigner, file)).Probe(t.Context(), mem)
+	_, err = newTLSClient(t, newTLSFiles(t, other, otherSigner, file)).Probe(t.Context(), mem)
 	assert.Assert(t, err != nil, "a host with a certificate of another authority was accepted")
 	_, err = newClient(t, key).Probe(t.Context(), mem)
 	assert.Assert(t, err != nil, "a host without a certificate was accepted")
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -141,7 +141,7 @@
 	return ParseEntry(file, data)
 }
 
-// ParseEntry decodes and checks the content of a settings file, whose name errors state.
+// ParseEntry decodes and checks the content of a settings file. Errors state the file's name.
 func ParseEntry(file string, data []byte) (Entry, error) {
 	var ent Entry
 	if err := format.Decode(file, data, &ent); err != nil {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -96,8 +96,8 @@
 	return Parse(file, data)
 }
 
-// Parse decodes and checks the content of a settings file, whose name errors state. It reads the
-// key and certificate files that the settings name.
+// Parse decodes and checks the content of a settings file, and reads the key and certificate
+// files that the settings name. Errors state the settings file's name.
 func Parse(file string, data []byte) (Settings, error) {
 	var set Settings
 	if err := format.Decode(file, data, &set); err != nil {
@@ -173,7 +173,7 @@
 }
 
 // wantAddress is the reason that an error states for an invalid address.
-const wantAddress = "want IP:PORT"
+const wantAddress = "want IP:PORT with a port over 0"
 
 // fieldCheck is the result of checking one field. reason is the requirement to report if the
 // field is invalid.
--- a/settings/toggle.go
+++ b/settings/toggle.go
@@ -13,7 +13,7 @@
 
 const wantToggle = `want "true", "false" or an empty string`
 
-// valid reports whether the setting is one of the constants above.
+// valid reports whether the setting is empty, "true" or "false".
 func (tog Toggle) valid() bool {
 	return tog == ToggleDefault || tog == ToggleOn || tog == ToggleOff
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -144,7 +144,7 @@
 		want = upstreamtest.StreamBody(att.ID, streamEvents)
 	}
 	if att.Served() && att.Body != want {
-		sys.t.Errorf("%s (%s) got %q as a complete answer", att.ID, req.Path, att.Body)
+		sys.t.Errorf("%s (%s) got %q as a complete answer, which differs from the expected answer", att.ID, req.Path, att.Body)
 	}
 	if att.Status == 200 && !strings.HasPrefix(want, att.Body) {
 		sys.t.Errorf("%s (%s) got %q, which is no prefix of the expected answer", att.ID, req.Path, att.Body)
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -22,10 +22,10 @@
 	poisonInterval = 200 * time.Millisecond
 )
 
-// sendPoison starts a visitor that sends the poison request, whose body crashes engines, every
-// poisonInterval until the context is done. The returned channel is closed when the visitor has
-// stopped.
-func (sys *system) sendPoison(ctx context.Context, seed uint64) <-chan struct{} {
+// startPoisonVisitor starts a visitor that sends the poison request, whose body crashes engines,
+// every poisonInterval until the context is done. The returned channel is closed when the visitor
+// has stopped.
+func (sys *system) startPoisonVisitor(ctx context.Context, seed uint64) <-chan struct{} {
 	var directories []netip.AddrPort
 	for _, hos := range sys.hosts {
 		directories = append(directories, hos.set.DirectoryAddress)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -22,16 +22,16 @@
 		{"kill a host", sys.killHost},
 		{"stop a host", sys.stopHost},
 		{"freeze a host", sys.freezeHost},
-		{"send SIGHUP to a host", func() { sys.anyHost().Hangup() }},
-		{"cut a host from the store", func() { sys.anyHost().store.Cut() }},
-		{"silence a host's link to the store", func() { sys.anyHost().store.Silence(sys.random.IntN(2) == 0, true) }},
-		{"delay a host's link to the store", func() { sys.anyHost().store.Delay(200 * time.Millisecond) }},
-		{"reset a host's link to the store", func() { sys.anyHost().store.Reset() }},
+		{"send SIGHUP to a host", func() { sys.randomHost().Hangup() }},
+		{"cut a host from the store", func() { sys.randomHost().storeLink.Cut() }},
+		{"silence a host's link to the store", func() { sys.randomHost().storeLink.Silence(sys.random.IntN(2) == 0, true) }},
+		{"delay a host's link to the store", func() { sys.randomHost().storeLink.Delay(200 * time.Millisecond) }},
+		{"reset a host's link to the store", func() { sys.randomHost().storeLink.Reset() }},
 		{"restore the links to the store", sys.restoreLinks},
 		{"change the store's faults", sys.injectStoreFault},
-		{"compact the store", func() { sys.post(sys.store, platformtest.PathCompact, struct{}{}) }},
-		{"fault of an engine", sys.injectEngineFault},
-		{"fault of an engine", sys.injectEngineFault},
+		{"compact the store", func() { sys.post(sys.storeAddress, platformtest.PathCompact, struct{}{}) }},
+		{"inject a fault into an engine", sys.injectEngineFault},
+		{"inject a fault into an engine", sys.injectEngineFault},
 		{"retire an engine", sys.retireEngine},
 		{"put a new configuration", sys.configure},
 		{"add or revoke the spare key", sys.toggleSpareKey},
@@ -41,12 +41,12 @@
 	flt.inject()
 }
 
-func (sys *system) anyHost() *host {
+func (sys *system) randomHost() *host {
 	return sys.hosts[sys.random.IntN(len(sys.hosts))]
 }
 
 func (sys *system) killHost() {
-	hos := sys.anyHost()
+	hos := sys.randomHost()
 	hos.recordDisturbance()
 	hos.Kill()
 	hos.Wait()
@@ -54,7 +54,7 @@
 }
 
 func (sys *system) stopHost() {
-	hos := sys.anyHost()
+	hos := sys.randomHost()
 	if hos.down {
 		return
 	}
@@ -64,7 +64,7 @@
 }
 
 func (sys *system) freezeHost() {
-	hos := sys.anyHost()
+	hos := sys.randomHost()
 	hos.recordDisturbance()
 	hos.Freeze()
 	sys.wait(time.Duration(sys.random.IntN(1500)) * time.Millisecond)
@@ -79,7 +79,7 @@
 
 func (sys *system) restoreLinks() {
 	for _, hos := range sys.hosts {
-		hos.store.Restore()
+		hos.storeLink.Restore()
 	}
 }
 
@@ -92,7 +92,7 @@
 		{LoseReplies: 3},
 		{CallsPerSecond: 3},
 	}
-	sys.post(sys.store, platformtest.PathFaults, faults[sys.random.IntN(len(faults))])
+	sys.post(sys.storeAddress, platformtest.PathFaults, faults[sys.random.IntN(len(faults))])
 }
 
 func (sys *system) injectEngineFault() {
@@ -140,7 +140,7 @@
 // clearFaults clears all faults and restarts the hosts that were stopped.
 func (sys *system) clearFaults() {
 	sys.restoreLinks()
-	sys.post(sys.store, platformtest.PathFaults, platformtest.Faults{})
+	sys.post(sys.storeAddress, platformtest.PathFaults, platformtest.Faults{})
 	for _, eng := range sys.engines {
 		// An engine that received few requests may have faults left that it has not applied yet.
 		if !eng.hasCrashed() {
--- a/soak/places.go
+++ b/soak/places.go
@@ -90,7 +90,7 @@
 // readStore returns the value of the key in the store, regardless of the store's faults.
 func (sys *system) readStore(key string) store.Value {
 	sys.t.Helper()
-	req, err := http.NewRequestWithContext(sys.t.Context(), http.MethodGet, "http://"+sys.store.String()+platformtest.PathValue+"?key="+key, http.NoBody)
+	req, err := http.NewRequestWithContext(sys.t.Context(), http.MethodGet, "http://"+sys.storeAddress.String()+platformtest.PathValue+"?key="+key, http.NoBody)
 	assert.NilError(sys.t, err)
 	rep, err := http.DefaultClient.Do(req)
 	assert.NilError(sys.t, err)
--- a/soak/rates.go
+++ b/soak/rates.go
@@ -43,8 +43,9 @@
 	sys.setSignals(eng, upstreamtest.Signals{Rate: eng.rateLimit, Draining: eng.signalsDraining})
 }
 
-// checkRates checks the requests that an engine received against the rate limits that the engine
-// had sent.
+// checkRates checks the requests that an engine received against the rate limits that it had sent.
+// byHost holds the requests by the address at which the sending host serves clients, and attempts
+// holds the clients' attempts by request id.
 func (sys *system) checkRates(eng *engine, byHost map[netip.AddrPort][]upstreamtest.Arrival, attempts map[string]visitor.Attempt) {
 	sys.t.Helper()
 	var counted []upstreamtest.Arrival
@@ -69,8 +70,8 @@
 }
 
 // sentAfterRateLimit returns the requests from a host that arrived at an engine at least
-// rateReportDelay after the host had passed on an answer with a rate limit. After a disturbance,
-// the host must pass on such an answer again.
+// rateReportDelay after the host had passed on an answer with a rate limit. After a disturbance
+// of the host, requests count again only after the host has passed on another such answer.
 func (hos *host) sentAfterRateLimit(arrivals []upstreamtest.Arrival, attempts map[string]visitor.Attempt) []upstreamtest.Arrival {
 	var reportedAt time.Time
 	var after []upstreamtest.Arrival
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -82,7 +82,7 @@
 	orderedAt      time.Time
 	inClosedPeriod bool
 	closedPeriods  []closedPeriod
-	store          netip.AddrPort
+	storeAddress   netip.AddrPort
 	hosts          []*host
 	// engines holds every engine that was started, including crashed and retired ones.
 	engines []*engine
@@ -96,10 +96,10 @@
 
 type host struct {
 	*processtest.Process
-	set   settings.Entry
-	store *processtest.Link
-	file  string
-	down  bool
+	set       settings.Entry
+	storeLink *processtest.Link
+	file      string
+	down      bool
 	// disturbances holds the times at which the host was killed, stopped, started, frozen or resumed.
 	disturbances []time.Time
 }
@@ -145,7 +145,7 @@
 	sys := start(t, cfg)
 	ctx, cancel := context.WithCancel(t.Context())
 	sent := sys.startVisitors(ctx, cfg.Seed)
-	poison := sys.sendPoison(ctx, cfg.Seed)
+	poisonStopped := sys.startPoisonVisitor(ctx, cfg.Seed)
 	for range enginesPerService {
 		sys.changeRateLimit()
 	}
@@ -165,7 +165,7 @@
 	sys.withdrawEvacuation()
 	sys.wait(settleTime)
 	cancel()
-	<-poison
+	<-poisonStopped
 	sys.replaceCrashed()
 	results := <-sent
 	sys.checkResults(results)
@@ -191,7 +191,7 @@
 func start(t *testing.T, cfg Config) *system {
 	t.Helper()
 	sys := &system{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(cfg.Seed, 1)), signalRandom: rand.New(rand.NewPCG(cfg.Seed, 55)), rateRandom: rand.New(rand.NewPCG(cfg.Seed, 89)), evacuationRandom: rand.New(rand.NewPCG(cfg.Seed, 144)), revokedAt: make(map[string]time.Time)}
-	_, sys.store = processtest.StartFake(t, sys.dir, "store", "platform")
+	_, sys.storeAddress = processtest.StartFake(t, sys.dir, "store", "platform")
 	for idx := range enginesPerService {
 		sys.addEngine(fmt.Sprintf("m%d", idx), entrytest.Model)
 		sys.addEngine(fmt.Sprintf("p%d", idx), entrytest.Plain)
@@ -258,7 +258,7 @@
 
 func (sys *system) put(wri store.Write) {
 	sys.t.Helper()
-	sys.post(sys.store, platformtest.PathPut, wri)
+	sys.post(sys.storeAddress, platformtest.PathPut, wri)
 }
 
 // configure writes the next version of the configuration to the store.
@@ -302,9 +302,9 @@
 
 func (sys *system) addHost(idx int) {
 	sys.t.Helper()
-	hos := &host{store: processtest.NewLink(sys.t, sys.store)}
+	hos := &host{storeLink: processtest.NewLink(sys.t, sys.storeAddress)}
 	hos.set = settings.Entry{
-		Name: fmt.Sprintf("host-%d", idx), Domain: fmt.Sprintf("d%d", idx%2), StoreAddress: hos.store.Address,
+		Name: fmt.Sprintf("host-%d", idx), Domain: fmt.Sprintf("d%d", idx%2), StoreAddress: hos.storeLink.Address,
 		CallerAddress: embedded.NextAddress(), ReadyAddress: embedded.NextAddress(), DirectoryAddress: embedded.NextAddress(),
 		PeerAddress: embedded.NextAddress(), MetricsAddress: embedded.NextAddress(),
 	}
--- a/soak/words.go
+++ b/soak/words.go
@@ -22,9 +22,10 @@
 	maxBackoff = 3 * time.Second
 )
 
-// changeSignals makes a random engine send a draining signal, which its store entry does not
-// show, or a backoff request in its answers. Before that, each engine that sends a backoff request
-// stops doing so with a probability of one half.
+// changeSignals makes a random engine send, in its answers, a draining signal, which its store
+// entry does not show, or a backoff request, unless the engine has crashed or already sends a
+// draining signal. Before that, each engine that sends a backoff request stops doing so with a
+// probability of one half.
 func (sys *system) changeSignals() {
 	for _, eng := range sys.engines {
 		if eng.signalsBackoff && sys.signalRandom.IntN(2) == 0 {
@@ -80,7 +81,7 @@
 	signaled := 0
 	for _, eng := range sys.engines {
 		if eng.hasCrashed() {
-			// Its records of arrivals are lost with the process.
+			// The engine's records of arrivals are lost with its process.
 			continue
 		}
 		byHost := make(map[netip.AddrPort][]upstreamtest.Arrival)
@@ -110,9 +111,9 @@
 		}
 		passedOnAt := att.Sent.Add(att.Took)
 		for _, arr := range arrivals {
-			late := attempts[arr.ID].Sent.Sub(passedOnAt)
-			if late > drainSignalBound && !hos.disturbedDuring(first.At, arr.At) {
-				sys.t.Errorf("host %s sent %s to engine %s, %s after the host had passed on the engine's draining signal", hos.set.Name, arr.ID, eng.id, late)
+			delay := attempts[arr.ID].Sent.Sub(passedOnAt)
+			if delay > drainSignalBound && !hos.disturbedDuring(first.At, arr.At) {
+				sys.t.Errorf("host %s sent %s to engine %s, %s after the host had passed on the engine's draining signal", hos.set.Name, arr.ID, eng.id, delay)
 			}
 		}
 		return
--- a/store/store.go
+++ b/store/store.go
@@ -40,7 +40,8 @@
 	Data []byte
 	// Expect is the revision that the key must have; 0 requires that it doesn't exist.
 	Expect Revision
-	// Lease, if set, is a lease; the store removes the key when the lease ends.
+	// Lease, if set, is the lease to which the key is attached: the store removes the key when
+	// the lease ends.
 	Lease LeaseID
 	// Delete removes the key instead of writing Data.
 	Delete bool
--- a/transport/liveness.go
+++ b/transport/liveness.go
@@ -33,7 +33,8 @@
 	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeIdle, Count: probeCount}
 }
 
-// Dialer returns a dialer whose connections fail once the limit is exceeded.
+// Dialer returns a dialer whose connections fail once the limit is exceeded. The timeout bounds
+// the time to connect.
 func (liv Liveness) Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout, KeepAliveConfig: liv.keepAlive(),
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -23,8 +23,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// dialTimeout bounds the time to establish a connection. Nothing of a request is sent
-// before.
+// dialTimeout bounds the time to establish a connection. No part of a request is sent before
+// the connection is established.
 const dialTimeout = 2 * time.Second
 
 // New returns a transport that keeps up to maxIdle idle connections to each address. With
@@ -43,7 +43,7 @@
 	After time.Duration
 }
 
-// Error returns the time limit.
+// Error names the time limit.
 func (ser *SilenceError) Error() string {
 	return fmt.Sprintf("peer sent no data for %s", ser.After)
 }
