--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -19,22 +19,22 @@
 	rapid.Check(t, func(t *rapid.T) {
 		src := clocktest.NewStopped()
 		clk := clock.New(clock.Config{Source: src})
-		start, passed := clk.Now(), time.Duration(0)
+		start, elapsed := clk.Now(), time.Duration(0)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			dur := time.Duration(rapid.IntRange(10, 20_000).Draw(t, "milliseconds")) * time.Millisecond
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				src.Advance(dur)
-				passed += dur
+				elapsed += dur
 			case 1:
 				src.Suspend(dur)
-				passed += dur
+				elapsed += dur
 			case 2:
 				src.ShiftWallClock(dur)
 			case 3:
 				src.ShiftWallClock(-dur)
 			}
-			assert.Equal(t, clk.Since(start), passed)
+			assert.Equal(t, clk.Since(start), elapsed)
 		}
 	})
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -106,11 +106,11 @@
 }
 
 // Session runs one session with the member and blocks until the session ends. It
-// calls up once, at the first frame with the expected epoch. For each frame it calls
+// calls onUp once, at the first frame with the expected epoch. For each frame it calls
 // deliver with a nil message for the header, then with each message. It returns an
 // *EpochError if the member has another epoch, and a *HeartbeatTimeoutError if no frame
 // arrives in time.
-func (cli *Client) Session(ctx context.Context, mem view.Member, que *Queue, up func(), deliver func(Received)) error {
+func (cli *Client) Session(ctx context.Context, mem view.Member, que *Queue, onUp func(), deliver func(Received)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream := cli.stub(mem.PeerAddress).Session(ctx)
@@ -129,7 +129,7 @@
 		}
 		if first {
 			first = false
-			up()
+			onUp()
 		}
 		deliverFrame(frame, deliver)
 	}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -6,7 +6,7 @@
 //
 //	srv := peer.NewServer(peer.ServerConfig{Backend: hos, Security: sec, Timing: tim})
 //	cli := peer.NewClient(peer.ClientConfig{Security: sec, Timing: tim, Self: hos.Header})
-//	err := cli.Session(ctx, member, queue, up, deliver) // blocks until the session ends
+//	err := cli.Session(ctx, member, queue, onUp, deliver) // blocks until the session ends
 //
 // A session is one long-lived bidirectional stream between a gateway and a
 // coordinator, on which each side sends its messages batched into frames. Every frame
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -28,11 +28,11 @@
 	}
 	certificate, err := tls.LoadX509KeyPair(til.CertificateFile, til.KeyFile)
 	if err != nil {
-		return nil, errors.Wrap(err, "CertificateFile, KeyFile")
+		return nil, errors.Wrap(err, "load CertificateFile and KeyFile")
 	}
 	pem, err := os.ReadFile(til.AuthorityFile)
 	if err != nil {
-		return nil, errors.Wrap(err, "AuthorityFile")
+		return nil, errors.Wrap(err, "read AuthorityFile")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,7 +19,7 @@
 
 // regressions maps seeds that failed once to the cause of the failure.
 var regressions = map[uint64]string{
-	97004: "in 8 soak runs of 50, beside other work for three times the machine's processors, no host got an update from the store for four seconds; no guarantee covers that load, and the seed passes without it",
+	97004: "in 8 soak runs of 50, with other load of three times the machine's processors, no host got an update from the store for four seconds; no guarantee covers that load, and the seed passes without it",
 	97016: "overload as with 97004: two concurrent soak runs stalled for three seconds in the middle of a stream",
 	98015: "the poison request crashed eight engines: the coordinator had no connection to the store and so saw no engine's entry deleted, and the other hosts did not report the crashes to the coordinator",
 	96013: "fault in the soak test: the test posted a fault to an engine at the moment at which the poison request crashed that engine",
