--- a/entry/age.go
+++ b/entry/age.go
@@ -17,7 +17,7 @@
 	minTimeoutCount = 3
 	// maxTimeoutCountRatio is by what factor a timeout may be rarer than the most frequent one
 	// and still count as that of a first attempt. Timeouts of retries recur too, since all clients
-	// wait equally long for a host that has lost power, but they are rarer than that.
+	// wait equally long for a host that has lost power, but they are rarer by a larger factor.
 	maxTimeoutCountRatio = 20
 	// halvingCount is the count at which all counts of a route are halved, so that a new
 	// first-attempt timeout is recognized within some dozen attempts.
--- a/entry/barred.go
+++ b/entry/barred.go
@@ -52,7 +52,7 @@
 
 // grant holds what a gateway needs to check whether a grant may still be used.
 type grant struct {
-	// rate is what the scheduler knew of the engine's rate limit. The reservation was placed at
+	// rate is what the scheduler knew of the engine's rate limit. The reservation was sent at
 	// requestedAt, and the grant arrived at grantedAt.
 	rate reservation.GrantRate
 	// cold is set if the scheduler knew that the engine was cold.
@@ -71,8 +71,8 @@
 type RateExceededError struct {
 	Run       fleet.EngineID
 	PerSecond float64
-	// Rate is what the scheduler knew of the limit when it granted the request, Age the time
-	// since then.
+	// Rate is what the scheduler knew of the limit when it granted the request. Age is the time
+	// since the grant arrived.
 	Rate reservation.GrantRate
 	Age  time.Duration
 }
@@ -91,9 +91,10 @@
 }
 
 // checkRate returns a *RateExceededError for an engine that has signaled a rate limit to this
-// host, unless the grant is within the limit or the scheduler knew that the limit had ended
-// since. With the error it also reports the limit to the schedulers again, since one of them has
-// granted the engine regardless.
+// host, unless the grant is within the limit and younger than maxRateGrantAge, or the scheduler knew
+// that the limit had ended and the reservation was sent after this host last received the limit.
+// With the error it also reports the limit to the schedulers again, since one of them has granted
+// the engine regardless.
 func (hos *Host) checkRate(run fleet.EngineID, grt grant) error {
 	lim, limited := hos.notices.limit(run)
 	if !limited {
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -19,8 +19,9 @@
 	// maxHeaderBytes bounds a request's header; it is slightly above the limit that operators set
 	// for clients.
 	maxHeaderBytes = 32 << 10
-	// headerTimeout and idleTimeout bound a connection on which nothing is sent. Clients reuse
-	// connections that have been idle for up to four fifths of the time that operators set.
+	// headerTimeout and idleTimeout bound a connection on which nothing is sent. Clients reuse only
+	// connections that have been idle for at most four fifths of the idle timeout that operators
+	// set.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 30 * time.Second
 	// maxBodyBytes bounds a body while the configuration sets no limit.
@@ -91,7 +92,8 @@
 	started time.Time
 	// deadline is when the client must have the final answer.
 	deadline time.Time
-	// version is that of the configuration by which the request was admitted.
+	// version is that of the configuration by which the request was admitted, and snapshotAge the
+	// age of the snapshot at that time.
 	version     uint64
 	snapshotAge time.Duration
 	// clientWait is how long the client had been waiting since its first attempt.
@@ -100,24 +102,29 @@
 	digest call.Digest
 
 	// The fields below are the state of the attempts so far.
+	// attempts counts the failed attempts in which the request reached an engine.
 	attempts int
-	exclude  []string
+	// exclude are the engines that must not be granted again.
+	exclude []string
 	// lastGrantUnused is set if the most recent grant was not used.
 	lastGrantUnused bool
 	// returnedGrants counts the grants that were returned unused because their engines were
 	// blocked for this host.
 	returnedGrants int
-	mayHaveRun     bool
-	headerSent     bool
-	lastEventID    int64
-	eventCount     int
+	// mayHaveRun is set if an engine may have run the request in an earlier attempt.
+	mayHaveRun  bool
+	headerSent  bool
+	lastEventID int64
+	eventCount  int
 	// lastEventAt is when the most recent event was sent to the client.
 	lastEventAt time.Time
 	// longestPause is the longest time between two events sent to the client.
 	longestPause time.Duration
 	engine       string
-	// grant is the most recent grant, which is for engine.
-	grant        grant
+	// grant is the most recent grant; it is for the engine named engine.
+	grant grant
+	// decidedBy is the epoch of the host that made the most recent decision. decisionWait is the
+	// time spent waiting for decisions.
 	decidedBy    string
 	decisionWait time.Duration
 	timeToFirst  time.Duration
@@ -190,8 +197,8 @@
 	return nil
 }
 
-// staleRetryAfter returns the Retry-After for a stale configuration. It is short, since another
-// host may be able to serve the request. If the store is unreachable for other hosts too, it grows
+// staleRetryAfter returns the Retry-After for a stale configuration: a short time, since another
+// host may be able to serve the request. If other hosts can't reach the store either, the time grows
 // with the length of the outage and has a jitter.
 func (exc *exchange) staleRetryAfter() time.Duration {
 	if !exc.host.storeUnavailable.Load() {
@@ -201,7 +208,7 @@
 	return wait + time.Duration(float64(wait)*float64(routingHash(exc.request.ID)%1000)/1000)
 }
 
-// routingHash hashes a request id, which distributes requests over a route's shares.
+// routingHash hashes a request id, to distribute requests over the services of a route.
 func routingHash(id string) uint64 {
 	hash := fnv.New64a()
 	// hash.Hash.Write never returns an error.
--- a/entry/changes.go
+++ b/entry/changes.go
@@ -16,7 +16,7 @@
 	deregistered []string
 }
 
-// log writes the line, if any host changed.
+// log writes the log line, unless no host was registered or deregistered.
 func (mch *memberChanges) log(log zerolog.Logger, rev store.Revision) {
 	if len(mch.registered)+len(mch.deregistered) == 0 {
 		return
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -24,7 +24,7 @@
 	crashConfirmed
 )
 
-// String returns the state's name for the log.
+// String returns the state's name in the log and in the names of counters.
 func (crs crashState) String() string {
 	switch crs {
 	case crashConfirmed:
--- a/entry/desk.go
+++ b/entry/desk.go
@@ -28,8 +28,8 @@
 	core  *scheduler.Core
 	// ticking is set while a tick is scheduled.
 	ticking bool
-	// membership is the membership by the entries in the store, with the new epochs of hosts whose
-	// restart this host has detected. registeredMembership is the same without these epochs.
+	// registeredMembership holds the hosts with the epochs in their entries in the store. membership
+	// is the same with the new epochs of hosts whose restart this host has detected.
 	membership           membership
 	registeredMembership membership
 	// candidatesChanged makes maintainSessions adjust the sessions to the candidates.
@@ -45,16 +45,16 @@
 	// lastSession is the highest number given.
 	inbound     map[uint64]*inbound
 	lastSession uint64
-	// active is the epoch of the coordinator; it is the host's own epoch while the host uses its
-	// own scheduler.
+	// coordinator is the epoch of the coordinator: the host's own epoch while the host uses its own
+	// scheduler.
 	coordinator request.Epoch
 	// minTermEnd is the end of the coordinator's minimum term; until then a reachable
 	// coordinator is kept, whichever host is the leader. electionScheduled is set while an election
 	// is scheduled for that time.
 	minTermEnd        time.Time
 	electionScheduled bool
-	// pending are the reservations that wait for a decision. activeGrants are the grants in use,
-	// in the form in which another coordinator adopts them.
+	// pending are this host's reservations that wait for a decision. activeGrants are its grants in
+	// use, in the form in which another coordinator adopts them.
 	pending      map[request.ID]*pendingReservation
 	activeGrants map[request.ID]*reservation.Adopt
 	// debts holds what this host's requests still owe to each account's limit, by account name.
@@ -71,7 +71,8 @@
 	publishedUnreachable []request.Epoch
 	// unreachableHosts are the registered hosts that the coordinator can't reach.
 	unreachableHosts atomic.Pointer[map[request.Epoch]bool]
-	// evacuations is the known state of failure domains that are being evacuated.
+	// evacuations tracks the evacuations of failure domains: their stored state, and which hosts
+	// enforce their orders.
 	evacuations *evacuation.Tracker
 	// measurements are the stored measurements of the engines' speed.
 	measurements pace.Measurements
@@ -240,7 +241,7 @@
 }
 
 // recordGrant records the engine that a request was granted, so that the grant can be handed over
-// to another coordinator.
+// to another coordinator. A grant by another host is also passed to the host's own scheduler.
 func (bro *broker) recordGrant(pen *pendingReservation, gra reservation.Grant, by request.Epoch) {
 	ado := reservation.Adopt{
 		ID: gra.ID, Ballot: gra.Ballot, Engine: gra.Engine, Service: pen.reserve.Service,
@@ -315,8 +316,8 @@
 	return res.LatencyTarget/4 + decisionSlack
 }
 
-// reserveLocally moves the reservation to the host's own scheduler after the coordinator has not
-// answered in time, and waits for the decision.
+// reserveLocally moves a reservation that the coordinator has not decided in time to the host's own
+// scheduler, and waits for the decision.
 func (bro *broker) reserveLocally(ctx context.Context, pen *pendingReservation) (decision, error) {
 	bro.mutex.Lock()
 	if pen.coordinator != bro.host.epoch && bro.pending[pen.reserve.ID] == pen {
@@ -359,7 +360,7 @@
 	bro.send(at, pen.reserve)
 }
 
-// updateGrant records that a request was sent to another run of its engine than the one granted.
+// updateGrant records that a request goes to another run of its engine than the one granted.
 func (bro *broker) updateGrant(id request.ID, run fleet.EngineID) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -61,7 +61,7 @@
 // addresses returns the addresses of the hosts that a client may use: the registered hosts of its
 // region, or of the regions that may serve its requests, except hosts that the coordinator can't
 // reach. A host that is draining, or whose snapshot is too old to use, returns only other hosts:
-// their snapshots may be newer, and an old answer is better for clients than none.
+// their snapshots may be newer, and addresses from an old snapshot are better for clients than none.
 func (hos *Host) addresses(now time.Time, query platform.AddressesQuery) []netip.AddrPort {
 	snp := hos.snapshot.Load()
 	if snp.table == nil {
@@ -91,9 +91,9 @@
 }
 
 // orderedRegions returns the regions whose hosts a client is to use, the best first: the client's
-// own region if it may serve requests to the host name, then the others that may. If its own may
-// not, it comes last: the data of the requests is in that region anyway, since the client is, but
-// need not enter any other.
+// own region if it may serve requests to the host name, then the others that may. If the own region
+// may not serve them, it comes last: the client sends its requests from there, so that their data
+// enters no further region.
 func orderedRegions(sco route.Scope, own string) [][]string {
 	if !sco.Bounded || slices.Contains(sco.Regions, own) {
 		return [][]string{{own}, sco.Regions}
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -27,7 +27,7 @@
 	Engines []fleet.Engine
 	// Notices are the engine signals that this host received and that are in force.
 	Notices []NoticeDump `json:",omitempty"`
-	// Coordinator is the epoch of the coordinator; Own is set if it is this host.
+	// Coordinator is the epoch of the coordinator; Own is set if this host is its own coordinator.
 	Coordinator string
 	Own         bool
 	// Sessions are the hosts that this host has opened sessions to, the coordinator and its next
@@ -35,7 +35,7 @@
 	Sessions []string
 	Gateways []string
 	// Waiting and Held count the host's own requests: those that wait for a decision, and those
-	// that have an engine.
+	// that have a grant.
 	Waiting   int
 	Held      int
 	Tasks     []string
--- a/entry/elect.go
+++ b/entry/elect.go
@@ -18,8 +18,8 @@
 // keep changing their coordinators in response to one another without end.
 const minCoordinatorTerm = 100 * time.Millisecond
 
-// elect makes the chosen host the coordinator and moves pending reservations to it; the mutex
-// must be held.
+// elect makes the host that chooseCoordinator returns the coordinator, once the current one's
+// minimum term is over, and moves pending reservations to that host; the mutex must be held.
 func (bro *broker) elect() {
 	now := bro.host.clock.Now()
 	chosen := bro.chooseCoordinator()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -80,7 +80,7 @@
 	// nanoseconds after started by the host's clock.
 	confirmed atomic.Int64
 	started   time.Time
-	// storeUnavailable is set while the store is unreachable for other hosts too.
+	// storeUnavailable is set while other hosts can't reach the store either.
 	storeUnavailable atomic.Bool
 	// secrets holds the secrets by which this host authenticates itself to other hosts.
 	secrets *secrets
@@ -162,8 +162,8 @@
 	return hos, nil
 }
 
-// peerTiming makes sessions with a lost host end well before clients time out. Sessions are busy,
-// so that three missed heartbeats in a row mean that the host is lost.
+// peerTiming makes sessions with a lost host end well before clients time out. Messages are sent
+// over sessions all the time, so that three missed heartbeats in a row mean that the host is lost.
 var peerTiming = peer.Timing{Heartbeat: 200 * time.Millisecond, Timeout: 700 * time.Millisecond}
 
 // security returns how hosts authenticate one another: by the key in their settings or, without
@@ -184,8 +184,8 @@
 }
 
 // startupGrace is how long after its start a host lets requests wait for the first configuration. A
-// small host among many that start at once has it after half a second, and clients try another host
-// after one second without an answer.
+// small host among many that start at once receives its configuration after half a second, and
+// clients try another host after one second without an answer.
 const startupGrace = 800 * time.Millisecond
 
 // markConfigured releases the requests that wait in awaitConfigured, once the host is ready.
@@ -309,8 +309,9 @@
 	}
 }
 
-// Drain makes a planned stop: the host deregisters immediately, accepts requests while clients may
-// still be sent to it, and returns when the last request is answered or the grace period is over.
+// Drain makes a planned stop: the host deregisters immediately and accepts requests while clients
+// may still use its address. Drain returns when the last request is answered, or an error if
+// requests are still in flight drainMargin before the end of the grace period; Stop then cuts them.
 func (hos *Host) Drain(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, hos.bounds.Load().Grace()-drainMargin)
 	defer cancel()
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// applyEnforcedOrders applies the orders that a host reported to enforce; the mutex must be held.
+// applyEnforcedOrders applies a host's report of the orders that it enforces; the mutex must be held.
 func (bro *broker) applyEnforcedOrders(from request.Epoch, msg reservation.EnforcedOrders) {
 	bro.evacuations.SetEnforced(from, msg.Orders)
 	domains := make([]string, 0, len(msg.Orders))
@@ -159,14 +159,15 @@
 // applyEvacuationState applies the published state of an order.
 func (wat *storeWatcher) applyEvacuationState(domain string, val store.Value) {
 	published, err := platform.DecodeEvacuationState(val)
-	// The revision is needed even if the state is invalid: the next state is written on condition of
-	// it.
+	// The revision is recorded even if the state is invalid: the next state is written on condition
+	// of that revision.
 	wat.invalidValues.checkValue(val, err, "stored evacuation state invalid, ignored")
 	wat.setEvacuation(domain, func(sst *evacuation.StoredState) { sst.Published = published })
 }
 
-// resetEvacuations prepares for a complete read of the store: it withdraws the orders that the read
-// lacks, and clears the published states, which the read sets again.
+// resetEvacuations prepares the stored state of evacuations for a complete read of the store: it
+// withdraws the orders that the read lacks, and clears the published states. Those that the read
+// contains are applied afterwards.
 func (wat *storeWatcher) resetEvacuations(values []store.Value, rev store.Revision) {
 	given := make(map[string]bool)
 	for _, val := range values {
@@ -182,16 +183,16 @@
 	}
 }
 
-// publishEvacuations applies the orders before the rest of an update is published, since they are
-// checked last, immediately before a request is sent.
+// publishEvacuations passes changed orders on to the check that is made immediately before a request
+// is sent, and changed states to the broker. It runs before the rest of an update is published.
 func (wat *storeWatcher) publishEvacuations(now time.Time, tab *route.Table) {
 	if !wat.evacuationsChanged {
 		return
 	}
 	wat.evacuationsChanged = false
 	for _, domain := range wat.withdrawnDomains {
-		// The domain's engines had no requests. They may be cold, and report that only once they
-		// get requests again.
+		// The domain's engines got no requests. They may be cold, and signal that only once they get
+		// requests again.
 		wat.directory.MarkCold(now, domain, coldFor(tab))
 	}
 	wat.withdrawnDomains = nil
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -13,8 +13,8 @@
 
 const (
 	// minRenew and maxRenew bound the interval between renewals of a lease. In a small fleet a lost
-	// host's entry expires within seconds, in a large one within half a minute. Clients get no
-	// addresses of a lost host as soon as its session with the coordinator has ended, which is
+	// host's entry expires within seconds, in a large one within half a minute. Clients no longer
+	// get the address of a lost host once its session with the coordinator has ended, which is
 	// earlier, so the expiry matters only if the host never returns.
 	minRenew = time.Second
 	maxRenew = 10 * time.Second
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -74,8 +74,8 @@
 // signals returns the signals in an answer about the engine that the request was sent to; the mutex
 // must be held. If the answer names another engine, or rejects the request as misdirected without
 // naming an engine, its signals are that other engine's and are not used. The signals in an answer
-// to another request are used, since that answer still came from this engine; but it can't end a
-// rate limit, since it is unknown when that request was sent.
+// to another request are used, since that answer still came from this engine. Such an answer can't
+// end a rate limit, since it is unknown when that request was sent.
 func (ntc *notices) signals(hrd upstream.HeadReceived) []fleet.Notice {
 	head := hrd.Head
 	switch {
@@ -153,9 +153,10 @@
 	evt.Msg("engine signal")
 }
 
-// recordInvalid logs and counts an invalid signal. A backoff that is too long is cut to the maximum,
-// other invalid backoffs have no effect, so that the engine is judged by its health alone. The rate
-// limit that was signaled before an invalid rate stays in force.
+// recordInvalid counts an answer with an invalid signal, and logs it at most once every
+// noticeLogInterval. A backoff that is too long is cut to the maximum; other invalid backoffs have no
+// effect, so that the engine is judged by its health alone. The rate limit that was signaled before
+// an invalid rate stays in force. An invalid cold time is ignored.
 func (ntc *notices) recordInvalid(hrd upstream.HeadReceived) {
 	ntc.host.metrics.count("EngineNotices.Unread")
 	now := ntc.host.clock.Now()
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -25,7 +25,7 @@
 	startupBatchInterval = 50 * time.Millisecond
 	startupPeriod        = 1500 * time.Millisecond
 	// minStoreRetry and maxStoreRetry bound the backoff before the store is called again: each call
-	// counts against its rate limit, and a new configuration must become active soon.
+	// counts against the store's rate limit, and a new configuration must become active soon.
 	minStoreRetry = 50 * time.Millisecond
 	maxStoreRetry = 200 * time.Millisecond
 	// peerReadInterval is how often other hosts' copies are read during that backoff: draining
@@ -33,12 +33,12 @@
 	peerReadInterval = 400 * time.Millisecond
 	// maxRateLimitRetry bounds the backoff where the store's rate limit is exhausted.
 	maxRateLimitRetry = 2 * time.Second
-	// expiryHold is how long after an outage of the store entries that expired in it are kept: their
-	// owners register again within about two seconds.
+	// expiryHold is how long after an outage of the store the entries that expired during the outage
+	// are kept: their owners register again within about two seconds.
 	expiryHold = 2200 * time.Millisecond
-	// maxPeerReadGap is the longest gap between two successful reads from other hosts during which
-	// the store is assumed to serve them: without changes, their copies are as old as the answer to
-	// their most recent watch.
+	// maxPeerReadGap is the longest gap between two successful reads from other hosts for which the
+	// store is assumed to serve these hosts all the while: without changes, their copies are as old
+	// as the answer to their most recent watch.
 	maxPeerReadGap = watchTimeout
 )
 
@@ -58,8 +58,9 @@
 	// rollouts is the stored state of roll-outs.
 	rollouts rollouts
 	// evacuations is the stored state of evacuations by failure domain. evacuationsChanged is set
-	// until it is published. withdrawnDomains are the domains whose order was withdrawn since, and
-	// loggedOrders are the orders that were logged because their domain is unknown.
+	// while it has unpublished changes. withdrawnDomains are the domains whose order was
+	// withdrawn since the last publication, and loggedOrders are the orders that were logged because
+	// their domain is unknown.
 	evacuations        map[string]evacuation.StoredState
 	evacuationsChanged bool
 	withdrawnDomains   []string
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -6,7 +6,7 @@
 )
 
 // publish makes the state of the store watcher the host's snapshot, and passes the changes on to the
-// host's scheduler and its sessions.
+// evacuations, the host's scheduler and the membership.
 func (wat *storeWatcher) publish() {
 	wat.publishEvacuations(wat.host.clock.Now(), wat.table)
 	engines := wat.directory.Engines()
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -14,7 +14,7 @@
 	"lynxwell.dev/lynxwell/route"
 )
 
-// returnGrant counts and logs that a grant is returned unused, and why.
+// returnGrant records, counts and logs that a grant is returned unused, and why.
 func (exc *exchange) returnGrant(err error) {
 	exc.lastGrantUnused = true
 	exc.returnedGrants++
@@ -32,9 +32,9 @@
 }
 
 // reserve obtains an engine for the next attempt, or returns the final answer. A granted engine
-// that is deregistered is excluded from the next reservation, since the coordinator may not know
-// of that yet. For an engine that is blocked for this host no exclusion is needed: its signal has
-// been reported to the coordinator.
+// that is deregistered, draining or in a region that is not allowed is excluded from the next
+// reservation, since the coordinator may not know of that yet. For an engine that is blocked for
+// this host no exclusion is needed: its signal has been reported to the coordinator.
 func (exc *exchange) reserve(ctx context.Context) (fleet.Engine, *problem) {
 	unavailable := 0
 	for unavailable < maxNotSent && exc.returnedGrants <= maxReturnedGrants {
@@ -143,8 +143,8 @@
 	return min(left, timeout-now.Sub(lastEventAt))
 }
 
-// checkGrant rechecks, after the wait for the decision, the conditions that may have changed
-// meanwhile.
+// checkGrant checks a grant against what may have changed during the wait for the decision. It
+// returns the engine to send to, or releases the grant and returns a problem.
 func (exc *exchange) checkGrant(name string, id request.ID) (fleet.Engine, *problem) {
 	hos := exc.host
 	exc.engine = name
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -14,7 +14,7 @@
 
 const (
 	// rolloutInterval is how often the coordinator decides on roll-outs while any is unfinished: a
-	// fraction of the second within which a faulty version does harm.
+	// faulty version does harm within a second.
 	rolloutInterval = 100 * time.Millisecond
 	// rolloutTimeout bounds the writing of a ledger or a state.
 	rolloutTimeout = time.Second
@@ -23,7 +23,7 @@
 // rollouts is the stored state of roll-outs, by service.
 type rollouts struct {
 	stored map[string]rollout.StoredState
-	// changed is set until the changes have been passed to the scheduler.
+	// changed is set while changes have not been passed to the scheduler.
 	changed bool
 }
 
@@ -70,8 +70,8 @@
 // applyRolloutState applies the published state of a roll-out.
 func (wat *storeWatcher) applyRolloutState(name string, val store.Value) {
 	sta, version, err := platform.DecodeRolloutState(val)
-	// The revision is needed even if the state is invalid: the next state is written on condition of
-	// it. The same holds for a ledger.
+	// The revision is recorded even if the state is invalid: the next state is written on condition
+	// of that revision. The same holds for a ledger.
 	wat.invalidValues.checkValue(val, err, "stored roll-out state invalid, ignored")
 	wat.rollouts.set(name, func(sst *rollout.StoredState) {
 		sst.State, sst.StateVersion, sst.StateRevision = sta, version, uint64(val.Revision)
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -28,8 +28,8 @@
 	// preference.
 	members    []fleet.Member
 	candidates []fleet.Member
-	// unregistered is set while this host's own entry is missing and other hosts have theirs: the
-	// others divide the limits without it, so it has no share of its own.
+	// unregistered is set while this host's own entry is missing from the store: hosts whose entries
+	// are not missing divide the limits among themselves, which leaves this host almost no share.
 	unregistered bool
 }
 
@@ -115,8 +115,8 @@
 
 // recordRestart records the epoch that a host answered with if it differs from the one in its
 // entry: the host has restarted and its old entry has not been replaced yet. After the loss of
-// all hosts this finds their first coordinator before its new entry has been read. It reports
-// whether the host has restarted.
+// all hosts, the first candidate can thus become the coordinator before its new entry has been
+// read. recordRestart reports whether the host has restarted.
 func (bro *broker) recordRestart(mem fleet.Member, err error) bool {
 	var other *peer.EpochError
 	if !errors.As(err, &other) {
@@ -135,8 +135,9 @@
 	return true
 }
 
-// recordUnreachable records that a session could not be opened, so that the next candidates are
-// tried. A session that lasted longer than the opening may take was open, and is not recorded.
+// recordUnreachable records that a session with a host could not be opened, so that the next
+// candidates are tried. A session that lasted longer than the opening may take was open, so that
+// nothing is recorded.
 func (bro *broker) recordUnreachable(mem fleet.Member, lasted time.Duration) {
 	if lasted > dialTimeout+maxRedial {
 		return
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// writeKeyRing writes secrets on condition of the key's revision. All hosts, this one included,
-// read the result from the store.
+// writeKeyRing writes secrets on condition that the stored ones still have the given revision. All
+// hosts, this one included, read the result from the store.
 func (hos *Host) writeKeyRing(ctx context.Context, ring credential.KeyRing, revision store.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, secretTimeout)
 	defer cancel()
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -24,17 +24,17 @@
 	serve func(net.Listener, *http.Server) error
 }
 
-func (lis listener) serveOn(open net.Listener) error {
-	if lis.serve != nil {
-		return lis.serve(open, lis.server)
+func (lsr listener) serveOn(lis net.Listener) error {
+	if lsr.serve != nil {
+		return lsr.serve(lis, lsr.server)
 	}
-	return lis.server.Serve(open)
+	return lsr.server.Serve(lis)
 }
 
 // metricsListener is the name of the only listener that a host can run without.
 const metricsListener = "MetricsAddress"
 
-// liveness closes connections whose client or host no longer responds: after that time the client
+// liveness closes connections whose client or host has not responded for Limit: by then the client
 // of a stream has given up, and the engine would generate an answer that is not read.
 var liveness = transport.Liveness{Limit: 2500 * time.Millisecond}
 
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// minRedial and maxRedial bound the delay before a lost session is opened again.
+	// minRedial and maxRedial bound the average delay before a lost session is opened again.
 	minRedial = 50 * time.Millisecond
 	maxRedial = 500 * time.Millisecond
 )
@@ -74,8 +74,9 @@
 	}
 }
 
-// maintainSession opens a session with the host, and opens it again with exponential backoff and
-// jitter whenever it is lost.
+// maintainSession opens a session with a host, and opens it again with exponential backoff and
+// jitter whenever it is lost or could not be opened. It ends when the host has restarted, since the
+// candidates then include the host with its new epoch.
 func (bro *broker) maintainSession(ctx context.Context, mem fleet.Member) {
 	wait := minRedial
 	for ctx.Err() == nil {
@@ -108,7 +109,7 @@
 // dialTimeout bounds the opening of a session: an unreachable host may not respond at all.
 const dialTimeout = 700 * time.Millisecond
 
-// runSession runs one session until it is lost.
+// runSession opens a session and returns when it is lost, or could not be opened within dialTimeout.
 func (bro *broker) runSession(ctx context.Context, mem fleet.Member) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/entry/source.go
+++ b/entry/source.go
@@ -41,8 +41,8 @@
 	// failed.
 	directReadTime = 2 * time.Second
 	// startupDirectReadTime is the same shortly after the host's start and after the store has
-	// recovered: the other host is seldom ready at that moment but soon is, and a whole fleet that
-	// reads directly for longer would make most of a day's calls.
+	// recovered: the relay is seldom ready at that moment but soon is, and a whole fleet that reads
+	// directly for longer would make most of a day's calls.
 	startupDirectReadTime = 300 * time.Millisecond
 	// relayRetryInterval is the pause before a relay that is not ready is called again, and
 	// relayReadyTimeout bounds how long it is called again: hosts that start together become ready
@@ -55,7 +55,7 @@
 	// yet, nor do those of a fleet whose leases expired in an outage.
 	peerArrivalWait = 400 * time.Millisecond
 	// relayedProbeInterval is the average interval at which a host that reads through another one
-	// probes an unreachable store itself, in case only the other host can't reach it.
+	// probes an unreachable store itself, in case only the other host can't reach the store.
 	relayedProbeInterval = time.Second
 )
 
@@ -132,7 +132,8 @@
 }
 
 // defersStoreProbe reports whether this host currently leaves the probing of an unreachable store
-// to the first host of its failure domain.
+// to the first host of its failure domain. If a probe by this host is due, defersStoreProbe returns
+// false and schedules the next one.
 func (wat *storeWatcher) defersStoreProbe(now time.Time) bool {
 	peers := wat.domainPeers()
 	if wat.unreachableSince.IsZero() || len(peers) < minRelayHosts || peers[0].Epoch == wat.host.epoch {
@@ -241,8 +242,9 @@
 	return fmt.Sprintf("copy of the store on host %s is behind: at revision %d, want at least %d", bme.Member, bme.Revision, bme.Known)
 }
 
-// readFromPeers reads through any other host while this host can't reach the store. It records
-// whether the store is unreachable for other hosts too.
+// readFromPeers reads through other hosts while this host can't reach the store: at most
+// maxPeerReads are tried, until one answers. If none did and the copy of any is too old, it records
+// that other hosts can't reach the store either.
 func (wat *storeWatcher) readFromPeers(ctx context.Context) {
 	members := wat.directory.Members()
 	unavailable := false
--- a/entry/spending.go
+++ b/entry/spending.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// recordSpent adds the cost of a grant to the debt of its account; the mutex must be held.
+// recordSpent adds the cost of a granted request to the debt of its account. Retries don't count
+// again. The mutex must be held.
 func (bro *broker) recordSpent(res reservation.Reserve) {
 	adb := bro.debts[res.Account]
 	if adb == nil || res.Attempt > 0 {
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// recordEvent counts an event and reports the first one to the coordinator.
+// recordEvent counts an event, and reports the first one of an attempt to the coordinator and
+// the host's own scheduler.
 func (exc *exchange) recordEvent(att *attempt, evt upstream.Event) {
 	att.release.DecodeTokens++
 	exc.eventCount++
--- a/entry/survey.go
+++ b/entry/survey.go
@@ -35,7 +35,7 @@
 }
 
 // unwrittenMeasurements returns the measurements of this host's scheduler, and whether they differ
-// from the stored ones. It returns nothing unless this host is the coordinator.
+// from the stored ones. It returns false unless this host is the coordinator and registered.
 func (bro *broker) unwrittenMeasurements() (pace.Measurements, bool) {
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -10,9 +10,7 @@
 // the time of the suspension. The lease and the sessions, which the host couldn't maintain, are
 // handled here.
 
-// recordSuspension records a suspension and wakes handleSuspensions. After a long suspension the
-// peers have ended their sessions with this host: until these are open again, this host uses its
-// own scheduler with its own share of the limits.
+// recordSuspension counts and logs a suspension and wakes handleSuspensions.
 func (hos *Host) recordSuspension(dur time.Duration) {
 	hos.metrics.count("Suspensions")
 	hos.log.Warn().Dur("For", dur).Msg("host was suspended")
@@ -23,8 +21,10 @@
 	}
 }
 
-// handleSuspensions renews the lease and, if needed, closes sessions after each suspension, until
-// the context ends.
+// handleSuspensions renews the lease after each suspension, until the context ends. After a
+// suspension of at least the peer timeout, the peers have ended their sessions with this host. This
+// host then closes them too, and uses its own scheduler with its own share of the limits until
+// sessions are open again.
 func (hos *Host) handleSuspensions(ctx context.Context) error {
 	for {
 		select {
