--- a/entry/desk.go
+++ b/entry/desk.go
@@ -307,9 +307,9 @@
 	}
 }
 
-// decisionSlack is how long a gateway waits for a decision beyond the time for which the
-// coordinator may queue the reservation. It covers some round trips and a short stall of the
-// coordinator.
+// decisionSlack is how long a gateway waits for a decision beyond a quarter of the reservation's
+// latency target, for which the coordinator may queue the reservation. It covers some round trips
+// and a short stall of the coordinator.
 const decisionSlack = 150 * time.Millisecond
 
 func decisionTimeout(res reservation.Reserve) time.Duration {
--- a/entry/held.go
+++ b/entry/held.go
@@ -34,7 +34,7 @@
 	heldRetry   = time.Second
 )
 
-// applyHeld applies the held requests in the store.
+// applyHeld applies the held requests in the store. Invalid ones leave the known ones held.
 func (wat *storeWatcher) applyHeld(val store.Value) {
 	holds, err := platform.DecodeHolds(val)
 	wat.host.heldRevision.Store(uint64(val.Revision))
@@ -106,7 +106,7 @@
 	return true
 }
 
-// UnknownDigestError reports a request that is not held and has never crashed an engine.
+// UnknownDigestError reports a request that is not held and has no recorded crash of an engine.
 type UnknownDigestError struct {
 	Digest call.Digest
 }
@@ -118,7 +118,7 @@
 
 // Free releases a held request, here and at the coordinator, which passes this on to the other hosts
 // and writes it to the store. It returns an *UnknownDigestError if the request is not held and has
-// never crashed an engine.
+// no recorded crash of an engine.
 func (hos *Host) Free(dig call.Digest) error {
 	hos.broker.mutex.Lock()
 	defer hos.broker.mutex.Unlock()
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -120,7 +120,8 @@
 	return writes, true
 }
 
-// maintainRollouts decides on roll-outs while any are unfinished.
+// maintainRollouts decides on roll-outs, while any are unfinished and this host is the coordinator,
+// and writes the decisions to the store.
 func (hos *Host) maintainRollouts(ctx context.Context) error {
 	written := make(chan struct{})
 	writing := 0
