--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -204,7 +204,7 @@
 	if rate == 0 {
 		return sleep(ctx, cfg.For)
 	}
-	cli := load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: accountKey, Seed: 1})
+	cli := load.NewClient(load.ClientConfig{Entries: sys.ClientAddresses(), Key: accountKey, Seed: 1})
 	defer cli.Close()
 	kind := load.Kind{
 		Name: "Check", Service: serviceName, Tier: tierName, Account: accountName, PerSecond: rate,
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -64,7 +64,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "send requests directly to engines")
 		}
-		through, err := closedLoop(ctx, sys.Entries(), inFlight, cfg.For)
+		through, err := closedLoop(ctx, sys.ClientAddresses(), inFlight, cfg.For)
 		if err != nil {
 			return nil, errors.Wrap(err, "send requests through lynxwell")
 		}
--- a/caller/read.go
+++ b/caller/read.go
@@ -141,7 +141,7 @@
 	}
 	sub := &submission{body: body, account: acc.Name}
 	sub.arrived = gateway.Arrived{
-		Caller: gateway.CallerID(srv.lastClient.Add(1)), ID: id, Relayed: req.Header.Get(HeaderRelayed) != "",
+		Client: gateway.ClientID(srv.lastClient.Add(1)), ID: id, Relayed: req.Header.Get(HeaderRelayed) != "",
 		Spec: gateway.Spec{
 			Service: ser.Name, Tier: tier.Name, Rank: tier.Rank, Account: acc.Name, Weight: acc.Weight,
 			Remaining: remaining, Fingerprint: fingerprint(req, acc.Name, body),
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -8,7 +8,7 @@
 //
 // # Usage
 //
-//	clk := clock.New(clock.Config{Suspended: func(dur time.Duration) { ... }})
+//	clk := clock.New(clock.Config{OnSuspension: func(dur time.Duration) { ... }})
 //	lease := clk.Now().Add(ttl)
 //	ctx, cancel := clk.WithDeadline(ctx, clk.Now().Add(wait))
 //	go clk.Watch(ctx) // detects suspensions while the clock isn't read
@@ -53,11 +53,11 @@
 type Config struct {
 	// Source provides the readings; nil means the operating system's clocks.
 	Source Source
-	// Suspended is called after each suspension with the suspension's length. It may be nil and
-	// must not block.
-	Suspended func(time.Duration)
-	// Failed is called with the error if the boot-time clock can't be read. It may be nil.
-	Failed func(error)
+	// OnSuspension is called after each suspension with the suspension's length. It may be nil
+	// and must not block.
+	OnSuspension func(time.Duration)
+	// OnBootError is called with the error if the boot-time clock can't be read. It may be nil.
+	OnBootError func(error)
 }
 
 // Clock follows the monotonic clock and adds the length of each suspension. It is safe for
@@ -84,18 +84,18 @@
 	if cfg.Source == nil {
 		cfg.Source = newSystem()
 	}
-	if cfg.Suspended == nil {
-		cfg.Suspended = func(time.Duration) {}
+	if cfg.OnSuspension == nil {
+		cfg.OnSuspension = func(time.Duration) {}
 	}
-	if cfg.Failed == nil {
-		cfg.Failed = func(error) {}
+	if cfg.OnBootError == nil {
+		cfg.OnBootError = func(error) {}
 	}
 	clk := &Clock{cfg: cfg, deadlines: make(map[*deadline]struct{})}
 	monotonic, wall := cfg.Source.Now()
 	clk.monotonic, clk.base = monotonic, wall.Round(0)
 	boot, err := cfg.Source.Boot()
 	if err != nil {
-		cfg.Failed(err)
+		cfg.OnBootError(err)
 	}
 	clk.boot = boot
 	return clk
@@ -135,7 +135,7 @@
 	clk.divergence.Store(divergence)
 	boot, err := clk.cfg.Source.Boot()
 	if err != nil {
-		clk.cfg.Failed(err)
+		clk.cfg.OnBootError(err)
 		return
 	}
 	monotonic, _ := clk.cfg.Source.Now()
@@ -145,7 +145,7 @@
 		return
 	}
 	clk.resetDeadlineTimers()
-	clk.cfg.Suspended(total - known)
+	clk.cfg.OnSuspension(total - known)
 }
 
 // Watch checks for suspensions until the context is canceled, and returns the context's error.
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -42,7 +42,7 @@
 func TestClockReportsASuspensionOnce(t *testing.T) {
 	src := clocktest.NewStopped()
 	var reported []time.Duration
-	clk := clock.New(clock.Config{Source: src, Suspended: func(dur time.Duration) { reported = append(reported, dur) }})
+	clk := clock.New(clock.Config{Source: src, OnSuspension: func(dur time.Duration) { reported = append(reported, dur) }})
 	src.ShiftWallClock(time.Hour)
 	clk.Now()
 	src.Suspend(3 * time.Second)
@@ -68,9 +68,9 @@
 func TestClockAdvancesWithoutTheBootTimeClock(t *testing.T) {
 	src := clocktest.NewStopped()
 	var failed error
-	clk := clock.New(clock.Config{Source: src, Failed: func(err error) { failed = err }})
+	clk := clock.New(clock.Config{Source: src, OnBootError: func(err error) { failed = err }})
 	start := clk.Now()
-	src.Fail(errors.New("no boot-time clock"))
+	src.FailBoot(errors.New("no boot-time clock"))
 	src.Suspend(time.Second)
 	src.Advance(time.Second)
 	assert.Equal(t, clk.Since(start), time.Second)
@@ -111,7 +111,7 @@
 func TestWatchDetectsASuspensionWhileTheClockIsNotRead(t *testing.T) {
 	src := clocktest.NewSource()
 	detected := make(chan time.Duration, 1)
-	clk := clock.New(clock.Config{Source: src, Suspended: func(dur time.Duration) { detected <- dur }})
+	clk := clock.New(clock.Config{Source: src, OnSuspension: func(dur time.Duration) { detected <- dur }})
 	ctx, cancel := context.WithCancel(t.Context())
 	end := make(chan error, 1)
 	go func() { end <- clk.Watch(ctx) }()
--- a/clocktest/source.go
+++ b/clocktest/source.go
@@ -63,8 +63,8 @@
 	src.monotonic += dur
 }
 
-// Fail makes each read of the boot-time clock return the error; nil ends the failures.
-func (src *Source) Fail(err error) {
+// FailBoot makes each read of the boot-time clock return the error; nil ends the failures.
+func (src *Source) FailBoot(err error) {
 	src.mutex.Lock()
 	defer src.mutex.Unlock()
 	src.err = err
--- a/cmd/checkcmd.go
+++ b/cmd/checkcmd.go
@@ -65,9 +65,9 @@
 	if _, err := route.NewTable(con); err != nil {
 		return errors.Wrap(err, name)
 	}
-	unrecognized := platform.UnrecognizedFields(data)
-	for _, field := range slices.Sorted(maps.Keys(unrecognized)) {
-		if unrecognized[field] {
+	unused := platform.UnusedFields(data)
+	for _, field := range slices.Sorted(maps.Keys(unused)) {
+		if unused[field] {
 			fmt.Fprintf(str.out, "%s: ignored: unknown field %q\n", name, field)
 		}
 	}
--- a/cmd/heldcmd.go
+++ b/cmd/heldcmd.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return &usageError{name: "--free", reason: err.Error()}
 	}
-	target := url.URL{Scheme: "http", Host: com.opts.entry.String(), Path: entry.PathFree, RawQuery: url.Values{"digest": {dig.String()}}.Encode()}
+	target := url.URL{Scheme: "http", Host: com.opts.entry.String(), Path: entry.PathRelease, RawQuery: url.Values{"digest": {dig.String()}}.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target.String(), http.NoBody)
 	if err != nil {
 		return errors.Wrap(err, "build request")
--- a/cmd/loadcmd.go
+++ b/cmd/loadcmd.go
@@ -77,7 +77,7 @@
 // request returns the request that every client sends.
 func (opt loadOptions) request() (visitor.Request, error) {
 	req := visitor.Request{
-		Path: opt.path, Key: opt.key, Deadline: opt.deadline, Retries: opt.retries, PromptTokens: opt.prompt, MaxTokens: opt.answer,
+		Path: opt.path, Key: opt.key, Deadline: opt.deadline, MaxRetries: opt.retries, PromptTokens: opt.prompt, MaxTokens: opt.answer,
 	}
 	switch opt.kind {
 	case "unsafe":
@@ -175,7 +175,7 @@
 			continue
 		}
 		outcomes["Served"]++
-		toFirst := res.Took - att.Took + att.First
+		toFirst := res.Took - att.Took + att.TimeToFirstByte
 		if toFirst <= latencyTarget {
 			inTime++
 		}
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -131,7 +131,7 @@
 	vie, known := cor.views.Get(fen.ID.View)
 	granter := known && vie.MayGrant(cor.cfg.Self, fen.ID.Epoch)
 	ans := cor.ledger.Fence(now, fen, granter)
-	if !known && ans.State == reservation.FenceStateBystander {
+	if !known && ans.State == reservation.FenceStateNotGranter {
 		ans.State = reservation.FenceStateForgotten
 	}
 	if ans.State == reservation.FenceStatePromised {
--- a/coordinator/ledger.go
+++ b/coordinator/ledger.go
@@ -151,7 +151,7 @@
 // host reports grants and closes that it knows of, but its promise has no effect.
 func nonGranterAnswer(ans reservation.FenceAnswer) reservation.FenceAnswer {
 	if ans.State == reservation.FenceStatePromised || ans.State == reservation.FenceStateForgotten {
-		ans.State = reservation.FenceStateBystander
+		ans.State = reservation.FenceStateNotGranter
 	}
 	return ans
 }
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -196,7 +196,7 @@
 		cor.release(now, msg)
 	case reservation.Adopt:
 		cor.adopt(now, from, msg)
-	case reservation.Hold:
+	case reservation.HeldGrants:
 		cor.reconcileHeld(now, from, msg)
 	case reservation.Evict:
 		cor.evict(now, from, msg)
@@ -434,7 +434,7 @@
 
 // reconcileHeld releases the slots that this host granted to the gateway but the gateway
 // doesn't list: their grants were lost with an earlier session.
-func (cor *Core) reconcileHeld(now time.Time, from request.Epoch, hol reservation.Hold) {
+func (cor *Core) reconcileHeld(now time.Time, from request.Epoch, hol reservation.HeldGrants) {
 	for _, ens := range cor.engines {
 		for id, held := range ens.held {
 			if held.gateway != from {
--- a/credential/credential.go
+++ b/credential/credential.go
@@ -7,7 +7,7 @@
 //	aut := credential.NewAuthenticator(credential.Config{Refused: func(err error) { ... }})
 //	err = aut.SetKeyRing(rin)
 //	cfg := aut.TLS() // for clients and servers
-//	next, due, err := rin.Renewal(now, every)
+//	next, due, err := rin.Rotation(now, every)
 //
 // A secret is rotated in two steps, so that hosts with adjacent versions of the key ring can
 // always connect: hosts accept the next secret some minutes before any host uses it, and
@@ -97,11 +97,11 @@
 // before others start to use it.
 const activationDelay = 5 * time.Minute
 
-// Renewal returns the key ring after the next step of its rotation, and whether that step
+// Rotation returns the key ring after the next step of its rotation, and whether that step
 // is due. A next secret is added once the time since the last change reaches the interval
 // every. It becomes the current one 5 minutes later, or one interval later if the interval is
 // shorter.
-func (rin KeyRing) Renewal(now time.Time, every time.Duration) (KeyRing, bool, error) {
+func (rin KeyRing) Rotation(now time.Time, every time.Duration) (KeyRing, bool, error) {
 	age := now.Sub(rin.Changed)
 	switch {
 	case len(rin.Next) > 0 && age >= min(activationDelay, every):
--- a/credential/credential_test.go
+++ b/credential/credential_test.go
@@ -60,19 +60,19 @@
 
 // Hosts must be able to connect in every step of a rotation, also to hosts that have missed
 // the latest step. A host that has missed both steps must be rejected.
-func TestHostsAuthenticateDuringRenewal(t *testing.T) {
+func TestHostsAuthenticateDuringRotation(t *testing.T) {
 	first := newKeyRing(t)
-	_, due, err := first.Renewal(start.Add(time.Minute), time.Hour)
+	_, due, err := first.Rotation(start.Add(time.Minute), time.Hour)
 	assert.NilError(t, err)
 	assert.Assert(t, !due)
-	second, due, err := first.Renewal(start.Add(time.Hour), time.Hour)
+	second, due, err := first.Rotation(start.Add(time.Hour), time.Hour)
 	assert.NilError(t, err)
 	assert.Assert(t, due)
 	assert.DeepEqual(t, second.Current, first.Current)
-	_, due, err = second.Renewal(start.Add(time.Hour+time.Minute), time.Hour)
+	_, due, err = second.Rotation(start.Add(time.Hour+time.Minute), time.Hour)
 	assert.NilError(t, err)
 	assert.Assert(t, !due, "next secret activated before the activation delay has passed")
-	third, due, err := second.Renewal(start.Add(2*time.Hour), time.Hour)
+	third, due, err := second.Rotation(start.Add(2*time.Hour), time.Hour)
 	assert.NilError(t, err)
 	assert.Assert(t, due)
 	assert.DeepEqual(t, third.Current, second.Next)
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -181,8 +181,8 @@
 	}
 	fmt.Fprintf(cfg.Progress, "configuration in force on all hosts; sending requests for %s\n", cfg.For)
 	clients := map[string]*load.Client{
-		"care-homes":     load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: careHomesKey, Seed: cfg.Seed}),
-		"building-firms": load.NewClient(load.ClientConfig{Entries: sys.Entries(), Key: buildingFirmsKey, Seed: cfg.Seed + 1}),
+		"care-homes":     load.NewClient(load.ClientConfig{Entries: sys.ClientAddresses(), Key: careHomesKey, Seed: cfg.Seed}),
+		"building-firms": load.NewClient(load.ClientConfig{Entries: sys.ClientAddresses(), Key: buildingFirmsKey, Seed: cfg.Seed + 1}),
 	}
 	results, err := load.Run(ctx, load.Config{Clients: clients, Kinds: Kinds(), For: cfg.For, Seed: cfg.Seed, Progress: progressPrinter(cfg.Progress)})
 	if err != nil {
--- a/embedded/caller_test.go
+++ b/embedded/caller_test.go
@@ -64,7 +64,7 @@
 
 func (crq clientRequest) send(t *testing.T, sys *embedded.System) (*http.Response, string) {
 	t.Helper()
-	req, err := http.NewRequestWithContext(t.Context(), crq.method, "http://"+sys.Entries()[0].String()+crq.path, strings.NewReader(crq.body))
+	req, err := http.NewRequestWithContext(t.Context(), crq.method, "http://"+sys.ClientAddresses()[0].String()+crq.path, strings.NewReader(crq.body))
 	assert.NilError(t, err)
 	req.Header.Set("Authorization", "Bearer "+accountKey)
 	for name, value := range crq.header {
@@ -144,7 +144,7 @@
 // another body is rejected.
 func TestRepeatedIDWithSameAndOtherBody(t *testing.T) {
 	sys := startSystem(t)
-	known, err := load.NewClient(load.ClientConfig{Entries: sys.Entries()}).Addresses(t.Context())
+	known, err := load.NewClient(load.ClientConfig{Entries: sys.ClientAddresses()}).Addresses(t.Context())
 	assert.NilError(t, err)
 	header := map[string]string{caller.HeaderID: known.Addresses[1].Prefix + "-one"}
 	_, first := clientRequest{http.MethodPost, "/v1/chat/completions", chat, header}.send(t, sys)
--- a/embedded/embedded.go
+++ b/embedded/embedded.go
@@ -6,7 +6,7 @@
 //	sys, err := embedded.Start(ctx, embedded.Config{Hosts: 6, Domains: 4, Engines: engines, Log: log})
 //	defer sys.Stop()
 //	err = sys.Apply(ctx, set)
-//	addresses := sys.Entries()
+//	addresses := sys.ClientAddresses()
 //
 // The demonstration, the benchmark and tests run against an embedded system.
 package embedded
@@ -127,7 +127,7 @@
 	if err := sys.startHosts(ctx); err != nil {
 		return err
 	}
-	return sys.WaitView(ctx, sys.cfg.Hosts)
+	return sys.WaitUntilConnected(ctx, sys.cfg.Hosts)
 }
 
 func (sys *System) startEngine(cfg enginetest.Config) error {
@@ -242,13 +242,13 @@
 	return nil
 }
 
-// Entries returns the addresses at which the hosts serve clients.
-func (sys *System) Entries() []netip.AddrPort {
-	entries := make([]netip.AddrPort, len(sys.settings))
+// ClientAddresses returns the addresses at which the hosts serve clients.
+func (sys *System) ClientAddresses() []netip.AddrPort {
+	addresses := make([]netip.AddrPort, len(sys.settings))
 	for idx, set := range sys.settings {
-		entries[idx] = set.CallerAddress
+		addresses[idx] = set.CallerAddress
 	}
-	return entries
+	return addresses
 }
 
 // Operator returns an operator client of the host at the index.
@@ -259,9 +259,9 @@
 // pollInterval is how often a waiting function checks its condition.
 const pollInterval = 10 * time.Millisecond
 
-// WaitView blocks until every host has a view with this number of members and is connected to
-// each of them.
-func (sys *System) WaitView(ctx context.Context, members int) error {
+// WaitUntilConnected blocks until every host has a view with this number of members and is
+// connected to each of them.
+func (sys *System) WaitUntilConnected(ctx context.Context, members int) error {
 	return sys.wait(ctx, "every host to be connected to all members of its view", func() bool {
 		for _, hos := range sys.Hosts {
 			if !hos.Connected(members) {
--- a/embedded/slow_test.go
+++ b/embedded/slow_test.go
@@ -21,7 +21,7 @@
 	var dialer net.Dialer
 	var stalled []net.Conn
 	for range stalledClients {
-		con, err := dialer.DialContext(t.Context(), "tcp", sys.Entries()[0].String())
+		con, err := dialer.DialContext(t.Context(), "tcp", sys.ClientAddresses()[0].String())
 		assert.NilError(t, err)
 		_, err = fmt.Fprintf(con, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n{\"model\"", accountKey)
 		assert.NilError(t, err)
@@ -40,7 +40,7 @@
 func TestEndlessBodyIsRejected(t *testing.T) {
 	sys := startSystem(t)
 	var dialer net.Dialer
-	con, err := dialer.DialContext(t.Context(), "tcp", sys.Entries()[0].String())
+	con, err := dialer.DialContext(t.Context(), "tcp", sys.ClientAddresses()[0].String())
 	assert.NilError(t, err)
 	defer con.Close()
 	assert.NilError(t, con.SetDeadline(time.Now().Add(20*time.Second)))
--- a/enginetest/engine.go
+++ b/enginetest/engine.go
@@ -189,9 +189,10 @@
 	return records
 }
 
-// Mark returns a digest of the prompt's last message, or "none" for a prompt without messages.
+// PromptDigest returns a digest of the prompt's last message, or "none" for a prompt without
+// messages.
 // Every token of the answer starts with the digest.
-func Mark(messages []engine.Message) string {
+func PromptDigest(messages []engine.Message) string {
 	if len(messages) == 0 {
 		return "none"
 	}
@@ -201,7 +202,7 @@
 
 // Answer returns the complete answer to the prompt, with the given number of tokens.
 func Answer(messages []engine.Message, tokens int) string {
-	digest := Mark(messages)
+	digest := PromptDigest(messages)
 	text := ""
 	for idx := range tokens {
 		text += token(digest, idx)
--- a/enginetest/handler.go
+++ b/enginetest/handler.go
@@ -106,7 +106,7 @@
 	rec := &engine.DispatchRecord{ID: id, Call: req.Method + " " + req.URL.Path, Priority: priority, PromptTokens: prompt.Tokens}
 	eng.dispatches = append(eng.dispatches, rec)
 	jb = &job{
-		record: rec, priority: priority, model: chat.Model, promptDigest: Mark(chat.Messages),
+		record: rec, priority: priority, model: chat.Model, promptDigest: PromptDigest(chat.Messages),
 		prompt: prompt, answerTokens: answerTokens, changed: make(chan struct{}), readersChanged: time.Now(),
 	}
 	eng.streams[id] = jb
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	if cha.FromPeer || !cha.Report.Cleared && !cha.ConcernsGateways() {
+	if cha.ClearedByPeer || !cha.Report.Cleared && !cha.ConcernsGateways() {
 		return
 	}
 	// Evidence against a request is sent too: a coordinator that can't reach the store does not
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -178,12 +178,12 @@
 	for _, fau := range []upstreamtest.Fault{upstreamtest.DropAnswer, upstreamtest.Truncate, upstreamtest.TruncateInEvent, upstreamtest.Error} {
 		for range 4 {
 			for _, eng := range engines[:2] {
-				eng.Fault(fau, 1)
+				eng.InjectFault(fau, 1)
 			}
 			num++
 			sys.Send(t.Context(), sys.Hosts[num%2], entrytest.Request{ID: fmt.Sprintf("fault-%d", num), Path: "/stream/x", Body: "the same", Header: map[string]string{"Token-Counts": "10,5"}})
 			for _, eng := range engines[:2] {
-				eng.Clear()
+				eng.ClearFaults()
 			}
 		}
 	}
@@ -222,8 +222,8 @@
 	sys.WaitUntil("held requests written", func() bool { return strings.Contains(sys.Log(), "held requests written") })
 	dig := call.Request{Method: http.MethodPost, Host: entrytest.HostName, Target: "/stream/week", Body: []byte(entrytest.PoisonBody)}.Digest(entrytest.Account)
 	var unknown *entry.UnknownDigestError
-	assert.Assert(t, errors.As(sys.Hosts[2].Free(call.Digest{7}), &unknown))
-	assert.NilError(t, sys.Hosts[2].Free(dig))
+	assert.Assert(t, errors.As(sys.Hosts[2].ReleaseRequest(call.Digest{7}), &unknown))
+	assert.NilError(t, sys.Hosts[2].ReleaseRequest(dig))
 	for _, hos := range sys.Hosts {
 		sys.WaitUntil("the request isn't held any more", func() bool { return !strings.Contains(sys.Dump(hos), dig.String()) })
 	}
--- a/entry/desk.go
+++ b/entry/desk.go
@@ -166,7 +166,7 @@
 		bro.deliver(snd)
 	}
 	bro.publishQuarantineChanges()
-	if !bro.ticking && bro.core.Waiting() {
+	if !bro.ticking && bro.core.HasWaiting() {
 		bro.ticking = true
 		time.AfterFunc(tickInterval, bro.tick)
 	}
@@ -235,7 +235,7 @@
 		}
 	case reservation.Leader:
 		bro.applyLeader(by, msg.Host)
-	case reservation.Absent:
+	case reservation.UnreachableHosts:
 		bro.applyUnreachable(by, msg.Hosts)
 	}
 }
@@ -287,7 +287,7 @@
 func (bro *broker) reserve(ctx context.Context, res reservation.Reserve) (decision, error) {
 	pen := &pendingReservation{reserve: res, decision: make(chan decision, 1)}
 	bro.mutex.Lock()
-	if ref, held := bro.core.Held(bro.host.clock.Now(), res); held {
+	if ref, held := bro.core.HeldRefusal(bro.host.clock.Now(), res); held {
 		// A held request is refused here even if the coordinator does not know of it yet.
 		bro.mutex.Unlock()
 		return decision{refusal: &ref, coordinator: bro.host.epoch}, nil
--- a/entry/elect.go
+++ b/entry/elect.go
@@ -82,10 +82,10 @@
 // it would consider all hosts lost and enforce only its own share of the limits.
 func (bro *broker) appoint(old, chosen request.Epoch) {
 	if old != bro.host.epoch {
-		bro.send(old, reservation.Appoint{})
+		bro.send(old, reservation.Delegation{})
 	}
 	if chosen != bro.host.epoch {
-		bro.send(chosen, reservation.Appoint{Delegated: true})
+		bro.send(chosen, reservation.Delegation{Delegated: true})
 	}
 }
 
--- a/entry/elect_test.go
+++ b/entry/elect_test.go
@@ -48,7 +48,7 @@
 	hos, sessions := newHostInFleet(t, hosts)
 	reportedLeader := func() request.Epoch { return hos.broker.publishedLeader }
 	appoint := func(idx int, delegated bool) {
-		hos.broker.SessionMessage(sessions[idx], peer.Received{Message: reservation.Appoint{Delegated: delegated}})
+		hos.broker.SessionMessage(sessions[idx], peer.Received{Message: reservation.Delegation{Delegated: delegated}})
 	}
 	appoint(0, true)
 	assert.Equal(t, reportedLeader(), request.Epoch(0), "two of five hosts are no majority")
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -143,7 +143,7 @@
 		resumed:           make(chan time.Duration, 1),
 		done:              make(chan struct{}),
 	}
-	hos.clock = clock.New(clock.Config{Source: cfg.Clock, Suspended: hos.recordSuspension, Failed: hos.recordClockFailure})
+	hos.clock = clock.New(clock.Config{Source: cfg.Clock, OnSuspension: hos.recordSuspension, OnBootError: hos.recordClockFailure})
 	hos.started = hos.clock.Now()
 	hos.mirror = newMirror(hos.clock.Now)
 	hos.snapshot.Store(&snapshot{})
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -148,8 +148,8 @@
 		want = upstreamtest.StreamBody("r1", streamEvents)
 	}
 	sys := start(t, 1, []*upstreamtest.Engine{one, two})
-	one.Fault(fau, 1)
-	two.Fault(fau, 1)
+	one.InjectFault(fau, 1)
+	two.InjectFault(fau, 1)
 	// Only the engine that takes the request first has the fault.
 	ans := sendWithOneFault(t, sys, kind, one, two)
 	if status == 0 {
@@ -190,7 +190,7 @@
 	}
 	sys.WaitUntil("all other streams run", func() bool { return len(engines[0].Runs())+len(engines[1].Runs()) == 4 })
 	for _, eng := range engines {
-		eng.Fault(upstreamtest.Truncate, 1)
+		eng.InjectFault(upstreamtest.Truncate, 1)
 	}
 	ans := sendWithOneFault(t, sys, "resume", engines[0], engines[1])
 	assert.NilError(t, ans.Err)
@@ -204,8 +204,8 @@
 // engine has taken the request.
 func sendWithOneFault(t *testing.T, sys *entrytest.System, kind string, one, two *upstreamtest.Engine) entrytest.Answer {
 	t.Helper()
-	one.OnNextRequest(func() { two.Clear() })
-	two.OnNextRequest(func() { one.Clear() })
+	one.OnNextRequest(func() { two.ClearFaults() })
+	two.OnNextRequest(func() { one.ClearFaults() })
 	return sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/" + kind + "/", Header: map[string]string{"Token-Counts": "10,20"}})
 }
 
@@ -224,7 +224,7 @@
 func TestUnframedAnswerThatIsResetIsIncomplete(t *testing.T) {
 	eng := plainEngine("p1")
 	sys := start(t, 1, []*upstreamtest.Engine{eng})
-	eng.Fault(upstreamtest.UnframedReset, 1)
+	eng.InjectFault(upstreamtest.UnframedReset, 1)
 	ans := sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/unsafe/"})
 	assert.Equal(t, ans.Status, http.StatusBadGateway, ans.Body)
 }
@@ -234,7 +234,7 @@
 func TestConnectionIsNotReusedAfterEarlyAnswer(t *testing.T) {
 	eng := plainEngine("p1")
 	sys := start(t, 1, []*upstreamtest.Engine{eng})
-	eng.Fault(upstreamtest.Early, 1)
+	eng.InjectFault(upstreamtest.Early, 1)
 	ans := sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/unsafe/", Body: strings.Repeat("x", 900<<10)})
 	assert.Equal(t, ans.Status, http.StatusRequestEntityTooLarge, ans.Body)
 	assert.Equal(t, ans.Header.Get("Response-Signature"), "signed-r1")
@@ -244,7 +244,7 @@
 func TestClientDisconnectCancelsEngineRequest(t *testing.T) {
 	eng := modelEngine("m1")
 	sys := start(t, 1, []*upstreamtest.Engine{eng})
-	eng.Fault(upstreamtest.Hang, 1)
+	eng.InjectFault(upstreamtest.Hang, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	answers := make(chan entrytest.Answer, 1)
 	go func() { answers <- sys.Send(ctx, sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/stream/"}) }()
@@ -257,7 +257,7 @@
 func TestDeadlineEndsRequest(t *testing.T) {
 	eng := plainEngine("p1")
 	sys := start(t, 1, []*upstreamtest.Engine{eng})
-	eng.Fault(upstreamtest.Hang, 1)
+	eng.InjectFault(upstreamtest.Hang, 1)
 	started := time.Now()
 	ans := sys.Send(t.Context(), sys.Hosts[0], entrytest.Request{ID: "r1", Path: "/unsafe/", Header: map[string]string{"Deadline-Ms": "200"}})
 	assert.Equal(t, ans.Status, http.StatusGatewayTimeout, ans.Body)
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -59,16 +59,16 @@
 func (eva *evacuations) beginSend(domain string) error {
 	eva.mutex.Lock()
 	defer eva.mutex.Unlock()
-	if eva.gate.Enter(domain) {
+	if eva.gate.BeginWrite(domain) {
 		return nil
 	}
-	ord, _ := eva.gate.Closed(domain)
+	ord, _ := eva.gate.BlockingOrder(domain)
 	return &EvacuatedError{Order: ord}
 }
 
 func (eva *evacuations) endSend(domain string) {
 	eva.mutex.Lock()
-	enforced := eva.gate.Leave(domain)
+	enforced := eva.gate.EndWrite(domain)
 	eva.mutex.Unlock()
 	if enforced {
 		eva.host.broker.reportEnforcedOrders()
@@ -171,7 +171,7 @@
 func (wat *storeWatcher) resetEvacuations(values []store.Value, rev store.Revision) {
 	given := make(map[string]bool)
 	for _, val := range values {
-		if kind, name := platform.KindOf(val.Key); kind == platform.KeyEvacuation {
+		if kind, name := platform.ParseKey(val.Key); kind == platform.KeyEvacuation {
 			given[name] = true
 		}
 	}
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -57,7 +57,7 @@
 	sendAll(t, sys, 100, 20)
 	assert.Equal(t, len(evacuated.Arrivals()), before)
 	sys.WaitUntil("the domain is empty", func() bool { return sys.EvacuationState(evacuatedDomain).State == "empty" })
-	sys.CancelEvacuation(evacuatedDomain)
+	sys.WithdrawEvacuation(evacuatedDomain)
 	sys.WaitUntil("the domain is used again", func() bool {
 		sendAll(t, sys, 200, 3)
 		return len(evacuated.Arrivals()) > before
@@ -157,7 +157,7 @@
 	}
 	assert.Assert(t, strings.Contains(sys.Metrics(sys.Hosts[0]), "EvacuationsOfUnknownDomains 1\n"))
 	first := sys.EvacuationState(evacuatedDomain).Revision
-	sys.CancelEvacuation(evacuatedDomain)
+	sys.WithdrawEvacuation(evacuatedDomain)
 	sys.Evacuate(evacuatedDomain, "{}")
 	sys.WaitUntil("the second order is published", func() bool { return sys.EvacuationState(evacuatedDomain).Revision > first })
 	before := len(evacuated.Arrivals())
--- a/entry/held.go
+++ b/entry/held.go
@@ -20,9 +20,9 @@
 // and while the store is unreachable, each host receives them in the reports of the others.
 
 const (
-	// PathFree is the path on the metrics address that releases a held request: POST with its
+	// PathRelease is the path on the metrics address that releases a held request: POST with its
 	// digest.
-	PathFree = "/held/free"
+	PathRelease = "/held/free"
 	// queryDigest is the query parameter that holds the digest.
 	queryDigest = "digest"
 	// statusHeld is the status of a held request's answer: the request has run, and the status must
@@ -116,10 +116,10 @@
 	return "nothing is known against a request with digest " + ude.Digest.String()
 }
 
-// Free releases a held request, here and at the coordinator, which passes this on to the other hosts
-// and writes it to the store. It returns an *UnknownDigestError if the request is not held and has
-// no recorded crash of an engine.
-func (hos *Host) Free(dig call.Digest) error {
+// ReleaseRequest releases a held request, here and at the coordinator, which passes this on to the
+// other hosts and writes it to the store. It returns an *UnknownDigestError if the request is not
+// held and has no recorded crash of an engine.
+func (hos *Host) ReleaseRequest(dig call.Digest) error {
 	hos.broker.mutex.Lock()
 	defer hos.broker.mutex.Unlock()
 	if !hos.broker.core.HasCase(dig) {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (hos *Host) serveFree(wri http.ResponseWriter, req *http.Request) {
+func (hos *Host) serveRelease(wri http.ResponseWriter, req *http.Request) {
 	if req.Method != http.MethodPost {
 		http.Error(wri, "want POST", http.StatusMethodNotAllowed)
 		return
@@ -144,7 +144,7 @@
 		return
 	}
 	var unknown *UnknownDigestError
-	if err := hos.Free(dig); errors.As(err, &unknown) {
+	if err := hos.ReleaseRequest(dig); errors.As(err, &unknown) {
 		http.Error(wri, err.Error(), http.StatusNotFound)
 		return
 	}
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -100,8 +100,8 @@
 		case PathDump:
 			hos.serveDump(wri, req)
 			return
-		case PathFree:
-			hos.serveFree(wri, req)
+		case PathRelease:
+			hos.serveRelease(wri, req)
 			return
 		}
 		wri.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -80,11 +80,11 @@
 func TestBackoffSignalStopsRequests(t *testing.T) {
 	engines := plainEngines(4)
 	sys := startWithLongRevocation(t, 2, engines)
-	engines[0].Backoff(30 * time.Second)
+	engines[0].SetBackoff(30 * time.Second)
 	for _, eng := range engines[1:3] {
-		eng.Fault(upstreamtest.Error, 1000)
+		eng.InjectFault(upstreamtest.Error, 1000)
 	}
-	engines[3].Fault(upstreamtest.Slow, 1000)
+	engines[3].InjectFault(upstreamtest.Slow, 1000)
 	for num := range 12 {
 		for _, hos := range sys.Hosts {
 			sendPlain(t, sys, hos, "safe", num)
@@ -102,7 +102,7 @@
 func TestBackoffSignalOfOnlyEngineStopsRequests(t *testing.T) {
 	engines := plainEngines(1)
 	sys := startWithLongRevocation(t, 2, engines)
-	engines[0].Backoff(30 * time.Second)
+	engines[0].SetBackoff(30 * time.Second)
 	for num := range 10 {
 		for _, hos := range sys.Hosts {
 			ans := sendPlain(t, sys, hos, "unsafe", num)
@@ -137,7 +137,7 @@
 			draining := engineForRoute(tst.route, "draining")
 			sys := startWithLongRevocation(t, 1, []*upstreamtest.Engine{draining})
 			draining.StartDraining()
-			draining.Fault(tst.fault, 1)
+			draining.InjectFault(tst.fault, 1)
 			first := make(chan entrytest.Answer, 1)
 			go func() { first <- sendPlain(t, sys, sys.Hosts[0], tst.route, 0) }()
 			sys.WaitUntil("the signal is recorded", func() bool { return len(sys.Hosts[0].Dump().Notices) == 1 })
@@ -224,9 +224,9 @@
 	engines := plainEngines(1)
 	sys := startSuspendable(t, 1, engines)
 	hos := sys.Hosts[0]
-	engines[0].Backoff(20 * time.Second)
+	engines[0].SetBackoff(20 * time.Second)
 	assert.Equal(t, sendPlain(t, sys, hos, "unsafe", 0).Status, http.StatusServiceUnavailable)
-	engines[0].Backoff(0)
+	engines[0].SetBackoff(0)
 	hos.Clock.Suspend(10 * time.Second)
 	sys.WaitForReady()
 	assert.Equal(t, sendPlain(t, sys, hos, "unsafe", 1).Status, http.StatusServiceUnavailable)
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -60,7 +60,7 @@
 }
 
 func (bro *broker) sendUnreachable(inb *inbound) {
-	inb.send(reservation.Absent{Hosts: bro.publishedUnreachable})
+	inb.send(reservation.UnreachableHosts{Hosts: bro.publishedUnreachable})
 }
 
 // applyUnreachable applies a report of unreachable hosts if it is the coordinator's; the mutex
--- a/entry/presence_test.go
+++ b/entry/presence_test.go
@@ -39,6 +39,6 @@
 	hos.broker.links[1] = &link{queue: peer.NewQueue()}
 	hos.broker.applyMessage(1, reservation.Leader{Host: 1})
 	assert.Equal(t, len(hos.addresses(now, platform.AddressesQuery{})), hosts-1)
-	hos.broker.applyMessage(1, reservation.Absent{Hosts: hos.broker.publishedUnreachable[:lost/2]})
+	hos.broker.applyMessage(1, reservation.UnreachableHosts{Hosts: hos.broker.publishedUnreachable[:lost/2]})
 	assert.Equal(t, len(hos.addresses(now, platform.AddressesQuery{})), hosts-1-lost/2)
 }
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -23,9 +23,9 @@
 	}
 	wat.publishRollouts()
 	wat.host.broker.handle(scheduler.EnginesChanged{Engines: engines})
-	mbs := membership{members: snp.members, candidates: snp.members, unregistered: wat.directory.Missing(wat.host.set.Name)}
+	mbs := membership{members: snp.members, candidates: snp.members, unregistered: wat.directory.IsMissing(wat.host.set.Name)}
 	if mbs.unregistered {
-		mbs.candidates = wat.directory.Current()
+		mbs.candidates = wat.directory.RegisteredMembers()
 	}
 	wat.host.broker.updateMembership(mbs)
 }
--- a/entry/rates_test.go
+++ b/entry/rates_test.go
@@ -74,7 +74,7 @@
 	engines := plainEngines(1)
 	sys := startWithLongRevocation(t, 1, engines)
 	engines[0].SetRateLimit(50)
-	engines[0].Fault(upstreamtest.Reject, 4)
+	engines[0].InjectFault(upstreamtest.Reject, 4)
 	num := 0
 	sys.WaitUntil("the engine serves again", func() bool {
 		num++
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -29,7 +29,7 @@
 	sys.Configure(entrytest.Configuration{Version: 2, RouteRegions: []string{"south"}})
 	sys.WaitForVersion(2)
 	sendAll(t, sys, 0, 10)
-	south.Fault(upstreamtest.DropAnswer, 2)
+	south.InjectFault(upstreamtest.DropAnswer, 2)
 	for num := range 6 {
 		ans := sendPlain(t, sys, sys.Hosts[0], "safe", num)
 		assert.Equal(t, ans.Status, http.StatusOK, ans.Body)
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -60,7 +60,7 @@
 			startTime := time.Now().Add(-time.Hour)
 			sys.PutEngineState("e", end.state(former, startTime))
 			sys.WaitForEngines(1)
-			former.Fault(upstreamtest.Hang, 1)
+			former.InjectFault(upstreamtest.Hang, 1)
 			taken := make(chan struct{})
 			former.OnNextRequest(func() { close(taken) })
 			answered := make(chan entrytest.Answer, 1)
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -102,7 +102,7 @@
 // applyKeyRing applies the secrets in the store. Invalid ones leave the previous ones in force.
 func (wat *storeWatcher) applyKeyRing(val store.Value) {
 	sec := wat.host.secrets
-	rin, err := platform.DecodeRing(val)
+	rin, err := platform.DecodeKeyRing(val)
 	if err == nil {
 		err = sec.authenticator.SetKeyRing(rin)
 	}
@@ -172,7 +172,7 @@
 	case known && missing:
 		due = hos.broker.coordinates()
 	case known && hos.broker.coordinates():
-		ring, due, err = ring.Renewal(now, hos.bounds.Load().RenewSecret())
+		ring, due, err = ring.Rotation(now, hos.bounds.Load().RenewSecret())
 	}
 	if err != nil {
 		hos.log.Error().Err(err).Msg("generating new secrets failed")
@@ -188,10 +188,10 @@
 func (hos *Host) writeKeyRing(ctx context.Context, ring credential.KeyRing, revision store.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, secretTimeout)
 	defer cancel()
-	data, err := platform.EncodeRing(ring)
+	data, err := platform.EncodeKeyRing(ring)
 	var rev store.Revision
 	if err == nil {
-		rev, err = hos.store.Put(ctx, store.Write{Key: platform.RingKey(), Data: data, Expect: revision})
+		rev, err = hos.store.Put(ctx, store.Write{Key: platform.KeyRingKey(), Data: data, Expect: revision})
 	}
 	var conflict *store.ConflictError
 	switch {
--- a/entry/secret_test.go
+++ b/entry/secret_test.go
@@ -34,9 +34,9 @@
 
 func storedKeyRing(t *testing.T, sys *entrytest.System) (credential.KeyRing, store.Revision) {
 	t.Helper()
-	val, err := sys.Store.Get(t.Context(), platform.RingKey())
+	val, err := sys.Store.Get(t.Context(), platform.KeyRingKey())
 	assert.NilError(t, err)
-	rin, err := platform.DecodeRing(val)
+	rin, err := platform.DecodeKeyRing(val)
 	assert.NilError(t, err)
 	return rin, val.Revision
 }
@@ -124,9 +124,9 @@
 	sys := startWithStoredSecret(t, 2, settings.Bounds{RenewSecretSeconds: 2})
 	rin, _ := storedKeyRing(t, sys)
 	for _, wri := range []store.Write{
-		{Key: platform.RingKey(), Delete: true, Blind: true},
-		{Key: platform.RingKey(), Data: []byte("{"), Blind: true},
-		{Key: platform.RingKey(), Data: []byte(`{"Current":"c2hvcnQ="}`), Blind: true},
+		{Key: platform.KeyRingKey(), Delete: true, Blind: true},
+		{Key: platform.KeyRingKey(), Data: []byte("{"), Blind: true},
+		{Key: platform.KeyRingKey(), Data: []byte(`{"Current":"c2hvcnQ="}`), Blind: true},
 	} {
 		_, err := sys.Store.Put(t.Context(), wri)
 		assert.NilError(t, err)
@@ -134,9 +134,9 @@
 		checkServed(t, sys, "outage")
 		sys.Store.SetFaults(platformtest.Faults{})
 		sys.WaitUntil("the secret is restored", func() bool {
-			val, err := sys.Store.Get(t.Context(), platform.RingKey())
+			val, err := sys.Store.Get(t.Context(), platform.KeyRingKey())
 			assert.NilError(t, err)
-			restored, err := platform.DecodeRing(val)
+			restored, err := platform.DecodeKeyRing(val)
 			return err == nil && (string(restored.Current) == string(rin.Current) || string(restored.Former) == string(rin.Current))
 		})
 	}
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -60,7 +60,7 @@
 			return errors.Wrap(err, lsr.name)
 		}
 		hos.servers = append(hos.servers, lsr.server)
-		hos.tasks.Run(lsr.name, func() error { return task.Served(lsr.serveOn(lis)) })
+		hos.tasks.Run(lsr.name, func() error { return task.IgnoreServerClosed(lsr.serveOn(lis)) })
 	}
 	return nil
 }
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -203,8 +203,8 @@
 	bro.mutex.Lock()
 	defer bro.mutex.Unlock()
 	if inb := bro.inbound[session]; inb != nil {
-		if app, isAppoint := rec.Message.(reservation.Appoint); isAppoint {
-			bro.setAppointed(inb, app.Delegated)
+		if del, isDelegation := rec.Message.(reservation.Delegation); isDelegation {
+			bro.setAppointed(inb, del.Delegated)
 			return
 		}
 		if enf, isEnforced := rec.Message.(reservation.EnforcedOrders); isEnforced {
--- a/entry/share_test.go
+++ b/entry/share_test.go
@@ -55,14 +55,14 @@
 	hos, sessions := newHostInFleet(t, hosts)
 	assert.Equal(t, hos.Dump().Scheduler.Parts, float64(hosts), "a session alone doesn't appoint the host")
 	for _, ses := range sessions {
-		hos.broker.SessionMessage(ses, peer.Received{Message: reservation.Appoint{Delegated: true}})
+		hos.broker.SessionMessage(ses, peer.Received{Message: reservation.Delegation{Delegated: true}})
 	}
 	assert.Equal(t, hos.Dump().Scheduler.Parts, 1.0)
 	// A third of the hosts appoints another coordinator, another third is lost.
 	for idx, ses := range sessions {
 		switch idx % 3 {
 		case 0:
-			hos.broker.SessionMessage(ses, peer.Received{Message: reservation.Appoint{}})
+			hos.broker.SessionMessage(ses, peer.Received{Message: reservation.Delegation{}})
 		case 1:
 			hos.broker.SessionLost(ses)
 		}
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -77,7 +77,7 @@
 		return
 	}
 	exc.headerSent = true
-	copyHeader(exc.writer.Header(), platform.CallerHeader(ans.Header))
+	copyHeader(exc.writer.Header(), platform.ClientHeader(ans.Header))
 	exc.writer.WriteHeader(ans.Status)
 }
 
--- a/entry/suspension_test.go
+++ b/entry/suspension_test.go
@@ -49,7 +49,7 @@
 	engines := twoOfEach()
 	sys := startSuspendable(t, 1, engines)
 	for _, eng := range engines[2:] {
-		eng.Fault(upstreamtest.Hang, 1)
+		eng.InjectFault(upstreamtest.Hang, 1)
 	}
 	answers := make(chan entrytest.Answer, 1)
 	started := time.Now()
--- a/entry/take.go
+++ b/entry/take.go
@@ -18,7 +18,7 @@
 	wat.clearHeldRevision()
 	wat.resetEvacuations(values, rev)
 	for _, val := range values {
-		switch kind, name := platform.KindOf(val.Key); kind {
+		switch kind, name := platform.ParseKey(val.Key); kind {
 		case platform.KeyConfiguration:
 			wat.applyConfiguration(val)
 		case platform.KeyEngine:
@@ -55,7 +55,7 @@
 	for _, name := range invalid {
 		wat.directory.DropEngine(name)
 	}
-	if wat.directory.Missing(wat.host.set.Name) {
+	if wat.directory.IsMissing(wat.host.set.Name) {
 		wat.host.renewLeaseSoon()
 	}
 }
@@ -85,7 +85,7 @@
 		wat.applyDeletion(cha)
 		return
 	}
-	switch kind, name := platform.KindOf(cha.Key); kind {
+	switch kind, name := platform.ParseKey(cha.Key); kind {
 	case platform.KeyConfiguration:
 		wat.applyConfiguration(cha.Value)
 	case platform.KeyMeasurements:
@@ -126,7 +126,7 @@
 // roll-out remain in use after their keys are deleted.
 func (wat *storeWatcher) applyDeletion(cha store.Change) {
 	wat.invalidValues.recordValid(cha.Key)
-	switch kind, name := platform.KindOf(cha.Key); kind {
+	switch kind, name := platform.ParseKey(cha.Key); kind {
 	case platform.KeyEngine:
 		wat.host.log.Info().Str("Engine", name).Uint64("Revision", uint64(cha.Revision)).Msg("engine deregistered")
 		wat.directory.RemoveEngine(wat.host.clock.Now(), name)
--- a/entry/unread.go
+++ b/entry/unread.go
@@ -38,7 +38,7 @@
 // recordFields counts the unrecognized fields of a configuration, and logs each once. Fields that
 // are recognized but ignored are left out.
 func (unr *unrecognizedKeys) recordFields(val store.Value) {
-	unknown := platform.UnrecognizedFields(val.Data)
+	unknown := platform.UnusedFields(val.Data)
 	for _, field := range slices.Sorted(maps.Keys(unknown)) {
 		if !unknown[field] {
 			continue
--- a/entrytest/writes.go
+++ b/entrytest/writes.go
@@ -93,8 +93,8 @@
 	assert.NilError(sys.t, sys.Store.Write(store.Write{Key: EvacuationKey(domain), Data: []byte(value), Blind: true}))
 }
 
-// CancelEvacuation deletes the order to evacuate a failure domain.
-func (sys *System) CancelEvacuation(domain string) {
+// WithdrawEvacuation deletes the order to evacuate a failure domain.
+func (sys *System) WithdrawEvacuation(domain string) {
 	sys.t.Helper()
 	assert.NilError(sys.t, sys.Store.Write(store.Write{Key: EvacuationKey(domain), Delete: true, Blind: true}))
 }
--- a/evacuation/board_test.go
+++ b/evacuation/board_test.go
@@ -85,18 +85,18 @@
 	gat := evacuation.NewGate()
 	order := evacuation.Order{Domain: domain, Revision: 7}
 	for _, to := range []string{domain, domain, "d2"} {
-		assert.Assert(t, gat.Enter(to))
+		assert.Assert(t, gat.BeginWrite(to))
 	}
 	assert.Assert(t, gat.SetOrders([]evacuation.Order{order}))
 	assert.Assert(t, !gat.SetOrders([]evacuation.Order{order}))
-	assert.Assert(t, !gat.Enter(domain) && gat.Enter("d2"))
+	assert.Assert(t, !gat.BeginWrite(domain) && gat.BeginWrite("d2"))
 	assert.Equal(t, len(gat.Enforced()), 0)
-	assert.Assert(t, !gat.Leave(domain))
-	assert.Assert(t, gat.Leave(domain))
+	assert.Assert(t, !gat.EndWrite(domain))
+	assert.Assert(t, gat.EndWrite(domain))
 	assert.DeepEqual(t, gat.Enforced(), []evacuation.Order{order})
-	assert.Assert(t, !gat.Leave("d2"))
+	assert.Assert(t, !gat.EndWrite("d2"))
 	assert.Assert(t, gat.SetOrders(nil))
-	assert.Assert(t, gat.Enter(domain))
+	assert.Assert(t, gat.BeginWrite(domain))
 }
 
 // fakeStore holds the order and published state of one domain, as the store does.
--- a/evacuation/gate.go
+++ b/evacuation/gate.go
@@ -33,32 +33,33 @@
 	return changed
 }
 
-// Closed returns the order that blocks requests to a failure domain, and whether there is one.
-func (gat *Gate) Closed(domain string) (Order, bool) {
-	ord, closed := gat.orders[domain]
-	return ord, closed
+// BlockingOrder returns the order that blocks requests to a failure domain, and whether there is
+// one.
+func (gat *Gate) BlockingOrder(domain string) (Order, bool) {
+	ord, blocked := gat.orders[domain]
+	return ord, blocked
 }
 
-// Enter reports whether a request to an engine of the domain may be written. If so, the caller
-// must call Leave once the request is written or abandoned.
-func (gat *Gate) Enter(domain string) bool {
-	if _, closed := gat.orders[domain]; closed {
+// BeginWrite reports whether a request to an engine of the domain may be written. If so, the
+// caller must call EndWrite once the request is written or abandoned.
+func (gat *Gate) BeginWrite(domain string) bool {
+	if _, blocked := gat.orders[domain]; blocked {
 		return false
 	}
 	gat.writing[domain]++
 	return true
 }
 
-// Leave records that a request that had entered was written or abandoned, and reports whether the
-// host enforces an order for the domain from now on.
-func (gat *Gate) Leave(domain string) bool {
+// EndWrite records that a request for which BeginWrite returned true was written or abandoned, and
+// reports whether the host enforces an order for the domain from now on.
+func (gat *Gate) EndWrite(domain string) bool {
 	gat.writing[domain]--
 	if gat.writing[domain] > 0 {
 		return false
 	}
 	delete(gat.writing, domain)
-	_, closed := gat.orders[domain]
-	return closed
+	_, blocked := gat.orders[domain]
+	return blocked
 }
 
 // Enforced returns the orders that the host enforces, sorted by domain: none of its requests
--- a/fleet/directory.go
+++ b/fleet/directory.go
@@ -177,13 +177,14 @@
 	})
 }
 
-// Current returns the hosts in the order of Members, without those whose entries are missing.
-func (dir *Directory) Current() []Member {
+// RegisteredMembers returns the hosts in the order of Members, without those whose entries are
+// missing.
+func (dir *Directory) RegisteredMembers() []Member {
 	return slices.DeleteFunc(dir.Members(), func(mem Member) bool { return dir.missingMembers[mem.Name] })
 }
 
-// Missing reports whether the host's entry has disappeared from the store and is held.
-func (dir *Directory) Missing(name string) bool {
+// IsMissing reports whether the host's entry has disappeared from the store and is held.
+func (dir *Directory) IsMissing(name string) bool {
 	return dir.missingMembers[name]
 }
 
--- a/gateway/action.go
+++ b/gateway/action.go
@@ -14,13 +14,13 @@
 // Attach subscribes a client to the answer of a request: the part received so
 // far and everything that follows.
 type Attach struct {
-	Caller CallerID
+	Client ClientID
 	ID     request.ID
 }
 
 // Answer sends one client a final answer that isn't stored for the client's retries.
 type Answer struct {
-	Caller CallerID
+	Client ClientID
 	Final  Final
 }
 
--- a/gateway/arrive.go
+++ b/gateway/arrive.go
@@ -27,12 +27,12 @@
 // another fingerprint under the same id is rejected.
 func (gat *Core) attach(now time.Time, ent *entry, arr Arrived) {
 	if ent.spec.Fingerprint != arr.Spec.Fingerprint {
-		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseIDReused, Outcome: request.Unknown}})
+		gat.emit(Answer{Client: arr.Client, Final: Final{Cause: CauseIDReused, Outcome: request.Unknown}})
 		return
 	}
 	ent.callers++
 	ent.abandonedAt = time.Time{}
-	gat.emit(Attach{Caller: arr.Caller, ID: ent.id})
+	gat.emit(Attach{Client: arr.Client, ID: ent.id})
 	if ent.phase == phaseCloseUnconfirmed {
 		gat.close(now, ent, ent.final)
 	}
@@ -42,15 +42,15 @@
 	current := gat.Window(now)
 	vie, known := gat.views.Get(arr.ID.View)
 	switch {
-	case arr.ID.Window > current || arr.ID.View > gat.views.Last().Number:
-		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CausePrefixNotIssued, Outcome: request.NotRun}})
+	case arr.ID.Window > current || arr.ID.View > gat.views.Newest().Number:
+		gat.emit(Answer{Client: arr.Client, Final: Final{Cause: CausePrefixNotIssued, Outcome: request.NotRun}})
 		return
 	case arr.ID.Window+WindowsKept <= current || !known:
-		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CauseTooOld, Outcome: request.Unknown}})
+		gat.emit(Answer{Client: arr.Client, Final: Final{Cause: CauseTooOld, Outcome: request.Unknown}})
 		return
 	}
 	if _, member := vie.Member(gat.cfg.Self); !member {
-		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CausePrefixNotIssued, Outcome: request.NotRun}})
+		gat.emit(Answer{Client: arr.Client, Final: Final{Cause: CausePrefixNotIssued, Outcome: request.NotRun}})
 		return
 	}
 	ent := gat.newEntry(now, arr, request.Ballot{Holder: gat.cfg.Self})
@@ -64,7 +64,7 @@
 		callers: 1, refused: make(map[request.Epoch]time.Time),
 	}
 	gat.table.add(ent)
-	gat.emit(Attach{Caller: arr.Caller, ID: ent.id})
+	gat.emit(Attach{Client: arr.Client, ID: ent.id})
 	return ent
 }
 
@@ -75,7 +75,7 @@
 		gat.close(now, ent, Final{Cause: CauseDraining, Outcome: request.NotRun, Retry: true})
 		return
 	}
-	if fin, exceeded := gat.limits.take(now, gat.conf, ent.spec.Account, len(gat.views.Last().Active()), gat.table.accounts[ent.spec.Account]); exceeded {
+	if fin, exceeded := gat.limits.take(now, gat.conf, ent.spec.Account, len(gat.views.Newest().Active()), gat.table.accounts[ent.spec.Account]); exceeded {
 		gat.close(now, ent, fin)
 		return
 	}
@@ -85,19 +85,19 @@
 // arrivedForeign handles an id that another gateway owns: the request is relayed
 // to the owner, or taken over if the owner is unreachable.
 func (gat *Core) arrivedForeign(now time.Time, arr Arrived) {
-	last := gat.views.Last().Number
+	newest := gat.views.Newest().Number
 	vie, known := gat.views.Get(arr.ID.View)
 	if !known {
 		fin := Final{Cause: CauseTooOld, Outcome: request.Unknown}
-		if arr.ID.View > last {
+		if arr.ID.View > newest {
 			fin = Final{Cause: CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: undecidedRetryAfter}
 		}
-		gat.emit(Answer{Caller: arr.Caller, Final: fin})
+		gat.emit(Answer{Client: arr.Client, Final: fin})
 		return
 	}
 	owner, member := vie.Member(arr.ID.Epoch)
 	if !member {
-		gat.emit(Answer{Caller: arr.Caller, Final: Final{Cause: CausePrefixNotIssued, Outcome: request.NotRun}})
+		gat.emit(Answer{Client: arr.Client, Final: Final{Cause: CausePrefixNotIssued, Outcome: request.NotRun}})
 		return
 	}
 	if !arr.Relayed && gat.mayBeAlive(owner) {
@@ -125,13 +125,13 @@
 	if fai.ID.Epoch == gat.cfg.Self {
 		// Another gateway has fenced the request and is now unreachable.
 		fin := Final{Cause: CauseUndecided, Outcome: request.Unknown, Retry: true, RetryAfter: undecidedRetryAfter}
-		gat.emit(Answer{Caller: fai.Caller, Final: fin})
+		gat.emit(Answer{Client: fai.Client, Final: fin})
 		return
 	}
 	gat.startFence(now, fai.Arrived)
 }
 
-func (gat *Core) callerLeft(now time.Time, id request.ID) {
+func (gat *Core) clientLeft(now time.Time, id request.ID) {
 	ent := gat.table.byID[id]
 	if ent == nil {
 		return
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -91,7 +91,7 @@
 		return true
 	}
 	granter, _ := vie.Member(epo)
-	own, known := gat.views.Last().Member(gat.cfg.Self)
+	own, known := gat.views.Newest().Member(gat.cfg.Self)
 	return !known || own.Domain != granter.Domain
 }
 
@@ -118,7 +118,7 @@
 // isOutdated reports whether no current coordinator of the service may grant the
 // request, because the view of the id is too old.
 func (gat *Core) isOutdated(ent *entry) bool {
-	if ent.id.View == gat.views.Last().Number {
+	if ent.id.View == gat.views.Newest().Number {
 		return false
 	}
 	shares := gat.shares[ent.spec.Service]
--- a/gateway/close.go
+++ b/gateway/close.go
@@ -99,7 +99,7 @@
 		gat.refused(now, rec.From, msg)
 	case reservation.Evicted:
 		gat.evicted(now, rec.From, msg)
-	case reservation.Reserve, reservation.Withdraw, reservation.Release, reservation.Adopt, reservation.Hold, reservation.Evict:
+	case reservation.Reserve, reservation.Withdraw, reservation.Release, reservation.Adopt, reservation.HeldGrants, reservation.Evict:
 		// Only gateways send these.
 	}
 	gat.retryUnassigned(now)
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	gat := gateway.New(gateway.Config{Self: epoch, Started: now})
-//	actions := gat.Handle(now, gateway.Arrived{Caller: 1, ID: id, Spec: spec})
+//	actions := gat.Handle(now, gateway.Arrived{Client: 1, ID: id, Spec: spec})
 //
 // The core is a deterministic state machine: it takes events with their time and
 // returns actions. It uses no clock, goroutine, network or randomness, and a Core
@@ -127,8 +127,8 @@
 	switch evt := evt.(type) {
 	case Arrived:
 		gat.arrived(now, evt)
-	case CallerLeft:
-		gat.callerLeft(now, evt.ID)
+	case ClientLeft:
+		gat.clientLeft(now, evt.ID)
 	case RelayFailed:
 		gat.relayFailed(now, evt)
 	case PeerUp:
@@ -169,7 +169,7 @@
 }
 
 func (gat *Core) viewChanged(now time.Time, vie view.View) {
-	newest := vie.Number > gat.views.Last().Number
+	newest := vie.Number > gat.views.Newest().Number
 	gat.views.Add(vie)
 	gat.forgetHosts()
 	if !newest {
@@ -199,7 +199,7 @@
 func (gat *Core) reroute(now time.Time) {
 	previous := gat.shares
 	gat.shares = make(map[string][]view.Share)
-	reachable := gat.views.Last().Without(func(epo request.Epoch) bool { return gat.unreachable[epo] })
+	reachable := gat.views.Newest().Without(func(epo request.Epoch) bool { return gat.unreachable[epo] })
 	for service, engines := range gat.conf.SlotsByService() {
 		gat.shares[service] = view.Assign(reachable, service, engines)
 	}
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -44,7 +44,7 @@
 	t       *testing.T
 	core    *gateway.Core
 	now     time.Time
-	callers gateway.CallerID
+	callers gateway.ClientID
 }
 
 func newHarness(t *testing.T, engines int, members ...view.Member) *harness {
@@ -67,7 +67,7 @@
 
 func (har *harness) arrive(id request.ID) []gateway.Action {
 	har.callers++
-	return har.handle(gateway.Arrived{Caller: har.callers, ID: id, Spec: gateway.Spec{
+	return har.handle(gateway.Arrived{Client: har.callers, ID: id, Spec: gateway.Spec{
 		Service: "menus", Tier: "Normal", Rank: 10, Account: "care", PromptTokens: 100, MaxTokens: 10, Remaining: time.Minute,
 	}})
 }
@@ -281,7 +281,7 @@
 		assert.Assert(t, !early)
 	}
 	actions = har.handle(gateway.FenceAnswered{Ballot: ask.Fence.Ballot, Answer: reservation.FenceAnswer{
-		ID: ask.Fence.ID, From: 4, State: reservation.FenceStateBystander, Successions: []request.Epoch{2, 3},
+		ID: ask.Fence.ID, From: 4, State: reservation.FenceStateNotGranter, Successions: []request.Epoch{2, 3},
 	}})
 	fin, finished := find[gateway.Finish](actions)
 	assert.Assert(t, finished)
@@ -312,7 +312,7 @@
 			ID: ask.Fence.ID, From: from, State: sta, Successions: []request.Epoch{2, 3, 4},
 		}})
 	}
-	fenced(5, reservation.FenceStateBystander)
+	fenced(5, reservation.FenceStateNotGranter)
 	to, wit, withdrawn := sent[reservation.Withdraw](fenced(self, reservation.FenceStatePromised))
 	assert.Assert(t, withdrawn && wit.Close)
 	assert.Equal(t, to, self)
--- a/gateway/event.go
+++ b/gateway/event.go
@@ -9,8 +9,8 @@
 	"lynxwell.dev/lynxwell/view"
 )
 
-// CallerID identifies one client connection of this process.
-type CallerID uint64
+// ClientID identifies one client connection of this process.
+type ClientID uint64
 
 // Spec holds the properties of a request that scheduling depends on.
 type Spec struct {
@@ -40,15 +40,15 @@
 // Arrived reports a client's request. It results in exactly one of Attach, Answer
 // and Relay for the client.
 type Arrived struct {
-	Caller CallerID
+	Client ClientID
 	ID     request.ID
 	Spec   Spec
 	// Relayed is set if another gateway relayed the request. It isn't relayed again.
 	Relayed bool
 }
 
-// CallerLeft reports that an attached client has disconnected.
-type CallerLeft struct {
+// ClientLeft reports that an attached client has disconnected.
+type ClientLeft struct {
 	ID request.ID
 }
 
@@ -135,7 +135,7 @@
 type Tick struct{}
 
 func (Arrived) isEvent()              {}
-func (CallerLeft) isEvent()           {}
+func (ClientLeft) isEvent()           {}
 func (RelayFailed) isEvent()          {}
 func (PeerUp) isEvent()               {}
 func (PeerLost) isEvent()             {}
--- a/gateway/fence.go
+++ b/gateway/fence.go
@@ -55,7 +55,7 @@
 // of them may have taken over the ledger of a stopped granter.
 func (gat *Core) fenceRecipients(granters []view.Member, owner request.Epoch) []view.Member {
 	recipients := slices.Clone(granters)
-	for _, mem := range gat.views.Last().Members {
+	for _, mem := range gat.views.Newest().Members {
 		same := func(other view.Member) bool { return other.Epoch == mem.Epoch }
 		if mem.Epoch != owner && !slices.ContainsFunc(recipients, same) {
 			recipients = append(recipients, mem)
@@ -77,7 +77,7 @@
 		gat.resume(ent, ans)
 	case reservation.FenceStateSuperseded:
 		gat.superseded(now, ent, ans)
-	case reservation.FenceStateClosed, reservation.FenceStatePromised, reservation.FenceStateForgotten, reservation.FenceStateBystander:
+	case reservation.FenceStateClosed, reservation.FenceStatePromised, reservation.FenceStateForgotten, reservation.FenceStateNotGranter:
 		gat.evaluateFence(now, ent)
 	}
 }
@@ -145,7 +145,7 @@
 	switch att.answers[granter].State {
 	case reservation.FenceStatePromised, reservation.FenceStateClosed:
 		return true
-	case reservation.FenceStateGranted, reservation.FenceStateSuperseded, reservation.FenceStateForgotten, reservation.FenceStateBystander:
+	case reservation.FenceStateGranted, reservation.FenceStateSuperseded, reservation.FenceStateForgotten, reservation.FenceStateNotGranter:
 	}
 	if att.hasStopped(granter) {
 		return true
--- a/gateway/vouch.go
+++ b/gateway/vouch.go
@@ -97,7 +97,7 @@
 // different failure domains if possible.
 func (gat *Core) attestersFor(lost request.Epoch) []view.Member {
 	var usable []view.Member
-	for _, mem := range gat.views.Last().Granters(gat.cfg.Self) {
+	for _, mem := range gat.views.Newest().Granters(gat.cfg.Self) {
 		if mem.Epoch != lost && gat.isUp(mem.Epoch) && gat.lost[mem.Epoch] == nil && !mem.Draining {
 			usable = append(usable, mem)
 		}
@@ -126,7 +126,7 @@
 // sendHeld reports to a coordinator, at the start of a session, the slots that the gateway
 // holds on the coordinator's grants or on engines that the coordinator now coordinates.
 func (gat *Core) sendHeld(epo request.Epoch) {
-	hol := reservation.Hold{}
+	hol := reservation.HeldGrants{}
 	for _, ent := range sortedByID(gat.table.byID) {
 		if !ent.holdsSlot() {
 			continue
--- a/host/actions.go
+++ b/host/actions.go
@@ -28,13 +28,13 @@
 func (lop *loop) gatewayAction(now time.Time, act gateway.Action) {
 	switch act := act.(type) {
 	case gateway.Attach:
-		lop.deliverDecision(act.Caller, caller.Attached{Exchange: lop.jobOf(act.ID, act.Caller).exchange})
+		lop.deliverDecision(act.Client, caller.Attached{Exchange: lop.jobOf(act.ID, act.Client).exchange})
 	case gateway.Answer:
 		lop.count("Finals." + string(act.Final.Cause))
-		lop.deliverDecision(act.Caller, caller.Answered{Final: act.Final})
+		lop.deliverDecision(act.Client, caller.Answered{Final: act.Final})
 	case gateway.Relay:
 		lop.count("Relays")
-		lop.deliverDecision(act.Caller, caller.Relayed{To: act.To})
+		lop.deliverDecision(act.Client, caller.Relayed{To: act.To})
 	case gateway.Finish:
 		lop.count("Finals." + string(act.Final.Cause))
 		lop.logUndecided(act)
@@ -81,7 +81,7 @@
 }
 
 // deliverDecision passes the gateway's decision to the waiting client request.
-func (lop *loop) deliverDecision(clientID gateway.CallerID, dec caller.Decision) {
+func (lop *loop) deliverDecision(clientID gateway.ClientID, dec caller.Decision) {
 	arr := lop.pending[clientID]
 	if arr == nil {
 		return
@@ -92,7 +92,7 @@
 
 // jobOf returns the job of a request id. The first client request with the id creates the
 // job and supplies its work.
-func (lop *loop) jobOf(id request.ID, clientID gateway.CallerID) *job {
+func (lop *loop) jobOf(id request.ID, clientID gateway.ClientID) *job {
 	jb := lop.jobs[id]
 	if jb == nil {
 		jb = &job{exchange: caller.NewExchange()}
--- a/host/callerbackend.go
+++ b/host/callerbackend.go
@@ -93,7 +93,7 @@
 func (hos *Host) awaitDecision(ctx context.Context, arr gateway.Arrived, evt gateway.Event, work caller.Work) (caller.Decision, error) {
 	waiting := &arrival{work: work, rank: arr.Spec.Rank, decision: make(chan caller.Decision, 1)}
 	hos.loop.post(func(now time.Time) {
-		hos.loop.pending[arr.Caller] = waiting
+		hos.loop.pending[arr.Client] = waiting
 		hos.loop.gatewayEvent(now, evt)
 	})
 	select {
@@ -111,11 +111,11 @@
 // read. The loop has already handled the arrival, so a decision that the gateway made is in
 // the channel.
 func (lop *loop) dropArrival(now time.Time, arr gateway.Arrived, waiting *arrival) {
-	delete(lop.pending, arr.Caller)
+	delete(lop.pending, arr.Client)
 	select {
 	case dec := <-waiting.decision:
 		if _, attached := dec.(caller.Attached); attached {
-			lop.gatewayEvent(now, gateway.CallerLeft{ID: arr.ID})
+			lop.gatewayEvent(now, gateway.ClientLeft{ID: arr.ID})
 		}
 	default:
 	}
@@ -123,7 +123,7 @@
 
 // Detach implements caller.Backend.
 func (hos *Host) Detach(id request.ID) {
-	hos.loop.post(func(now time.Time) { hos.loop.gatewayEvent(now, gateway.CallerLeft{ID: id}) })
+	hos.loop.post(func(now time.Time) { hos.loop.gatewayEvent(now, gateway.ClientLeft{ID: id}) })
 }
 
 // WaitUnreachable implements caller.Backend.
--- a/host/catchup.go
+++ b/host/catchup.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	return hos.applyHead(ctx, hea, func(_ context.Context, ref resource.ChunkRef) ([]byte, error) {
-		data, sent := sta.Parts[ref.Digest]
+		data, sent := sta.Chunks[ref.Digest]
 		if !sent {
 			return nil, &resource.ChunkError{Digest: ref.Digest, Reason: "missing in the peer's answer"}
 		}
--- a/host/host.go
+++ b/host/host.go
@@ -193,9 +193,9 @@
 	peerServer := peer.NewServer(peer.ServerConfig{Backend: hos, Security: hos.security(), Timing: hos.timing()})
 	operatorServer := operator.NewServer(operator.ServerConfig{Backend: hos, Key: hos.set.OperatorKey, Log: hos.log})
 	hos.servers = []*http.Server{hos.callers.HTTPServer(), peerServer.HTTPServer(), operatorServer.HTTPServer()}
-	tks.Run("callers' server", func() error { return task.Served(hos.servers[0].Serve(lis.caller)) })
-	tks.Run("peers' server", func() error { return task.Served(peerServer.Serve(lis.peer, hos.servers[1])) })
-	tks.Run("operators' server", func() error { return task.Served(hos.servers[2].Serve(lis.operator)) })
+	tks.Run("callers' server", func() error { return task.IgnoreServerClosed(hos.servers[0].Serve(lis.caller)) })
+	tks.Run("peers' server", func() error { return task.IgnoreServerClosed(peerServer.Serve(lis.peer, hos.servers[1])) })
+	tks.Run("operators' server", func() error { return task.IgnoreServerClosed(hos.servers[2].Serve(lis.operator)) })
 }
 
 // Stop stops the host immediately and aborts the requests in flight.
--- a/host/loop.go
+++ b/host/loop.go
@@ -29,7 +29,7 @@
 	gateway         *gateway.Core
 	coordinator     *coordinator.Core
 	jobs            map[request.ID]*job
-	pending         map[gateway.CallerID]*arrival
+	pending         map[gateway.ClientID]*arrival
 	outbound        map[request.Epoch]*outbound
 	inbound         map[request.Epoch]*inbound
 	inboundByNumber map[uint64]*inbound
@@ -94,7 +94,7 @@
 		gateway:         gateway.New(gatewayConfig),
 		coordinator:     coordinator.New(coordinatorConfig),
 		jobs:            make(map[request.ID]*job),
-		pending:         make(map[gateway.CallerID]*arrival),
+		pending:         make(map[gateway.ClientID]*arrival),
 		outbound:        make(map[request.Epoch]*outbound),
 		inbound:         make(map[request.Epoch]*inbound),
 		inboundByNumber: make(map[uint64]*inbound),
--- a/host/peerbackend.go
+++ b/host/peerbackend.go
@@ -106,7 +106,7 @@
 		return sta, errors.Wrap(err, "encode head")
 	}
 	sta.Head = head
-	sta.Parts = hos.chunks.forHead(acf.head)
+	sta.Chunks = hos.chunks.forHead(acf.head)
 	return sta, nil
 }
 
--- a/host/shared.go
+++ b/host/shared.go
@@ -54,7 +54,7 @@
 func (sha *shared) view() view.View {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
-	return sha.history.Last()
+	return sha.history.Newest()
 }
 
 // viewsSince returns the views in the history from the given number on.
@@ -68,7 +68,7 @@
 func (sha *shared) addView(vie view.View) bool {
 	sha.mutex.Lock()
 	defer sha.mutex.Unlock()
-	newest := vie.Number > sha.history.Last().Number
+	newest := vie.Number > sha.history.Newest().Number
 	sha.history.Add(vie)
 	if newest {
 		sha.notifyLocked()
--- a/modeltest/choice.go
+++ b/modeltest/choice.go
@@ -47,7 +47,7 @@
 func (wor *World) arrivalChoices() []Choice {
 	var all []Choice
 	for _, id := range wor.ids {
-		if wor.attempts[id] > wor.cfg.MaxRepeats {
+		if wor.attempts[id] > wor.cfg.MaxRetries {
 			continue
 		}
 		for _, hst := range wor.hosts {
--- a/modeltest/explore_test.go
+++ b/modeltest/explore_test.go
@@ -15,9 +15,9 @@
 // three hosts runs a gateway and a coordinator.
 func TestExploreOneRequestKeepsInvariants(t *testing.T) {
 	cases := map[string]modeltest.Config{
-		"NoFault":   {Domains: []string{"a", "b", "c"}, Engines: 2, MaxRepeats: 1},
-		"OneFault":  {Domains: []string{"a", "b", "c"}, Engines: 2, MaxFaults: 1, MaxRepeats: 1},
-		"TwoFaults": {Domains: []string{"a", "b", "c"}, Engines: 2, MaxFaults: 2, MaxRepeats: 1},
+		"NoFault":   {Domains: []string{"a", "b", "c"}, Engines: 2, MaxRetries: 1},
+		"OneFault":  {Domains: []string{"a", "b", "c"}, Engines: 2, MaxFaults: 1, MaxRetries: 1},
+		"TwoFaults": {Domains: []string{"a", "b", "c"}, Engines: 2, MaxFaults: 2, MaxRetries: 1},
 	}
 	for name, cfg := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 // then take a request's gateway together with the host that granted the request, and a retry
 // would get the outcome Unknown.
 func TestLossOfDomainLeavesOutcomeCertain(t *testing.T) {
-	wor := modeltest.NewWorld(modeltest.Config{Domains: []string{"a", "a", "b", "c"}, MaxFaults: 2, MaxRepeats: 1, Timeouts: true})
+	wor := modeltest.NewWorld(modeltest.Config{Domains: []string{"a", "a", "b", "c"}, MaxFaults: 2, MaxRetries: 1, Timeouts: true})
 	take(t, wor, "arrive x at host-1")
 	take(t, wor, "host-1 is killed")
 	take(t, wor, "host-2 is killed")
--- a/modeltest/world.go
+++ b/modeltest/world.go
@@ -41,9 +41,9 @@
 	// length of each queue; with 0, sheds aren't checked.
 	Slots      int
 	MaxWaiting int
-	// MaxFaults bounds the number of faults, MaxRepeats the number of retries of each request.
+	// MaxFaults bounds the number of faults, MaxRetries the number of retries of each request.
 	MaxFaults  int
-	MaxRepeats int
+	MaxRetries int
 	// Restarts allows killed and stopped hosts to restart.
 	Restarts bool
 	// Stops allows planned stops of hosts.
@@ -74,7 +74,7 @@
 	dispatched map[request.ID]int
 	reported   map[request.ID]request.Outcome
 	// callers is the id of the most recent client; ids count up from 1.
-	callers gateway.CallerID
+	callers gateway.ClientID
 	steps   int
 	// shed holds the requests that a gateway has shed, violation the most recent violation of the
 	// order in which requests are shed.
@@ -420,7 +420,7 @@
 // arrivalOf returns the arrival of a request from the client whose id is wor.callers.
 func (wor *World) arrivalOf(id request.ID) gateway.Arrived {
 	rank := wor.rankOf(id)
-	return gateway.Arrived{Caller: wor.callers, ID: id, Spec: gateway.Spec{
+	return gateway.Arrived{Client: wor.callers, ID: id, Spec: gateway.Spec{
 		Service: "menus", Tier: fmt.Sprint(rank), Rank: rank, Account: "care", PromptTokens: 10, MaxTokens: 10, Remaining: requestTimeout,
 	}}
 }
--- a/modeltest/world_test.go
+++ b/modeltest/world_test.go
@@ -31,21 +31,21 @@
 func TestModelRandomWalks(t *testing.T) {
 	cases := map[string]modeltest.Config{
 		"ThreeDomains": {
-			Domains: []string{"a", "b", "c"}, MaxFaults: 4, MaxRepeats: 4, Restarts: true, DialErrors: true, Timeouts: true,
+			Domains: []string{"a", "b", "c"}, MaxFaults: 4, MaxRetries: 4, Restarts: true, DialErrors: true, Timeouts: true,
 		},
 		"TwoHostsInOneDomain": {
-			Domains: []string{"a", "a", "b", "c"}, MaxFaults: 4, MaxRepeats: 4, Uniques: []string{"x", "y"}, Timeouts: true,
+			Domains: []string{"a", "a", "b", "c"}, MaxFaults: 4, MaxRetries: 4, Uniques: []string{"x", "y"}, Timeouts: true,
 		},
 		"PlannedStops": {
-			Domains: []string{"a", "b", "c"}, MaxFaults: 5, MaxRepeats: 4, Restarts: true, Stops: true, Timeouts: true,
+			Domains: []string{"a", "b", "c"}, MaxFaults: 5, MaxRetries: 4, Restarts: true, Stops: true, Timeouts: true,
 		},
 		"Shedding": {
-			Domains: []string{"a", "b", "c"}, Engines: 3, Slots: 1, MaxWaiting: 1, MaxFaults: 1, MaxRepeats: 1, Timeouts: true,
+			Domains: []string{"a", "b", "c"}, Engines: 3, Slots: 1, MaxWaiting: 1, MaxFaults: 1, MaxRetries: 1, Timeouts: true,
 			Uniques: []string{"a", "b", "c", "d", "e", "f", "g", "h"},
 			Ranks:   map[string]int{"a": 10, "b": 10, "c": 10, "d": 20, "e": 20, "f": 30, "g": 30, "h": 30},
 		},
 		"TwoDomains": {
-			Domains: []string{"a", "b", "b"}, MaxFaults: 4, MaxRepeats: 4, Restarts: true, Stops: true,
+			Domains: []string{"a", "b", "b"}, MaxFaults: 4, MaxRetries: 4, Restarts: true, Stops: true,
 		},
 	}
 	for name, cfg := range cases {
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -129,9 +129,9 @@
 	return eng
 }
 
-// Known reports whether the engine has any measurements, including those of its initial or
-// adopted profile.
-func (eng *Engine) Known() bool { return eng.prefill.weight+eng.event.weight > 0 }
+// HasMeasurements reports whether the engine has any measurements, including those of its initial
+// or adopted profile.
+func (eng *Engine) HasMeasurements() bool { return eng.prefill.weight+eng.event.weight > 0 }
 
 // updateBlend updates the blended factors. Without measurements of one factor, the other one is
 // used, since both depend on the same processor. Without either, the engine is assumed to equal
@@ -207,7 +207,7 @@
 
 // Profile returns the engine's profile, or the zero profile without measurements.
 func (eng *Engine) Profile() Profile {
-	if !eng.Known() {
+	if !eng.HasMeasurements() {
 		return Profile{}
 	}
 	return Profile{Read: eng.prefillFactor, Event: eng.eventFactor, Weight: max(eng.prefill.weight, eng.event.weight)}
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -54,13 +54,13 @@
 func TestProfileInitializesEngineOfAnotherHost(t *testing.T) {
 	svc := pace.NewService(pace.DefaultReference)
 	eng := svc.NewEngine(pace.Profile{})
-	assert.Assert(t, !eng.Known())
+	assert.Assert(t, !eng.HasMeasurements())
 	assert.Equal(t, eng.Profile(), pace.Profile{})
 	for range 10 {
 		eng.ObservePrefill(1800, 4*(35*time.Millisecond+27*time.Millisecond))
 	}
 	other := pace.NewService(pace.DefaultReference).NewEngine(eng.Profile())
-	assert.Assert(t, other.Known())
+	assert.Assert(t, other.HasMeasurements())
 	assertWithin(t, other.PrefillTime(5000), eng.PrefillTime(5000), 0.4)
 }
 
--- a/peer/client.go
+++ b/peer/client.go
@@ -37,13 +37,13 @@
 }
 
 // State is the answer to FetchState: views, oldest first, and a configuration's
-// head and chunks in the encoding in which the platform stores them. Parts maps the
+// head and chunks in the encoding in which the platform stores them. Chunks maps the
 // digest of each chunk to its data.
 type State struct {
 	Header Header
 	Views  [][]byte
 	Head   []byte
-	Parts  map[string][]byte
+	Chunks map[string][]byte
 }
 
 // NewClient returns a client. It connects to a host on first use.
@@ -229,7 +229,7 @@
 	}
 	return State{
 		Header: headerFromWire(res.Msg.GetHeader()), Views: res.Msg.GetViews(),
-		Head: res.Msg.GetHead(), Parts: res.Msg.GetParts(),
+		Head: res.Msg.GetHead(), Chunks: res.Msg.GetParts(),
 	}, nil
 }
 
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -83,9 +83,9 @@
 		}}
 	case reservation.AccountDebt:
 		env.Message = &peerpb.Envelope_Spent{Spent: &peerpb.Spent{Account: msg.Account, Debt: msg.Debt, Share: msg.Share}}
-	case reservation.Appoint:
+	case reservation.Delegation:
 		env.Message = &peerpb.Envelope_Appoint{Appoint: &peerpb.Appoint{Decides: msg.Delegated}}
-	case reservation.Absent:
+	case reservation.UnreachableHosts:
 		env.Message = &peerpb.Envelope_Absent{Absent: &peerpb.Absent{Hosts: epochsToWire(msg.Hosts)}}
 	case reservation.Leader:
 		env.Message = &peerpb.Envelope_Leader{Leader: &peerpb.Leader{Host: uint64(msg.Host)}}
@@ -101,7 +101,7 @@
 		env.Message = &peerpb.Envelope_Progress{Progress: &peerpb.Progress{
 			Id: idToWire(msg.ID), FirstTokenUs: msg.FirstToken.Microseconds(),
 		}}
-	case reservation.Hold:
+	case reservation.HeldGrants:
 		hol := &peerpb.Hold{}
 		for _, id := range msg.IDs {
 			hol.Ids = append(hol.Ids, idToWire(id))
@@ -199,15 +199,15 @@
 	case *peerpb.Envelope_Spent:
 		return reservation.AccountDebt{Account: wms.Spent.GetAccount(), Debt: wms.Spent.GetDebt(), Share: wms.Spent.GetShare()}
 	case *peerpb.Envelope_Appoint:
-		return reservation.Appoint{Delegated: wms.Appoint.GetDecides()}
+		return reservation.Delegation{Delegated: wms.Appoint.GetDecides()}
 	case *peerpb.Envelope_Absent:
-		return reservation.Absent{Hosts: epochsFromWire(wms.Absent.GetHosts())}
+		return reservation.UnreachableHosts{Hosts: epochsFromWire(wms.Absent.GetHosts())}
 	case *peerpb.Envelope_Leader:
 		return reservation.Leader{Host: request.Epoch(wms.Leader.GetHost())}
 	case *peerpb.Envelope_Progress:
 		return reservation.Progress{ID: idFromWire(wms.Progress.GetId()), FirstToken: fromMicros(wms.Progress.GetFirstTokenUs())}
 	case *peerpb.Envelope_Hold:
-		return holdFromWire(wms.Hold)
+		return heldGrantsFromWire(wms.Hold)
 	case *peerpb.Envelope_Evict:
 		return reservation.Evict{ID: idFromWire(wms.Evict.GetId()), Service: wms.Evict.GetService(), Rank: int(wms.Evict.GetRank())}
 	case *peerpb.Envelope_Evicted:
@@ -272,8 +272,8 @@
 	}
 }
 
-func holdFromWire(who *peerpb.Hold) reservation.Hold {
-	hol := reservation.Hold{}
+func heldGrantsFromWire(who *peerpb.Hold) reservation.HeldGrants {
+	hol := reservation.HeldGrants{}
 	for _, wid := range who.GetIds() {
 		hol.IDs = append(hol.IDs, idFromWire(wid))
 	}
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -79,7 +79,7 @@
 func (bac *backend) Handover(context.Context, reservation.Handover) error { return nil }
 
 func (bac *backend) State(context.Context, uint64, uint64) (peer.State, error) {
-	return peer.State{Views: [][]byte{[]byte("{}")}, Head: []byte("head"), Parts: map[string][]byte{"p": []byte("part")}}, nil
+	return peer.State{Views: [][]byte{[]byte("{}")}, Head: []byte("head"), Chunks: map[string][]byte{"p": []byte("part")}}, nil
 }
 
 var timing = peer.Timing{Heartbeat: 20 * time.Millisecond, Timeout: 500 * time.Millisecond}
@@ -170,7 +170,7 @@
 	})
 	sta, err := cli.FetchState(t.Context(), mem.PeerAddress, 1, 0)
 	assert.NilError(t, err)
-	assert.Equal(t, string(sta.Parts["p"]), "part")
+	assert.Equal(t, string(sta.Chunks["p"]), "part")
 	assert.Equal(t, sta.Header.View, uint64(3))
 	rev, err := cli.Unvouch(t.Context(), mem, reservation.Revocation{AttestationKey: reservation.AttestationKey{Lost: 1, Holder: 2}, Sequence: 3})
 	assert.NilError(t, err)
--- a/peer/server.go
+++ b/peer/server.go
@@ -228,7 +228,7 @@
 		return nil, err
 	}
 	return connect.NewResponse(&peerpb.FetchStateResponse{
-		Header: headerToWire(srv.cfg.Backend.Header()), Views: sta.Views, Head: sta.Head, Parts: sta.Parts,
+		Header: headerToWire(srv.cfg.Backend.Header()), Views: sta.Views, Head: sta.Head, Parts: sta.Chunks,
 	}), nil
 }
 
--- a/processtest/faults_test.go
+++ b/processtest/faults_test.go
@@ -35,29 +35,29 @@
 	{"HostStopped", func(sys *processtest.System) { sys.Hosts[2].Terminate() }, noAction},
 	{
 		"PlatformDown",
-		func(sys *processtest.System) { sys.PlatformFaults(platformtest.Faults{Down: true}) },
-		func(sys *processtest.System) { sys.PlatformFaults(platformtest.Faults{}) },
+		func(sys *processtest.System) { sys.SetPlatformFaults(platformtest.Faults{Down: true}) },
+		func(sys *processtest.System) { sys.SetPlatformFaults(platformtest.Faults{}) },
 	},
 	{
 		"PlatformSlowAndLosing",
 		func(sys *processtest.System) {
-			sys.PlatformFaults(platformtest.Faults{Delay: 300 * time.Millisecond, LoseReplies: 5})
+			sys.SetPlatformFaults(platformtest.Faults{Delay: 300 * time.Millisecond, LoseReplies: 5})
 		},
-		func(sys *processtest.System) { sys.PlatformFaults(platformtest.Faults{}) },
+		func(sys *processtest.System) { sys.SetPlatformFaults(platformtest.Faults{}) },
 	},
 	{
 		"EngineDead",
-		func(sys *processtest.System) { sys.EngineFaults(sys.Engines[0], enginetest.Faults{Dead: true}) },
-		func(sys *processtest.System) { sys.EngineFaults(sys.Engines[0], enginetest.Faults{}) },
+		func(sys *processtest.System) { sys.SetEngineFaults(sys.Engines[0], enginetest.Faults{Dead: true}) },
+		func(sys *processtest.System) { sys.SetEngineFaults(sys.Engines[0], enginetest.Faults{}) },
 	},
 	{
 		"EngineFrozen",
-		func(sys *processtest.System) { sys.EngineFaults(sys.Engines[1], enginetest.Faults{Frozen: true}) },
-		func(sys *processtest.System) { sys.EngineFaults(sys.Engines[1], enginetest.Faults{}) },
+		func(sys *processtest.System) { sys.SetEngineFaults(sys.Engines[1], enginetest.Faults{Frozen: true}) },
+		func(sys *processtest.System) { sys.SetEngineFaults(sys.Engines[1], enginetest.Faults{}) },
 	},
 	{
 		"RepliesDropped",
-		func(sys *processtest.System) { sys.EngineFaults(sys.Engines[2], enginetest.Faults{DropReplies: 5}) },
+		func(sys *processtest.System) { sys.SetEngineFaults(sys.Engines[2], enginetest.Faults{DropReplies: 5}) },
 		noAction,
 	},
 }
@@ -103,7 +103,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	clients := map[string]*load.Client{processtest.AccountName: sys.Caller(load.ClientConfig{Seed: 1})}
+	clients := map[string]*load.Client{processtest.AccountName: sys.NewClient(load.ClientConfig{Seed: 1})}
 	started, cleared := false, false
 	results, err := load.Run(ctx, load.Config{
 		Clients: clients, Kinds: kinds(), For: 4 * time.Second, Seed: 1,
--- a/processtest/hold_test.go
+++ b/processtest/hold_test.go
@@ -34,10 +34,10 @@
 			hst.Terminate()
 			codes = append(codes, hst.Wait())
 			sys.StartHost(hst)
-			sys.UntilConnected()
+			sys.WaitUntilConnected()
 		}
 	}()
-	clients := map[string]*load.Client{processtest.AccountName: sys.Caller(load.ClientConfig{Seed: 1, KeepForever: true})}
+	clients := map[string]*load.Client{processtest.AccountName: sys.NewClient(load.ClientConfig{Seed: 1, KeepForever: true})}
 	results, err := load.Run(ctx, load.Config{Clients: clients, Kinds: kinds(), For: 10 * time.Second, Seed: 1})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, <-restarted, []int{0, 0, 0, 0})
@@ -54,11 +54,11 @@
 func TestPlatformOutageKeepsServing(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
-	sys.PlatformFaults(platformtest.Faults{Down: true})
+	sys.SetPlatformFaults(platformtest.Faults{Down: true})
 	sys.Hosts[3].Kill()
 	sys.Hosts[3].Wait()
 	sys.StartHost(sys.Hosts[3])
-	sys.Until("configuration from peers", func(ctx context.Context) bool {
+	sys.WaitUntil("configuration from peers", func(ctx context.Context) bool {
 		list, err := sys.Operator(sys.Hosts[3]).Resources(ctx)
 		return err == nil && len(list.Entries) > 0
 	})
@@ -83,7 +83,7 @@
 		start := time.Now()
 		res, err := cli.Apply(t.Context(), resource.Set{Tiers: []resource.Tier{{Name: "Normal", Rank: 21 + round}}})
 		assert.NilError(t, err)
-		sys.Until("revision in force", func(ctx context.Context) bool {
+		sys.WaitUntil("revision in force", func(ctx context.Context) bool {
 			sta, err := cli.Status(ctx)
 			return err == nil && hostsWithRevision(sta, res.Revision) == len(sys.Hosts)
 		})
@@ -113,7 +113,7 @@
 	var mutex sync.Mutex
 	accepted := make(map[string]uint64)
 	var group sync.WaitGroup
-	sys.PlatformFaults(platformtest.Faults{LoseReplies: 6})
+	sys.SetPlatformFaults(platformtest.Faults{LoseReplies: 6})
 	for num := range writers {
 		group.Go(func() {
 			cli := sys.Operator(sys.Hosts[num])
@@ -132,7 +132,7 @@
 	}
 	group.Wait()
 	assert.Equal(t, len(accepted), writers*rounds)
-	sys.Until("all changes in force", func(ctx context.Context) bool {
+	sys.WaitUntil("all changes in force", func(ctx context.Context) bool {
 		list, err := sys.Operator(sys.Hosts[0]).Resources(ctx)
 		found := 0
 		for _, ent := range list.Entries {
@@ -181,7 +181,7 @@
 func TestDrainingEngineReceivesNoRequest(t *testing.T) {
 	t.Parallel()
 	sys := faultSystem(t)
-	clients := map[string]*load.Client{processtest.AccountName: sys.Caller(load.ClientConfig{Seed: 1})}
+	clients := map[string]*load.Client{processtest.AccountName: sys.NewClient(load.ClientConfig{Seed: 1})}
 	draining := sys.Engines[0]
 	var mutex sync.Mutex
 	var drainedAt time.Time
@@ -216,7 +216,7 @@
 	const requests = 10
 	var group sync.WaitGroup
 	for num := range requests {
-		ans, err := sys.Caller(load.ClientConfig{Seed: uint64(num)}).Addresses(t.Context())
+		ans, err := sys.NewClient(load.ClientConfig{Seed: uint64(num)}).Addresses(t.Context())
 		assert.NilError(t, err)
 		id := ans.Addresses[num%len(ans.Addresses)].Prefix + fmt.Sprintf("-same.%d", num)
 		for _, adr := range ans.Addresses {
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// Free clears a request because an operator released it, and reports whether it was known.
-func (reg *Registry) Free(now time.Time, dig call.Digest) bool {
-	return reg.clear(now, dig, KindFreed)
+// Release clears a request because an operator released it, and reports whether it was known.
+func (reg *Registry) Release(now time.Time, dig call.Digest) bool {
+	return reg.clear(now, dig, KindReleased)
 }
 
 func (reg *Registry) clear(now time.Time, dig call.Digest, kin Kind) bool {
@@ -140,7 +140,7 @@
 // clearFromPeer clears a request because another host has cleared or released it.
 func (reg *Registry) clearFromPeer(now time.Time, dig call.Digest, kin Kind) {
 	if reg.clear(now, dig, kin) {
-		reg.changes[len(reg.changes)-1].FromPeer = true
+		reg.changes[len(reg.changes)-1].ClearedByPeer = true
 	}
 }
 
@@ -247,6 +247,6 @@
 func (reg *Registry) drop(now time.Time, dig call.Digest) {
 	if cas := reg.cases[dig]; cas != nil {
 		delete(reg.cases, dig)
-		reg.recordChange(now, KindForgotten, cas)
+		reg.recordChange(now, KindPruned, cas)
 	}
 }
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -90,7 +90,7 @@
 	}
 	assert.Equal(t, trials, 2)
 	assert.Equal(t, reg.HeldFor(now, digest(1)), time.Duration(0), "held until released")
-	assert.Assert(t, reg.Free(now, digest(1)))
+	assert.Assert(t, reg.Release(now, digest(1)))
 	assert.Equal(t, reg.Level(now, digest(1)), quarantine.LevelClear)
 }
 
@@ -204,7 +204,7 @@
 	assert.Equal(t, other.Level(startTime.Add(time.Minute), digest(1)), quarantine.LevelHeld)
 	assert.Equal(t, other.HeldFor(startTime.Add(time.Minute), digest(1)), 59*time.Minute)
 
-	assert.Assert(t, other.Free(startTime.Add(time.Minute), digest(1)))
+	assert.Assert(t, other.Release(startTime.Add(time.Minute), digest(1)))
 	remaining, differ := other.HoldsToStore()
 	assert.Assert(t, differ && len(remaining) == 0)
 	reg.ApplyStored(startTime.Add(time.Minute), remaining)
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -21,11 +21,11 @@
 	// KindCleared means that the request was answered, that no engine of its recorded crashes had
 	// in fact crashed, or that another host reported it as cleared.
 	KindCleared
-	// KindFreed means that an operator released the request, or that another host removed its
+	// KindReleased means that an operator released the request, or that another host removed its
 	// hold from the store.
-	KindFreed
-	// KindForgotten means that the case was removed because it expired or there were too many.
-	KindForgotten
+	KindReleased
+	// KindPruned means that the case was removed because it expired or there were too many.
+	KindPruned
 )
 
 // String returns the kind's name.
@@ -44,9 +44,9 @@
 	Case Case
 	// Report is sent to other hosts.
 	Report Report
-	// FromPeer reports whether another host has cleared or released the request. It isn't set for
-	// the other kinds of changes, even if the report of another host caused them.
-	FromPeer bool
+	// ClearedByPeer reports whether another host has cleared or released the request. It isn't set
+	// for the other kinds of changes, even if the report of another host caused them.
+	ClearedByPeer bool
 }
 
 // ConcernsGateways reports whether the change is sent to gateways whose requests this host
@@ -55,9 +55,9 @@
 	switch cha.Kind {
 	case KindSuspected, KindHeld:
 		return true
-	case KindCleared, KindFreed:
+	case KindCleared, KindReleased:
 		return cha.Case.Held || len(cha.Case.Crashes) > 1
-	case KindWatched, KindForgotten:
+	case KindWatched, KindPruned:
 		return false
 	default:
 		return false
@@ -94,7 +94,7 @@
 	copied := *cas
 	copied.Crashes = slices.Clone(cas.Crashes)
 	cha := Change{Kind: kin, Case: copied, Report: cas.report(now)}
-	cha.Report.Cleared = kin == KindCleared || kin == KindFreed
+	cha.Report.Cleared = kin == KindCleared || kin == KindReleased
 	reg.changes = append(reg.changes, cha)
 }
 
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -35,7 +35,7 @@
 	}
 	for dig := range previous {
 		if _, found := reg.stored[dig]; !found {
-			reg.clearFromPeer(now, dig, KindFreed)
+			reg.clearFromPeer(now, dig, KindReleased)
 		}
 	}
 }
--- a/reservation/fence.go
+++ b/reservation/fence.go
@@ -26,8 +26,8 @@
 	// FenceStateForgotten means that the state of the request can't be determined from the ledger,
 	// for example because the request is older than the ledger's records.
 	FenceStateForgotten
-	// FenceStateBystander means that the host may not grant the request and knows of no grant.
-	FenceStateBystander
+	// FenceStateNotGranter means that the host may not grant the request and knows of no grant.
+	FenceStateNotGranter
 )
 
 // String returns the name of the state.
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -2,8 +2,8 @@
 //
 // # Usage
 //
-// A gateway sends Reserve, Withdraw, Release, Adopt, Hold and Evict; a coordinator answers with
-// Grant, Refuse and Evicted. The other messages report events and states of requests, accounts,
+// A gateway sends Reserve, Withdraw, Release, Adopt, HeldGrants and Evict; a coordinator answers
+// with Grant, Refuse and Evicted. The other messages report events and states of requests, accounts,
 // engines and hosts. Fence, Attestation, Revocation and Handover are separate remote calls and not
 // messages of a session. A receiver of messages switches on the type:
 //
@@ -263,10 +263,10 @@
 	Share float64
 }
 
-// Appoint notifies a coordinator whether the gateway delegates scheduling to it from now on. A
+// Delegation notifies a coordinator whether the gateway delegates scheduling to it from now on. A
 // gateway also has sessions with hosts to which it doesn't delegate, and may be silent for long
 // while it has no requests, so neither a session nor silence shows this.
-type Appoint struct {
+type Delegation struct {
 	Delegated bool
 }
 
@@ -276,9 +276,9 @@
 	Host request.Epoch
 }
 
-// Absent sends a gateway the complete list of hosts that the coordinator can't reach. Clients
-// aren't directed to them, although their entries in the store haven't expired yet.
-type Absent struct {
+// UnreachableHosts sends a gateway the complete list of hosts that the coordinator can't reach.
+// Clients aren't directed to them, although their entries in the store haven't expired yet.
+type UnreachableHosts struct {
 	Hosts []request.Epoch
 }
 
@@ -298,11 +298,11 @@
 	quarantine.Report
 }
 
-// Hold lists the requests whose slots the gateway holds on grants of the coordinator, or on engines
-// that the coordinator took over. It is sent at the start of a session, after an Adopt for each slot
-// that another coordinator granted. The coordinator releases the gateway's slots that aren't listed:
-// their grants were lost with an earlier session and are never dispatched.
-type Hold struct {
+// HeldGrants lists the requests whose slots the gateway holds on grants of the coordinator, or on
+// engines that the coordinator took over. It is sent at the start of a session, after an Adopt for
+// each slot that another coordinator granted. The coordinator releases the gateway's slots that
+// aren't listed: their grants were lost with an earlier session and are never dispatched.
+type HeldGrants struct {
 	IDs []request.ID
 }
 
@@ -335,20 +335,20 @@
 	Delay time.Duration
 }
 
-func (Reserve) isMessage()     {}
-func (Grant) isMessage()       {}
-func (Refuse) isMessage()      {}
-func (Withdraw) isMessage()    {}
-func (Release) isMessage()     {}
-func (Adopt) isMessage()       {}
-func (Hold) isMessage()        {}
-func (Evict) isMessage()       {}
-func (Evicted) isMessage()     {}
-func (Progress) isMessage()    {}
-func (AccountDebt) isMessage() {}
-func (Appoint) isMessage()     {}
-func (Absent) isMessage()      {}
-func (Leader) isMessage()      {}
+func (Reserve) isMessage()          {}
+func (Grant) isMessage()            {}
+func (Refuse) isMessage()           {}
+func (Withdraw) isMessage()         {}
+func (Release) isMessage()          {}
+func (Adopt) isMessage()            {}
+func (HeldGrants) isMessage()       {}
+func (Evict) isMessage()            {}
+func (Evicted) isMessage()          {}
+func (Progress) isMessage()         {}
+func (AccountDebt) isMessage()      {}
+func (Delegation) isMessage()       {}
+func (UnreachableHosts) isMessage() {}
+func (Leader) isMessage()           {}
 
 func (EngineCrashed) isMessage() {}
 func (CaseReport) isMessage()    {}
--- a/scheduler/measurements.go
+++ b/scheduler/measurements.go
@@ -8,7 +8,7 @@
 	for _, svc := range cor.services {
 		var known []pace.Record
 		for _, ene := range svc.engines {
-			if ene.model.Known() {
+			if ene.model.HasMeasurements() {
 				known = append(known, pace.Record{Address: ene.Address, Profile: ene.model.Profile()})
 			}
 		}
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -102,7 +102,7 @@
 	if cor.quarantine.IsEmpty() {
 		return false
 	}
-	if ref, held := cor.Held(now, res); held {
+	if ref, held := cor.HeldRefusal(now, res); held {
 		cor.send(from, ref, svc.inputs(now, now))
 		return true
 	}
@@ -114,8 +114,8 @@
 	return true
 }
 
-// Held returns the refusal of a request, and whether the request is held.
-func (cor *Core) Held(now time.Time, res reservation.Reserve) (reservation.Refuse, bool) {
+// HeldRefusal returns the refusal of a request, and whether the request is held.
+func (cor *Core) HeldRefusal(now time.Time, res reservation.Reserve) (reservation.Refuse, bool) {
 	if cor.quarantine.IsEmpty() || cor.quarantine.Level(now, res.Digest) != quarantine.LevelHeld {
 		return reservation.Refuse{}, false
 	}
--- a/settings/toggle.go
+++ b/settings/toggle.go
@@ -6,21 +6,21 @@
 
 // The states of a Toggle.
 const (
-	ToggleDefault Toggle = ""
-	ToggleOn      Toggle = "true"
-	ToggleOff     Toggle = "false"
+	ToggleUnset Toggle = ""
+	ToggleOn    Toggle = "true"
+	ToggleOff   Toggle = "false"
 )
 
 const wantToggle = `want "true", "false" or an empty string`
 
 // valid reports whether the setting is empty, "true" or "false".
 func (tog Toggle) valid() bool {
-	return tog == ToggleDefault || tog == ToggleOn || tog == ToggleOff
+	return tog == ToggleUnset || tog == ToggleOn || tog == ToggleOff
 }
 
 // Or returns the setting, or def if it is unset.
 func (tog Toggle) Or(def bool) bool {
-	if tog == ToggleDefault {
+	if tog == ToggleUnset {
 		return def
 	}
 	return tog == ToggleOn
--- a/soak/check.go
+++ b/soak/check.go
@@ -42,7 +42,7 @@
 		random := rand.New(rand.NewPCG(seed, uint64(num)+2))
 		vis := visitor.New(visitor.Config{
 			Directories: directories, HostName: entrytest.HostName, Domain: "d0", Prefix: fmt.Sprintf("s%d-v%d", seed, num), Random: random,
-			KeepAlive: num%2 == 0, CachesLonger: num%3 == 0,
+			KeepAlive: num%2 == 0, ExceedsTTL: num%3 == 0,
 		})
 		go func() {
 			defer vis.Close()
@@ -68,7 +68,7 @@
 		if random.IntN(4) == 0 {
 			req.Key = spareKey
 		}
-		req.Deadline, req.Retries = 2*time.Second, 1
+		req.Deadline, req.MaxRetries = 2*time.Second, 1
 		if random.IntN(2) == 0 {
 			req.Body = strings.Repeat("x", random.IntN(40_000))
 		}
@@ -176,7 +176,7 @@
 			Prefix: fmt.Sprintf("s%d-last%d", seed, num), Random: rand.New(rand.NewPCG(seed, 99)),
 		})
 		for _, req := range requestTemplates {
-			req.Key, req.Deadline, req.Retries = entrytest.Key, 3*time.Second, 3
+			req.Key, req.Deadline, req.MaxRetries = entrytest.Key, 3*time.Second, 3
 			for range finalRequests {
 				res := vis.Send(sys.t.Context(), req)
 				if att := res.Last(); !att.Served() {
--- a/task/serve.go
+++ b/task/serve.go
@@ -6,9 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Served returns err, the result of http.Server.Serve, or nil if the server was closed or shut
-// down.
-func Served(err error) error {
+// IgnoreServerClosed returns err, the result of http.Server.Serve, or nil if the server was closed
+// or shut down.
+func IgnoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/tools/mutate/mutations.go
+++ b/tools/mutate/mutations.go
@@ -20,7 +20,7 @@
 var mutations = []mutation{
 	{
 		"Place: a host enforces an evacuation order right before it sends", "evacuation/gate.go",
-		"	if _, closed := gat.orders[domain]; closed {\n		return false\n	}\n	gat.writing", "	gat.writing", placement,
+		"	if _, blocked := gat.orders[domain]; blocked {\n		return false\n	}\n	gat.writing", "	gat.writing", placement,
 	},
 	{
 		"Place: the state of an order is published only once all hosts enforce the order", "evacuation/board.go",
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -37,15 +37,15 @@
 	}
 }
 
-// SilenceError reports a peer that sent nothing within the time limit.
-type SilenceError struct {
-	// After is the time limit.
-	After time.Duration
+// IdleTimeoutError reports a peer that sent nothing within the time limit.
+type IdleTimeoutError struct {
+	// Limit is the time limit.
+	Limit time.Duration
 }
 
 // Error names the time limit.
-func (ser *SilenceError) Error() string {
-	return fmt.Sprintf("peer sent no data for %s", ser.After)
+func (ite *IdleTimeoutError) Error() string {
+	return fmt.Sprintf("peer sent no data for %s", ite.Limit)
 }
 
 // Watcher cancels a call's context if the peer sends nothing within the time limit.
@@ -55,12 +55,12 @@
 	cancel context.CancelCauseFunc
 }
 
-// Watch returns a context that is cancelled with cause *SilenceError if Reset isn't called
+// Watch returns a context that is cancelled with cause *IdleTimeoutError if Reset isn't called
 // within the limit. Stop releases the watcher.
 func Watch(ctx context.Context, limit time.Duration) (context.Context, *Watcher) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	wat := &Watcher{limit: limit, cancel: cancel}
-	wat.timer = time.AfterFunc(limit, func() { cancel(&SilenceError{After: limit}) })
+	wat.timer = time.AfterFunc(limit, func() { cancel(&IdleTimeoutError{Limit: limit}) })
 	return ctx, wat
 }
 
--- a/upstreamtest/engine.go
+++ b/upstreamtest/engine.go
@@ -5,7 +5,7 @@
 //
 //	eng := upstreamtest.NewEngine(upstreamtest.Config{ID: "e1", Service: "menus", Slots: 4, Events: 3})
 //	http.Serve(lis, eng.Handler())
-//	eng.Fault(upstreamtest.TruncateInEvent, 1) // affects the next request
+//	eng.InjectFault(upstreamtest.TruncateInEvent, 1) // affects the next request
 //	runs := eng.Runs()                      // the requests that it ran
 //
 // The package defines the protocol's headers itself rather than using the client's
@@ -159,8 +159,8 @@
 // Slots returns the number of concurrent requests; at least 1.
 func (eng *Engine) Slots() int { return max(1, eng.cfg.Slots) }
 
-// Fault queues the fault for the given number of further requests.
-func (eng *Engine) Fault(flt Fault, times int) {
+// InjectFault queues the fault for the given number of further requests.
+func (eng *Engine) InjectFault(flt Fault, times int) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	for range times {
@@ -168,8 +168,8 @@
 	}
 }
 
-// Clear removes all queued faults.
-func (eng *Engine) Clear() {
+// ClearFaults removes all queued faults.
+func (eng *Engine) ClearFaults() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.faults = nil
--- a/upstreamtest/switch.go
+++ b/upstreamtest/switch.go
@@ -51,9 +51,9 @@
 			return true
 		}
 		if frq.Clear {
-			eng.Clear()
+			eng.ClearFaults()
 		}
-		eng.Fault(frq.Fault, frq.Times)
+		eng.InjectFault(frq.Fault, frq.Times)
 	case PathCold:
 		var col Cold
 		if err := json.NewDecoder(req.Body).Decode(&col); err != nil {
@@ -70,7 +70,7 @@
 		if sig.Draining {
 			eng.StartDraining()
 		}
-		eng.Backoff(sig.Backoff)
+		eng.SetBackoff(sig.Backoff)
 		if sig.Rate != nil {
 			eng.SetRateLimit(*sig.Rate)
 		} else {
--- a/upstreamtest/word.go
+++ b/upstreamtest/word.go
@@ -37,9 +37,9 @@
 	eng.draining = true
 }
 
-// Backoff makes the engine reject all requests with a backoff request of the duration; 0 makes
+// SetBackoff makes the engine reject all requests with a backoff request of the duration; 0 makes
 // it serve again.
-func (eng *Engine) Backoff(dur time.Duration) {
+func (eng *Engine) SetBackoff(dur time.Duration) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	eng.backoff = dur
--- a/view/history.go
+++ b/view/history.go
@@ -4,9 +4,9 @@
 
 // History stores the most recent views by number.
 type History struct {
-	limit uint64
-	views map[uint64]View
-	last  uint64
+	limit  uint64
+	views  map[uint64]View
+	newest uint64
 }
 
 // historyLimit is the number of views that a history stores.
@@ -20,12 +20,12 @@
 // Add stores the view and removes the oldest views beyond the limit.
 func (his *History) Add(vie View) {
 	his.views[vie.Number] = vie
-	his.last = max(his.last, vie.Number)
-	if his.last <= his.limit {
+	his.newest = max(his.newest, vie.Number)
+	if his.newest <= his.limit {
 		return
 	}
 	for number := range his.views {
-		if number <= his.last-his.limit {
+		if number <= his.newest-his.limit {
 			delete(his.views, number)
 		}
 	}
@@ -37,15 +37,15 @@
 	return vie, known
 }
 
-// Last returns the newest view. Its number is 0 if the history is empty.
-func (his *History) Last() View {
-	return his.views[his.last]
+// Newest returns the newest view. Its number is 0 if the history is empty.
+func (his *History) Newest() View {
+	return his.views[his.newest]
 }
 
 // Since returns the stored views with at least the given number, oldest first.
 func (his *History) Since(number uint64) []View {
 	var views []View
-	for num := max(number, 1); num <= his.last; num++ {
+	for num := max(number, 1); num <= his.newest; num++ {
 		if vie, known := his.views[num]; known {
 			views = append(views, vie)
 		}
@@ -62,7 +62,7 @@
 // Find returns the first matching member. It searches the stored views from the newest to the
 // oldest and stops at a gap in their numbers.
 func (his *History) Find(match func(Member) bool) (Member, bool) {
-	for num := his.last; num > 0; num-- {
+	for num := his.newest; num > 0; num-- {
 		vie, known := his.views[num]
 		if !known {
 			break
--- a/visitor/visitor.go
+++ b/visitor/visitor.go
@@ -5,7 +5,7 @@
 // # Usage
 //
 //	cli := visitor.New(visitor.Config{Directories: addresses, HostName: "menus.example", Random: random})
-//	res := cli.Send(ctx, visitor.Request{Path: "/safe/x", Kind: route.KindSafe, Deadline: time.Second, Retries: 1})
+//	res := cli.Send(ctx, visitor.Request{Path: "/safe/x", Kind: route.KindSafe, Deadline: time.Second, MaxRetries: 1})
 //	for _, att := range res.Attempts { ... }
 package visitor
 
@@ -58,9 +58,9 @@
 	Random *rand.Rand
 	// KeepAlive enables HTTP keep-alive.
 	KeepAlive bool
-	// CachesLonger makes the client cache the list of addresses for three times as long as
+	// ExceedsTTL makes the client cache the list of addresses for three times as long as
 	// its TTL permits.
-	CachesLonger bool
+	ExceedsTTL bool
 }
 
 // Client is one client. It sends one request at a time.
@@ -87,8 +87,8 @@
 	Resumable bool
 	// Deadline bounds the time of all attempts together.
 	Deadline time.Duration
-	// Retries is the maximum number of retries.
-	Retries      int
+	// MaxRetries is the maximum number of retries.
+	MaxRetries   int
 	PromptTokens int
 	MaxTokens    int
 }
@@ -103,9 +103,9 @@
 	Header http.Header
 	// Body is the received part of the answer's body.
 	Body string
-	// First is the time from sending to the first byte of the body.
-	First time.Duration
-	Took  time.Duration
+	// TimeToFirstByte is the time from sending to the first byte of the body.
+	TimeToFirstByte time.Duration
+	Took            time.Duration
 	// Err is set if no answer or an incomplete one arrived.
 	Err error
 	// Unsent reports that no connection was established, so the request was not sent.
@@ -173,7 +173,7 @@
 		att := cli.attempt(ctx, req, req.Deadline-time.Since(start))
 		res.Attempts = append(res.Attempts, att)
 		res.Took = time.Since(start)
-		if len(res.Attempts) > req.Retries || !mayRetry(req, att) || ctx.Err() != nil {
+		if len(res.Attempts) > req.MaxRetries || !mayRetry(req, att) || ctx.Err() != nil {
 			return res
 		}
 		task.Sleep(ctx, min(retryAfter(att.Header), time.Duration(maxWaitShare*float64(req.Deadline-res.Took))))
@@ -235,7 +235,7 @@
 	// Without GetBody the transport never resends a body by itself.
 	htr.GetBody = nil
 	htr.Host = cli.cfg.HostName
-	platform.EncodeRequest(htr.Header, platform.CallerRequest{
+	platform.EncodeRequest(htr.Header, platform.ClientRequest{
 		ID: att.ID, Key: req.Key, Deadline: left, PromptTokens: req.PromptTokens, MaxTokens: req.MaxTokens,
 	})
 	rep, err := cli.transport.RoundTrip(htr)
@@ -253,7 +253,7 @@
 func (cli *Client) read(body io.Reader, att *Attempt) {
 	first := make([]byte, 1)
 	num, err := io.ReadFull(body, first)
-	att.First = time.Since(att.Sent)
+	att.TimeToFirstByte = time.Since(att.Sent)
 	if errors.Is(err, io.EOF) {
 		return
 	}
@@ -298,7 +298,7 @@
 	cli.failed[adr] = true
 }
 
-// longCacheFactor multiplies the TTL of the list of addresses for clients with CachesLonger.
+// longCacheFactor multiplies the TTL of the list of addresses for clients with ExceedsTTL.
 const longCacheFactor = 3
 
 // refresh requests the list of addresses from up to maxDirectories hosts. If none of them
@@ -309,7 +309,7 @@
 		if err != nil || len(addresses) == 0 {
 			continue
 		}
-		if cli.cfg.CachesLonger {
+		if cli.cfg.ExceedsTTL {
 			ttl *= longCacheFactor
 		}
 		cli.mutex.Lock()
