--- a/entry/barred_test.go
+++ b/entry/barred_test.go
@@ -202,8 +202,8 @@
 // request crashed eight engines while all three hosts were in session. The engines listened for a
 // moment after their crashes, so only the deletion of their entries confirmed these, and the
 // coordinator saw no deletion. The other hosts confirmed the crashes, but reported that only to
-// gateways that had appointed them, and there were none. Coordinators must receive a report when a
-// crash is confirmed, not only when a request is cleared.
+// gateways that had delegated to them, and there were none. Coordinators must receive a report when
+// a crash is confirmed, not only when a request is cleared.
 func TestCoordinatorReceivesCrashesConfirmedByOtherHosts(t *testing.T) {
 	hos := newTestHost(t, io.Discard)
 	que := peer.NewQueue()
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -138,7 +138,7 @@
 	msg := reservation.CaseReport{Report: cha.Report}
 	if cha.ConcernsGateways() {
 		for _, inb := range bro.inbound {
-			if inb.appointed {
+			if inb.delegated {
 				inb.send(msg)
 			}
 		}
--- a/entry/desk.go
+++ b/entry/desk.go
@@ -93,8 +93,8 @@
 	name    string
 	queue   *peer.Queue
 	cancel  context.CancelFunc
-	// appointed is set while the gateway uses this host as its coordinator.
-	appointed bool
+	// delegated is set while the gateway uses this host as its coordinator.
+	delegated bool
 }
 
 // send queues a message for the gateway. A gateway that does not keep up with its queue loses its
--- a/entry/elect.go
+++ b/entry/elect.go
@@ -38,7 +38,7 @@
 	bro.coordinator = chosen
 	bro.unreachableHosts.Store(nil)
 	bro.applyUnreachable(bro.host.epoch, bro.publishedUnreachable)
-	bro.appoint(old, chosen)
+	bro.sendDelegations(old, chosen)
 	bro.reportDebts(chosen)
 	bro.handOverGrants(old, chosen)
 	for id, pen := range bro.pending {
@@ -77,10 +77,10 @@
 	})
 }
 
-// appoint notifies the old and the new coordinator which of them this host uses. Without this a
-// coordinator could only count the hosts that send it reservations; after seconds without traffic
-// it would consider all hosts lost and enforce only its own share of the limits.
-func (bro *broker) appoint(old, chosen request.Epoch) {
+// sendDelegations notifies the old and the new coordinator which of them this host uses. Without
+// this a coordinator could only count the hosts that send it reservations; after seconds without
+// traffic it would consider all hosts lost and enforce only its own share of the limits.
+func (bro *broker) sendDelegations(old, chosen request.Epoch) {
 	if old != bro.host.epoch {
 		bro.send(old, reservation.Delegation{})
 	}
@@ -103,14 +103,14 @@
 	}
 }
 
-// setAppointed records whether a gateway uses this host as its coordinator; the mutex must be
+// setDelegated records whether a gateway uses this host as its coordinator; the mutex must be
 // held.
-func (bro *broker) setAppointed(inb *inbound, appointed bool) {
-	inb.appointed = appointed
-	if appointed && len(bro.publishedUnreachable) > 0 {
+func (bro *broker) setDelegated(inb *inbound, delegated bool) {
+	inb.delegated = delegated
+	if delegated && len(bro.publishedUnreachable) > 0 {
 		bro.sendUnreachable(inb)
 	}
-	if appointed {
+	if delegated {
 		bro.sendCasesToGateway(inb)
 	}
 	bro.updateShare(bro.coordinator)
--- a/entry/elect_test.go
+++ b/entry/elect_test.go
@@ -41,21 +41,21 @@
 	assert.Equal(t, bro.chooseCoordinator(), request.Epoch(1))
 }
 
-// A host is the leader, and reports so, while it and the hosts that appoint it are more than half of
-// all hosts.
-func TestHostLeadsWhileMajorityAppointsIt(t *testing.T) {
+// A host is the leader, and reports so, while it and the hosts that delegate scheduling to it are
+// more than half of all hosts.
+func TestHostLeadsWhileMajorityDelegatesToIt(t *testing.T) {
 	const hosts = 5
 	hos, sessions := newHostInFleet(t, hosts)
 	reportedLeader := func() request.Epoch { return hos.broker.publishedLeader }
-	appoint := func(idx int, delegated bool) {
+	delegate := func(idx int, delegated bool) {
 		hos.broker.SessionMessage(sessions[idx], peer.Received{Message: reservation.Delegation{Delegated: delegated}})
 	}
-	appoint(0, true)
+	delegate(0, true)
 	assert.Equal(t, reportedLeader(), request.Epoch(0), "two of five hosts are no majority")
-	appoint(1, true)
+	delegate(1, true)
 	assert.Equal(t, reportedLeader(), hos.epoch)
 	assert.Equal(t, hos.broker.chooseCoordinator(), hos.epoch)
-	appoint(0, false)
+	delegate(0, false)
 	assert.Equal(t, reportedLeader(), request.Epoch(0))
 }
 
--- a/entry/leader.go
+++ b/entry/leader.go
@@ -92,7 +92,7 @@
 func (bro *broker) servedHosts() int {
 	served := 1
 	for _, inb := range bro.inbound {
-		if inb.appointed {
+		if inb.delegated {
 			served++
 		}
 	}
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -51,7 +51,7 @@
 	}
 	bro.publishedUnreachable = unreachable
 	for _, inb := range bro.inbound {
-		if inb.appointed {
+		if inb.delegated {
 			bro.sendUnreachable(inb)
 		}
 	}
--- a/entry/secret.go
+++ b/entry/secret.go
@@ -21,7 +21,7 @@
 	secretJitter = 600 * time.Millisecond
 	// secretRetry is the average time after which a host without any secret tries again.
 	secretRetry = time.Second
-	// secretInterval is how often the coordinator checks whether the secrets are due for renewal,
+	// secretInterval is how often the coordinator checks whether the secrets are due for rotation,
 	// or were removed from the store.
 	secretInterval = 10 * time.Second
 	// secretTimeout bounds the writing of a key ring.
@@ -155,7 +155,7 @@
 }
 
 // renewSecrets writes what is due: the first secret, secrets that were removed from the store, or
-// the next step of a renewal.
+// the next step of a rotation.
 func (hos *Host) renewSecrets(ctx context.Context) {
 	now := time.Now()
 	sec := hos.secrets
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -204,7 +204,7 @@
 	defer bro.mutex.Unlock()
 	if inb := bro.inbound[session]; inb != nil {
 		if del, isDelegation := rec.Message.(reservation.Delegation); isDelegation {
-			bro.setAppointed(inb, del.Delegated)
+			bro.setDelegated(inb, del.Delegated)
 			return
 		}
 		if enf, isEnforced := rec.Message.(reservation.EnforcedOrders); isEnforced {
--- a/entry/share_test.go
+++ b/entry/share_test.go
@@ -29,7 +29,7 @@
 }
 
 // newHostInFleet returns a host in a fleet of the given number of hosts, and the sessions that the
-// other hosts have opened with it. None of them has appointed it yet.
+// other hosts have opened with it. None of them has delegated to it yet.
 func newHostInFleet(t *testing.T, hosts int) (*Host, []uint64) {
 	t.Helper()
 	hos, err := New(Config{Log: zerolog.Nop()})
@@ -47,18 +47,18 @@
 	return hos, sessions
 }
 
-// Hosts that have appointed the coordinator count for its share of the limits, also while they send
-// no requests. Otherwise the first requests of hundreds of hosts after an idle period would get the
-// limits of one host.
+// Hosts that have delegated to the coordinator count for its share of the limits, also while they
+// send no requests. Otherwise the first requests of hundreds of hosts after an idle period would
+// get the limits of one host.
 func TestIdleGatewaysCountForLimitDivisor(t *testing.T) {
 	const hosts = 300
 	hos, sessions := newHostInFleet(t, hosts)
-	assert.Equal(t, hos.Dump().Scheduler.Parts, float64(hosts), "a session alone doesn't appoint the host")
+	assert.Equal(t, hos.Dump().Scheduler.Parts, float64(hosts), "a session alone doesn't delegate to the host")
 	for _, ses := range sessions {
 		hos.broker.SessionMessage(ses, peer.Received{Message: reservation.Delegation{Delegated: true}})
 	}
 	assert.Equal(t, hos.Dump().Scheduler.Parts, 1.0)
-	// A third of the hosts appoints another coordinator, another third is lost.
+	// A third of the hosts delegates to another coordinator, another third is lost.
 	for idx, ses := range sessions {
 		switch idx % 3 {
 		case 0:
