--- a/entry/crash.go
+++ b/entry/crash.go
@@ -138,12 +138,12 @@
 	msg := reservation.CaseReport{Report: cha.Report}
 	if cha.ConcernsGateways() {
 		for _, inb := range bro.inbound {
-			if inb.appointed {
+			if inb.delegated {
 				inb.send(msg)
 			}
 		}
 	}
-	if cha.FromPeer || !cha.Report.Cleared && !cha.ConcernsGateways() {
+	if cha.ClearedByPeer || !cha.Report.Cleared && !cha.ConcernsGateways() {
 		return
 	}
 	// Evidence against a request is sent too: a coordinator that can't reach the store does not
